--- a/crates/rules/src/check/form.rs
+++ b/crates/rules/src/check/bounds.rs
@@ -9,16 +9,16 @@
 pub(super) fn check(rules: &[Rule], out: &mut Findings) {
     let mut names = BTreeSet::new();
     for rule in rules {
-        if rule.name.is_empty() || rule.name.chars().count() > limits::NAME {
+        if rule.name.is_empty() || rule.name.chars().count() > limits::MAX_RULE_NAME_CHARS {
             out.push(Finding::new(&rule.name, "name", "", "", "a name has 1 to 32 characters"));
         } else if !names.insert(&rule.name) {
             out.push(Finding::new(&rule.name, "name", "", "another name", "two rules bear this name"));
         }
         let texts = [
-            ("name", &rule.name, limits::NAME * 4),
-            ("class", &rule.class, limits::CLASS),
-            ("to", &rule.to, limits::TO),
-            ("key", &rule.key, limits::KEY),
+            ("name", &rule.name, limits::MAX_RULE_NAME_CHARS * 4),
+            ("class", &rule.class, limits::MAX_CLASS_BYTES),
+            ("to", &rule.to, limits::MAX_ADDRESS_PREFIX_BYTES),
+            ("key", &rule.key, limits::MAX_KEY_PREFIX_BYTES),
         ];
         for (field, text, most) in texts {
             if text.len() > most {
@@ -32,24 +32,24 @@
         if Field::ALL.iter().all(|f| f.raw(&rule.figures).is_none()) {
             out.push(Finding::new(&rule.name, "", "", "", "it sets nothing"));
         }
-        Field::ALL.into_iter().for_each(|field| figure(rule, field, out));
+        Field::ALL.into_iter().for_each(|field| check_field(rule, field, out));
     }
 }
 
-fn figure(rule: &Rule, field: Field, out: &mut Findings) {
+fn check_field(rule: &Rule, field: Field, out: &mut Findings) {
     let Some(value) = field.raw(&rule.figures) else { return };
     let most = match field.unit() {
-        Unit::Span => limits::SPAN as u64,
-        Unit::Count => limits::COUNT,
-        Unit::Octets => limits::OCTETS,
+        Unit::Duration => limits::MAX_SPAN as u64,
+        Unit::Count => limits::MAX_COUNT,
+        Unit::Bytes => limits::MAX_SIZE_BYTES,
     };
     if value < 0 {
         out.push(Finding::new(&rule.name, field.name(), "", "", "it is below nought"));
     } else if value > i128::from(most) {
         let why = "more than anybody may have";
-        out.push(Finding::new(&rule.name, field.name(), "", &field.show(most), why));
-    } else if value == 0 && field.needs_some() {
+        out.push(Finding::new(&rule.name, field.name(), "", &field.format(most), why));
+    } else if value == 0 && field.requires_nonzero() {
         let why = "with nought nothing would ever be delivered";
-        out.push(Finding::new(&rule.name, field.name(), "", &field.show(1), why));
+        out.push(Finding::new(&rule.name, field.name(), "", &field.format(1), why));
     }
 }
--- a/crates/rules/src/check/destroys.rs
+++ b/crates/rules/src/check/destroys.rs
@@ -1,42 +1,44 @@
 //! Whether a change can let go of what is kept.
 
-use super::each_other::{overlap, wider};
+use super::conflicts::{contains, overlaps};
 use crate::field::Field;
 use crate::model::Rule;
 use std::collections::BTreeMap;
 
-type Match<'a> = (&'a str, &'a str, &'a str);
+type MatchKey<'a> = (&'a str, &'a str, &'a str);
 
 /// Going from `old` rules to `new` ones may shorten what is kept of some message. It errs on the safe side: where a new
 /// rule takes the place of the settings' defaults, which are not known here, it counts as destroying.
 pub fn destroys(old: &[Rule], new: &[Rule]) -> bool {
-    fn by_match(rules: &[Rule]) -> BTreeMap<Match<'_>, &Rule> {
+    fn by_match(rules: &[Rule]) -> BTreeMap<MatchKey<'_>, &Rule> {
         rules.iter().map(|r| ((r.to.as_str(), r.class.as_str(), r.key.as_str()), r)).collect()
     }
-    let (olds, news) = (by_match(old), by_match(new));
-    Field::ALL.into_iter().filter(|f| f.keeps()).any(|field| {
+    let (old_by_match, new_by_match) = (by_match(old), by_match(new));
+    Field::ALL.into_iter().filter(|f| f.smaller_loses_data()).any(|field| {
         let get = |rule: Option<&&Rule>| rule.and_then(|r| field.get(&r.figures));
         // Every match that set the figure still does, as high: then a message falls under its old rule or a new one.
-        let lost = olds.iter().any(|(at, rule)| match field.get(&rule.figures) {
-            Some(value) => get(news.get(at)).is_none_or(|now| now < value),
+        let lost = old_by_match.iter().any(|(at, rule)| match field.get(&rule.figures) {
+            Some(value) => get(new_by_match.get(at)).is_none_or(|now| now < value),
             None => false,
         });
-        lost || news.iter().any(|(at, rule)| match (field.get(&rule.figures), get(olds.get(at))) {
-            (None, _) | (_, Some(_)) => false,
-            (Some(value), None) => narrows(old, rule, field, value),
+        lost || new_by_match.iter().any(|(at, rule)| {
+            match (field.get(&rule.figures), get(old_by_match.get(at))) {
+                (None, _) | (_, Some(_)) => false,
+                (Some(value), None) => gives_less(old, rule, field, value),
+            }
         })
     })
 }
 
 /// A rule that is new gives less than any message it matches had.
-fn narrows(old: &[Rule], rule: &Rule, field: Field, value: u64) -> bool {
-    let mut sure = false;
-    for was in old.iter().filter(|was| overlap(was, rule)) {
+fn gives_less(old: &[Rule], rule: &Rule, field: Field, value: u64) -> bool {
+    let mut covered = false;
+    for was in old.iter().filter(|was| overlaps(was, rule)) {
         let Some(had) = field.get(&was.figures) else { continue };
         if value < had {
             return true;
         }
-        sure |= wider(was, rule);
+        covered |= contains(was, rule);
     }
-    !sure
+    !covered
 }
--- a/crates/rules/src/check/finding.rs
+++ b/crates/rules/src/check/finding.rs
@@ -21,18 +21,18 @@
 impl Finding {
     /// All texts are shortened to what may be repeated back.
     pub fn new(rule: &str, field: &str, plan: &str, fits: &str, why: &str) -> Self {
-        let short = |text: &str| limits::short(text, limits::ECHO);
+        let echo = |text: &str| limits::short(text, limits::MAX_ECHO_CHARS);
         Finding {
-            rule: limits::short(rule, limits::NAME),
-            field: short(field),
-            plan: short(plan),
-            fits: short(fits),
+            rule: limits::short(rule, limits::MAX_RULE_NAME_CHARS),
+            field: echo(field),
+            plan: echo(plan),
+            fits: echo(fits),
             why: limits::short(why, limits::WHY),
         }
     }
 }
 
-/// At most [`limits::FINDINGS`] of them; of the rest only the number is kept.
+/// At most [`limits::MAX_FINDINGS`] of them; of the rest only the number is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Findings {
     /// In the order they were found.
@@ -49,7 +49,7 @@
 
     /// Adds one, or counts it.
     pub fn push(&mut self, finding: Finding) {
-        if self.list.len() < limits::FINDINGS {
+        if self.list.len() < limits::MAX_FINDINGS {
             self.list.push(finding);
         } else {
             self.more += 1;
--- a/crates/rules/src/check/mod.rs
+++ b/crates/rules/src/check/mod.rs
@@ -1,11 +1,11 @@
 //! Rules against a plan, against each other, and against what stands.
 
+mod bounds;
+mod conflicts;
 mod cut;
 mod destroys;
 mod dry_run;
-mod each_other;
 mod finding;
-mod form;
 mod plan;
 
 pub use cut::{Cut, cut, restore};
@@ -13,7 +13,7 @@
 pub use dry_run::LetGo;
 pub use finding::{Finding, Findings};
 pub use plan::covers;
-pub(crate) use plan::readable;
+pub(crate) use plan::is_usable;
 
 use crate::limits;
 use crate::model::{Plan, Rule};
@@ -22,20 +22,20 @@
 /// octets and paces stay within the plan.
 pub fn check(rules: &[Rule], plan: &Plan) -> Findings {
     let mut out = Findings::default();
-    if rules.len() > limits::RULES || octets(rules) > limits::SET_OCTETS {
+    if rules.len() > limits::MAX_RULES || octets(rules) > limits::SET_OCTETS {
         // The checks below cost by the square of the number of rules: what is beyond all plans does not reach them.
         out.push(Finding::new(
             "",
             "rules",
-            &limits::RULES.to_string(),
+            &limits::MAX_RULES.to_string(),
             "",
             "more rules than anybody may have",
         ));
         return out;
     }
-    form::check(rules, &mut out);
+    bounds::check(rules, &mut out);
     plan::check(rules, plan, &mut out);
-    each_other::check(rules, &mut out);
+    conflicts::check(rules, &mut out);
     out
 }
 
--- a/crates/rules/src/check/plan.rs
+++ b/crates/rules/src/check/plan.rs
@@ -20,15 +20,15 @@
         if !allowed_prefix(rule, plan) {
             let list = plan.prefixes.join(", ");
             // Where the rule is only too wide, the narrowest step into the plan is the prefix beneath it.
-            let beneath = plan.prefixes.iter().find(|p| p.starts_with(&rule.to)).or(plan.prefixes.first());
+            let inside = plan.prefixes.iter().find(|p| p.starts_with(&rule.to)).or(plan.prefixes.first());
             let why = "the plan has no such prefix, so that the rule could match what is beyond it";
-            out.push(Finding::new(&rule.name, "to", &list, beneath.map_or("", String::as_str), why));
+            out.push(Finding::new(&rule.name, "to", &list, inside.map_or("", String::as_str), why));
         }
     }
-    Field::ALL.into_iter().for_each(|field| figure(rules, plan, field, out));
+    Field::ALL.into_iter().for_each(|field| check_field(rules, plan, field, out));
 }
 
-fn figure(rules: &[Rule], plan: &Plan, field: Field, out: &mut Findings) {
+fn check_field(rules: &[Rule], plan: &Plan, field: Field, out: &mut Findings) {
     let most = field.get(&plan.most);
     let mut left = most.unwrap_or(0);
     for rule in rules {
@@ -38,21 +38,21 @@
             out.push(Finding::new(&rule.name, field.name(), "none", "leave it out", why));
             continue;
         };
-        let shown = field.show(most);
+        let shown = field.format(most);
         if value > most {
-            let why = format!("the plan has {shown} at most, the rule {}", field.show(value));
+            let why = format!("the plan has {shown} at most, the rule {}", field.format(value));
             out.push(Finding::new(&rule.name, field.name(), &shown, &shown, &why));
-        } else if field.summed() && value > left {
+        } else if field.is_summed() && value > left {
             let why =
-                format!("all rules together may have {shown}, of which {} are left here", field.show(left));
-            out.push(Finding::new(&rule.name, field.name(), &shown, &field.show(left), &why));
+                format!("all rules together may have {shown}, of which {} are left here", field.format(left));
+            out.push(Finding::new(&rule.name, field.name(), &shown, &field.format(left), &why));
         }
         left = left.saturating_sub(value);
     }
 }
 
 /// Class and prefix are within the plan.
-pub(super) fn placed(rule: &Rule, plan: &Plan) -> bool {
+pub(super) fn within_scope(rule: &Rule, plan: &Plan) -> bool {
     allowed_class(rule, plan) && allowed_prefix(rule, plan)
 }
 
@@ -78,13 +78,13 @@
 }
 
 /// A plan that is itself out of bounds can't be kept to and counts as one that can't be read.
-pub(crate) fn readable(plan: &Plan) -> bool {
-    let short = |list: &[String], count: usize, most: usize| {
+pub(crate) fn is_usable(plan: &Plan) -> bool {
+    let bounded = |list: &[String], count: usize, most: usize| {
         list.len() <= count && list.iter().all(|t| t.len() <= most)
     };
     plan.name.len() <= limits::CLIENT
         && plan.grace >= 0
-        && short(&plan.classes, limits::PLAN_CLASSES, limits::CLASS)
-        && short(&plan.prefixes, limits::PLAN_PREFIXES, limits::TO)
+        && bounded(&plan.classes, limits::MAX_PLAN_CLASSES, limits::MAX_CLASS_BYTES)
+        && bounded(&plan.prefixes, limits::MAX_PLAN_PREFIXES, limits::MAX_ADDRESS_PREFIX_BYTES)
         && Field::ALL.iter().all(|f| f.raw(&plan.most).is_none_or(|v| v >= 0))
 }
--- a/crates/rules/src/digest.rs
+++ b/crates/rules/src/digest.rs
@@ -12,8 +12,8 @@
 pub fn digest(set: &RuleSet, plan: &Plan) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules 1");
-    rules_into(&mut hash, &set.rules);
-    plan_into(&mut hash, plan);
+    hash_rules(&mut hash, &set.rules);
+    hash_plan(&mut hash, plan);
     hash.finalize().into()
 }
 
@@ -21,7 +21,7 @@
 pub fn rules_digest(rules: &[Rule]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules only 1");
-    rules_into(&mut hash, rules);
+    hash_rules(&mut hash, rules);
     hash.finalize().into()
 }
 
@@ -29,16 +29,16 @@
 pub fn plan_digest(plan: &Plan) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute plan 1");
-    plan_into(&mut hash, plan);
+    hash_plan(&mut hash, plan);
     hash.finalize().into()
 }
 
 /// Of all clients: name, version and [`digest`] of each, in the order of the names.
-pub fn all<'a>(clients: impl IntoIterator<Item = (&'a str, u64, Digest)>) -> Digest {
+pub fn all_clients_digest<'a>(clients: impl IntoIterator<Item = (&'a str, u64, Digest)>) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute clients 1");
     for (client, version, digest) in clients {
-        text(&mut hash, client);
+        hash_text(&mut hash, client);
         hash.update(version.to_be_bytes());
         hash.update(digest);
     }
@@ -46,9 +46,9 @@
 }
 
 /// Of parts, each with its length in front so that no two lists of parts look alike.
-pub(crate) fn parts(kind: &str, parts: &[&[u8]]) -> Digest {
+pub(crate) fn digest_parts(kind: &str, parts: &[&[u8]]) -> Digest {
     let mut hash = Sha256::new();
-    text(&mut hash, kind);
+    hash_text(&mut hash, kind);
     for part in parts {
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
@@ -56,34 +56,34 @@
     hash.finalize().into()
 }
 
-fn rules_into(hash: &mut Sha256, rules: &[Rule]) {
+fn hash_rules(hash: &mut Sha256, rules: &[Rule]) {
     let mut order: Vec<&Rule> = rules.iter().collect();
     order.sort_by_key(|r| (&r.name, &r.to, &r.class, &r.key));
     hash.update((order.len() as u64).to_be_bytes());
     for rule in order {
         for part in [&rule.name, &rule.class, &rule.to, &rule.key] {
-            text(hash, part);
+            hash_text(hash, part);
         }
-        figures_into(hash, &rule.figures);
+        hash_figures(hash, &rule.figures);
     }
 }
 
-fn plan_into(hash: &mut Sha256, plan: &Plan) {
-    text(hash, &plan.name);
+fn hash_plan(hash: &mut Sha256, plan: &Plan) {
+    hash_text(hash, &plan.name);
     hash.update((plan.rules as u64).to_be_bytes());
     for list in [&plan.classes, &plan.prefixes] {
         let mut list: Vec<&String> = list.iter().collect();
         list.sort_unstable();
         hash.update((list.len() as u64).to_be_bytes());
-        list.into_iter().for_each(|each| text(hash, each));
+        list.into_iter().for_each(|each| hash_text(hash, each));
     }
-    figures_into(hash, &plan.most);
+    hash_figures(hash, &plan.most);
     hash.update(plan.changes_an_hour.to_be_bytes());
     hash.update([u8::from(plan.approval)]);
     hash.update(plan.grace.to_be_bytes());
 }
 
-fn figures_into(hash: &mut Sha256, figures: &crate::Figures) {
+fn hash_figures(hash: &mut Sha256, figures: &crate::Figures) {
     for field in Field::ALL {
         match field.raw(figures) {
             Some(value) => {
@@ -95,7 +95,7 @@
     }
 }
 
-fn text(hash: &mut Sha256, text: &str) {
+fn hash_text(hash: &mut Sha256, text: &str) {
     hash.update((text.len() as u64).to_be_bytes());
     hash.update(text);
 }
--- a/crates/rules/src/field.rs
+++ b/crates/rules/src/field.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::model::Figures;
-use crate::span::{show_size, show_span};
+use crate::span::{format_size, format_span};
 
 /// One of the figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -31,11 +31,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// Microseconds.
-    Span,
+    Duration,
     /// Things, or things in a second.
     Count,
     /// Octets.
-    Octets,
+    Bytes,
 }
 
 impl Field {
@@ -72,29 +72,29 @@
     /// Its unit.
     pub fn unit(self) -> Unit {
         match self {
-            Field::AnswerFor | Field::Remember | Field::HoldFor | Field::Validity => Unit::Span,
+            Field::AnswerFor | Field::Remember | Field::HoldFor | Field::Validity => Unit::Duration,
             Field::Remembered | Field::HoldCount | Field::Trails | Field::Release => Unit::Count,
-            Field::HoldOctets => Unit::Octets,
+            Field::HoldOctets => Unit::Bytes,
         }
     }
 
     /// The plan's figure is also the most for the sum over all rules and members.
-    pub fn summed(self) -> bool {
-        self.unit() != Unit::Span
+    pub fn is_summed(self) -> bool {
+        self.unit() != Unit::Duration
     }
 
     /// Each member has a part of its own, once and for all. A pace goes round among them instead ([`crate::share::Turn`]).
-    pub fn divided(self) -> bool {
-        self.summed() && self != Field::Release
+    pub fn is_divided(self) -> bool {
+        self.is_summed() && self != Field::Release
     }
 
     /// A smaller one lets go of what is kept. A slower release loses nothing.
-    pub fn keeps(self) -> bool {
+    pub fn smaller_loses_data(self) -> bool {
         self != Field::Release
     }
 
     /// Nought would mean that nothing is ever delivered.
-    pub fn needs_some(self) -> bool {
+    pub fn requires_nonzero(self) -> bool {
         matches!(self, Field::Validity | Field::Release)
     }
 
@@ -146,11 +146,11 @@
     }
 
     /// A value of it, with its unit.
-    pub fn show(self, value: u64) -> String {
+    pub fn format(self, value: u64) -> String {
         match self.unit() {
-            Unit::Span => show_span(Micros::try_from(value).unwrap_or(Micros::MAX)),
+            Unit::Duration => format_span(Micros::try_from(value).unwrap_or(Micros::MAX)),
             Unit::Count => value.to_string(),
-            Unit::Octets => show_size(value),
+            Unit::Bytes => format_size(value),
         }
     }
 }
--- a/crates/rules/src/home.rs
+++ b/crates/rules/src/home.rs
@@ -21,7 +21,7 @@
     use super::*;
 
     #[test]
-    fn clients_spread_and_few_move() {
+    fn clients_spread_evenly_and_few_move() {
         let names: Vec<String> = (0..1000).map(|i| format!("client{i}")).collect();
         let mut counts = [0; 4];
         names.iter().for_each(|n| counts[home(n, 4)] += 1);
--- a/crates/rules/src/json/answer.rs
+++ b/crates/rules/src/json/answer.rs
@@ -29,7 +29,7 @@
 impl Reply {
     /// As JSON.
     pub fn json(&self) -> String {
-        text(&self.answer())
+        to_json(&self.answer())
     }
 
     fn answer(&self) -> Answer<'_> {
@@ -65,11 +65,11 @@
     #[serde(skip_serializing_if = "<[Notice]>::is_empty")]
     notices: &'a [Notice],
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    versions: Vec<Past<'a>>,
+    versions: Vec<VersionEntry<'a>>,
 }
 
 #[derive(Serialize)]
-struct Past<'a> {
+struct VersionEntry<'a> {
     version: u64,
     state: &'static str,
     #[serde(skip_serializing_if = "str::is_empty")]
@@ -81,8 +81,9 @@
 /// The answer to `rules/show`.
 pub fn show(view: &View) -> String {
     let versions = view.versions.iter();
-    let versions = versions.map(|p| Past { version: p.version, state: p.state, by: &p.by, why: &p.why });
-    text(&Show {
+    let versions =
+        versions.map(|p| VersionEntry { version: p.version, state: p.state, by: &p.by, why: &p.why });
+    to_json(&Show {
         version: view.set.version,
         rules: view.set.rules.iter().map(rule).collect(),
         plan: &view.plan,
@@ -98,7 +99,7 @@
     out.extend(texts.map(|(name, text)| (name.to_string(), Value::from(text.as_str()))));
     for field in Field::ALL {
         if let Some(value) = field.get(&rule.figures) {
-            let value = if field.unit() == Unit::Count { value.into() } else { field.show(value).into() };
+            let value = if field.unit() == Unit::Count { value.into() } else { field.format(value).into() };
             out.insert(field.name().into(), value);
         }
     }
@@ -106,6 +107,6 @@
 }
 
 /// None of the shapes above can fail to be written; what can't be is said as unknown rather than with a panic.
-fn text(answer: &impl Serialize) -> String {
+fn to_json(answer: &impl Serialize) -> String {
     serde_json::to_string(answer).unwrap_or_else(|_| r#"{"state":"unknown"}"#.into())
 }
--- a/crates/rules/src/json/ask.rs
+++ b/crates/rules/src/json/draft.rs
@@ -1,7 +1,7 @@
 //! The body of `rules/submit` and `rules/check`.
 
 use crate::check::{Finding, Findings};
-use crate::digest::{Digest, parts, rules_digest};
+use crate::digest::{Digest, digest_parts, rules_digest};
 use crate::limits;
 use crate::model::{Figures, Rule};
 use crate::span::{UnitError, parse_size, parse_span};
@@ -22,10 +22,10 @@
     /// Names the request in [`crate::Command::Submit`]: the same draft handed in once more, at any member, has the same.
     pub fn request(&self, client: &str) -> Digest {
         match &self.request {
-            Some(own) => parts("named", &[client.as_bytes(), own.as_bytes()]),
+            Some(own) => digest_parts("named", &[client.as_bytes(), own.as_bytes()]),
             None => {
                 let (base, rules) = (self.base.to_be_bytes(), rules_digest(&self.rules));
-                parts("submit", &[client.as_bytes(), &base, &rules])
+                digest_parts("submit", &[client.as_bytes(), &base, &rules])
             }
         }
     }
@@ -33,10 +33,10 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawDraft {
+struct DraftBody {
     #[serde(default)]
     base: u64,
-    rules: Vec<RawRule>,
+    rules: Vec<RuleBody>,
     #[serde(default)]
     request: Option<String>,
 }
@@ -44,7 +44,7 @@
 /// Spans and sizes are texts here, so that one that can't be read is told with its rule and field.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct RawRule {
+struct RuleBody {
     name: String,
     class: String,
     to: String,
@@ -67,17 +67,17 @@
 /// Says what could not be read: unknown fields by their names, wrong JSON by line and column, wrong units by rule and
 /// field.
 pub fn read(body: &[u8]) -> Result<Draft, Findings> {
-    let whole = |why: &str| Findings::one(Finding::new("", "", "", "", why));
+    let body_finding = |why: &str| Findings::one(Finding::new("", "", "", "", why));
     if body.len() > limits::BODY {
-        return Err(whole("the body is over 64KiB"));
+        return Err(body_finding("the body is over 64KiB"));
     }
-    let raw: RawDraft = serde_json::from_slice(body).map_err(|e| whole(&e.to_string()))?;
-    if raw.rules.len() > limits::RULES {
+    let raw: DraftBody = serde_json::from_slice(body).map_err(|e| body_finding(&e.to_string()))?;
+    if raw.rules.len() > limits::MAX_RULES {
         return Err(Findings::one(Finding::new(
             "",
             "rules",
             "",
-            &limits::RULES.to_string(),
+            &limits::MAX_RULES.to_string(),
             "too many rules",
         )));
     }
@@ -90,20 +90,24 @@
             "a request's name has 1 to 64 octets",
         )));
     }
-    let mut wrong = Findings::default();
-    let rules = raw.rules.into_iter().map(|r| rule(r, &mut wrong)).collect();
-    if wrong.is_empty() { Ok(Draft { base: raw.base, rules, request: raw.request }) } else { Err(wrong) }
+    let mut findings = Findings::default();
+    let rules = raw.rules.into_iter().map(|r| read_rule(r, &mut findings)).collect();
+    if findings.is_empty() {
+        Ok(Draft { base: raw.base, rules, request: raw.request })
+    } else {
+        Err(findings)
+    }
 }
 
-fn rule(raw: RawRule, wrong: &mut Findings) -> Rule {
-    let RawRule { name, class, to, key, .. } = raw;
-    let mut say = |field: &str, error: &UnitError| {
-        wrong.push(Finding::new(&name, field, "", "", &error.to_string()));
+fn read_rule(raw: RuleBody, findings: &mut Findings) -> Rule {
+    let RuleBody { name, class, to, key, .. } = raw;
+    let mut report = |field: &str, error: &UnitError| {
+        findings.push(Finding::new(&name, field, "", "", &error.to_string()));
     };
     let mut span = |field: &str, text: Option<String>| match parse_span(&text?) {
         Ok(span) => Some(span),
         Err(error) => {
-            say(field, &error);
+            report(field, &error);
             None
         }
     };
@@ -121,7 +125,7 @@
     figures.hold_octets = raw.hold_octets.and_then(|text| match parse_size(&text) {
         Ok(size) => Some(size),
         Err(error) => {
-            say("hold_octets", &error);
+            report("hold_octets", &error);
             None
         }
     });
--- a/crates/rules/src/json/mod.rs
+++ b/crates/rules/src/json/mod.rs
@@ -1,7 +1,7 @@
 //! JSON of the `rules/...` topics, in and out.
 
 mod answer;
-mod ask;
+mod draft;
 
 pub use answer::{NO_MAJORITY, show};
-pub use ask::{Draft, read};
+pub use draft::{Draft, read};
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod json;
 pub mod limits;
 pub mod model;
-pub mod parts;
+pub mod quota_shares;
 pub mod registry;
 pub mod seam;
 pub mod share;
--- a/crates/rules/src/parts/mod.rs
+++ b/crates/rules/src/quota_shares/mod.rs
@@ -12,13 +12,13 @@
 //! What does not hold: the sum of what is *kept* may pass the figure. Nothing kept is let go because a part shrank,
 //! so what a member kept on a part whose lease ended stays, beside what others keep on that part by then.
 
+mod allocator;
 mod holder;
-mod lender;
 mod message;
 
-pub use holder::{Fell, Holder, Out};
-pub use lender::Lender;
-pub use message::{Ask, Grant};
+pub use allocator::QuotaAllocator;
+pub use holder::{LeaseExpired, QuotaHolder, TickOutput};
+pub use message::{ShareGrant, ShareRequest};
 
 use crate::Micros;
 
@@ -28,25 +28,25 @@
     /// How long a holder counts on what it was lent, by its clock, from when it asked.
     pub lease: Micros,
     /// By how many thousandths one clock may run faster than another.
-    pub drift: i64,
+    pub drift_permille: i64,
     /// A holder asks again so long after it last asked.
-    pub every: Micros,
+    pub request_interval: Micros,
     /// One whose part does not do asks again after so long already.
-    pub soon: Micros,
+    pub urgent_interval: Micros,
     /// Thousandths of the figure that are never lent: the floors of all members together.
-    pub reserve: u64,
+    pub floor_permille: u64,
     /// Thousandths of its use that a holder wants on top, to grow into until it is answered.
-    pub spare: u64,
+    pub headroom_permille: u64,
 }
 
 impl Tuning {
     /// For how long a lease counts at the one that gave it.
-    fn held(&self) -> Micros {
-        self.lease.saturating_add(self.lease.saturating_mul(self.drift) / 1000).saturating_add(1)
+    fn allocator_lease(&self) -> Micros {
+        self.lease.saturating_add(self.lease.saturating_mul(self.drift_permille) / 1000).saturating_add(1)
     }
 }
 
 /// So many thousandths of a value.
-fn thousandths(value: u64, of: u64) -> u64 {
-    u64::try_from(u128::from(value) * u128::from(of) / 1000).unwrap_or(u64::MAX)
+fn permille_of(value: u64, permille: u64) -> u64 {
+    u64::try_from(u128::from(value) * u128::from(permille) / 1000).unwrap_or(u64::MAX)
 }
--- a/crates/rules/src/registry/client.rs
+++ b/crates/rules/src/registry/client.rs
@@ -15,23 +15,23 @@
     pub plan: Arc<Plan>,
     pub plan_digest: Digest,
     /// The last plan could be read; else it is the one before, and nothing is changed or cut by it.
-    pub readable: bool,
+    pub plan_usable: bool,
     /// The settings have it no more, since then. It stays known for its last version, which must not be given again.
     pub dropped: Option<Micros>,
     /// The last version number given.
-    pub last: u64,
+    pub last_version: u64,
     /// The desired version; 0: none yet.
     pub current: u64,
     pub versions: BTreeMap<u64, Version>,
     /// Of the desired rules, those that a plan made smaller, as they were wanted.
-    pub clipped: Vec<Rule>,
+    pub reduced: Vec<Rule>,
     /// Rules that a plan took out whole, as they were wanted.
-    pub out: Vec<Rule>,
+    pub removed: Vec<Rule>,
     /// What is beyond the plan is cut then.
     pub cut_at: Option<Micros>,
     /// When the client changed something, within the last hour.
     pub changes: VecDeque<Micros>,
-    pub requests: VecDeque<Known>,
+    pub requests: VecDeque<AnsweredRequest>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,11 +40,11 @@
     pub stage: Stage,
     pub origin: Origin,
     /// The version that was desired when it was submitted.
-    pub onto: u64,
+    pub base: u64,
     pub at: Micros,
     /// The operator who decided; empty: none had to.
     pub by: String,
-    pub octets: u64,
+    pub bytes: u64,
 }
 
 /// Where a version stands. Drafts and checked drafts are with the client, as [`crate::json::Draft`].
@@ -57,8 +57,8 @@
     /// Approved once.
     Superseded,
     /// An operator approved it after another: it holds joined with that one, under another number.
-    Joined(u64),
-    TurnedDown(String),
+    Merged(u64),
+    Rejected(String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -72,12 +72,12 @@
 
 /// A request that made a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Known {
+pub(super) struct AnsweredRequest {
     pub request: Digest,
     pub content: Digest,
     pub version: u64,
     /// Where the version stood when it was let go.
-    pub gone: Option<Stage>,
+    pub removed_stage: Option<Stage>,
 }
 
 impl Client {
@@ -103,31 +103,32 @@
 
     /// What holds and what plans took of it.
     pub(super) fn cut(&self) -> Cut {
-        Cut { rules: self.set().rules.clone(), clipped: self.clipped.clone(), out: self.out.clone() }
+        Cut { rules: self.set().rules.clone(), reduced: self.reduced.clone(), removed: self.removed.clone() }
     }
 
-    pub(super) fn octets(&self) -> u64 {
-        let versions: u64 = self.versions.values().map(|v| v.octets).sum();
-        versions + check::octets(&self.clipped) + check::octets(&self.out)
+    pub(super) fn bytes(&self) -> u64 {
+        let versions: u64 = self.versions.values().map(|v| v.bytes).sum();
+        versions + check::octets(&self.reduced) + check::octets(&self.removed)
     }
 
     /// When it is to be cut, if nothing stands in the way.
     pub(super) fn due(&self) -> Option<Micros> {
-        self.cut_at.filter(|_| self.readable && self.dropped.is_none())
+        self.cut_at.filter(|_| self.plan_usable && self.dropped.is_none())
     }
 
     /// Adds a version that waits. The numbers never come again, so that one number has one content for ever.
-    pub(super) fn mint(&mut self, rules: Vec<Rule>, origin: Origin, at: Micros) -> u64 {
-        self.last += 1;
-        let octets = check::octets(&rules) + 64;
-        let set = Arc::new(RuleSet { version: self.last, rules });
-        let (onto, by) = (self.current, String::new());
-        self.versions.insert(self.last, Version { set, stage: Stage::Waiting, origin, onto, at, by, octets });
-        self.last
+    pub(super) fn add_version(&mut self, rules: Vec<Rule>, origin: Origin, at: Micros) -> u64 {
+        self.last_version += 1;
+        let bytes = check::octets(&rules) + 64;
+        let set = Arc::new(RuleSet { version: self.last_version, rules });
+        let (base, by) = (self.current, String::new());
+        self.versions
+            .insert(self.last_version, Version { set, stage: Stage::Waiting, origin, base, at, by, bytes });
+        self.last_version
     }
 
     /// Makes a version the desired one.
-    pub(super) fn adopt(&mut self, name: &str, version: u64, by: &str, changed: &mut Vec<Desired>) {
+    pub(super) fn make_desired(&mut self, name: &str, version: u64, by: &str, changed: &mut Vec<Desired>) {
         let old = self.set();
         let Some(found) = self.versions.get_mut(&version) else { return };
         found.stage = Stage::Desired;
@@ -144,29 +145,29 @@
                     let find = |set: &RuleSet| set.rules.iter().find(|r| r.name == name).cloned();
                     find(&old) == find(&new)
                 };
-                self.clipped.retain(|r| same(&r.name));
-                let taken = |r: &Rule| {
-                    let clash =
+                self.reduced.retain(|r| same(&r.name));
+                let replaced = |r: &Rule| {
+                    let conflicts =
                         |n: &Rule| n.name == r.name || (n.to == r.to && n.class == r.class && n.key == r.key);
-                    new.rules.iter().any(clash)
+                    new.rules.iter().any(conflicts)
                 };
-                self.out.retain(|r| !taken(r));
+                self.removed.retain(|r| !replaced(r));
             }
             Origin::Plan => {}
             Origin::Client | Origin::Back(_) | Origin::Dropped => {
-                self.clipped.clear();
-                self.out.clear();
+                self.reduced.clear();
+                self.removed.clear();
             }
         }
         self.cut_at = None;
         changed.push(self.desired(name, check::destroys(&old.rules, &new.rules)));
-        self.trim(limits::VERSIONS);
+        self.trim(limits::MAX_VERSIONS);
     }
 
     /// Lets the oldest versions go down to `most`, but for those that hold, wait, or are what a waiting one was built on.
     pub(super) fn trim(&mut self, most: usize) {
         let waiting = self.versions.iter().filter(|(_, v)| v.stage == Stage::Waiting);
-        let mut keep: Vec<u64> = waiting.flat_map(|(number, v)| [*number, v.onto]).collect();
+        let mut keep: Vec<u64> = waiting.flat_map(|(number, v)| [*number, v.base]).collect();
         keep.push(self.current);
         let mut over = self.versions.len().saturating_sub(most);
         let old: Vec<u64> = self.versions.keys().copied().filter(|v| !keep.contains(v)).collect();
@@ -175,9 +176,9 @@
                 break;
             }
             over -= 1;
-            let Some(gone) = self.versions.remove(&version) else { continue };
-            for known in self.requests.iter_mut().filter(|k| k.version == version) {
-                known.gone = Some(gone.stage.clone());
+            let Some(removed) = self.versions.remove(&version) else { continue };
+            for request in self.requests.iter_mut().filter(|k| k.version == version) {
+                request.removed_stage = Some(removed.stage.clone());
             }
         }
     }
@@ -187,12 +188,12 @@
     }
 
     /// What is answered of a version.
-    pub(super) fn told(&self, version: u64, gone: Option<&Stage>) -> Reply {
-        match self.versions.get(&version).map(|v| &v.stage).or(gone) {
+    pub(super) fn reply_for(&self, version: u64, removed_stage: Option<&Stage>) -> Reply {
+        match self.versions.get(&version).map(|v| &v.stage).or(removed_stage) {
             Some(Stage::Waiting) => Reply::Waiting { version },
             Some(Stage::Desired | Stage::Superseded) => Reply::Approved { version },
-            Some(Stage::Joined(into)) => Reply::Approved { version: *into },
-            Some(Stage::TurnedDown(why)) => {
+            Some(Stage::Merged(into)) => Reply::Approved { version: *into },
+            Some(Stage::Rejected(why)) => {
                 let findings = Findings::one(Finding::new("", "", "", "", why));
                 Reply::Refused { version: Some(version), findings }
             }
--- a/crates/rules/src/registry/command.rs
+++ b/crates/rules/src/registry/command.rs
@@ -1,6 +1,6 @@
 //! What the keepers agree on, as the registry reads it.
 
-use crate::digest::{Digest, parts};
+use crate::digest::{Digest, digest_parts};
 use crate::model::{Plan, Rule};
 use serde::{Deserialize, Serialize};
 
@@ -67,7 +67,7 @@
 
 /// Names a roll-back: of a client, to a version, asked for while `current` held, so that the same wish later is another.
 pub fn back_request(client: &str, version: u64, current: u64) -> Digest {
-    parts("back", &[client.as_bytes(), &version.to_be_bytes(), &current.to_be_bytes()])
+    digest_parts("back", &[client.as_bytes(), &version.to_be_bytes(), &current.to_be_bytes()])
 }
 
 impl Command {
--- a/crates/rules/src/registry/decide.rs
+++ b/crates/rules/src/registry/decide.rs
@@ -2,46 +2,46 @@
 
 use super::client::{Client, Stage};
 use super::outcome::Reply;
-use super::submit::Under;
+use super::submit::ChangeContext;
 use crate::check::check;
 use crate::limits;
 
 impl Client {
-    pub(super) fn approve(&mut self, version: u64, by: &str, under: Under<'_>) -> Reply {
+    pub(super) fn approve(&mut self, version: u64, by: &str, context: ChangeContext<'_>) -> Reply {
         let Some(found) = self.versions.get(&version) else { return Reply::Unknown };
         if found.stage != Stage::Waiting {
-            return self.told(version, None);
+            return self.reply_for(version, None);
         }
-        let (set, onto, origin) = (found.set.clone(), found.onto, found.origin);
-        if let Some(reply) = self.unready() {
+        let (set, base, origin) = (found.set.clone(), found.base, found.origin);
+        if let Some(reply) = self.unavailable() {
             return reply;
         }
         // The plan may have changed since it was submitted.
         let findings = check(&set.rules, &self.plan);
         if let Some(first) = findings.list.first() {
             let why = format!("beyond the plan: {}", first.why);
-            self.turn_down(version, by, &why);
+            self.reject(version, by, &why);
             return Reply::Refused { version: Some(version), findings };
         }
-        if onto == self.current {
-            self.adopt(under.name, version, by, under.changed);
+        if base == self.current {
+            self.make_desired(context.name, version, by, context.changed);
             return Reply::Approved { version };
         }
-        match self.join(onto, set.rules.clone()) {
+        match self.merge_with_current(base, set.rules.clone()) {
             Err(reply) => {
-                self.turn_down(version, by, &format!("another version ({}) came before it", self.current));
+                self.reject(version, by, &format!("another version ({}) came before it", self.current));
                 reply
             }
             Ok(rules) if rules == self.set().rules => {
-                self.stage(version, by, Stage::Joined(self.current));
+                self.stage(version, by, Stage::Merged(self.current));
                 Reply::Approved { version: self.current }
             }
             Ok(rules) => {
                 // The number that waited names what the operator saw; what is joined needs its own.
-                let into = self.mint(rules, origin, under.clock);
-                self.stage(version, by, Stage::Joined(into));
-                self.adopt(under.name, into, by, under.changed);
-                Reply::Approved { version: into }
+                let merged_version = self.add_version(rules, origin, context.clock);
+                self.stage(version, by, Stage::Merged(merged_version));
+                self.make_desired(context.name, merged_version, by, context.changed);
+                Reply::Approved { version: merged_version }
             }
         }
     }
@@ -49,15 +49,15 @@
     pub(super) fn refuse(&mut self, version: u64, by: &str, why: &str) -> Reply {
         match self.versions.get(&version) {
             None => return Reply::Unknown,
-            Some(found) if found.stage == Stage::Waiting => self.turn_down(version, by, why),
+            Some(found) if found.stage == Stage::Waiting => self.reject(version, by, why),
             Some(_) => {}
         }
-        self.told(version, None)
+        self.reply_for(version, None)
     }
 
-    fn turn_down(&mut self, version: u64, by: &str, why: &str) {
-        self.stage(version, by, Stage::TurnedDown(limits::short(why, limits::WHY)));
-        self.trim(limits::VERSIONS + limits::WAITING);
+    fn reject(&mut self, version: u64, by: &str, why: &str) {
+        self.stage(version, by, Stage::Rejected(limits::short(why, limits::WHY)));
+        self.trim(limits::MAX_VERSIONS + limits::MAX_WAITING_VERSIONS);
     }
 
     fn stage(&mut self, version: u64, by: &str, stage: Stage) {
--- a/crates/rules/src/registry/merge.rs
+++ b/crates/rules/src/registry/merge.rs
@@ -11,18 +11,20 @@
 pub fn merge(base: &[Rule], theirs: &[Rule], mine: &[Rule]) -> Result<Vec<Rule>, Vec<String>> {
     let by_name =
         |rules| -> BTreeMap<&str, &Rule> { Iterator::map(rules, |r: &Rule| (r.name.as_str(), r)).collect() };
-    let (b, t, m) = (by_name(base.iter()), by_name(theirs.iter()), by_name(mine.iter()));
-    let names: BTreeSet<&str> = b.keys().chain(t.keys()).chain(m.keys()).copied().collect();
-    let (mut merged, mut both) = (Vec::new(), Vec::new());
+    let (base_rules, their_rules, my_rules) =
+        (by_name(base.iter()), by_name(theirs.iter()), by_name(mine.iter()));
+    let names: BTreeSet<&str> =
+        base_rules.keys().chain(their_rules.keys()).chain(my_rules.keys()).copied().collect();
+    let (mut merged, mut conflicting) = (Vec::new(), Vec::new());
     for name in names {
-        let (base, theirs, mine) = (b.get(name), t.get(name), m.get(name));
+        let (base, theirs, mine) = (base_rules.get(name), their_rules.get(name), my_rules.get(name));
         if mine == base || mine == theirs {
             merged.extend(theirs.map(|r| (*r).clone()));
         } else if theirs == base {
             merged.extend(mine.map(|r| (*r).clone()));
         } else {
-            both.push(name.to_string());
+            conflicting.push(name.to_string());
         }
     }
-    if both.is_empty() { Ok(merged) } else { Err(both) }
+    if conflicting.is_empty() { Ok(merged) } else { Err(conflicting) }
 }
--- a/crates/rules/src/registry/mod.rs
+++ b/crates/rules/src/registry/mod.rs
@@ -16,8 +16,8 @@
 pub use command::{Command, back_request};
 pub use merge::merge;
 pub use outcome::{Desired, Outcome, Reply};
-pub use snapshot::BadSnapshot;
-pub use view::{Notice, Past, View, Viewer};
+pub use snapshot::SnapshotError;
+pub use view::{Notice, VersionInfo, View, Viewer};
 
 use crate::Micros;
 use crate::digest::{self, Digest};
@@ -27,7 +27,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use submit::Under;
+use submit::ChangeContext;
 
 /// All clients' rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     /// The greatest time seen: time never goes back.
     clock: Micros,
     /// No version up to this is given to a client that is not known.
-    floor: u64,
+    version_floor: u64,
     clients: BTreeMap<String, Client>,
     #[serde(skip)]
     index: Index,
@@ -48,7 +48,7 @@
     due: BTreeSet<(Micros, String)>,
     /// Who was dropped when.
     dropped: BTreeSet<(Micros, String)>,
-    octets: u64,
+    bytes: u64,
 }
 
 impl Registry {
@@ -58,22 +58,22 @@
     }
 
     /// Applies one command at a time of day (microseconds; an earlier one than before counts as the same). Cuts that are
-    /// due come first: the command's own client's, then others', [`limits::CUTS`] at most.
+    /// due come first: the command's own client's, then others', [`limits::MAX_CUTS_PER_COMMAND`] at most.
     pub fn apply(&mut self, wall: Micros, command: &Command) -> Outcome {
         self.clock = self.clock.max(wall);
         let mut changed = Vec::new();
         if let Some(name) = command.client() {
-            self.with(name, &mut changed, |client, under| client.cut_if_due(under));
+            self.update(name, &mut changed, |client, context| client.cut_if_due(context));
         }
-        for _ in 0..limits::CUTS {
+        for _ in 0..limits::MAX_CUTS_PER_COMMAND {
             let Some((at, name)) = self.index.due.first().cloned().filter(|(at, _)| *at <= self.clock) else {
                 break;
             };
-            self.with(&name, &mut changed, |client, under| client.cut_if_due(under));
+            self.update(&name, &mut changed, |client, context| client.cut_if_due(context));
             // A cut always clears its time; this guards the loop should that ever not be so.
             self.index.due.remove(&(at, name));
         }
-        let reply = self.carry_out(command, &mut changed);
+        let reply = self.execute(command, &mut changed);
         Outcome { reply, changed }
     }
 
@@ -82,35 +82,35 @@
     pub fn take_back(&mut self, wall: Micros, client: &str, version: u64, to: &RuleSet) -> Vec<Desired> {
         self.clock = self.clock.max(wall);
         let mut changed = Vec::new();
-        self.with(client, &mut changed, |client, under| client.take_back(version, to, under));
+        self.update(client, &mut changed, |client, context| client.take_back(version, to, context));
         changed
     }
 
-    fn carry_out(&mut self, command: &Command, changed: &mut Vec<Desired>) -> Reply {
+    fn execute(&mut self, command: &Command, changed: &mut Vec<Desired>) -> Reply {
         let no_plan = || Reply::refused("plan", "none", "", "the settings give this client no plan");
         match command {
             Command::Submit { request, client, base, rules } => self
-                .with(client, changed, |c, under| c.submit(*request, *base, rules, under))
+                .update(client, changed, |c, context| c.submit(*request, *base, rules, context))
                 .unwrap_or_else(no_plan),
             Command::Back { client, version, request } => {
-                let back = self.with(client, changed, |c, under| c.back(*request, *version, under));
+                let back = self.update(client, changed, |c, context| c.back(*request, *version, context));
                 back.unwrap_or_else(no_plan)
             }
             Command::Approve { client, version, by } => self
-                .with(client, changed, |c, under| c.approve(*version, by, under))
+                .update(client, changed, |c, context| c.approve(*version, by, context))
                 .unwrap_or(Reply::Unknown),
             Command::Refuse { client, version, by, why } => {
-                self.with(client, changed, |c, _| c.refuse(*version, by, why)).unwrap_or(Reply::Unknown)
+                self.update(client, changed, |c, _| c.refuse(*version, by, why)).unwrap_or(Reply::Unknown)
             }
             Command::Plan { client, plan, digest } => {
-                if let Some(reply) = self.admit(client) {
+                if let Some(reply) = self.add_client(client) {
                     return reply;
                 }
-                self.with(client, changed, |c, under| c.replan(plan.as_deref(), *digest, under))
+                self.update(client, changed, |c, context| c.replan(plan.as_deref(), *digest, context))
                     .unwrap_or(Reply::Unknown)
             }
             Command::Drop { client } => {
-                self.with(client, changed, |c, under| c.drop_all(under)).unwrap_or(Reply::Unknown)
+                self.update(client, changed, |c, context| c.drop_all(context)).unwrap_or(Reply::Unknown)
             }
             Command::Tick => Reply::Done,
         }
@@ -123,18 +123,19 @@
 
     /// The same, with the rules that would hold by it, at once or once an operator approves them.
     pub fn dry_run(&self, wall: Micros, command: &Command) -> (Outcome, Option<Arc<RuleSet>>) {
-        let mut small = Registry { clock: self.clock, floor: self.floor, ..Registry::default() };
+        let mut scratch =
+            Registry { clock: self.clock, version_floor: self.version_floor, ..Registry::default() };
         if let Some((name, client)) = command.client().and_then(|name| self.clients.get_key_value(name)) {
-            small.clients.insert(name.clone(), client.clone());
+            scratch.clients.insert(name.clone(), client.clone());
         }
-        small.index();
-        small.index.octets = self.index.octets;
-        let outcome = small.apply(wall, command);
+        scratch.rebuild_index();
+        scratch.index.bytes = self.index.bytes;
+        let outcome = scratch.apply(wall, command);
         let version = match &outcome.reply {
             Reply::Approved { version } | Reply::Waiting { version } => Some(version),
             _ => None,
         };
-        let set = command.client().and_then(|name| small.clients.get(name)).zip(version).and_then(
+        let set = command.client().and_then(|name| scratch.clients.get(name)).zip(version).and_then(
             |(c, version)| {
                 let found = c.versions.get(version)?;
                 // One that another took the place of since is not asked for again.
@@ -166,7 +167,7 @@
             let set = c.set();
             (name.as_str(), set.version, digest::digest(&set, &c.plan))
         });
-        digest::all(each)
+        digest::all_clients_digest(each)
     }
 
     /// Clients known, dropped ones included.
@@ -180,12 +181,12 @@
     }
 
     /// Octets of all versions kept.
-    pub fn octets(&self) -> u64 {
-        self.index.octets
+    pub fn bytes(&self) -> u64 {
+        self.index.bytes
     }
 
     /// Makes a client known, if need be in place of the one that was dropped first.
-    fn admit(&mut self, name: &str) -> Option<Reply> {
+    fn add_client(&mut self, name: &str) -> Option<Reply> {
         if self.clients.contains_key(name) {
             return None;
         }
@@ -196,43 +197,43 @@
             let Some((_, oldest)) = self.index.dropped.pop_first() else {
                 return Some(Reply::refused("client", "", "", "as many clients as may have rules"));
             };
-            if let Some(gone) = self.clients.remove(&oldest) {
+            if let Some(removed) = self.clients.remove(&oldest) {
                 // Should it come back, its versions must not begin again with other contents.
-                self.floor = self.floor.max(gone.last);
-                self.index.octets = self.index.octets.saturating_sub(gone.octets());
+                self.version_floor = self.version_floor.max(removed.last_version);
+                self.index.bytes = self.index.bytes.saturating_sub(removed.bytes());
             }
         }
-        self.clients.insert(name.into(), Client { last: self.floor, ..Client::default() });
+        self.clients.insert(name.into(), Client { last_version: self.version_floor, ..Client::default() });
         None
     }
 
     /// Runs a change of one client and keeps the index in step.
-    fn with<R>(
+    fn update<R>(
         &mut self,
         name: &str,
         changed: &mut Vec<Desired>,
-        change: impl FnOnce(&mut Client, Under<'_>) -> R,
+        change: impl FnOnce(&mut Client, ChangeContext<'_>) -> R,
     ) -> Option<R> {
         let client = self.clients.get_mut(name)?;
         let index = &mut self.index;
-        let before = client.octets();
-        let others = index.octets.saturating_sub(before);
+        let before = client.bytes();
+        let others = index.bytes.saturating_sub(before);
         client.due().map(|at| index.due.remove(&(at, name.into())));
         client.dropped.map(|at| index.dropped.remove(&(at, name.into())));
-        let room = limits::TOTAL_OCTETS.saturating_sub(others);
-        let out = change(client, Under { name, clock: self.clock, room, changed });
+        let bytes_available = limits::MAX_TOTAL_BYTES.saturating_sub(others);
+        let out = change(client, ChangeContext { name, clock: self.clock, bytes_available, changed });
         client.due().map(|at| index.due.insert((at, name.into())));
         client.dropped.map(|at| index.dropped.insert((at, name.into())));
-        index.octets = others + client.octets();
+        index.bytes = others + client.bytes();
         Some(out)
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.index = Index::default();
         for (name, client) in &self.clients {
             client.due().map(|at| self.index.due.insert((at, name.clone())));
             client.dropped.map(|at| self.index.dropped.insert((at, name.clone())));
-            self.index.octets += client.octets();
+            self.index.bytes += client.bytes();
         }
     }
 }
--- a/crates/rules/src/registry/replan.rs
+++ b/crates/rules/src/registry/replan.rs
@@ -2,29 +2,34 @@
 
 use super::client::{Client, Origin};
 use super::outcome::Reply;
-use super::submit::Under;
-use crate::check::{self, Cut, covers, cut, readable, restore};
+use super::submit::ChangeContext;
+use crate::check::{self, Cut, covers, cut, is_usable, restore};
 use crate::digest::Digest;
 use crate::model::Plan;
 use std::sync::Arc;
 
 impl Client {
-    pub(super) fn replan(&mut self, plan: Option<&Plan>, digest: Digest, under: Under<'_>) -> Reply {
-        let Some(plan) = plan.filter(|p| readable(p)) else {
-            self.readable = false;
+    pub(super) fn replan(
+        &mut self,
+        plan: Option<&Plan>,
+        digest: Digest,
+        context: ChangeContext<'_>,
+    ) -> Reply {
+        let Some(plan) = plan.filter(|p| is_usable(p)) else {
+            self.plan_usable = false;
             return Reply::Done;
         };
-        if self.readable && self.dropped.is_none() && self.plan_digest == digest && *self.plan == *plan {
+        if self.plan_usable && self.dropped.is_none() && self.plan_digest == digest && *self.plan == *plan {
             return Reply::Done;
         }
         let lower = !covers(plan, &self.plan);
         self.plan = Arc::new(plan.clone());
-        (self.plan_digest, self.readable, self.dropped) = (digest, true, None);
-        let Under { name, clock, changed, .. } = under;
+        (self.plan_digest, self.plan_usable, self.dropped) = (digest, true, None);
+        let ChangeContext { name, clock, changed, .. } = context;
         if check::beyond(&self.set().rules, plan).is_empty() {
             self.cut_at = None;
             let back = restore(&self.cut(), plan);
-            if self.apply_cut(back, &mut Under { name, clock, room: 0, changed }) {
+            if self.apply_cut(back, &mut ChangeContext { name, clock, bytes_available: 0, changed }) {
                 return Reply::Done;
             }
         } else if lower || self.cut_at.is_none() {
@@ -32,50 +37,50 @@
             self.cut_at = Some(clock.saturating_add(plan.grace));
         }
         changed.push(self.desired(name, false));
-        self.cut_if_due(Under { name, clock, room: 0, changed });
+        self.cut_if_due(ChangeContext { name, clock, bytes_available: 0, changed });
         Reply::Done
     }
 
     /// Cuts to the plan if the grace is over.
-    pub(super) fn cut_if_due(&mut self, mut under: Under<'_>) {
-        if self.due().is_some_and(|at| at <= under.clock) {
+    pub(super) fn cut_if_due(&mut self, mut context: ChangeContext<'_>) {
+        if self.due().is_some_and(|at| at <= context.clock) {
             self.cut_at = None;
             let cut = restore(&cut(&self.cut(), &self.plan), &self.plan);
-            self.apply_cut(cut, &mut under);
+            self.apply_cut(cut, &mut context);
         }
     }
 
     /// Takes over what a plan leaves, as a version of its own; false where the rules are as they were.
-    fn apply_cut(&mut self, to: Cut, under: &mut Under<'_>) -> bool {
-        (self.clipped, self.out) = (to.clipped, to.out);
+    fn apply_cut(&mut self, to: Cut, context: &mut ChangeContext<'_>) -> bool {
+        (self.reduced, self.removed) = (to.reduced, to.removed);
         if to.rules == self.set().rules {
             return false;
         }
-        let version = self.mint(to.rules, Origin::Plan, under.clock);
-        self.adopt(under.name, version, "", under.changed);
+        let version = self.add_version(to.rules, Origin::Plan, context.clock);
+        self.make_desired(context.name, version, "", context.changed);
         true
     }
 
     /// The settings have the client no more: no rules hold, and nothing of it is kept but its last version.
-    pub(super) fn drop_all(&mut self, under: Under<'_>) -> Reply {
+    pub(super) fn drop_all(&mut self, context: ChangeContext<'_>) -> Reply {
         if self.dropped.is_some() {
             return Reply::Done;
         }
-        let had = !self.set().rules.is_empty();
-        self.dropped = Some(under.clock);
+        let had_rules = !self.set().rules.is_empty();
+        self.dropped = Some(context.clock);
         self.plan = Arc::default();
-        (self.plan_digest, self.readable, self.cut_at) = (Digest::default(), false, None);
+        (self.plan_digest, self.plan_usable, self.cut_at) = (Digest::default(), false, None);
         self.changes.clear();
         self.requests.clear();
-        if had {
-            let version = self.mint(Vec::new(), Origin::Dropped, under.clock);
-            self.adopt(under.name, version, "", under.changed);
+        if had_rules {
+            let version = self.add_version(Vec::new(), Origin::Dropped, context.clock);
+            self.make_desired(context.name, version, "", context.changed);
         } else {
-            under.changed.push(self.desired(under.name, false));
+            context.changed.push(self.desired(context.name, false));
         }
         self.versions.retain(|version, _| *version == self.current);
-        self.clipped.clear();
-        self.out.clear();
+        self.reduced.clear();
+        self.removed.clear();
         Reply::Done
     }
 }
--- a/crates/rules/src/registry/submit.rs
+++ b/crates/rules/src/registry/submit.rs
@@ -1,22 +1,22 @@
 //! Drafts and roll-backs become versions.
 
-use super::client::{Client, Known, Origin, Stage};
+use super::client::{AnsweredRequest, Client, Origin, Stage};
 use super::merge::merge;
 use super::outcome::{Desired, Reply};
 use crate::Micros;
 use crate::check::{check, octets};
-use crate::digest::{Digest, parts, rules_digest};
+use crate::digest::{Digest, digest_parts, rules_digest};
 use crate::limits;
 use crate::model::{Rule, RuleSet};
 
 const HOUR: Micros = 3_600_000_000;
 
 /// What a change runs under.
-pub(super) struct Under<'a> {
+pub(super) struct ChangeContext<'a> {
     pub name: &'a str,
     pub clock: Micros,
     /// Octets that versions of this client may take, all others as they are.
-    pub room: u64,
+    pub bytes_available: u64,
     pub changed: &'a mut Vec<Desired>,
 }
 
@@ -29,9 +29,15 @@
 }
 
 impl Client {
-    pub(super) fn submit(&mut self, request: Digest, base: u64, rules: &[Rule], under: Under<'_>) -> Reply {
-        let content = parts("content", &[&base.to_be_bytes(), &rules_digest(rules)]);
-        if let Some(reply) = self.known(request, content).or_else(|| self.unready()) {
+    pub(super) fn submit(
+        &mut self,
+        request: Digest,
+        base: u64,
+        rules: &[Rule],
+        context: ChangeContext<'_>,
+    ) -> Reply {
+        let content = digest_parts("content", &[&base.to_be_bytes(), &rules_digest(rules)]);
+        if let Some(reply) = self.earlier_reply(request, content).or_else(|| self.unavailable()) {
             return reply;
         }
         let findings = check(rules, &self.plan);
@@ -40,16 +46,16 @@
         }
         let mut rules = rules.to_vec();
         rules.sort_by(|a, b| a.name.cmp(&b.name));
-        let rules = match self.join(base, rules) {
+        let rules = match self.merge_with_current(base, rules) {
             Ok(rules) => rules,
             Err(reply) => return reply,
         };
-        self.propose(Change { request, content, rules, origin: Origin::Client }, under)
+        self.propose(Change { request, content, rules, origin: Origin::Client }, context)
     }
 
-    pub(super) fn back(&mut self, request: Digest, version: u64, under: Under<'_>) -> Reply {
-        let content = parts("back to", &[&version.to_be_bytes()]);
-        if let Some(reply) = self.known(request, content).or_else(|| self.unready()) {
+    pub(super) fn back(&mut self, request: Digest, version: u64, context: ChangeContext<'_>) -> Reply {
+        let content = digest_parts("back to", &[&version.to_be_bytes()]);
+        if let Some(reply) = self.earlier_reply(request, content).or_else(|| self.unavailable()) {
             return reply;
         }
         let Some(set) = self.approved(version).filter(|_| version > 0) else { return Reply::Unknown };
@@ -58,44 +64,45 @@
             return Reply::Refused { version: None, findings };
         }
         let origin = Origin::Back(version);
-        self.propose(Change { request, content, rules: set.rules.clone(), origin }, under)
+        self.propose(Change { request, content, rules: set.rules.clone(), origin }, context)
     }
 
     /// Goes back from the version that holds to rules that held before, as a new version. Neither counted as a change of the
     /// client's nor put before an operator: both saw these rules approved. False where another version holds by now, or the
     /// plan no longer allows them.
-    pub(super) fn take_back(&mut self, version: u64, to: &RuleSet, under: Under<'_>) -> bool {
-        if version != self.current || self.unready().is_some() || !check(&to.rules, &self.plan).is_empty() {
+    pub(super) fn take_back(&mut self, version: u64, to: &RuleSet, context: ChangeContext<'_>) -> bool {
+        if version != self.current || self.unavailable().is_some() || !check(&to.rules, &self.plan).is_empty()
+        {
             return false;
         }
-        if self.octets() + octets(&to.rules) + 64 > under.room {
+        if self.bytes() + octets(&to.rules) + 64 > context.bytes_available {
             self.trim(1);
         }
-        let back = self.mint(to.rules.clone(), Origin::Back(to.version), under.clock);
-        self.adopt(under.name, back, "", under.changed);
+        let back = self.add_version(to.rules.clone(), Origin::Back(to.version), context.clock);
+        self.make_desired(context.name, back, "", context.changed);
         true
     }
 
     /// The answer to a request that was answered before.
-    fn known(&self, request: Digest, content: Digest) -> Option<Reply> {
-        let known = self.requests.iter().find(|k| k.request == request)?;
-        if known.content != content {
+    fn earlier_reply(&self, request: Digest, content: Digest) -> Option<Reply> {
+        let earlier = self.requests.iter().find(|k| k.request == request)?;
+        if earlier.content != content {
             return Some(Reply::refused("request", "", "another name", "another request had this name"));
         }
-        Some(self.told(known.version, known.gone.as_ref()))
+        Some(self.reply_for(earlier.version, earlier.removed_stage.as_ref()))
     }
 
     /// Why nothing can be changed now.
-    pub(super) fn unready(&self) -> Option<Reply> {
+    pub(super) fn unavailable(&self) -> Option<Reply> {
         if self.dropped.is_some() {
             return Some(Reply::refused("plan", "none", "", "the settings give this client no plan"));
         }
         let why = "the plan can't be read: what is approved stays, and nothing can be approved";
-        (!self.readable).then(|| Reply::refused("plan", "", "", why))
+        (!self.plan_usable).then(|| Reply::refused("plan", "", "", why))
     }
 
     /// Rules edited on `base`, joined with what was approved since.
-    pub(super) fn join(&self, base: u64, rules: Vec<Rule>) -> Result<Vec<Rule>, Reply> {
+    pub(super) fn merge_with_current(&self, base: u64, rules: Vec<Rule>) -> Result<Vec<Rule>, Reply> {
         let now = self.set();
         let version = self.current;
         if base == version {
@@ -122,58 +129,59 @@
         Ok(joined)
     }
 
-    fn propose(&mut self, change: Change, under: Under<'_>) -> Reply {
+    fn propose(&mut self, change: Change, context: ChangeContext<'_>) -> Reply {
         let Change { request, content, rules, origin } = change;
         let now = self.set();
         if rules == now.rules {
             if rules.is_empty() {
                 // Nothing is wanted, so that nothing is to come back either.
-                self.clipped.clear();
-                self.out.clear();
+                self.reduced.clear();
+                self.removed.clear();
             }
             return Reply::Approved { version: self.current };
         }
-        let same = |v: &super::client::Version| v.stage == Stage::Waiting && v.onto == self.current;
-        let twin = self.versions.iter().find(|(_, v)| same(v) && v.set.rules == rules);
-        if let Some((version, _)) = twin {
+        let is_same = |v: &super::client::Version| v.stage == Stage::Waiting && v.base == self.current;
+        let duplicate = self.versions.iter().find(|(_, v)| is_same(v) && v.set.rules == rules);
+        if let Some((version, _)) = duplicate {
             return Reply::Waiting { version: *version };
         }
-        if let Some(reply) = self.too_much(&rules, &under) {
+        if let Some(reply) = self.limit_exceeded(&rules, &context) {
             return reply;
         }
-        self.changes.push_back(under.clock);
-        let version = self.mint(rules, origin, under.clock);
-        if self.requests.len() >= limits::REQUESTS {
+        self.changes.push_back(context.clock);
+        let version = self.add_version(rules, origin, context.clock);
+        if self.requests.len() >= limits::MAX_REMEMBERED_REQUESTS {
             self.requests.pop_front();
         }
-        self.requests.push_back(Known { request, content, version, gone: None });
+        self.requests.push_back(AnsweredRequest { request, content, version, removed_stage: None });
         if self.plan.approval {
-            self.trim(limits::VERSIONS + limits::WAITING);
+            self.trim(limits::MAX_VERSIONS + limits::MAX_WAITING_VERSIONS);
             return Reply::Waiting { version };
         }
-        self.adopt(under.name, version, "", under.changed);
+        self.make_desired(context.name, version, "", context.changed);
         Reply::Approved { version }
     }
 
     /// Rate, waiting versions, octets.
-    fn too_much(&mut self, rules: &[Rule], under: &Under<'_>) -> Option<Reply> {
-        while self.changes.front().is_some_and(|at| *at <= under.clock.saturating_sub(HOUR)) {
+    fn limit_exceeded(&mut self, rules: &[Rule], context: &ChangeContext<'_>) -> Option<Reply> {
+        while self.changes.front().is_some_and(|at| *at <= context.clock.saturating_sub(HOUR)) {
             self.changes.pop_front();
         }
-        let most = (self.plan.changes_an_hour as usize).min(limits::CHANGES);
+        let most = (self.plan.changes_an_hour as usize).min(limits::MAX_CHANGES_AN_HOUR);
         if self.changes.len() >= most {
             let why = "as many changes as an hour may have";
             return Some(Reply::refused("changes_an_hour", &most.to_string(), "later", why));
         }
-        if self.plan.approval && self.waiting() >= limits::WAITING {
+        if self.plan.approval && self.waiting() >= limits::MAX_WAITING_VERSIONS {
             let why = "as many versions wait for an operator as may";
-            return Some(Reply::refused("", &limits::WAITING.to_string(), "later", why));
+            return Some(Reply::refused("", &limits::MAX_WAITING_VERSIONS.to_string(), "later", why));
         }
-        let need = octets(rules) + 64;
-        if self.octets() + need > under.room {
+        let bytes_needed = octets(rules) + 64;
+        if self.bytes() + bytes_needed > context.bytes_available {
             // Its own history is given up before a change is.
             self.trim(1);
         }
-        (self.octets() + need > under.room).then(|| Reply::refused("", "", "later", "no room for more rules"))
+        (self.bytes() + bytes_needed > context.bytes_available)
+            .then(|| Reply::refused("", "", "later", "no room for more rules"))
     }
 }
--- a/crates/rules/src/registry/view.rs
+++ b/crates/rules/src/registry/view.rs
@@ -42,7 +42,7 @@
 
 /// A version that is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Past {
+pub struct VersionInfo {
     /// Its number.
     pub version: u64,
     /// `waiting`, `approved` (it holds), `superseded`, `joined` (into a later one), `refused`.
@@ -67,7 +67,7 @@
     /// What the client should know.
     pub notices: Vec<Notice>,
     /// Versions kept, in order.
-    pub versions: Vec<Past>,
+    pub versions: Vec<VersionInfo>,
 }
 
 impl Registry {
@@ -96,7 +96,7 @@
     }
 
     /// What a client should know of its rules: what is beyond its plan and until when it holds, what was cut, and whether
-    /// the plan can't be read. At most [`limits::FINDINGS`] of each.
+    /// the plan can't be read. At most [`limits::MAX_FINDINGS`] of each.
     pub fn notices(&self, client: &str) -> Vec<Notice> {
         self.clients.get(client).filter(|c| c.dropped.is_none()).map(Client::notices).unwrap_or_default()
     }
@@ -138,7 +138,7 @@
             why: why.into(),
             until: None,
         };
-        if !self.readable {
+        if !self.plan_usable {
             out.push(plain(
                 "",
                 "the plan can't be read: what is approved stays, and nothing can be approved",
@@ -150,21 +150,22 @@
                 out.push(Notice { rule, field, plan, fits, why, until: self.due() });
             }
         }
-        let clipped = self.clipped.iter().map(|r| plain(&r.name, "cut to the plan; comes back with it"));
-        let gone = self.out.iter().map(|r| plain(&r.name, "taken out by the plan; comes back with it"));
-        out.extend(clipped.take(limits::FINDINGS));
-        out.extend(gone.take(limits::FINDINGS));
+        let reduced = self.reduced.iter().map(|r| plain(&r.name, "cut to the plan; comes back with it"));
+        let removed =
+            self.removed.iter().map(|r| plain(&r.name, "taken out by the plan; comes back with it"));
+        out.extend(reduced.take(limits::MAX_FINDINGS));
+        out.extend(removed.take(limits::MAX_FINDINGS));
         out
     }
 }
 
-fn past(version: u64, kept: &super::client::Version) -> Past {
+fn past(version: u64, kept: &super::client::Version) -> VersionInfo {
     let (state, why) = match &kept.stage {
         Stage::Waiting => ("waiting", ""),
         Stage::Desired => ("approved", ""),
         Stage::Superseded => ("superseded", ""),
-        Stage::Joined(_) => ("joined", ""),
-        Stage::TurnedDown(why) => ("refused", why.as_str()),
+        Stage::Merged(_) => ("joined", ""),
+        Stage::Rejected(why) => ("refused", why.as_str()),
     };
-    Past { version, state, at: kept.at, by: kept.by.clone(), why: why.into() }
+    VersionInfo { version, state, at: kept.at, by: kept.by.clone(), why: why.into() }
 }
--- a/crates/rules/src/share.rs
+++ b/crates/rules/src/share.rs
@@ -24,7 +24,7 @@
     let mut out = set.clone();
     let (place, members) = (place as u64, (members as u64).max(1));
     for rule in &mut out.rules {
-        for field in Field::ALL.into_iter().filter(|f| f.divided()) {
+        for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
             let part = field.get(&rule.figures).map(|v| v / members + u64::from(place < v % members));
             field.set(&mut rule.figures, part);
         }
@@ -37,7 +37,7 @@
 pub fn away(set: &RuleSet) -> RuleSet {
     let mut out = set.clone();
     for rule in &mut out.rules {
-        for field in Field::ALL.into_iter().filter(|f| f.summed()) {
+        for field in Field::ALL.into_iter().filter(|f| f.is_summed()) {
             let none = field.get(&rule.figures).map(|_| 0);
             field.set(&mut rule.figures, none);
         }
@@ -85,24 +85,24 @@
 }
 
 /// Figures so small that some of the members have none of them, said to the rules' owner: what a member with none holds
-/// is dropped at once. At most [`limits::FINDINGS`].
+/// is dropped at once. At most [`limits::MAX_FINDINGS`].
 pub fn thin(set: &RuleSet, members: usize) -> Vec<Notice> {
     let members = members.max(1) as u64;
     let mut out = Vec::new();
     for rule in &set.rules {
-        for field in Field::ALL.into_iter().filter(|f| f.divided()) {
+        for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
             let Some(value) = field.get(&rule.figures).filter(|v| *v > 0 && *v < members) else { continue };
             let without = members - value;
             out.push(Notice {
                 rule: rule.name.clone(),
                 field: field.name().into(),
                 plan: String::new(),
-                fits: field.show(members),
-                why: format!("{} for {members} members: {without} of them have none", field.show(value)),
+                fits: field.format(members),
+                why: format!("{} for {members} members: {without} of them have none", field.format(value)),
                 until: None,
             });
         }
     }
-    out.truncate(limits::FINDINGS);
+    out.truncate(limits::MAX_FINDINGS);
     out
 }
--- a/crates/rules/src/span.rs
+++ b/crates/rules/src/span.rs
@@ -4,25 +4,25 @@
 use crate::Micros;
 use crate::limits;
 
-const SPANS: [(&str, u64); 5] =
+const SPAN_UNITS: [(&str, u64); 5] =
     [("us", 1), ("ms", 1_000), ("s", 1_000_000), ("m", 60_000_000), ("h", 3_600_000_000)];
-const SIZES: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
+const SIZE_UNITS: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
 /// A text that is no span or size. The text is repeated shortened.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
     /// No span of time.
     #[error("\"{0}\" is no span of time: a number and us, ms, s, m or h, as \"30m\"")]
-    Span(String),
-    /// Longer than [`limits::SPAN`].
+    InvalidSpan(String),
+    /// Longer than [`limits::MAX_SPAN`].
     #[error("\"{0}\" is over a year")]
-    Long(String),
+    SpanTooLong(String),
     /// No size.
     #[error("\"{0}\" is no size: a whole number and B, KiB, MiB or GiB, as \"1MiB\"")]
-    Size(String),
-    /// Larger than [`limits::OCTETS`].
+    InvalidSize(String),
+    /// Larger than [`limits::MAX_SIZE_BYTES`].
     #[error("\"{0}\" is over 1048576GiB")]
-    Large(String),
+    SizeTooLarge(String),
 }
 
 /// Reads a span such as `30m` or `1.5s`, in microseconds. A part finer than a microsecond is refused.
@@ -30,33 +30,33 @@
 /// # Errors
 /// Says what is allowed.
 pub fn parse_span(text: &str) -> Result<Micros, UnitError> {
-    let no = || UnitError::Span(limits::short(text, limits::ECHO));
-    let long = || UnitError::Long(limits::short(text, limits::ECHO));
-    let (number, scale) = split(text, &SPANS).ok_or_else(no)?;
-    let (whole, part) = match number.split_once('.') {
-        Some((_, "")) => return Err(no()),
-        Some((whole, part)) => (whole, part),
+    let invalid = || UnitError::InvalidSpan(limits::short(text, limits::MAX_ECHO_CHARS));
+    let too_long = || UnitError::SpanTooLong(limits::short(text, limits::MAX_ECHO_CHARS));
+    let (number, scale) = split_unit(text, &SPAN_UNITS).ok_or_else(invalid)?;
+    let (whole, fraction) = match number.split_once('.') {
+        Some((_, "")) => return Err(invalid()),
+        Some((whole, fraction)) => (whole, fraction),
         None => (number, ""),
     };
-    if !digits(whole) || !(part.is_empty() || digits(part)) || part.len() > 12 {
-        return Err(no());
+    if !all_digits(whole) || !(fraction.is_empty() || all_digits(fraction)) || fraction.len() > 12 {
+        return Err(invalid());
     }
-    let whole: u64 = whole.parse().map_err(|_| long())?;
+    let whole: u64 = whole.parse().map_err(|_| too_long())?;
     let mut micros = u128::from(whole) * u128::from(scale);
-    if !part.is_empty() {
-        let tenths = 10u128.pow(part.len() as u32);
-        let scaled = part.parse::<u128>().map_err(|_| no())? * u128::from(scale);
-        if scaled % tenths != 0 {
-            return Err(no());
+    if !fraction.is_empty() {
+        let denominator = 10u128.pow(fraction.len() as u32);
+        let numerator = fraction.parse::<u128>().map_err(|_| invalid())? * u128::from(scale);
+        if numerator % denominator != 0 {
+            return Err(invalid());
         }
-        micros += scaled / tenths;
+        micros += numerator / denominator;
     }
-    Micros::try_from(micros).ok().filter(|m| *m <= limits::SPAN).ok_or_else(long)
+    Micros::try_from(micros).ok().filter(|m| *m <= limits::MAX_SPAN).ok_or_else(too_long)
 }
 
 /// Writes a span in the largest unit of which it is a whole number; it reads back equal.
-pub fn show_span(span: Micros) -> String {
-    show(u64::try_from(span).unwrap_or(0), &SPANS, "0s")
+pub fn format_span(span: Micros) -> String {
+    format_with_unit(u64::try_from(span).unwrap_or(0), &SPAN_UNITS, "0s")
 }
 
 /// Reads a size such as `64KiB`, in octets.
@@ -64,35 +64,35 @@
 /// # Errors
 /// Says what is allowed.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
-    let no = || UnitError::Size(limits::short(text, limits::ECHO));
-    let large = || UnitError::Large(limits::short(text, limits::ECHO));
-    let (number, scale) = split(text, &SIZES).ok_or_else(no)?;
-    if !digits(number) {
-        return Err(no());
+    let invalid = || UnitError::InvalidSize(limits::short(text, limits::MAX_ECHO_CHARS));
+    let too_large = || UnitError::SizeTooLarge(limits::short(text, limits::MAX_ECHO_CHARS));
+    let (number, scale) = split_unit(text, &SIZE_UNITS).ok_or_else(invalid)?;
+    if !all_digits(number) {
+        return Err(invalid());
     }
-    let number: u64 = number.parse().map_err(|_| large())?;
-    number.checked_mul(scale).filter(|n| *n <= limits::OCTETS).ok_or_else(large)
+    let number: u64 = number.parse().map_err(|_| too_large())?;
+    number.checked_mul(scale).filter(|n| *n <= limits::MAX_SIZE_BYTES).ok_or_else(too_large)
 }
 
 /// Writes a size in the largest unit of which it is a whole number; it reads back equal.
-pub fn show_size(octets: u64) -> String {
-    show(octets, &SIZES, "0B")
+pub fn format_size(bytes: u64) -> String {
+    format_with_unit(bytes, &SIZE_UNITS, "0B")
 }
 
-fn split<'a>(text: &'a str, units: &[(&str, u64)]) -> Option<(&'a str, u64)> {
+fn split_unit<'a>(text: &'a str, units: &[(&str, u64)]) -> Option<(&'a str, u64)> {
     let at = text.find(|c: char| !(c.is_ascii_digit() || c == '.'))?;
     let (number, unit) = text.split_at_checked(at)?;
     let (_, scale) = units.iter().find(|(name, _)| *name == unit)?;
     Some((number, *scale))
 }
 
-fn digits(text: &str) -> bool {
+fn all_digits(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit())
 }
 
-fn show(value: u64, units: &[(&str, u64)], nought: &str) -> String {
+fn format_with_unit(value: u64, units: &[(&str, u64)], zero: &str) -> String {
     if value == 0 {
-        return nought.into();
+        return zero.into();
     }
     let unit = units.iter().rev().find(|(_, scale)| value.is_multiple_of(*scale));
     unit.map_or_else(|| value.to_string(), |(name, scale)| format!("{}{name}", value / scale))
@@ -104,39 +104,39 @@
     use proptest::prelude::*;
 
     #[test]
-    fn spans_and_sizes_are_read() {
+    fn durations_and_sizes_are_parsed() {
         for (text, micros) in [("250ms", 250_000), ("1.5s", 1_500_000), ("30m", 1_800_000_000), ("7us", 7)] {
             assert_eq!(parse_span(text), Ok(micros), "{text}");
         }
         for text in
             ["", "5", "s", "5 days", "1.2.3s", "-1s", "ms5", "1.s", ".5s", "0.5us", " 1s", "1 s", "é", "1é"]
         {
-            assert!(matches!(parse_span(text), Err(UnitError::Span(_))), "{text}");
+            assert!(matches!(parse_span(text), Err(UnitError::InvalidSpan(_))), "{text}");
         }
         for text in ["99999999h", "99999999999999999999999us"] {
-            assert!(matches!(parse_span(text), Err(UnitError::Long(_))), "{text}");
+            assert!(matches!(parse_span(text), Err(UnitError::SpanTooLong(_))), "{text}");
         }
         assert_eq!(parse_size("64MiB"), Ok(64 << 20));
         for text in ["", "5", "MiB", "1.5GiB", "-1B", "5MB", "5mib"] {
-            assert!(matches!(parse_size(text), Err(UnitError::Size(_))), "{text}");
+            assert!(matches!(parse_size(text), Err(UnitError::InvalidSize(_))), "{text}");
         }
-        assert!(matches!(parse_size("99999999999GiB"), Err(UnitError::Large(_))));
+        assert!(matches!(parse_size("99999999999GiB"), Err(UnitError::SizeTooLarge(_))));
         assert_eq!(
-            [show_span(1_800_000_000), show_span(0), show_size(1 << 20), show_size(0)],
+            [format_span(1_800_000_000), format_span(0), format_size(1 << 20), format_size(0)],
             ["30m", "0s", "1MiB", "0B"]
         );
     }
 
     proptest! {
         #[test]
-        fn what_is_written_reads_back_equal(span in 0..=limits::SPAN, size in 0..=limits::OCTETS, scale in 0usize..5) {
-            let span = span - span % SPANS[scale].1 as Micros;
-            prop_assert_eq!(parse_span(&show_span(span)), Ok(span));
-            prop_assert_eq!(parse_size(&show_size(size)), Ok(size));
+        fn formatted_values_parse_back_equal(span in 0..=limits::MAX_SPAN, size in 0..=limits::MAX_SIZE_BYTES, scale in 0usize..5) {
+            let span = span - span % SPAN_UNITS[scale].1 as Micros;
+            prop_assert_eq!(parse_span(&format_span(span)), Ok(span));
+            prop_assert_eq!(parse_size(&format_size(size)), Ok(size));
         }
 
         #[test]
-        fn any_text_is_read_or_refused(text in "[0-9.]{0,30}[a-zA-Zé]{0,4}") {
+        fn any_text_parses_without_panic(text in "[0-9.]{0,30}[a-zA-Zé]{0,4}") {
             let _ = (parse_span(&text), parse_size(&text));
         }
     }
--- a/crates/rules/src/strict.rs
+++ b/crates/rules/src/strict.rs
@@ -20,7 +20,7 @@
 pub fn stricter(field: Field, applied: Option<u64>, approved: Option<u64>, common: Option<u64>) -> Side {
     let bound = |figure: Option<u64>| figure.or(common).unwrap_or(u64::MAX);
     let (applied, approved) = (bound(applied), bound(approved));
-    let takes = match field {
+    let approved_is_stricter = match field {
         // Guards against a name that one of the two still remembers being taken for new.
         Field::Remember => approved > applied,
         Field::AnswerFor
@@ -32,7 +32,7 @@
         | Field::Validity
         | Field::Release => approved < applied,
     };
-    if takes { Side::Approved } else { Side::Applied }
+    if approved_is_stricter { Side::Approved } else { Side::Applied }
 }
 
 #[cfg(test)]
@@ -41,7 +41,7 @@
     use Side::{Applied, Approved};
 
     #[test]
-    fn of_each_figure_the_smaller_counts_and_of_a_names_time_the_longer() {
+    fn the_smaller_value_wins_except_for_remember() {
         for field in Field::ALL {
             let (small, large) = if field == Field::Remember { (9, 5) } else { (5, 9) };
             let of = |applied, approved, common| stricter(field, applied, approved, common);
--- a/crates/rules/src/table.rs
+++ b/crates/rules/src/table.rs
@@ -13,46 +13,46 @@
     figures: Vec<(Figures, u16)>,
     classes: Vec<String>,
     to: Trie,
-    spots: Vec<Spot>,
+    prefixes: Vec<PrefixRules>,
     /// Bit by [`Field`]: set by any rule. A look-up ends when all of these are found.
     all: u16,
 }
 
 /// The rules of one address prefix.
 #[derive(Clone, Debug, Default)]
-struct Spot {
+struct PrefixRules {
     /// Keys by class, in order.
-    named: Vec<(u32, Keys)>,
+    by_class: Vec<(u32, KeyRules)>,
     /// Keys of the rules without a class.
-    any: Keys,
+    without_class: KeyRules,
 }
 
 /// The rules of one address prefix and class. Most have one without a key, for which no tree is walked.
 #[derive(Clone, Debug, Default)]
-enum Keys {
+enum KeyRules {
     #[default]
     None,
     One(u32),
-    More(Box<Trie>),
+    Many(Box<Trie>),
 }
 
-impl Keys {
-    fn new(rules: &[(&Rule, u32)]) -> Keys {
+impl KeyRules {
+    fn new(rules: &[(&Rule, u32)]) -> KeyRules {
         match rules {
-            [] => Keys::None,
-            [(rule, at)] if rule.key.is_empty() => Keys::One(*at),
-            more => {
-                Keys::More(Box::new(Trie::new(more.iter().map(|(r, at)| (r.key.as_bytes(), *at)).collect())))
-            }
+            [] => KeyRules::None,
+            [(rule, at)] if rule.key.is_empty() => KeyRules::One(*at),
+            more => KeyRules::Many(Box::new(Trie::new(
+                more.iter().map(|(r, at)| (r.key.as_bytes(), *at)).collect(),
+            ))),
         }
     }
 
     /// Rules that match a key, the most specific first.
     fn matching(&self, key: &[u8]) -> impl Iterator<Item = u32> {
         let (one, more) = match self {
-            Keys::None => (None, None),
-            Keys::One(at) => (Some(*at), None),
-            Keys::More(keys) => (None, Some(keys.prefixes(key))),
+            KeyRules::None => (None, None),
+            KeyRules::One(at) => (Some(*at), None),
+            KeyRules::Many(keys) => (None, Some(keys.prefixes(key))),
         };
         one.into_iter().chain(more.into_iter().flatten())
     }
@@ -78,7 +78,7 @@
 }
 
 /// How specific a rule is: of two that match one message the greater one goes first.
-pub fn specific(rule: &Rule) -> (usize, bool, usize) {
+pub fn specificity(rule: &Rule) -> (usize, bool, usize) {
     (rule.to.len(), !rule.class.is_empty(), rule.key.len())
 }
 
@@ -98,7 +98,7 @@
     /// The same of what they say of these fields: a rule that sets none of them costs no look-up anything.
     pub fn of(rules: &[Rule], fields: &[Field]) -> Self {
         let bits = fields.iter().fold(0, |bits, field| bits | 1 << *field as u16);
-        let some = rules.iter().zip(0..).filter(|(rule, _)| mask(&rule.figures) & bits != 0);
+        let some = rules.iter().zip(0..).filter(|(rule, _)| field_bits(&rule.figures) & bits != 0);
         Self::build(rules, some.collect(), bits)
     }
 
@@ -111,55 +111,55 @@
         classes.sort_unstable();
         classes.dedup();
         order.sort_by_key(|(rule, _)| (&rule.to, &rule.class));
-        let (mut spots, mut to) = (Vec::new(), Vec::new());
+        let (mut prefixes, mut to) = (Vec::new(), Vec::new());
         for same_to in order.chunk_by(|a, b| a.0.to == b.0.to) {
-            let mut spot = Spot::default();
+            let mut prefix_rules = PrefixRules::default();
             for same in same_to.chunk_by(|a, b| a.0.class == b.0.class) {
                 let Some((first, _)) = same.first() else { continue };
-                let keys = Keys::new(same);
+                let keys = KeyRules::new(same);
                 match classes.binary_search(&first.class) {
-                    Ok(class) => spot.named.push((class as u32, keys)),
-                    Err(_) => spot.any = keys,
+                    Ok(class) => prefix_rules.by_class.push((class as u32, keys)),
+                    Err(_) => prefix_rules.without_class = keys,
                 }
             }
             if let Some((first, _)) = same_to.first() {
-                to.push((first.to.as_bytes(), spots.len() as u32));
-                spots.push(spot);
+                to.push((first.to.as_bytes(), prefixes.len() as u32));
+                prefixes.push(prefix_rules);
             }
         }
         let figures: Vec<(Figures, u16)> =
-            rules.iter().map(|r| (r.figures.clone(), mask(&r.figures) & bits)).collect();
+            rules.iter().map(|r| (r.figures.clone(), field_bits(&r.figures) & bits)).collect();
         Table {
             all: figures.iter().fold(0, |all, (_, mask)| all | mask),
             names: rules.iter().map(|r| r.name.clone()).collect(),
             figures,
             classes,
             to: Trie::new(to),
-            spots,
+            prefixes,
         }
     }
 
     /// What holds for a message of a class, to an address, under a key (empty: none).
     pub fn look(&self, class: &str, to: &[u8], key: &[u8]) -> Effective {
         let mut found = Effective::default();
-        if self.spots.is_empty() {
+        if self.prefixes.is_empty() {
             return found;
         }
         let class = self.classes.binary_search_by(|c| c.as_str().cmp(class)).ok().map(|c| c as u32);
-        let mut have = 0u16;
-        for spot in self.to.prefixes(to).filter_map(|s| self.spots.get(s as usize)) {
-            let named = class.and_then(|class| {
-                let at = spot.named.binary_search_by_key(&class, |(c, _)| *c).ok()?;
-                spot.named.get(at).map(|(_, keys)| keys)
+        let mut found_bits = 0u16;
+        for prefix_rules in self.to.prefixes(to).filter_map(|s| self.prefixes.get(s as usize)) {
+            let by_class = class.and_then(|class| {
+                let at = prefix_rules.by_class.binary_search_by_key(&class, |(c, _)| *c).ok()?;
+                prefix_rules.by_class.get(at).map(|(_, keys)| keys)
             });
-            for keys in named.into_iter().chain([&spot.any]) {
+            for keys in by_class.into_iter().chain([&prefix_rules.without_class]) {
                 for rule in keys.matching(key) {
                     let Some((figures, mask)) = self.figures.get(rule as usize) else { continue };
                     let rule = u16::try_from(rule).ok();
                     found.rule = found.rule.or(rule);
-                    fill(&mut found, figures, rule, mask & !have);
-                    have |= mask;
-                    if have == self.all {
+                    copy_fields(&mut found, figures, rule, mask & !found_bits);
+                    found_bits |= mask;
+                    if found_bits == self.all {
                         return found;
                     }
                 }
@@ -184,14 +184,14 @@
     }
 }
 
-fn mask(figures: &Figures) -> u16 {
+fn field_bits(figures: &Figures) -> u16 {
     Field::ALL.iter().filter(|f| f.get(figures).is_some()).fold(0, |all, f| all | 1 << *f as u16)
 }
 
 /// Takes over the figures of the bits of `take`.
-fn fill(found: &mut Effective, figures: &Figures, rule: Option<u16>, mut take: u16) {
-    while let Some(field) = Field::ALL.get(take.trailing_zeros() as usize) {
-        take &= take - 1;
+fn copy_fields(found: &mut Effective, figures: &Figures, rule: Option<u16>, mut bits: u16) {
+    while let Some(field) = Field::ALL.get(bits.trailing_zeros() as usize) {
+        bits &= bits - 1;
         field.set(&mut found.figures, field.get(figures));
         if let Some(from) = found.from.get_mut(*field as usize) {
             *from = rule;
--- a/crates/rules/src/trie.rs
+++ b/crates/rules/src/trie.rs
@@ -2,7 +2,7 @@
 //! prefixes are held.
 
 /// No value, no node.
-const NONE: u32 = u32::MAX;
+const NO_VALUE: u32 = u32::MAX;
 
 /// Prefixes, each with a value; a value knows the one of the next shorter prefix. Labels and children of all nodes stand
 /// in one run each: a step down then reads few lines of memory, however many nodes there are.
@@ -12,7 +12,7 @@
     labels: Vec<u8>,
     /// Of each node in the order of the octets that lead to them.
     children: Vec<u32>,
-    ups: Vec<(u32, u32)>,
+    values: Vec<(u32, u32)>,
 }
 
 /// The octet that leads to a node is no part of its label.
@@ -22,21 +22,21 @@
     label_len: u32,
     /// Octets that lead to children, as bits. A child's place is the number of bits below its own: unlike a search, this
     /// takes no branch that depends on the octet.
-    octets: [u64; 4],
+    child_bits: [u64; 4],
     children: u32,
     /// Place in `ups`, or [`NONE`].
     value: u32,
 }
 
 impl Node {
-    fn place(&self, octet: u8) -> Option<usize> {
-        let (word, bit) = (usize::from(octet >> 6), 1u64 << (octet & 63));
-        let here = *self.octets.get(word)?;
-        if here & bit == 0 {
+    fn child_index(&self, byte: u8) -> Option<usize> {
+        let (word, bit) = (usize::from(byte >> 6), 1u64 << (byte & 63));
+        let bits = *self.child_bits.get(word)?;
+        if bits & bit == 0 {
             return None;
         }
-        let before: u32 = self.octets.iter().take(word).map(|w| w.count_ones()).sum();
-        Some((self.children + before + (here & (bit - 1)).count_ones()) as usize)
+        let before: u32 = self.child_bits.iter().take(word).map(|w| w.count_ones()).sum();
+        Some((self.children + before + (bits & (bit - 1)).count_ones()) as usize)
     }
 }
 
@@ -47,41 +47,42 @@
         items.dedup_by_key(|(text, _)| *text);
         let mut trie = Trie::default();
         if !items.is_empty() {
-            trie.build(&items, 0, NONE);
+            trie.build(&items, 0, NO_VALUE);
         }
         trie
     }
 
     /// Depth of the recursion: the longest prefix, which [`crate::limits`] bounds.
-    fn build(&mut self, items: &[(&[u8], u32)], skip: usize, up: u32) -> u32 {
+    fn build(&mut self, items: &[(&[u8], u32)], skip: usize, shorter: u32) -> u32 {
         let tail = |i: Option<&(&[u8], u32)>| i.and_then(|(t, _)| t.get(skip..)).unwrap_or_default().to_vec();
         let (first, last) = (tail(items.first()), tail(items.last()));
         let common = first.iter().zip(&last).take_while(|(a, b)| a == b).count();
         let at = self.nodes.len();
         let (label, label_len) = (self.labels.len() as u32, common as u32);
         self.labels.extend(first.iter().take(common));
-        self.nodes.push(Node { label, label_len, octets: [0; 4], children: 0, value: NONE });
+        self.nodes.push(Node { label, label_len, child_bits: [0; 4], children: 0, value: NO_VALUE });
         let end = skip + common;
-        let (mut value, mut rest, mut up) = (NONE, items, up);
-        if let Some(((text, own), more)) = items.split_first()
+        let (mut value, mut rest, mut shorter) = (NO_VALUE, items, shorter);
+        if let Some(((text, value_of_text), more)) = items.split_first()
             && text.len() == end
         {
-            value = self.ups.len() as u32;
-            self.ups.push((*own, up));
-            (up, rest) = (value, more);
+            value = self.values.len() as u32;
+            self.values.push((*value_of_text, shorter));
+            (shorter, rest) = (value, more);
         }
-        let (mut octets, mut next) = ([0u64; 4], Vec::new());
+        let (mut child_bits, mut next) = ([0u64; 4], Vec::new());
         for group in rest.chunk_by(|a, b| a.0.get(end) == b.0.get(end)) {
-            let octet = group.first().and_then(|(text, _)| text.get(end));
-            if let Some((octet, word)) = octet.and_then(|o| Some((*o, octets.get_mut(usize::from(o >> 6))?)))
+            let byte = group.first().and_then(|(text, _)| text.get(end));
+            if let Some((byte, word)) =
+                byte.and_then(|o| Some((*o, child_bits.get_mut(usize::from(o >> 6))?)))
             {
-                *word |= 1 << (octet & 63);
-                next.push(self.build(group, end + 1, up));
+                *word |= 1 << (byte & 63);
+                next.push(self.build(group, end + 1, shorter));
             }
         }
         let children = self.children.len() as u32;
         if let Some(node) = self.nodes.get_mut(at) {
-            (node.octets, node.children, node.value) = (octets, children, value);
+            (node.child_bits, node.children, node.value) = (child_bits, children, value);
         }
         self.children.extend(next);
         at as u32
@@ -89,7 +90,7 @@
 
     /// Values of all prefixes of a text, the longest first.
     pub(crate) fn prefixes(&self, text: &[u8]) -> Prefixes<'_> {
-        let (mut at, mut rest, mut found) = (0u32, text, NONE);
+        let (mut at, mut rest, mut found) = (0u32, text, NO_VALUE);
         while let Some(node) = self.nodes.get(at as usize) {
             if node.label_len > 0 {
                 let label = self.labels.get(node.label as usize..).unwrap_or_default();
@@ -97,11 +98,13 @@
                 let Some(more) = rest.strip_prefix(label) else { break };
                 rest = more;
             }
-            if node.value != NONE {
+            if node.value != NO_VALUE {
                 found = node.value;
             }
-            let Some((octet, more)) = rest.split_first() else { break };
-            let Some(child) = node.place(*octet).and_then(|place| self.children.get(place)) else { break };
+            let Some((byte, more)) = rest.split_first() else { break };
+            let Some(child) = node.child_index(*byte).and_then(|index| self.children.get(index)) else {
+                break;
+            };
             (at, rest) = (*child, more);
         }
         Prefixes { trie: self, at: found }
@@ -117,8 +120,8 @@
 impl Iterator for Prefixes<'_> {
     type Item = u32;
     fn next(&mut self) -> Option<u32> {
-        let (value, up) = *self.trie.ups.get(self.at as usize)?;
-        self.at = up;
+        let (value, shorter) = *self.trie.values.get(self.at as usize)?;
+        self.at = shorter;
         Some(value)
     }
 }
--- a/crates/rules/tests/check.rs
+++ b/crates/rules/tests/check.rs
@@ -8,67 +8,83 @@
 use heronroute_rules::{Command, Field, Figures, Plan, Rule, RuleSet, Table, limits};
 use proptest::prelude::*;
 
-fn told(found: &Findings) -> Vec<[&str; 4]> {
+fn summaries(found: &Findings) -> Vec<[&str; 4]> {
     found.list.iter().map(|f| [f.rule.as_str(), &f.field, &f.plan, &f.fits]).collect()
 }
 
 #[test]
-fn each_finding_names_rule_field_plan_and_what_fits() {
+fn findings_name_rule_field_plan_value_and_fitting_value() {
     let plan = plan();
     let of = |rules: &[Rule]| check(rules, &plan);
-    assert!(of(&[rule("long", "000001", 30 * M), counted("b", "0000012", 1_000)]).is_empty());
-    assert_eq!(told(&of(&[rule("long", "000001", 120 * M)])), [["long", "hold_for", "1h", "1h"]]);
-    let class = Rule { class: "OTHER".into(), ..rule("c", "000001", M) };
-    assert_eq!(told(&of(&[class])), [["c", "class", "RESP", "RESP"]]);
-    assert_eq!(told(&of(&[rule("t", "0002", M)])), [["t", "to", "000001", "000001"]]);
-    assert_eq!(told(&of(&[rule("t", "", M)])), [["t", "to", "000001", "000001"]]);
-    let sums = [counted("a", "0000011", 700), counted("b", "0000012", 400), counted("c", "0000013", 1)];
-    assert_eq!(told(&of(&sums)), [["b", "hold_count", "1000", "300"], ["c", "hold_count", "1000", "0"]]);
-    let many: Vec<Rule> = (1..6).map(|i| rule(&format!("r{i}"), &format!("000001{i}"), i * M)).collect();
-    assert_eq!(told(&of(&many)), [["", "rules", "4", "4"]]);
+    assert!(of(&[rule("long", "000001", 30 * MINUTE), counting_rule("b", "0000012", 1_000)]).is_empty());
+    assert_eq!(summaries(&of(&[rule("long", "000001", 120 * MINUTE)])), [["long", "hold_for", "1h", "1h"]]);
+    let class = Rule { class: "OTHER".into(), ..rule("c", "000001", MINUTE) };
+    assert_eq!(summaries(&of(&[class])), [["c", "class", "RESP", "RESP"]]);
+    assert_eq!(summaries(&of(&[rule("t", "0002", MINUTE)])), [["t", "to", "000001", "000001"]]);
+    assert_eq!(summaries(&of(&[rule("t", "", MINUTE)])), [["t", "to", "000001", "000001"]]);
+    let sums = [
+        counting_rule("a", "0000011", 700),
+        counting_rule("b", "0000012", 400),
+        counting_rule("c", "0000013", 1),
+    ];
+    assert_eq!(summaries(&of(&sums)), [["b", "hold_count", "1000", "300"], ["c", "hold_count", "1000", "0"]]);
+    let many: Vec<Rule> = (1..6).map(|i| rule(&format!("r{i}"), &format!("000001{i}"), i * MINUTE)).collect();
+    assert_eq!(summaries(&of(&many)), [["", "rules", "4", "4"]]);
     let open = Plan { most: Figures { release: None, ..plan.most.clone() }, ..plan.clone() };
     let paced =
         Rule { figures: Figures { release: Some(1), ..Figures::default() }, ..rule("p", "000001", 0) };
-    assert_eq!(told(&check(std::slice::from_ref(&paced), &open)), [["p", "release", "none", "leave it out"]]);
+    assert_eq!(
+        summaries(&check(std::slice::from_ref(&paced), &open)),
+        [["p", "release", "none", "leave it out"]]
+    );
     let still = Rule { figures: Figures { release: Some(0), ..Figures::default() }, ..paced };
-    assert_eq!(told(&of(&[still])), [["p", "release", "", "1"]]);
+    assert_eq!(summaries(&of(&[still])), [["p", "release", "", "1"]]);
 }
 
 #[test]
 fn names_and_texts_are_bounded() {
-    let of = |name: &str| told(&check(&[rule(name, "000001", M)], &plan())).first().map(|f| f[1].to_string());
+    let of = |name: &str| {
+        summaries(&check(&[rule(name, "000001", MINUTE)], &plan())).first().map(|f| f[1].to_string())
+    };
     assert_eq!(of(&"é".repeat(32)), None);
     assert_eq!([of(""), of(&"é".repeat(33)), of("a\n")], [(); 3].map(|()| Some("name".to_string())));
-    let twice = [rule("a", "0000011", M), rule("a", "0000012", M)];
-    assert_eq!(told(&check(&twice, &plan())), [["a", "name", "", "another name"]]);
+    let twice = [rule("a", "0000011", MINUTE), rule("a", "0000012", MINUTE)];
+    assert_eq!(summaries(&check(&twice, &plan())), [["a", "name", "", "another name"]]);
     let nothing = Rule { figures: Figures::default(), ..rule("n", "000001", 0) };
-    assert_eq!(told(&check(&[nothing], &plan())), [["n", "", "", ""]]);
+    assert_eq!(summaries(&check(&[nothing], &plan())), [["n", "", "", ""]]);
     let below = rule("n", "000001", -1);
-    assert_eq!(told(&check(&[below], &plan())), [["n", "hold_for", "", ""]]);
+    assert_eq!(summaries(&check(&[below], &plan())), [["n", "hold_for", "", ""]]);
     let many = vec![rule("", "9", -1); 1_000];
     let found = check(&many, &plan());
     assert_eq!((found.list.len(), found.more > 900), (32, true));
-    let far = vec![rule("a", "000001", M); 1_025];
-    assert_eq!(told(&check(&far, &wide())), [["", "rules", "1024", ""]]);
+    let far = vec![rule("a", "000001", MINUTE); 1_025];
+    assert_eq!(summaries(&check(&far, &unlimited_plan())), [["", "rules", "1024", ""]]);
 }
 
 #[test]
-fn what_passes_fits_into_an_agreed_entry() {
+fn accepted_rules_fit_into_one_log_entry() {
     let text = |i: usize, len: usize| format!("{i:0len$}");
     let far = |i: usize| {
-        let (class, to, key) = (text(i, limits::CLASS), text(i, limits::TO), text(i, limits::KEY));
+        let (class, to, key) = (
+            text(i, limits::MAX_CLASS_BYTES),
+            text(i, limits::MAX_ADDRESS_PREFIX_BYTES),
+            text(i, limits::MAX_KEY_PREFIX_BYTES),
+        );
         let mut rule =
             Rule { name: format!("{i:04}{}", "\u{10FFFF}".repeat(28)), class, to, key, ..Rule::default() };
         for field in Field::ALL {
-            let span = (limits::SPAN - 9_999 + i as i64) as u64;
-            field.set(&mut rule.figures, Some(if field.summed() { limits::COUNT - i as u64 } else { span }));
+            let span = (limits::MAX_SPAN - 9_999 + i as i64) as u64;
+            field.set(
+                &mut rule.figures,
+                Some(if field.is_summed() { limits::MAX_COUNT - i as u64 } else { span }),
+            );
         }
-        rule.figures.hold_octets = Some(limits::OCTETS - i as u64);
+        rule.figures.hold_octets = Some(limits::MAX_SIZE_BYTES - i as u64);
         rule
     };
     let mut most = Figures::default();
     Field::ALL.into_iter().for_each(|field| field.set(&mut most, Some(u64::MAX >> 1)));
-    let plan = Plan { most, ..wide() };
+    let plan = Plan { most, ..unlimited_plan() };
     let rules: Vec<Rule> = (0..1_024).map(far).collect();
     let fits = (0..1_024).rfind(|n| check(&rules[..*n], &plan).is_empty()).expect("some");
     let rules = rules[..fits].to_vec();
@@ -78,47 +94,49 @@
 }
 
 #[test]
-fn rules_are_held_against_each_other() {
+fn conflicting_rules_are_found() {
     let of = |rules: &[Rule]| {
         let found = check(rules, &plan());
         found.list.into_iter().map(|f| (f.rule, f.field, f.why)).collect::<Vec<_>>()
     };
-    let first = rule("a", "000001", M);
-    let against = of(&[first.clone(), rule("b", "000001", 2 * M)]);
+    let first = rule("a", "000001", MINUTE);
+    let against = of(&[first.clone(), rule("b", "000001", 2 * MINUTE)]);
     assert_eq!(
         against,
         [("b".into(), "hold_for".into(), "it contradicts \"a\", which has the same match".into())]
     );
-    let same = of(&[first.clone(), rule("b", "000001", M)]);
+    let same = of(&[first.clone(), rule("b", "000001", MINUTE)]);
     assert_eq!(
         same,
         [("b".into(), String::new(), "it has the same match as \"a\": one of them is enough".into())]
     );
-    let swallowed = of(&[rule("b", "0000012", M), first.clone()]);
+    let swallowed = of(&[rule("b", "0000012", MINUTE), first.clone()]);
     assert_eq!(swallowed, [("b".into(), String::new(), "all it sets holds already by \"a\"".into())]);
     // One between them that says otherwise gives it a meaning again.
-    assert_eq!(of(&[rule("b", "00000123", M), rule("between", "0000012", 2 * M), first]), []);
+    assert_eq!(of(&[rule("b", "00000123", MINUTE), rule("between", "0000012", 2 * MINUTE), first]), []);
     // A count is each rule's own.
-    assert_eq!(of(&[counted("b", "0000012", 5), counted("a", "000001", 5)]), []);
+    assert_eq!(of(&[counting_rule("b", "0000012", 5), counting_rule("a", "000001", 5)]), []);
 }
 
 #[test]
-fn what_may_let_go_is_marked() {
+fn destructive_changes_are_detected() {
     let a = |hold: i64| rule("a", "000001", hold);
-    let paced =
-        |n| Rule { figures: Figures { hold_for: Some(M), release: Some(n), ..Figures::default() }, ..a(M) };
-    assert!(!destroys(&[a(M)], &[a(M)]) && !destroys(&[a(M)], &[a(2 * M)]));
-    assert!(destroys(&[a(2 * M)], &[a(M)]) && destroys(&[a(M)], &[]));
-    assert!(destroys(&[], &[a(M)]), "the defaults that it replaces are not known");
-    assert!(destroys(&[a(2 * M)], &[a(2 * M), rule("b", "0000012", M)]));
-    assert!(!destroys(&[a(M)], &[a(M), rule("b", "0000012", 2 * M)]));
+    let paced = |n| Rule {
+        figures: Figures { hold_for: Some(MINUTE), release: Some(n), ..Figures::default() },
+        ..a(MINUTE)
+    };
+    assert!(!destroys(&[a(MINUTE)], &[a(MINUTE)]) && !destroys(&[a(MINUTE)], &[a(2 * MINUTE)]));
+    assert!(destroys(&[a(2 * MINUTE)], &[a(MINUTE)]) && destroys(&[a(MINUTE)], &[]));
+    assert!(destroys(&[], &[a(MINUTE)]), "the defaults that it replaces are not known");
+    assert!(destroys(&[a(2 * MINUTE)], &[a(2 * MINUTE), rule("b", "0000012", MINUTE)]));
+    assert!(!destroys(&[a(MINUTE)], &[a(MINUTE), rule("b", "0000012", 2 * MINUTE)]));
     assert!(!destroys(&[paced(9)], &[paced(1)]), "a slower pace loses nothing");
-    assert!(!destroys(&[a(M)], &[Rule { name: "z".into(), ..a(M) }]), "a name keeps nothing");
+    assert!(!destroys(&[a(MINUTE)], &[Rule { name: "z".into(), ..a(MINUTE) }]), "a name keeps nothing");
 }
 
-fn sums_fit(rules: &[Rule], plan: &Plan, members: usize) -> Result<(), TestCaseError> {
+fn assert_sums_within_plan(rules: &[Rule], plan: &Plan, members: usize) -> Result<(), TestCaseError> {
     let set = RuleSet { version: 1, rules: rules.to_vec() };
-    for field in Field::ALL.into_iter().filter(|f| f.divided()) {
+    for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
         let shares = (0..members).map(|m| share(&set, m, members));
         let sum: u64 = shares.flat_map(|s| s.rules).filter_map(|r| field.get(&r.figures)).sum();
         prop_assert!(sum <= field.get(&plan.most).unwrap_or(0), "{}", field.name());
@@ -132,14 +150,14 @@
     #![proptest_config(cases(96))]
 
     #[test]
-    fn what_passes_and_what_is_cut_stays_within_the_plan(
+    fn accepted_and_cut_rules_stay_within_the_plan(
         rules in any_rules(), first in any_plan(), second in any_plan(), members in 1usize..6,
     ) {
-        let rules = right(rules, &first);
-        sums_fit(&rules, &first, members)?;
+        let rules = valid_rules(rules, &first);
+        assert_sums_within_plan(&rules, &first, members)?;
         let cut = cut(&Cut { rules: rules.clone(), ..Cut::default() }, &second);
         prop_assert_eq!(check(&cut.rules, &second), Findings::default());
-        sums_fit(&cut.rules, &second, members)?;
+        assert_sums_within_plan(&cut.rules, &second, members)?;
         let back = restore(&cut, &second);
         prop_assert_eq!(check(&back.rules, &second), Findings::default());
         for was in &cut.rules {
@@ -156,20 +174,20 @@
 
     /// Where a change is not marked, no message falls under less than before.
     #[test]
-    fn no_change_destroys_unmarked(old in any_rules(), changes in edits(), lower in any::<prop::sample::Index>()) {
-        let old = right(old, &wide());
-        let mut new = edited(&old, changes);
+    fn every_destructive_change_is_detected(old in any_rules(), changes in edits(), lower in any::<prop::sample::Index>()) {
+        let old = valid_rules(old, &unlimited_plan());
+        let mut new = apply_edits(&old, changes);
         if let Some(rule) = new.len().checked_sub(1).and_then(|most| new.get_mut(lower.index(most + 1))) {
             rule.figures.hold_for = rule.figures.hold_for.map(|v| v - 1);
         }
-        let new = right(new, &wide());
+        let new = valid_rules(new, &unlimited_plan());
         if destroys(&old, &new) {
             return Ok(());
         }
         let (a, b) = (Table::new(&old), Table::new(&new));
-        for (class, to, key) in everywhere() {
+        for (class, to, key) in all_messages() {
             let (was, is) = (a.look(class, &to, &key).figures, b.look(class, &to, &key).figures);
-            for field in Field::ALL.into_iter().filter(|f| f.keeps()) {
+            for field in Field::ALL.into_iter().filter(|f| f.smaller_loses_data()) {
                 let (was, is) = (field.get(&was), field.get(&is));
                 prop_assert!(is >= was && (was.is_some() || is.is_none()), "{} {:?} {:?}", field.name(), was, is);
             }
@@ -178,15 +196,15 @@
 
     /// A rule that is said to be swallowed can go, and nothing changes; one that is not makes a difference somewhere.
     #[test]
-    fn swallowed_rules_are_those_that_change_nothing(rules in any_rules()) {
-        let spans = |r: &Rule| Field::ALL.iter().all(|f| !f.summed() || f.get(&r.figures).is_none());
-        let rules: Vec<Rule> = right(rules, &wide()).into_iter().collect();
+    fn a_rule_without_effect_is_found_redundant(rules in any_rules()) {
+        let spans = |r: &Rule| Field::ALL.iter().all(|f| !f.is_summed() || f.get(&r.figures).is_none());
+        let rules: Vec<Rule> = valid_rules(rules, &unlimited_plan()).into_iter().collect();
         let whole = Table::new(&rules);
         for at in 0..rules.len() {
             let mut less = rules.clone();
             less.remove(at);
             let table = Table::new(&less);
-            let differs = everywhere().into_iter()
+            let differs = all_messages().into_iter()
                 .any(|(c, t, k)| whole.look(c, &t, &k).figures != table.look(c, &t, &k).figures);
             prop_assert!(differs || !spans(&rules[at]), "{:?} changes nothing and was not found", rules[at]);
         }
@@ -194,7 +212,7 @@
 }
 
 /// Messages of all kinds that the rules of `any_rules` tell apart, and some beside.
-fn everywhere() -> Vec<(&'static str, Vec<u8>, Vec<u8>)> {
+fn all_messages() -> Vec<(&'static str, Vec<u8>, Vec<u8>)> {
     let texts = |letters: [u8; 3], most: usize| {
         let mut all = vec![vec![]];
         for from in 0.. {
--- a/crates/rules/tests/common/mod.rs
+++ b/crates/rules/tests/common/mod.rs
@@ -4,14 +4,14 @@
 use heronroute_rules::{Field, Figures, Plan, Rule};
 use proptest::prelude::*;
 
-pub const M: i64 = 60_000_000;
+pub const MINUTE: i64 = 60_000_000;
 
 pub fn rule(name: &str, to: &str, hold_for: i64) -> Rule {
     let figures = Figures { hold_for: Some(hold_for), ..Figures::default() };
     Rule { name: name.into(), class: "RESP".into(), to: to.into(), key: String::new(), figures }
 }
 
-pub fn counted(name: &str, to: &str, hold_count: u64) -> Rule {
+pub fn counting_rule(name: &str, to: &str, hold_count: u64) -> Rule {
     let figures = Figures { hold_count: Some(hold_count), ..Figures::default() };
     Rule { figures, ..rule(name, to, 0) }
 }
@@ -23,19 +23,19 @@
         classes: vec!["RESP".into()],
         prefixes: vec!["000001".into()],
         most: Figures {
-            answer_for: Some(10 * M),
-            remember: Some(10 * M),
+            answer_for: Some(10 * MINUTE),
+            remember: Some(10 * MINUTE),
             remembered: Some(1_000),
-            hold_for: Some(60 * M),
+            hold_for: Some(60 * MINUTE),
             hold_count: Some(1_000),
             hold_octets: Some(1 << 20),
             trails: Some(1_000),
-            validity: Some(60 * M),
+            validity: Some(60 * MINUTE),
             release: Some(20),
         },
         changes_an_hour: 20,
         approval: false,
-        grace: 10 * M,
+        grace: 10 * MINUTE,
     }
 }
 
@@ -59,7 +59,7 @@
 }
 
 /// Rules with a few of them changed, added or taken out, as an editor does.
-pub fn edited(rules: &[Rule], edits: Vec<(Rule, bool)>) -> Vec<Rule> {
+pub fn apply_edits(rules: &[Rule], edits: Vec<(Rule, bool)>) -> Vec<Rule> {
     let mut rules = rules.to_vec();
     for (edit, stays) in edits {
         rules.retain(|r| r.name != edit.name);
@@ -73,7 +73,7 @@
 }
 
 /// Rules that a plan allows: what `check` names is left out until it names nothing.
-pub fn right(mut rules: Vec<Rule>, plan: &Plan) -> Vec<Rule> {
+pub fn valid_rules(mut rules: Vec<Rule>, plan: &Plan) -> Vec<Rule> {
     loop {
         let findings = heronroute_rules::check::check(&rules, plan);
         let Some(first) = findings.list.first() else { return rules };
@@ -107,7 +107,7 @@
     )
 }
 
-pub fn wide() -> Plan {
+pub fn unlimited_plan() -> Plan {
     let mut most = Figures::default();
     Field::ALL.into_iter().for_each(|field| field.set(&mut most, Some(1 << 40)));
     Plan { most, rules: 1_024, changes_an_hour: 1_000, ..Plan::default() }
--- a/crates/rules/tests/json.rs
+++ b/crates/rules/tests/json.rs
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn the_body_that_is_fixed_is_read() {
+fn a_draft_is_read() {
     let draft = read(BODY.as_bytes()).expect("read");
-    assert_eq!((draft.base, draft.rules.clone()), (0, vec![rule("long", "000001", 30 * M)]));
+    assert_eq!((draft.base, draft.rules.clone()), (0, vec![rule("long", "000001", 30 * MINUTE)]));
     assert_eq!(
         draft.request("oduya"),
         read(BODY.replace(',', ", ").as_bytes()).expect("read").request("oduya")
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_rule_and_field() {
     assert!(why(&BODY.replace("hold_for", "hold_four")).contains("unknown field `hold_four`"));
     assert!(why(&BODY.replace("\"base\"", "\"bass\"")).contains("unknown field `bass`"));
     assert!(why(&BODY.replace("30m", "30 days")).starts_with("long|hold_for|\"30 days\" is no span"));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn answers_are_as_fixed() {
+fn answers_have_the_documented_form() {
     assert_eq!(Reply::Approved { version: 1 }.json(), r#"{"state":"approved","version":1}"#);
     assert_eq!(Reply::Waiting { version: 2 }.json(), r#"{"state":"waiting","version":2}"#);
     assert_eq!(NO_MAJORITY, r#"{"state":"no majority"}"#);
@@ -96,7 +96,7 @@
     #![proptest_config(cases(256))]
 
     #[test]
-    fn what_is_shown_can_be_handed_in(rules in any_rules()) {
+    fn shown_rules_can_be_submitted(rules in any_rules()) {
         let set = RuleSet { version: 3, rules: rules.clone() };
         let view = View { set: set.into(), ..View::default() };
         let text = show(&view).replace("\"version\"", "\"base\"");
@@ -105,7 +105,7 @@
     }
 
     #[test]
-    fn no_octets_make_it_panic(body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_never_panic(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = read(&body);
         let _ = Command::unpack(&body);
         let _ = Registry::restore(&body);
@@ -113,14 +113,14 @@
 
     /// Nearly right ones: octets changed, cut out, doubled.
     #[test]
-    fn damaged_bodies_are_read_or_refused(edits in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..6)) {
+    fn damaged_bodies_never_panic(edits in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..6)) {
         let mut body = BODY.as_bytes().to_vec();
-        for (at, octet, kind) in edits {
+        for (at, byte, kind) in edits {
             let at = at.index(body.len());
             match kind {
-                0 => body[at] = octet,
+                0 => body[at] = byte,
                 1 => body.truncate(at.max(1)),
-                _ => body.insert(at, octet),
+                _ => body.insert(at, byte),
             }
         }
         if let Ok(draft) = read(&body) {
--- /dev/null
+++ b/crates/rules/tests/quota_shares/main.rs
@@ -0,0 +1,56 @@
+//! Parts of one figure on a virtual clock: members whose clocks run apart, a network that loses, doubles, delays and cuts,
+//! pauses, deaths and new lenders. After every step the sum of all parts is held against the figure.
+
+mod measurements;
+mod simulation;
+
+use simulation::{Extremes, Fault, Simulation};
+
+const SEEDS: u64 = 60;
+
+#[test]
+fn the_sum_of_shares_never_exceeds_the_quota_and_shares_follow_traffic() {
+    let mut worst = Extremes::default();
+    for seed in 0..SEEDS {
+        match Simulation::new(seed, Fault::None).run() {
+            Ok(extremes) => {
+                worst.sum = worst.sum.max(extremes.sum);
+                worst.kept = worst.kept.max(extremes.kept);
+                worst.settled = worst.settled.max(extremes.settled);
+            }
+            Err(why) => panic!("seed {seed} (World::new({seed}, Fault::None).run()): {why}"),
+        }
+    }
+    println!("over {SEEDS} seeds: {worst:?}");
+}
+
+/// Each guard taken out, and the seed that finds it.
+#[test]
+fn each_planted_fault_is_detected() {
+    for (fault, seed) in PLANTED_FAULTS {
+        let found = Simulation::new(seed, fault).run();
+        assert!(found.is_err_and(|why| why.contains("parts of")), "{fault:?} is not found by seed {seed}");
+        assert!(Simulation::new(seed, Fault::None).run().is_ok(), "seed {seed} without {fault:?}");
+    }
+}
+
+const PLANTED_FAULTS: [(Fault, u64); 6] = [
+    (Fault::NoWait, 0),
+    (Fault::NoDrift, 76),
+    (Fault::LeaseFromArrival, 3),
+    (Fault::AssumesLastGrant, 0),
+    (Fault::KeepsReturned, 0),
+    (Fault::TwoAllocators, 2),
+];
+
+/// Says which seeds find each planted fault.
+#[test]
+#[ignore = "to choose the seeds by"]
+fn print_the_seeds_that_detect_each_fault() {
+    for (fault, _) in PLANTED_FAULTS {
+        let found: Vec<u64> = (0..SEEDS)
+            .filter(|s| Simulation::new(*s, fault).run().is_err_and(|w| w.contains("parts of")))
+            .collect();
+        println!("{fault:?}: {found:?}");
+    }
+}
--- a/crates/rules/tests/findings.rs
+++ b/crates/rules/tests/rule_conflicts.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{any_rules, cases, wide};
+use common::{any_rules, cases, unlimited_plan};
 use heronroute_rules::check::{Cut, check, cut};
-use heronroute_rules::table::{matches, specific};
+use heronroute_rules::table::{matches, specificity};
 use heronroute_rules::{Field, Rule};
 use proptest::prelude::*;
 
@@ -33,11 +33,11 @@
 ) -> Option<&'a Rule> {
     let sets =
         |r: &&&Rule| field.get(&r.figures).is_some() && matches(r, class, to.as_bytes(), key.as_bytes());
-    rules.iter().filter(sets).max_by_key(|r| specific(r)).copied()
+    rules.iter().filter(sets).max_by_key(|r| specificity(r)).copied()
 }
 
 /// A message to which a rule makes a difference, if there is one: another figure, or one that is counted apart.
-fn differs<'a>(
+fn affected_message<'a>(
     all: &'a [(&'static str, String, String)],
     rules: &[Rule],
     at: usize,
@@ -48,23 +48,23 @@
         Field::ALL.into_iter().any(|field| {
             let (a, b) = (setter(&with, field, message), setter(&without, field, message));
             let value = |r: Option<&Rule>| r.and_then(|r| field.get(&r.figures));
-            value(a) != value(b) || (field.summed() && a.map(|r| &r.name) != b.map(|r| &r.name))
+            value(a) != value(b) || (field.is_summed() && a.map(|r| &r.name) != b.map(|r| &r.name))
         })
     })
 }
 
 /// Names found, by what is said of them.
 fn found(rules: &[Rule], word: &str) -> Vec<String> {
-    let findings = check(rules, &wide());
+    let findings = check(rules, &unlimited_plan());
     findings.list.into_iter().filter(|f| f.why.contains(word)).map(|f| f.rule).collect()
 }
 
 /// Rules of one figure or two, with names of their own, close to each other: most of them overlap.
-fn close() -> impl Strategy<Value = Vec<Rule>> {
-    prop_oneof![of("(A|B)?", "[01]{0,2}", "[xy]{0,1}"), of("A?", "0{0,2}", "x?")]
+fn overlapping_rules() -> impl Strategy<Value = Vec<Rule>> {
+    prop_oneof![rules_over("(A|B)?", "[01]{0,2}", "[xy]{0,1}"), rules_over("A?", "0{0,2}", "x?")]
 }
 
-fn of(class: &'static str, to: &'static str, key: &'static str) -> impl Strategy<Value = Vec<Rule>> {
+fn rules_over(class: &'static str, to: &'static str, key: &'static str) -> impl Strategy<Value = Vec<Rule>> {
     let one = (class, to, key, 1..3i64, prop::option::weighted(0.1, 1..3u64));
     prop::collection::vec(one, 1..9).prop_map(|all| {
         let rule =
@@ -77,22 +77,22 @@
     })
 }
 
-fn named(rules: Vec<Rule>) -> Vec<Rule> {
+fn with_unique_names(rules: Vec<Rule>) -> Vec<Rule> {
     let sets = |r: &Rule| Field::ALL.iter().any(|f| f.get(&r.figures).is_some());
     let rules = rules.into_iter().filter(sets).enumerate();
     rules.map(|(i, r)| Rule { name: format!("r{i}"), ..r }).collect()
 }
 
-fn same(a: &Rule, b: &Rule) -> bool {
+fn same_match(a: &Rule, b: &Rule) -> bool {
     a.to == b.to && a.class == b.class && a.key == b.key
 }
 
-fn right(rules: &[Rule]) -> Result<(), TestCaseError> {
+fn check_findings(rules: &[Rule]) -> Result<(), TestCaseError> {
     let all = messages();
-    let twins: Vec<&Rule> = rules
+    let duplicates: Vec<&Rule> = rules
         .iter()
         .enumerate()
-        .filter(|(i, r)| rules[..*i].iter().any(|o| same(o, r)))
+        .filter(|(i, r)| rules[..*i].iter().any(|o| same_match(o, r)))
         .map(|(_, r)| r)
         .collect();
     // One that never matches first, with a twin or without.
@@ -100,29 +100,29 @@
         let whole: Vec<&Rule> = rules.iter().collect();
         let first = all.iter().any(|(class, to, key)| {
             let fits = |r: &&&Rule| matches(r, class, to.as_bytes(), key.as_bytes());
-            whole.iter().filter(fits).max_by_key(|r| specific(r)).is_some_and(|r| same(r, rule))
+            whole.iter().filter(fits).max_by_key(|r| specificity(r)).is_some_and(|r| same_match(r, rule))
         });
         prop_assert!(first, "{} is never asked first", rule.name);
     }
-    let told: Vec<String> = [found(rules, "same match"), found(rules, "contradicts")].concat();
+    let reported: Vec<String> = [found(rules, "same match"), found(rules, "contradicts")].concat();
     for rule in rules {
-        let twin = twins.iter().any(|t| t.name == rule.name);
-        prop_assert_eq!(twin, told.contains(&rule.name), "{} has a twin", rule.name);
+        let is_duplicate = duplicates.iter().any(|t| t.name == rule.name);
+        prop_assert_eq!(is_duplicate, reported.contains(&rule.name), "{} has a twin", rule.name);
     }
     // Two of one match that set one figure otherwise contradict.
     for (i, rule) in rules.iter().enumerate() {
-        let Some(before) = rules[..i].iter().rev().find(|o| same(o, rule)) else { continue };
-        let against = Field::ALL
+        let Some(before) = rules[..i].iter().rev().find(|o| same_match(o, rule)) else { continue };
+        let contradicts = Field::ALL
             .into_iter()
             .any(|f| f.get(&before.figures).zip(f.get(&rule.figures)).is_some_and(|(a, b)| a != b));
-        prop_assert_eq!(against, found(rules, "contradicts").contains(&rule.name), "{}", rule.name);
+        prop_assert_eq!(contradicts, found(rules, "contradicts").contains(&rule.name), "{}", rule.name);
     }
-    if twins.is_empty() {
-        let swallowed = found(rules, "holds already");
+    if duplicates.is_empty() {
+        let redundant = found(rules, "holds already");
         for (at, rule) in rules.iter().enumerate() {
-            let difference = differs(&all, rules, at);
-            let found = swallowed.contains(&rule.name);
-            prop_assert_eq!(found, difference.is_none(), "{} {:?}", &rule.name, difference);
+            let affected = affected_message(&all, rules, at);
+            let found = redundant.contains(&rule.name);
+            prop_assert_eq!(found, affected.is_none(), "{} {:?}", &rule.name, affected);
         }
     }
     Ok(())
@@ -133,17 +133,17 @@
 
     /// Twins, contradictions and rules that say nothing new: all of them are found, and nothing else is.
     #[test]
-    fn all_that_is_wrong_among_rules_is_found_and_nothing_else(rules in any_rules()) {
-        right(&named(rules))?;
+    fn findings_match_an_exhaustive_search(rules in any_rules()) {
+        check_findings(&with_unique_names(rules))?;
     }
 
     /// A lowered plan makes rules alike; those that say nothing new go out together, and nothing changes by that.
     #[test]
-    fn rules_that_go_out_together_change_nothing(rules in close(), most in 1..3u64) {
+    fn removing_redundant_rules_together_changes_nothing(rules in overlapping_rules(), most in 1..3u64) {
         let spans = rules.into_iter().map(|mut r| { r.figures.hold_count = None; r });
         let mut rules: Vec<Rule> = Vec::new();
-        spans.for_each(|r| if !rules.iter().any(|o| same(o, &r)) { rules.push(r) });
-        let mut plan = wide();
+        spans.for_each(|r| if !rules.iter().any(|o| same_match(o, &r)) { rules.push(r) });
+        let mut plan = unlimited_plan();
         Field::HoldFor.set(&mut plan.most, Some(most));
         let cut = cut(&Cut { rules: rules.clone(), ..Cut::default() }, &plan).rules;
         prop_assert!(check(&cut, &plan).is_empty());
@@ -155,10 +155,10 @@
     }
 
     #[test]
-    fn the_same_of_rules_that_lie_close(rules in close()) {
-        right(&rules)?;
+    fn findings_on_overlapping_rules_match_an_exhaustive_search(rules in overlapping_rules()) {
+        check_findings(&rules)?;
         let mut alone: Vec<Rule> = Vec::new();
-        rules.into_iter().for_each(|r| if !alone.iter().any(|o| same(o, &r)) { alone.push(r) });
-        right(&alone)?;
+        rules.into_iter().for_each(|r| if !alone.iter().any(|o| same_match(o, &r)) { alone.push(r) });
+        check_findings(&alone)?;
     }
 }
--- a/crates/rules/tests/share.rs
+++ b/crates/rules/tests/share.rs
@@ -10,28 +10,28 @@
 
 const SECOND: i64 = 1_000_000;
 
-fn of(field: Field, value: u64) -> RuleSet {
+fn rules_with(field: Field, value: u64) -> RuleSet {
     let mut figures = Figures::default();
     field.set(&mut figures, Some(value));
     RuleSet { version: 1, rules: vec![Rule { name: "r".into(), figures, ..Rule::default() }] }
 }
 
 /// What a sender of a member has, as the installation and the sender itself divide it.
-fn part(whole: &RuleSet, field: Field, turn: Turn, sender: usize) -> u64 {
+fn sender_share(whole: &RuleSet, field: Field, turn: Turn, sender: usize) -> u64 {
     let mine = share(whole, turn.place as usize, turn.members as usize);
     let mine = if turn.is_home("c", sender) { mine } else { away(&mine) };
     field.get(&mine.rules[0].figures).expect("set")
 }
 
 /// Any figure, most of them near the numbers of members and senders.
-fn figure() -> impl Strategy<Value = u64> {
+fn any_value() -> impl Strategy<Value = u64> {
     prop_oneof![0..4u64, 0..600u64, 0..5_000u64, any::<u64>().prop_map(|n| n >> 23)]
 }
 
 #[test]
-fn the_pace_goes_round_and_all_have_their_turn() {
+fn a_rate_rotates_among_the_members() {
     let turn = |place| Turn { place, members: 3, senders: 1 };
-    let row = |place, pace| (0..6).map(|s| turn(place).part(pace, s * SECOND)).collect::<Vec<_>>();
+    let row = |place, rate| (0..6).map(|s| turn(place).part(rate, s * SECOND)).collect::<Vec<_>>();
     assert_eq!([row(0, 1), row(1, 1)], [[1, 0, 0, 1, 0, 0], [0, 1, 0, 0, 1, 0]]);
     assert_eq!([row(0, 2), row(2, 2)], [[1, 1, 0, 1, 1, 0], [0, 1, 1, 0, 1, 1]]);
     assert_eq!(row(1, 7), [2, 3, 2, 2, 3, 2]);
@@ -46,13 +46,13 @@
 
     /// Counts and octets: all senders of all members have just the figure, and each member's is all at the client's home.
     #[test]
-    fn parts_of_a_figure_are_the_figure(value in figure(), members in 1u32..=9, senders in prop::collection::vec(1u32..=8, 9)) {
-        for field in Field::ALL.into_iter().filter(|f| f.divided()) {
-            let whole = of(field, value);
+    fn shares_add_up_to_the_value(value in any_value(), members in 1u32..=9, senders in prop::collection::vec(1u32..=8, 9)) {
+        for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
+            let whole = rules_with(field, value);
             let (mut sum, mut without) = (0, 0);
             for (place, senders) in (0..members).zip(&senders) {
                 let turn = Turn { place, members, senders: *senders };
-                let all: Vec<u64> = (0..*senders as usize).map(|s| part(&whole, field, turn, s)).collect();
+                let all: Vec<u64> = (0..*senders as usize).map(|s| sender_share(&whole, field, turn, s)).collect();
                 let own = field.get(&share(&whole, place as usize, members as usize).rules[0].figures);
                 prop_assert_eq!(Some(all[home("c", all.len())]), own, "all of the process's share");
                 prop_assert_eq!(Some(all.iter().sum::<u64>()), own);
@@ -64,20 +64,20 @@
             prop_assert_eq!(notes.len(), usize::from(without > 0 && value > 0), "told where some have none");
             if let Some(note) = notes.first() {
                 prop_assert!(note.why.contains(&format!(": {without} of them have none")), "{}", note.why);
-                prop_assert!(thin(&of(field, u64::from(members)), members as usize).is_empty(), "what would fit");
+                prop_assert!(thin(&rules_with(field, u64::from(members)), members as usize).is_empty(), "what would fit");
             }
         }
-        prop_assert_eq!(share(&of(Field::Release, value), 0, 3), of(Field::Release, value), "a pace stays whole");
+        prop_assert_eq!(share(&rules_with(Field::Release, value), 0, 3), rules_with(Field::Release, value), "a pace stays whole");
     }
 
     /// Spans hold for all alike, and what a sender that is not the home applies has the same fields set.
     #[test]
-    fn away_from_home_nothing_has_room(values in prop::collection::vec(prop::option::of(figure()), Field::COUNT)) {
-        let mut whole = of(Field::Validity, 1);
+    fn senders_other_than_the_home_have_empty_shares(values in prop::collection::vec(prop::option::of(any_value()), Field::COUNT)) {
+        let mut whole = rules_with(Field::Validity, 1);
         Field::ALL.iter().zip(&values).for_each(|(f, v)| f.set(&mut whole.rules[0].figures, *v));
         let other = away(&whole);
         for (field, value) in Field::ALL.into_iter().zip(values) {
-            let wanted = if field.summed() { value.map(|_| 0) } else { field.get(&whole.rules[0].figures) };
+            let wanted = if field.is_summed() { value.map(|_| 0) } else { field.get(&whole.rules[0].figures) };
             prop_assert_eq!(field.get(&other.rules[0].figures), wanted, "{}", field.name());
         }
         prop_assert_eq!(away(&other), other);
@@ -86,20 +86,20 @@
     /// A pace: in each second of the day all senders together have just the pace; over as many seconds as there are members
     /// none has more than one more than another.
     #[test]
-    fn parts_of_a_pace_are_the_pace_in_each_second(
-        pace in figure(), members in 1u32..=500, senders in 1u32..=8, from in 0i64..4_000_000_000, within in 0..SECOND,
+    fn rate_shares_add_up_in_each_second(
+        rate in any_value(), members in 1u32..=500, senders in 1u32..=8, from in 0i64..4_000_000_000, within in 0..SECOND,
     ) {
         let at = |second: i64| (from + second) * SECOND + within;
-        let (whole, of_none) = (of(Field::Release, pace), away(&of(Field::Release, pace)));
+        let (whole, empty) = (rules_with(Field::Release, rate), away(&rules_with(Field::Release, rate)));
         let part = |place, sender, second| {
             let turn = Turn { place, members, senders };
-            let set = if turn.is_home("c", sender as usize) { &whole } else { &of_none };
+            let set = if turn.is_home("c", sender as usize) { &whole } else { &empty };
             turn.part(set.rules[0].figures.release.expect("set"), at(second))
         };
         for second in 0..3 {
             let all = (0..members).flat_map(|p| (0..senders).map(move |s| (p, s)));
             let sum: u64 = all.map(|(p, s)| part(p, s, second)).sum();
-            prop_assert_eq!(sum, pace);
+            prop_assert_eq!(sum, rate);
         }
         let round = i64::from(members).min(400);
         let home = home("c", senders as usize) as u32;
--- a/crates/rules/tests/table.rs
+++ b/crates/rules/tests/table.rs
@@ -3,16 +3,16 @@
 mod common;
 
 use common::*;
-use heronroute_rules::table::{matches, specific};
+use heronroute_rules::table::{matches, specificity};
 use heronroute_rules::{Effective, Field, Figures, Rule, Table};
 use proptest::prelude::*;
 use std::time::Instant;
 
 /// Sorts all rules that match, and takes each figure from the first that sets it.
-fn plainly(rules: &[Rule], class: &str, to: &[u8], key: &[u8]) -> Effective {
+fn reference_lookup(rules: &[Rule], class: &str, to: &[u8], key: &[u8]) -> Effective {
     let mut fit: Vec<(usize, &Rule)> =
         rules.iter().enumerate().filter(|(_, r)| matches(r, class, to, key)).collect();
-    fit.sort_by_key(|(at, rule)| (std::cmp::Reverse(specific(rule)), *at));
+    fit.sort_by_key(|(at, rule)| (std::cmp::Reverse(specificity(rule)), *at));
     let mut out = Effective { rule: fit.first().map(|(at, _)| *at as u16), ..Effective::default() };
     for field in Field::ALL {
         if let Some((at, rule)) = fit.iter().find(|(_, r)| field.get(&r.figures).is_some()) {
@@ -27,13 +27,13 @@
     #![proptest_config(cases(400))]
 
     #[test]
-    fn the_table_says_what_the_rules_say(
+    fn lookups_match_the_reference(
         mut rules in prop::collection::vec(any_rule(), 0..20), class in "(A|B|C)?", to in "[012]{0,5}", key in "[xyz]{0,3}",
     ) {
         let mut seen = std::collections::BTreeSet::new();
         rules.retain(|r| seen.insert((r.to.clone(), r.class.clone(), r.key.clone())));
         let found = Table::new(&rules).look(&class, to.as_bytes(), key.as_bytes());
-        let plain = plainly(&rules, &class, to.as_bytes(), key.as_bytes());
+        let plain = reference_lookup(&rules, &class, to.as_bytes(), key.as_bytes());
         prop_assert_eq!(&found, &plain);
         // Of some fields it says the same, of others nothing.
         for some in [&Field::ALL[..4], &Field::ALL[4..]] {
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn the_longest_goes_first_and_sets_any_of() {
-    let wide = Rule { class: String::new(), ..rule("wide", "0", 5) };
+fn the_most_specific_rule_wins_field_by_field() {
+    let unlimited_plan = Rule { class: String::new(), ..rule("wide", "0", 5) };
     let mut near = rule("near", "000001", 7);
     near.figures.release = Some(3);
     let keyed = Rule {
@@ -57,7 +57,7 @@
         figures: Figures { hold_for: Some(9), ..Figures::default() },
         ..near.clone()
     };
-    let table = Table::new(&[wide, near, keyed]);
+    let table = Table::new(&[unlimited_plan, near, keyed]);
     let at = |class: &str, to: &str, key: &str| {
         let found = table.look(class, to.as_bytes(), key.as_bytes());
         (
@@ -74,14 +74,14 @@
 
 /// With `HERONROUTE_LONG=1` in release: `cargo test --release -p heronroute-rules --test table -- --nocapture`.
 #[test]
-fn a_look_up_costs_the_same_with_1000_rules() {
+fn lookup_cost_does_not_grow_with_1000_rules() {
     if std::env::var("HERONROUTE_LONG").is_err() {
         return;
     }
     let prefix = |i: u64| format!("000001{:04}", i.wrapping_mul(7_919) % 10_000);
     let mut best = Vec::new();
     for count in [0u64, 1, 10, 100, 1_000] {
-        let rules: Vec<Rule> = (0..count).map(|i| rule(&format!("r{i}"), &prefix(i), 60 * M)).collect();
+        let rules: Vec<Rule> = (0..count).map(|i| rule(&format!("r{i}"), &prefix(i), 60 * MINUTE)).collect();
         let table = Table::new(&rules);
         // Every address falls under one of the rules, in no order.
         let address =
