--- a/crates/rules/src/check/bounds.rs
+++ b/crates/rules/src/check/bounds.rs
@@ -1,4 +1,4 @@
-//! Rules by themselves: lengths, characters, bounds of figures.
+//! Checks of each rule by itself: lengths, characters and bounds of limits.
 
 use super::{Finding, Findings};
 use crate::field::{Field, Unit};
@@ -39,7 +39,7 @@
 fn check_field(rule: &Rule, field: Field, out: &mut Findings) {
     let Some(value) = field.raw(&rule.figures) else { return };
     let most = match field.unit() {
-        Unit::Duration => limits::MAX_SPAN as u64,
+        Unit::Duration => limits::MAX_DURATION as u64,
         Unit::Count => limits::MAX_COUNT,
         Unit::Bytes => limits::MAX_SIZE_BYTES,
     };
--- a/crates/rules/src/check/conflicts.rs
+++ b/crates/rules/src/check/conflicts.rs
@@ -1,7 +1,7 @@
-//! Rules among each other.
+//! Checks of rules against each other.
 //!
-//! A rule that matches all that another matches is always the less specific one, so that no single other rule can keep a
-//! rule from ever being asked; what is found is two with one match, and a rule that only says again what holds without it.
+//! A rule that matches everything another rule matches is always the less specific one, so no single rule can
+//! make another unreachable. What is found are two rules with the same match, and rules that change nothing.
 
 use super::{Finding, Findings};
 use crate::field::Field;
@@ -34,41 +34,41 @@
     }
 }
 
-/// Rules looked at, for all of a client's together, to see whether one is hidden behind others. A rule for which that is not
-/// enough is not said to be swallowed.
+/// The number of comparisons, for all rules of a client together, that look for a rule hidden behind others.
+/// When they are used up, a rule is not reported as redundant.
 const MAX_COMPARISONS: usize = 1 << 20;
 
-/// A rule without which nothing would change.
+/// A rule whose removal would change nothing.
 pub(super) struct Redundant<'a> {
     pub rule: &'a Rule,
-    /// A wider rule that says the same.
+    /// A wider rule that sets the same.
     pub by: &'a str,
-    /// Nothing between the two says otherwise; else what does is hidden behind yet others, and one of two such rules may be
-    /// what hides it from the other.
+    /// Whether no rule between the two sets anything else. If one does, it is hidden behind others, and of
+    /// two such redundant rules each may be what hides that one from the other.
     pub direct: bool,
 }
 
-/// Rules without which nothing would change, each by itself. One that sets a count, octets or a pace never is: it has them
-/// for itself, beside the wider rule's.
+/// Returns the rules whose removal, one at a time, would change nothing. A rule that sets a count, a size or
+/// a rate is never redundant: it has them to itself, apart from those of the wider rule.
 pub(super) fn redundant_rules(rules: &[Rule]) -> Vec<Redundant<'_>> {
-    let mut order: Vec<&Rule> = rules.iter().collect();
-    order.sort_by_key(|r| std::cmp::Reverse(specificity(r)));
+    let mut by_specificity: Vec<&Rule> = rules.iter().collect();
+    by_specificity.sort_by_key(|r| std::cmp::Reverse(specificity(r)));
     let (mut out, mut comparisons_left) = (Vec::new(), MAX_COMPARISONS);
-    for (i, rule) in order.iter().enumerate() {
+    for (i, rule) in by_specificity.iter().enumerate() {
         let (mut by, mut direct) = ("", true);
-        let mut is_given = |field: Field| {
+        let mut set_by_wider_rule = |field: Field| {
             let Some(value) = field.get(&rule.figures) else { return true };
             if field.is_summed() {
                 return false;
             }
-            for next in order.iter().skip(i + 1).filter(|next| overlaps(next, rule)) {
+            for next in by_specificity.iter().skip(i + 1).filter(|next| overlaps(next, rule)) {
                 match field.get(&next.figures) {
                     Some(other) if other == value && contains(next, rule) => {
                         by = &next.name;
                         return true;
                     }
                     Some(other) if other != value => {
-                        if !is_hidden(&order, i, next, (field, value), &mut comparisons_left) {
+                        if !is_hidden(&by_specificity, i, next, (field, value), &mut comparisons_left) {
                             return false;
                         }
                         direct = false;
@@ -78,28 +78,28 @@
             }
             false
         };
-        if Field::ALL.into_iter().all(&mut is_given) && !by.is_empty() {
+        if Field::ALL.into_iter().all(&mut set_by_wider_rule) && !by.is_empty() {
             out.push(Redundant { rule, by, direct });
         }
     }
     out
 }
 
-/// Without the rule at a place, no message that matches both it and `next` gets its figure from `next`: a third rule stands
-/// before the rule, or between the two with the rule's own value. It is enough to look at the widest such message, as what
-/// matches that matches them all.
+/// Returns whether, without the rule at `at`, no message that matches both it and `next` gets its limit from
+/// `next`: a third rule either precedes the rule, or is between the two with the rule's own value. Checking
+/// the widest such message is enough, since a rule that matches it matches them all.
 fn is_hidden(
-    order: &[&Rule],
+    by_specificity: &[&Rule],
     at: usize,
     next: &Rule,
     (field, value): (Field, u64),
     comparisons_left: &mut usize,
 ) -> bool {
-    let Some(rule) = order.get(at) else { return false };
+    let Some(rule) = by_specificity.get(at) else { return false };
     let longer = |a: &'_ str, b: &'_ str| if a.len() < b.len() { b.to_owned() } else { a.to_owned() };
     let (class, to, key) =
         (longer(&rule.class, &next.class), longer(&rule.to, &next.to), longer(&rule.key, &next.key));
-    for (i, other) in order.iter().enumerate().filter(|(i, _)| *i != at) {
+    for (i, other) in by_specificity.iter().enumerate().filter(|(i, _)| *i != at) {
         if *comparisons_left == 0 {
             return false;
         }
@@ -112,14 +112,14 @@
     false
 }
 
-/// Some message matches both.
+/// Returns whether some message matches both rules.
 pub(super) fn overlaps(a: &Rule, b: &Rule) -> bool {
     let either = |a: &str, b: &str| a.starts_with(b) || b.starts_with(a);
     let class = a.class.is_empty() || b.class.is_empty() || a.class == b.class;
     class && either(&a.to, &b.to) && either(&a.key, &b.key)
 }
 
-/// Every message that matches `inner` matches `outer`.
+/// Returns whether every message that matches `inner` matches `outer`.
 pub(super) fn contains(outer: &Rule, inner: &Rule) -> bool {
     (outer.class.is_empty() || outer.class == inner.class)
         && inner.to.starts_with(&outer.to)
--- a/crates/rules/src/check/destroys.rs
+++ b/crates/rules/src/check/destroys.rs
@@ -1,4 +1,4 @@
-//! Whether a change can let go of what is kept.
+//! Detection of changes that can drop kept data.
 
 use super::conflicts::{contains, overlaps};
 use crate::field::Field;
@@ -7,8 +7,9 @@
 
 type MatchKey<'a> = (&'a str, &'a str, &'a str);
 
-/// Going from `old` rules to `new` ones may shorten what is kept of some message. It errs on the safe side: where a new
-/// rule takes the place of the settings' defaults, which are not known here, it counts as destroying.
+/// Returns whether going from `old` to `new` rules may reduce what is kept of some message. It errs on the
+/// safe side: a new rule that replaces the settings' defaults, which are not known here, counts as
+/// destructive.
 pub fn destroys(old: &[Rule], new: &[Rule]) -> bool {
     fn by_match(rules: &[Rule]) -> BTreeMap<MatchKey<'_>, &Rule> {
         rules.iter().map(|r| ((r.to.as_str(), r.class.as_str(), r.key.as_str()), r)).collect()
@@ -16,7 +17,8 @@
     let (old_by_match, new_by_match) = (by_match(old), by_match(new));
     Field::ALL.into_iter().filter(|f| f.smaller_loses_data()).any(|field| {
         let get = |rule: Option<&&Rule>| rule.and_then(|r| field.get(&r.figures));
-        // Every match that set the figure still does, as high: then a message falls under its old rule or a new one.
+        // If every match that set the limit still sets it at least as high, a message falls under its old
+        // rule or a new one.
         let lost = old_by_match.iter().any(|(at, rule)| match field.get(&rule.figures) {
             Some(value) => get(new_by_match.get(at)).is_none_or(|now| now < value),
             None => false,
@@ -30,7 +32,7 @@
     })
 }
 
-/// A rule that is new gives less than any message it matches had.
+/// Returns whether a new rule gives less than some message that it matches had before.
 fn gives_less(old: &[Rule], rule: &Rule, field: Field, value: u64) -> bool {
     let mut covered = false;
     for was in old.iter().filter(|was| overlaps(was, rule)) {
--- a/crates/rules/src/check/dry_run.rs
+++ b/crates/rules/src/check/dry_run.rs
@@ -1,26 +1,26 @@
-//! What would be let go if rules were applied, by count.
+//! Counts of what would be dropped if rules were applied.
 
 use serde::{Deserialize, Serialize};
 
-/// How much would go.
+/// The numbers of items that would be dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LetGo {
-    /// Names: messages under them handed in once more would be unsure.
+    /// Names; a message submitted again under one of them would have an uncertain outcome.
     pub names: u64,
-    /// Answers that could no more be told again.
+    /// Answers that could no longer be repeated.
     pub answers: u64,
     /// Undelivered messages.
     pub messages: u64,
-    /// Their octets.
+    /// The total size of these messages in bytes.
     pub octets: u64,
     /// Trails of messages that are not held.
     pub trails: u64,
-    /// So many at least: there was more than was looked at.
+    /// Whether the counts are lower bounds, because not everything was examined.
     pub at_least: bool,
 }
 
 impl LetGo {
-    /// Of two senders or members together.
+    /// Returns the sum of the counts of two senders or members.
     pub fn and(self, other: LetGo) -> LetGo {
         LetGo {
             names: self.names.saturating_add(other.names),
--- a/crates/rules/src/check/finding.rs
+++ b/crates/rules/src/check/finding.rs
@@ -1,4 +1,4 @@
-//! What is wrong, said so that its owner can mend it.
+//! Findings: what is wrong with rules, described so that their owner can correct it.
 
 use crate::limits;
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,20 @@
 /// One thing that is wrong.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// The rule's name; empty: all of them.
+    /// The rule's name; empty: all rules.
     pub rule: String,
-    /// Which part of it, by its name in JSON; empty: the whole.
+    /// The field of the rule, by its JSON name; empty: the whole rule.
     pub field: String,
-    /// The plan's figure, where there is one.
+    /// The plan's maximum, if there is one.
     pub plan: String,
-    /// What would fit, where anything would.
+    /// A value that would be accepted, if there is one.
     pub fits: String,
-    /// In words.
+    /// The reason in words.
     pub why: String,
 }
 
 impl Finding {
-    /// All texts are shortened to what may be repeated back.
+    /// Creates a finding, with all texts shortened to what may be quoted back.
     pub fn new(rule: &str, field: &str, plan: &str, fits: &str, why: &str) -> Self {
         let echo = |text: &str| limits::short(text, limits::MAX_ECHO_CHARS);
         Finding {
@@ -32,22 +32,22 @@
     }
 }
 
-/// At most [`limits::MAX_FINDINGS`] of them; of the rest only the number is kept.
+/// A list of at most [`limits::MAX_FINDINGS`] findings; further ones are only counted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Findings {
-    /// In the order they were found.
+    /// The findings, in the order in which they were found.
     pub list: Vec<Finding>,
-    /// Found beside these.
+    /// The number of findings not listed.
     pub more: u64,
 }
 
 impl Findings {
-    /// One.
+    /// Creates a list of one finding.
     pub fn one(finding: Finding) -> Self {
         Findings { list: vec![finding], more: 0 }
     }
 
-    /// Adds one, or counts it.
+    /// Adds a finding, or counts it if the list is full.
     pub fn push(&mut self, finding: Finding) {
         if self.list.len() < limits::MAX_FINDINGS {
             self.list.push(finding);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Nothing is wrong.
+    /// Returns whether nothing is wrong.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
--- a/crates/rules/src/check/mod.rs
+++ b/crates/rules/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Rules against a plan, against each other, and against what stands.
+//! Checks of rules: against a plan, against each other, and against the rules in effect.
 
 mod bounds;
 mod conflicts;
@@ -18,12 +18,13 @@
 use crate::limits;
 use crate::model::{Plan, Rule};
 
-/// All that is wrong with a client's rules under a plan. None: they may be approved, and then the sums of their counts,
-/// octets and paces stay within the plan.
+/// Returns everything that is wrong with a client's rules under a plan. If there is nothing, they may be
+/// approved, and the sums of their counts, sizes and rates are within the plan.
 pub fn check(rules: &[Rule], plan: &Plan) -> Findings {
     let mut out = Findings::default();
     if rules.len() > limits::MAX_RULES || octets(rules) > limits::SET_OCTETS {
-        // The checks below cost by the square of the number of rules: what is beyond all plans does not reach them.
+        // The checks below have quadratic cost in the number of rules, so rules that exceed every plan must
+        // not reach them.
         out.push(Finding::new(
             "",
             "rules",
@@ -39,14 +40,15 @@
     out
 }
 
-/// What of the rules is beyond a plan, leaving aside whether they make sense among each other.
+/// Returns what of the rules exceeds a plan, without checking them against each other.
 pub fn beyond(rules: &[Rule], plan: &Plan) -> Findings {
     let mut out = Findings::default();
     plan::check(rules, plan, &mut out);
     out
 }
 
-/// Octets that rules take at most when they are packed: 9 marks, 8 for a figure that is set, 6 for lengths of texts.
+/// Returns an upper bound on the encoded size of rules: 9 bytes for option tags, 8 for each limit set, 6 for
+/// the lengths of texts.
 pub fn octets(rules: &[Rule]) -> u64 {
     let figures = |r: &Rule| crate::Field::ALL.iter().filter(|f| f.get(&r.figures).is_some()).count() * 8 + 9;
     let texts = |r: &Rule| r.name.len() + r.class.len() + r.to.len() + r.key.len() + 6;
--- a/crates/rules/src/check/plan.rs
+++ b/crates/rules/src/check/plan.rs
@@ -1,4 +1,4 @@
-//! Rules against the plan's figures.
+//! Checks of rules against a plan.
 
 use super::{Finding, Findings};
 use crate::field::Field;
@@ -19,7 +19,7 @@
         }
         if !allowed_prefix(rule, plan) {
             let list = plan.prefixes.join(", ");
-            // Where the rule is only too wide, the narrowest step into the plan is the prefix beneath it.
+            // If the rule is only too wide, the smallest correction is the plan's prefix that extends it.
             let inside = plan.prefixes.iter().find(|p| p.starts_with(&rule.to)).or(plan.prefixes.first());
             let why = "the plan has no such prefix, so that the rule could match what is beyond it";
             out.push(Finding::new(&rule.name, "to", &list, inside.map_or("", String::as_str), why));
@@ -51,7 +51,7 @@
     }
 }
 
-/// Class and prefix are within the plan.
+/// Returns whether class and prefix are within the plan.
 pub(super) fn within_scope(rule: &Rule, plan: &Plan) -> bool {
     allowed_class(rule, plan) && allowed_prefix(rule, plan)
 }
@@ -64,7 +64,7 @@
     plan.prefixes.is_empty() || plan.prefixes.iter().any(|p| rule.to.starts_with(p))
 }
 
-/// Everything that `old` allows, `new` allows too.
+/// Returns whether `new` allows everything that `old` allows.
 pub fn covers(new: &Plan, old: &Plan) -> bool {
     let classes = new.classes.is_empty()
         || (!old.classes.is_empty() && old.classes.iter().all(|c| new.classes.contains(c)));
@@ -77,7 +77,7 @@
     new.rules >= old.rules && classes && prefixes && Field::ALL.iter().all(figure)
 }
 
-/// A plan that is itself out of bounds can't be kept to and counts as one that can't be read.
+/// Returns whether the plan itself is within the bounds. A plan that is not counts as one that can't be read.
 pub(crate) fn is_usable(plan: &Plan) -> bool {
     let bounded = |list: &[String], count: usize, most: usize| {
         list.len() <= count && list.iter().all(|t| t.len() <= most)
--- a/crates/rules/src/digest.rs
+++ b/crates/rules/src/digest.rs
@@ -1,14 +1,15 @@
-//! Digests by which what members apply is compared with what was approved.
+//! Digests for comparing the rules that members apply with the approved ones.
 
 use crate::field::Field;
 use crate::model::{Plan, Rule, RuleSet};
 use sha2::{Digest as _, Sha256};
 
-/// SHA-256.
+/// A SHA-256 digest.
 pub type Digest = [u8; 32];
 
-/// Of a client's rules and plan. Neither the order of rules nor the version counts: a roll-back to the same content has
-/// the same digest, and versions are compared beside it.
+/// Returns the digest of a client's rules and plan. It does not depend on the order of the rules or on the
+/// version: after a rollback to the same content the digest is the same, and versions are compared
+/// separately.
 pub fn digest(set: &RuleSet, plan: &Plan) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules 1");
@@ -17,7 +18,7 @@
     hash.finalize().into()
 }
 
-/// Of rules alone.
+/// Returns the digest of rules alone.
 pub fn rules_digest(rules: &[Rule]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules only 1");
@@ -25,7 +26,7 @@
     hash.finalize().into()
 }
 
-/// Of a plan: names it in [`crate::Command::Plan`].
+/// Returns the digest of a plan, which identifies it in [`crate::Command::Plan`].
 pub fn plan_digest(plan: &Plan) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute plan 1");
@@ -33,7 +34,7 @@
     hash.finalize().into()
 }
 
-/// Of all clients: name, version and [`digest`] of each, in the order of the names.
+/// Returns the digest of all clients: name, version and [`digest`] of each, in the order of the names.
 pub fn all_clients_digest<'a>(clients: impl IntoIterator<Item = (&'a str, u64, Digest)>) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute clients 1");
@@ -45,7 +46,8 @@
     hash.finalize().into()
 }
 
-/// Of parts, each with its length in front so that no two lists of parts look alike.
+/// Returns the digest of a list of parts. Each part is preceded by its length, so that no two lists hash
+/// alike.
 pub(crate) fn digest_parts(kind: &str, parts: &[&[u8]]) -> Digest {
     let mut hash = Sha256::new();
     hash_text(&mut hash, kind);
--- a/crates/rules/src/field.rs
+++ b/crates/rules/src/field.rs
@@ -1,47 +1,47 @@
-//! The figures by name, so that checks, cuts and digests treat all of them alike and none is left out of one.
+//! The limits of a rule by name, so that checks, cuts and digests process all of them in the same way.
 
 use crate::Micros;
 use crate::model::Figures;
-use crate::span::{format_size, format_span};
+use crate::units::{format_duration, format_size};
 
-/// One of the figures.
+/// One limit that a rule can set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Field {
-    /// [`Figures::answer_for`].
+    /// How long a final answer is kept.
     AnswerFor,
-    /// [`Figures::remember`].
+    /// How long the name of a message is remembered.
     Remember,
-    /// [`Figures::remembered`].
+    /// The number of names remembered.
     Remembered,
-    /// [`Figures::hold_for`].
+    /// How long an undelivered message is held.
     HoldFor,
-    /// [`Figures::hold_count`].
+    /// The number of messages held.
     HoldCount,
-    /// [`Figures::hold_octets`].
+    /// The total size of the messages held.
     HoldOctets,
-    /// [`Figures::trails`].
+    /// The number of trails kept.
     Trails,
-    /// [`Figures::validity`].
+    /// The longest validity of a message.
     Validity,
-    /// [`Figures::release`].
+    /// The number of held messages released per second.
     Release,
 }
 
-/// What a figure counts.
+/// The unit of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// Microseconds.
     Duration,
-    /// Things, or things in a second.
+    /// A number, or a number per second.
     Count,
-    /// Octets.
+    /// Bytes.
     Bytes,
 }
 
 impl Field {
-    /// How many there are.
+    /// The number of limits.
     pub const COUNT: usize = 9;
-    /// All of them.
+    /// All limits.
     pub const ALL: [Field; Field::COUNT] = [
         Field::AnswerFor,
         Field::Remember,
@@ -54,7 +54,7 @@
         Field::Release,
     ];
 
-    /// Its name in JSON and in findings.
+    /// Returns the name in JSON and in findings.
     pub fn name(self) -> &'static str {
         match self {
             Field::AnswerFor => "answer_for",
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Its unit.
+    /// Returns the unit.
     pub fn unit(self) -> Unit {
         match self {
             Field::AnswerFor | Field::Remember | Field::HoldFor | Field::Validity => Unit::Duration,
@@ -78,27 +78,28 @@
         }
     }
 
-    /// The plan's figure is also the most for the sum over all rules and members.
+    /// Returns whether the plan's maximum also bounds the sum over all rules and members.
     pub fn is_summed(self) -> bool {
         self.unit() != Unit::Duration
     }
 
-    /// Each member has a part of its own, once and for all. A pace goes round among them instead ([`crate::share::Turn`]).
+    /// Returns whether each member has a fixed share of the limit. A rate is not divided; members take turns
+    /// instead ([`crate::share::Turn`]).
     pub fn is_divided(self) -> bool {
         self.is_summed() && self != Field::Release
     }
 
-    /// A smaller one lets go of what is kept. A slower release loses nothing.
+    /// Returns whether lowering the limit drops kept data. A slower release rate drops nothing.
     pub fn smaller_loses_data(self) -> bool {
         self != Field::Release
     }
 
-    /// Nought would mean that nothing is ever delivered.
+    /// Returns whether zero is not allowed, since nothing would ever be delivered.
     pub fn requires_nonzero(self) -> bool {
         matches!(self, Field::Validity | Field::Release)
     }
 
-    /// As it stands, also where it is out of bounds.
+    /// Returns the value as it is, even if it is out of bounds.
     pub fn raw(self, figures: &Figures) -> Option<i128> {
         match self {
             Field::AnswerFor => figures.answer_for.map(i128::from),
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Its value; a negative span, which only a foreign command can bear, is 0.
+    /// Returns the value. A negative duration, which only a command from another program can contain, counts
+    /// as 0.
     pub fn get(self, figures: &Figures) -> Option<u64> {
         let span = |v: Option<Micros>| v.map(|v| u64::try_from(v).unwrap_or(0));
         match self {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Sets it.
+    /// Sets or clears the value.
     pub fn set(self, figures: &mut Figures, value: Option<u64>) {
         let span = value.map(|v| Micros::try_from(v).unwrap_or(Micros::MAX));
         match self {
@@ -145,10 +147,10 @@
         }
     }
 
-    /// A value of it, with its unit.
+    /// Formats a value with its unit.
     pub fn format(self, value: u64) -> String {
         match self.unit() {
-            Unit::Duration => format_span(Micros::try_from(value).unwrap_or(Micros::MAX)),
+            Unit::Duration => format_duration(Micros::try_from(value).unwrap_or(Micros::MAX)),
             Unit::Count => value.to_string(),
             Unit::Bytes => format_size(value),
         }
--- a/crates/rules/src/home.rs
+++ b/crates/rules/src/home.rs
@@ -1,12 +1,12 @@
-//! Which sender of a process a client belongs to. Free of I/O.
+//! The assignment of clients to the senders of a process. Free of I/O.
 //!
-//! All of a client's sessions go to one sender, its home: receipts owed by one sender can then be told on any
-//! session that the client binds, and senders share nothing. Rendezvous hashing: with another number of senders
-//! only the clients of those that come or go move.
+//! All sessions of a client go to one sender, its home. Receipts owed by that sender can then be sent on any
+//! of the client's sessions, and senders share no state. The assignment uses rendezvous hashing: when the
+//! number of senders changes, only the clients of the added or removed senders move.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The home of a client among `senders`.
+/// Returns the index of the home of a client among `senders` senders.
 pub fn home(system_id: &str, senders: usize) -> usize {
     let weight = |sender: &usize| {
         let mut h = DefaultHasher::new();
@@ -27,6 +27,6 @@
         names.iter().for_each(|n| counts[home(n, 4)] += 1);
         assert!(counts.iter().all(|c| (200..300).contains(c)), "{counts:?}");
         let moved = names.iter().filter(|n| home(n, 4) != home(n, 5)).count();
-        assert!((150..250).contains(&moved), "a fifth moves: {moved}");
+        assert!((150..250).contains(&moved), "about a fifth should move: {moved}");
     }
 }
--- a/crates/rules/src/json/answer.rs
+++ b/crates/rules/src/json/answer.rs
@@ -1,4 +1,4 @@
-//! Answers, as the topics fix them; fields are left out where they say nothing.
+//! The JSON of answers, as specified for the topics. Fields without content are left out.
 
 use crate::check::Finding;
 use crate::field::{Field, Unit};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// The answer where there is no majority.
+/// The answer when there is no majority.
 pub const NO_MAJORITY: &str = r#"{"state":"no majority"}"#;
 
 #[derive(Serialize)]
@@ -19,7 +19,7 @@
     rules: Option<&'a [String]>,
     #[serde(skip_serializing_if = "Option::is_none")]
     findings: Option<&'a [Finding]>,
-    /// Findings beside those listed.
+    /// The number of findings that are not listed.
     #[serde(skip_serializing_if = "Option::is_none")]
     more: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -27,7 +27,7 @@
 }
 
 impl Reply {
-    /// As JSON.
+    /// Returns the answer as JSON.
     pub fn json(&self) -> String {
         to_json(&self.answer())
     }
@@ -78,7 +78,7 @@
     why: &'a str,
 }
 
-/// The answer to `rules/show`.
+/// Returns the answer to `rules/show`.
 pub fn show(view: &View) -> String {
     let versions = view.versions.iter();
     let versions =
@@ -106,7 +106,8 @@
     out
 }
 
-/// None of the shapes above can fail to be written; what can't be is said as unknown rather than with a panic.
+/// Serializes an answer. None of the types above can fail to serialize; if one did, the state would be
+/// `unknown` instead of a panic.
 fn to_json(answer: &impl Serialize) -> String {
     serde_json::to_string(answer).unwrap_or_else(|_| r#"{"state":"unknown"}"#.into())
 }
--- a/crates/rules/src/json/draft.rs
+++ b/crates/rules/src/json/draft.rs
@@ -4,22 +4,23 @@
 use crate::digest::{Digest, digest_parts, rules_digest};
 use crate::limits;
 use crate::model::{Figures, Rule};
-use crate::span::{UnitError, parse_size, parse_span};
+use crate::units::{UnitError, parse_duration, parse_size};
 use serde::Deserialize;
 
-/// Rules as a client edits them, on a version that it saw.
+/// Rules edited by a client, based on a version that it saw.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Draft {
     /// The version that was edited; 0: none.
     pub base: u64,
-    /// All rules, not only those that changed.
+    /// All rules, not only the changed ones.
     pub rules: Vec<Rule>,
-    /// The client's own name for the request, so that two requests of one content count as two.
+    /// The client's own name for the request, so that two requests with the same content count as two.
     pub request: Option<String>,
 }
 
 impl Draft {
-    /// Names the request in [`crate::Command::Submit`]: the same draft handed in once more, at any member, has the same.
+    /// Returns the digest that identifies the request in [`crate::Command::Submit`]. It is the same when the
+    /// same draft is submitted again, at any member.
     pub fn request(&self, client: &str) -> Digest {
         match &self.request {
             Some(own) => digest_parts("named", &[client.as_bytes(), own.as_bytes()]),
@@ -41,7 +42,7 @@
     request: Option<String>,
 }
 
-/// Spans and sizes are texts here, so that one that can't be read is told with its rule and field.
+/// Durations and sizes are texts here, so that an invalid one is reported with its rule and field.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct RuleBody {
@@ -60,11 +61,11 @@
     release: Option<u64>,
 }
 
-/// Reads a draft. Its shape bounds the depth: what nests deeper, or has a field that is not known, is refused where it
-/// begins.
+/// Parses a draft. The types bound the nesting depth: deeper nesting and unknown fields are rejected where
+/// they begin.
 ///
 /// # Errors
-/// Says what could not be read: unknown fields by their names, wrong JSON by line and column, wrong units by rule and
+/// Returns findings that name unknown fields, invalid JSON by line and column, and invalid units by rule and
 /// field.
 pub fn read(body: &[u8]) -> Result<Draft, Findings> {
     let body_finding = |why: &str| Findings::one(Finding::new("", "", "", "", why));
@@ -104,18 +105,18 @@
     let mut report = |field: &str, error: &UnitError| {
         findings.push(Finding::new(&name, field, "", "", &error.to_string()));
     };
-    let mut span = |field: &str, text: Option<String>| match parse_span(&text?) {
-        Ok(span) => Some(span),
+    let mut duration = |field: &str, text: Option<String>| match parse_duration(&text?) {
+        Ok(duration) => Some(duration),
         Err(error) => {
             report(field, &error);
             None
         }
     };
     let mut figures = Figures {
-        answer_for: span("answer_for", raw.answer_for),
-        remember: span("remember", raw.remember),
-        hold_for: span("hold_for", raw.hold_for),
-        validity: span("validity", raw.validity),
+        answer_for: duration("answer_for", raw.answer_for),
+        remember: duration("remember", raw.remember),
+        hold_for: duration("hold_for", raw.hold_for),
+        validity: duration("validity", raw.validity),
         remembered: raw.remembered,
         hold_count: raw.hold_count,
         hold_octets: None,
--- a/crates/rules/src/json/mod.rs
+++ b/crates/rules/src/json/mod.rs
@@ -1,4 +1,4 @@
-//! JSON of the `rules/...` topics, in and out.
+//! The JSON of the `rules/...` topics: requests and answers.
 
 mod answer;
 mod draft;
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,14 +1,17 @@
-//! What clients may have kept on their behalf, and for how long.
+//! Clients' rules: what the service keeps for a client, how much of it, and for how long.
 //!
-//! Does: holds plans and each client's rules ([`model`]), reads and writes them as JSON ([`json`], [`span`]); checks
-//! rules against a plan and against each other, with findings, and says what a change would let go ([`check`]); carries
-//! edits from a draft to a version that is desired ([`registry`]), the same on every member from the same commands in the
-//! same order; finds what holds for one message ([`table`]); makes digests by which members are compared ([`mod@digest`]).
-//! Decides: what a plan allows, which of two editors is told to begin again, what a lowered plan cuts and when, which rule
-//! a message falls under, what one member's share of a figure is and which of its senders has it ([`share`],
-//! [`home`]), which of two figures counts while a client is fenced ([`strict`]), which part of a figure
-//! that all members hold together is whose ([`parts`]).
-//! Never: touches a socket, a file or a clock, or applies anything to live tables (the engine does).
+//! Responsibilities: holds plans and each client's rules ([`model`]) and converts them from and to JSON
+//! ([`json`], [`units`]); checks rules against a plan and against each other, with findings, and counts what a
+//! change would drop ([`check`]); takes drafts through to the desired version ([`registry`]), identically on
+//! every member that applies the same commands in the same order; looks up the limits for one message
+//! ([`table`]); computes the digests by which members are compared ([`mod@digest`]).
+//!
+//! Decisions: what a plan allows, which of two concurrent edits is a conflict, what a lowered plan cuts and
+//! when, which rule applies to a message, the share of each member and which of its senders has it
+//! ([`share`], [`home`]), which of two limits applies while a client is fenced ([`strict`]), how members
+//! share a quota by leases ([`quota_shares`]).
+//!
+//! Out of scope: sockets, files and clocks, and applying rules to live tables, which the engine does.
 
 #![forbid(unsafe_code)]
 
@@ -23,10 +26,10 @@
 pub mod registry;
 pub mod seam;
 pub mod share;
-pub mod span;
 pub mod strict;
 pub mod table;
 mod trie;
+pub mod units;
 
 pub use check::{Finding, Findings};
 pub use digest::{Digest, digest};
@@ -36,5 +39,5 @@
 pub use share::Turn;
 pub use table::{Effective, Table};
 
-/// Time of day in microseconds, or a span of it.
+/// A time of day or a duration, in microseconds.
 pub type Micros = i64;
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -3,77 +3,81 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a rule sets; what it leaves out is taken from the next less specific rule that matches, and where none sets it,
-/// from the settings' defaults. Counts, octets and pace are for the whole installation ([`crate::share`]).
+/// The limits that a rule sets. A limit that is left out is taken from the next less specific matching rule,
+/// or from the defaults in the settings if no rule sets it. Counts, sizes and rates are for the whole
+/// installation ([`crate::share`]).
 ///
-/// No field is skipped in writing: postcard has no field names, so a skipped one would shift all after it. The JSON of
-/// the topics is [`crate::json`]'s.
+/// No field may be skipped in serialization: postcard has no field names, so a skipped field would shift all
+/// later ones. The JSON of the topics is defined in [`crate::json`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Figures {
-    /// A final answer is kept so long, to be told again when the same named message is handed in once more.
+    /// How long a final answer is kept, to be returned again when a message with the same name is submitted
+    /// again.
     pub answer_for: Option<Micros>,
-    /// A client's own name of a message counts so long.
+    /// How long the client's own name of a message is remembered.
     pub remember: Option<Micros>,
-    /// Names remembered at once.
+    /// The number of names remembered at once.
     pub remembered: Option<u64>,
-    /// An undelivered message is held so long.
+    /// How long an undelivered message is held.
     pub hold_for: Option<Micros>,
-    /// Undelivered messages held at once.
+    /// The number of undelivered messages held at once.
     pub hold_count: Option<u64>,
-    /// Octets of undelivered messages held at once.
+    /// The total size in bytes of the undelivered messages held at once.
     pub hold_octets: Option<u64>,
-    /// Trails kept at once.
+    /// The number of trails kept at once.
     pub trails: Option<u64>,
     /// The longest validity of a message.
     pub validity: Option<Micros>,
-    /// Held messages released in a second at most.
+    /// The number of held messages released per second.
     pub release: Option<u64>,
 }
 
-/// One rule of a client. It matches by class, address prefix and key prefix; an empty one matches all. Of several that
-/// match, the one with the longest address prefix holds, then the one that names the class, then the longest key prefix.
+/// One rule of a client. It matches by class, address prefix and key prefix; an empty one matches everything.
+/// Of several matching rules, the one with the longest address prefix takes precedence, then one that names
+/// the class, then the one with the longest key prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rule {
-    /// Its name, unique among the client's rules: 1 to 32 characters.
+    /// The name, unique among the client's rules: 1 to 32 characters.
     pub name: String,
-    /// The class.
+    /// The message class to match; empty: any.
     pub class: String,
-    /// The address prefix.
+    /// The address prefix to match; empty: any.
     pub to: String,
-    /// The key prefix.
+    /// The key prefix to match; empty: any.
     pub key: String,
-    /// What it sets.
+    /// The limits that the rule sets.
     pub figures: Figures,
 }
 
-/// All rules of a client at one version. Versions count for each client, from 1; 0 is no rules.
+/// All rules of a client at one version. Versions are counted per client, from 1; version 0 has no rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleSet {
-    /// The version.
+    /// The version number.
     pub version: u64,
-    /// The rules, by name.
+    /// The rules, sorted by name.
     pub rules: Vec<Rule>,
 }
 
-/// What a client may have: `plan { }` in the settings.
+/// The bounds on a client's rules: `plan { }` in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the plan.
     pub name: String,
-    /// Rules at most.
+    /// The maximum number of rules.
     pub rules: usize,
-    /// Classes allowed; none: all.
+    /// The allowed classes; empty: all.
     pub classes: Vec<String>,
-    /// Address prefixes under which rules may stand; none: all.
+    /// The address prefixes that rules have to be under; empty: all.
     pub prefixes: Vec<String>,
-    /// The most for each figure. Counts, octets and pace are also the most for their sum over all rules and all members. A
-    /// figure that is left out is not the client's to set: a line forgotten in the settings must not mean "without end".
+    /// The maximum of each limit. For counts, sizes and rates it also bounds the sum over all rules and all
+    /// members. A limit that is left out cannot be set by the client: a line forgotten in the settings must
+    /// not mean "unlimited".
     pub most: Figures,
-    /// Changes an hour.
+    /// The maximum number of changes per hour.
     pub changes_an_hour: u32,
-    /// An operator has to approve.
+    /// Whether an operator has to approve changes.
     pub approval: bool,
-    /// Rules beyond a plan that was lowered hold so long.
+    /// How long rules that exceed a lowered plan stay in effect.
     pub grace: Micros,
 }
--- a/crates/rules/src/quota_shares/allocator.rs
+++ b/crates/rules/src/quota_shares/allocator.rs
@@ -1,11 +1,11 @@
-//! Who has been handed how much of one figure, in one term.
+//! The member that grants shares of one quota, for one term.
 
 use super::{ShareGrant, ShareRequest, Tuning, permille_of};
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Grants to one holder that may all be the one it goes by. Where there are so many, its asks are dropped until one is
-/// over or it names a later one.
+/// The number of a holder's grants that may be in effect. At this number its requests are dropped until a
+/// grant ends or is superseded by an acknowledged later one.
 const MAX_OPEN_GRANTS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
@@ -15,7 +15,7 @@
     ends_at: Micros,
 }
 
-/// What one member may have.
+/// The state of one member.
 #[derive(Clone, Debug, Default)]
 struct Account {
     incarnation: u64,
@@ -23,15 +23,16 @@
     last_received: Option<Micros>,
     wanted: u64,
     used: u64,
-    /// The last grant's number.
+    /// The number of the last grant.
     last_grant: u64,
-    /// From the one that it goes by to the last, as far as their leases may hold; it goes by one of them.
+    /// The grants from the acknowledged one to the last one, as far as their leases may still run. The member
+    /// uses one of them.
     open_grants: VecDeque<OpenGrant>,
-    /// Of earlier lives, and until when.
+    /// What earlier incarnations were leased, and until when.
     earlier_incarnations: (u64, Micros),
-    /// The greatest floor it may go by.
+    /// The greatest floor that the member may use.
     max_floor: u64,
-    /// The floor told since the grant of this number.
+    /// The floor in use since the grant of this number.
     announced_floor: (u64, u64),
 }
 
@@ -44,8 +45,9 @@
         if now < self.earlier_incarnations.1 { self.earlier_incarnations.0 } else { 0 }
     }
 
-    /// All that it may use, or uses as it said within a lease. More used than may be was kept on a lease that ended; what
-    /// others are lent shrinks by it, so that what all keep comes down to the figure before anything new is lent.
+    /// Returns all that the member may use, or uses according to a report within the last lease. Use above
+    /// the share was kept on a lease that ended. It reduces what others are leased, so that total use comes
+    /// down to the quota before anything new is leased.
     fn committed(&self, now: Micros, tuning: &Tuning) -> u64 {
         let in_use = if self.is_recent(now, tuning) { self.used } else { 0 };
         self.max_floor
@@ -58,7 +60,7 @@
         self.last_received.is_some_and(|at| now < at.saturating_add(tuning.lease))
     }
 
-    /// Another life of the member: what the earlier one was lent counts to its end.
+    /// Starts another incarnation of the member. What the earlier one was leased counts until the lease ends.
     fn start_incarnation(&mut self, now: Micros, incarnation: u64) {
         let until = self.open_grants.iter().map(|g| g.ends_at).max().unwrap_or(self.earlier_incarnations.1);
         self.earlier_incarnations = (
@@ -69,7 +71,7 @@
         (self.incarnation, self.last_request) = (incarnation, 0);
     }
 
-    /// It goes by this grant, of which it keeps so much.
+    /// Records that the member uses this grant and keeps `kept` of its lease.
     fn acknowledge(&mut self, number: u64, kept: u64) {
         self.open_grants.retain(|g| g.number >= number);
         if let Some(oldest) = self.open_grants.front_mut().filter(|g| g.number == number) {
@@ -81,25 +83,27 @@
     }
 }
 
-/// Hands out the parts of one figure, in one term, among so many members. Cost per ask grows with the members alone.
+/// Grants the shares of one quota to a fixed number of members, for one term. The cost per request grows with
+/// the number of members only.
 #[derive(Clone, Debug)]
 pub struct QuotaAllocator {
     tuning: Tuning,
     term: u64,
     quota: u64,
     now: Micros,
-    /// Nothing is handed out before it.
+    /// Nothing is granted before this time.
     ready_at: Micros,
-    /// Nor from then on.
-    in_charge_until: Micros,
+    /// Nothing is granted from this time on.
+    leader_until: Micros,
     last_grant: u64,
     accounts: Vec<Account>,
 }
 
 impl QuotaAllocator {
-    /// Of the member that is in charge from now on. It knows nothing of earlier lenders' grants and waits one whole lease.
-    /// `floor` is the greatest floor that a member may still go by: that of the greatest figure, among the fewest
-    /// members, that not all have left behind. Another list of members needs another term.
+    /// Creates the allocator of a member that has just become leader. It does not know the grants of earlier
+    /// leaders and waits for one whole lease. `floor` is the greatest floor that a member may still use: that
+    /// of the greatest quota, with the fewest members, that may still be in use somewhere. A change of the
+    /// list of members needs a new term.
     pub fn new(tuning: Tuning, now: Micros, term: u64, members: usize, quota: u64, floor: u64) -> Self {
         let account = Account { max_floor: floor, announced_floor: (0, floor), ..Account::default() };
         QuotaAllocator {
@@ -108,33 +112,33 @@
             quota,
             now,
             ready_at: now.saturating_add(tuning.allocator_lease()),
-            in_charge_until: now,
+            leader_until: now,
             last_grant: 0,
             accounts: vec![account; members],
         }
     }
 
-    /// In charge until then, by its own clock.
-    pub fn extend_charge(&mut self, until: Micros) {
-        self.in_charge_until = self.in_charge_until.max(until);
+    /// Extends the time for which this member is leader, by its own clock.
+    pub fn extend_leadership(&mut self, until: Micros) {
+        self.leader_until = self.leader_until.max(until);
     }
 
-    /// The plan's figure is another now. What was handed out of a greater one counts to the end of its lease.
+    /// Sets a new quota. Grants from a greater quota count until their leases end.
     pub fn set_quota(&mut self, quota: u64) {
         self.quota = quota;
     }
 
-    /// The most that all holders may use together, as far as this term's grants tell.
+    /// Returns the most that all holders together may use, as far as is known from this term's grants.
     pub fn total_committed(&self, now: Micros) -> u64 {
         self.accounts.iter().fold(0, |sum, a| sum.saturating_add(a.committed(now, &self.tuning)))
     }
 
-    /// Answers a holder. Nothing where it is not in charge or not ready, or the ask is late, doubled, of an earlier life
-    /// or makes no sense.
+    /// Answers a holder's request. Returns none if this member is not leader or not ready, or if the request
+    /// is late, repeated, of an earlier incarnation, or invalid.
     pub fn handle_request(&mut self, now: Micros, request: &ShareRequest) -> Option<ShareGrant> {
         self.now = self.now.max(now);
         let now = self.now;
-        if now < self.ready_at || now >= self.in_charge_until {
+        if now < self.ready_at || now >= self.leader_until {
             return None;
         }
         let member = usize::try_from(request.member).ok()?;
@@ -170,7 +174,8 @@
         let account = self.accounts.get_mut(member)?;
         let available = self.quota.saturating_sub(others).saturating_sub(account.leased_to_earlier(now));
         let leased_now = account.max_leased(now);
-        // A greater floor only out of what is free, as members not yet told of a lowered figure keep theirs.
+        // A greater floor has to come out of what is free, since members not yet notified of a lowered quota
+        // keep their floors.
         let floor = if floor <= account.max_floor.max(available.saturating_sub(leased_now)) {
             floor
         } else {
@@ -181,7 +186,7 @@
             account.announced_floor = (self.last_grant, floor);
             account.max_floor = account.max_floor.max(floor);
         }
-        // Even among those that want more than there is; but what is used stays with its holder.
+        // Holders that want more than there is get equal shares, but what is in use stays with its holder.
         let fair = request.wanted.saturating_sub(floor).min(fair_level);
         let in_use = request.used.saturating_sub(floor).min(leased_now);
         let leased = fair.max(in_use).min(available.saturating_sub(account.max_floor));
@@ -202,7 +207,8 @@
         })
     }
 
-    /// The most that each may be lent so that all have as much as they want or as any other.
+    /// Returns the greatest lease such that each member gets what it wants or as much as any other (max-min
+    /// fairness).
     fn fair_level(&self, now: Micros) -> u64 {
         let is_recent = |a: &&Account| a.is_recent(now, &self.tuning);
         let mut wanted_amounts: Vec<u64> =
@@ -251,7 +257,7 @@
 
     fn allocator() -> QuotaAllocator {
         let mut allocator = QuotaAllocator::new(TUNING, 0, 3, 2, 100, 10);
-        allocator.extend_charge(9_000);
+        allocator.extend_leadership(9_000);
         allocator
     }
 
@@ -264,22 +270,22 @@
         let mut allocator = allocator();
         assert_eq!(leased(&mut allocator, 1_100, request(0, 1, 0, 0, 50)), None);
         assert_eq!(leased(&mut allocator, 1_101, request(0, 1, 0, 0, 50)), Some(40));
-        assert_eq!(leased(&mut allocator, 1_102, request(0, 1, 0, 0, 60)), None, "twice");
+        assert_eq!(leased(&mut allocator, 1_102, request(0, 1, 0, 0, 60)), None, "a repeated request");
         assert_eq!(
             leased(&mut allocator, 1_102, request(0, 2, 7, 0, 60)),
             None,
-            "names a grant that was never given"
+            "acknowledges a grant that was never made"
         );
-        assert_eq!(leased(&mut allocator, 1_102, request(2, 1, 0, 0, 60)), None, "no member");
+        assert_eq!(leased(&mut allocator, 1_102, request(2, 1, 0, 0, 60)), None, "unknown member");
         assert_eq!(
             leased(&mut allocator, 1_103, ShareRequest { incarnation: 0, ..request(0, 9, 0, 0, 0) }),
             None,
-            "an earlier life"
+            "an earlier incarnation"
         );
         let open =
             (10..99).filter(|n| leased(&mut allocator, 1_200, request(1, *n, 0, 0, 20)).is_some()).count();
-        assert_eq!(open, MAX_OPEN_GRANTS, "grants that nobody names");
-        assert_eq!(leased(&mut allocator, 9_000, request(0, 9, 1, 0, 60)), None, "not in charge");
+        assert_eq!(open, MAX_OPEN_GRANTS, "unacknowledged grants");
+        assert_eq!(leased(&mut allocator, 9_000, request(0, 9, 1, 0, 60)), None, "no longer leader");
     }
 
     #[test]
@@ -290,40 +296,40 @@
         assert_eq!(
             leased(&mut allocator, 2_020, request(1, 1, 0, 0, 90)),
             Some(0),
-            "it may still go by the first"
+            "the other may still use its first grant"
         );
         assert_eq!(
             leased(&mut allocator, 2_030, request(0, 3, 1, 30, 40)),
             Some(30),
-            "gives 50 of the first back"
+            "returns 50 of the first grant"
         );
         assert_eq!(leased(&mut allocator, 2_040, request(1, 2, 3, 0, 90)), Some(50));
         let used = ShareRequest { used: 40, ..request(0, 4, 4, 30, 15) };
-        assert_eq!(leased(&mut allocator, 2_050, used), Some(30), "what is used stays though it wants less");
+        assert_eq!(leased(&mut allocator, 2_050, used), Some(30), "the use stays, though less is wanted");
         allocator.set_quota(50);
         assert_eq!(
             leased(&mut allocator, 2_060, request(0, 5, 6, 30, 40)),
             Some(0),
-            "a lowered plan comes first"
+            "a lowered quota takes precedence"
         );
-        assert_eq!(allocator.total_committed(2_060), 100, "what is out is out");
+        assert_eq!(allocator.total_committed(2_060), 100, "open grants still count");
         allocator.set_quota(100);
         let other = ShareRequest { incarnation: 2, ..request(1, 1, 0, 0, 50) };
         assert_eq!(
             leased(&mut allocator, 2_070, other),
             Some(0),
-            "what an earlier life was lent is not free"
+            "the lease of an earlier incarnation is not free"
         );
         assert_eq!(
             leased(&mut allocator, 3_171, ShareRequest { request_number: 2, ..other }),
             Some(40),
-            "until it is over"
+            "until that lease ends"
         );
         let expired = ShareRequest { used: 45, ..request(0, 6, 0, 0, 45) };
         assert_eq!(
             leased(&mut allocator, 3_180, expired),
             Some(35),
-            "kept on a lease that is over, and there is room"
+            "kept on an expired lease, and there is room"
         );
         assert_eq!(
             leased(&mut allocator, 3_190, ShareRequest { used: 75, ..request(0, 7, 8, 35, 75) }),
@@ -336,9 +342,10 @@
                 ShareRequest { request_number: 3, grant_number: 7, kept: 40, ..other }
             ),
             Some(15),
-            "until that has gone"
+            "until that use is gone"
         );
     }
+
     #[test]
     fn an_older_floor_counts_until_the_lowering_grant_is_acknowledged() {
         let mut allocator = allocator();
--- a/crates/rules/src/quota_shares/holder.rs
+++ b/crates/rules/src/quota_shares/holder.rs
@@ -1,54 +1,56 @@
-//! A member's part of one figure.
+//! A member's share of one quota.
 
 use super::{ShareGrant, ShareRequest, Tuning, permille_of};
 use crate::Micros;
 
-/// A lease has ended without another: the part is the floor alone.
+/// Reports that a lease ended without a new one, so that the share is the floor alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseExpired {
-    /// The part before.
+    /// The share before.
     pub before: u64,
-    /// The part now.
+    /// The share now.
     pub after: u64,
-    /// How much is used, which may be more; it stays.
+    /// The amount in use, which may exceed the share; it is kept.
     pub used: u64,
 }
 
-/// What a step brings.
+/// The result of a tick.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TickOutput {
-    /// To be sent to the member in charge.
+    /// To be sent to the leader.
     pub request: Option<ShareRequest>,
-    /// To be told.
+    /// To be reported.
     pub lease_expired: Option<LeaseExpired>,
 }
 
-/// A member's part of one figure, and its use.
+/// A member's share of one quota, and how much of it is in use.
 #[derive(Clone, Debug)]
 pub struct QuotaHolder {
     tuning: Tuning,
     member: u32,
     incarnation: u64,
-    /// The term and number of the grant gone by.
+    /// The term and number of the grant in use.
     last_grant: (u64, u64),
     floor: u64,
     leased: u64,
-    /// What was lent ends here.
+    /// When the lease ends.
     lease_end: Micros,
     used: u64,
-    /// Refused in this span of [`Tuning::every`] and in the one before it. Less than that would be only what came since
-    /// the last ask, and a part would grow by so little for each round trip.
+    /// The amounts refused in the current interval of [`Tuning::request_interval`] and in the one before. The
+    /// current one alone would only hold what arrived since the last request, and the share would grow by
+    /// that little per round trip.
     refused_amounts: (u64, u64),
-    /// When this span began.
+    /// When the current interval began.
     interval_start: Micros,
-    /// Refused since it last asked.
+    /// Whether anything was refused since the last request.
     refused_since_request: bool,
     request_count: u64,
     last_request_at: Option<Micros>,
 }
 
 impl QuotaHolder {
-    /// Of a life that starts. `floor` is 0, or the last floor that was written down before it was acted on.
+    /// Creates the holder of a new incarnation. `floor` is 0, or the last floor that was persisted before it
+    /// was used.
     pub fn new(tuning: Tuning, member: u32, incarnation: u64, floor: u64) -> Self {
         QuotaHolder {
             tuning,
@@ -67,23 +69,23 @@
         }
     }
 
-    /// How much may be used now.
+    /// Returns how much may be used now.
     pub fn share(&self, now: Micros) -> u64 {
         let leased = if now < self.lease_end { self.leased } else { 0 };
         self.floor.saturating_add(leased)
     }
 
-    /// Until when the part is more than the floor, by the holder's clock.
+    /// Returns when the share drops to the floor, by the holder's clock; none if it is the floor already.
     pub fn lease_end(&self) -> Option<Micros> {
         (self.leased > 0).then_some(self.lease_end)
     }
 
-    /// How much is used; more than the part where the part has shrunk.
+    /// Returns how much is in use; this exceeds the share if the share shrank.
     pub fn used(&self) -> u64 {
         self.used
     }
 
-    /// Takes so much of the part, or nothing where it does not fit.
+    /// Takes an amount of the share. Returns false, and takes nothing, if it does not fit.
     pub fn take(&mut self, now: Micros, amount: u64) -> bool {
         match self.used.checked_add(amount) {
             Some(used) if used <= self.share(now) => {
@@ -98,12 +100,12 @@
         }
     }
 
-    /// So much is used no more.
+    /// Gives an amount back to the share.
     pub fn release(&mut self, amount: u64) {
         self.used = self.used.saturating_sub(amount);
     }
 
-    /// Time has gone on: says when a lease has ended, and asks where it is time to.
+    /// Advances the time: reports the end of a lease, and makes a request when one is due.
     pub fn tick(&mut self, now: Micros) -> TickOutput {
         let mut out = TickOutput::default();
         if self.leased > 0 && now >= self.lease_end {
@@ -117,7 +119,8 @@
             self.refused_amounts = (0, if is_next_interval { self.refused_amounts.0 } else { 0 });
             self.interval_start = now;
         }
-        // One refused wants more at once; one that lets go of much has what others are refused for.
+        // A holder that refused something needs more soon; one with much unused share has what others may be
+        // refused.
         let unused = self.share(now).saturating_sub(self.wanted());
         let urgent = self.refused_since_request
             || self.leased > 0 && unused > permille_of(self.share(now), self.tuning.headroom_permille);
@@ -140,7 +143,8 @@
 
     fn make_request(&mut self, now: Micros) -> ShareRequest {
         let wanted = self.wanted();
-        // Given back before it is said, so that it is never used and free at once.
+        // The unused lease is given up before the request says so, so that it is never in use here and
+        // granted elsewhere at once.
         self.leased = self.leased.min(wanted.saturating_sub(self.floor));
         self.refused_since_request = false;
         self.request_count = self.request_count.saturating_add(1);
@@ -158,9 +162,10 @@
         }
     }
 
-    /// The lender has answered. False where it is not for this life, not after the grant gone by, or not from its past.
+    /// Applies a grant. Returns false if it is for another member or incarnation, not newer than the one in
+    /// use, or answers a request from the future.
     pub fn apply_grant(&mut self, now: Micros, grant: &ShareGrant) -> bool {
-        // An older grant that comes late or twice would bring back what was given back since.
+        // A late or repeated older grant would restore a lease that was returned since.
         let newer = (grant.term, grant.grant_number) > self.last_grant;
         if (grant.member, grant.incarnation) != (self.member, self.incarnation)
             || !newer
@@ -171,7 +176,8 @@
         self.last_grant = (grant.term, grant.grant_number);
         self.floor = grant.floor;
         self.leased = grant.leased;
-        // From when it was asked: the lender counts from later, and so longer.
+        // The lease counts from when the request was sent. The allocator counts from a later time, and so its
+        // lease is longer.
         self.lease_end = grant.request_sent_at.saturating_add(self.tuning.lease);
         true
     }
@@ -203,26 +209,26 @@
             leased,
         };
         assert!(holder.apply_grant(50, &grant(7, 10, 95)));
-        assert!(holder.take(1_009, 90) && !holder.take(1_009, 11), "up to the part and no further");
-        assert!(!holder.apply_grant(60, &grant(7, 10, 95)), "twice");
-        assert!(!holder.apply_grant(60, &grant(6, 10, 99)), "late");
+        assert!(holder.take(1_009, 90) && !holder.take(1_009, 11), "up to the share and no further");
+        assert!(!holder.apply_grant(60, &grant(7, 10, 95)), "a repeated grant");
+        assert!(!holder.apply_grant(60, &grant(6, 10, 99)), "a late grant");
         assert!(!holder.apply_grant(60, &ShareGrant { term: 1, ..grant(9, 10, 99) }), "of an earlier term");
         assert!(
             !holder.apply_grant(60, &ShareGrant { incarnation: 3, ..grant(9, 10, 99) }),
-            "to an earlier life"
+            "to an earlier incarnation"
         );
-        assert!(!holder.apply_grant(60, &grant(8, 61, 99)), "asked in times to come");
-        assert_eq!(holder.share(1_010), 5, "a lease from when it asked");
-        assert!(!holder.take(1_010, 1), "also before it is told the time");
+        assert!(!holder.apply_grant(60, &grant(8, 61, 99)), "answers a request from the future");
+        assert_eq!(holder.share(1_010), 5, "the lease runs from when the request was sent");
+        assert!(!holder.take(1_010, 1), "also before the next tick");
         let expired = holder.tick(1_010).lease_expired;
         assert_eq!(
             expired,
             Some(LeaseExpired { before: 100, after: 5, used: 90 }),
-            "said, and nothing let go"
+            "reported, and nothing dropped"
         );
-        assert_eq!(holder.tick(1_011).lease_expired, None, "once");
+        assert_eq!(holder.tick(1_011).lease_expired, None, "reported once");
         holder.release(85);
-        assert!(!holder.take(1_020, 1), "nothing new above the part");
+        assert!(!holder.take(1_020, 1), "nothing new above the share");
         holder.release(1);
         assert!(holder.take(1_020, 1));
     }
--- a/crates/rules/src/quota_shares/message.rs
+++ b/crates/rules/src/quota_shares/message.rs
@@ -1,46 +1,46 @@
-//! What holders and the lender say to each other.
+//! Messages between holders and the allocator.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A holder asks for its part, tells its use and gives back what it does not use.
+/// A holder's request for a share. It reports the use and returns what is not needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareRequest {
-    /// The member's place, from 0.
+    /// The index of the member, from 0.
     pub member: u32,
-    /// Which life of it.
+    /// The incarnation of the member.
     pub incarnation: u64,
-    /// Counts the life's asks, from 1.
+    /// The number of the request within the incarnation, from 1.
     pub request_number: u64,
-    /// When it was asked, by the holder's clock; comes back in the grant.
+    /// When the request was sent, by the holder's clock; returned in the grant.
     pub sent_at: Micros,
-    /// The term of the grant that it goes by; 0 for none.
+    /// The term of the grant in use; 0: none.
     pub term: u64,
-    /// The number of that grant. Older ones are never gone by again.
+    /// The number of the grant in use. Older grants are never used again.
     pub grant_number: u64,
-    /// How much of what that grant lent it still holds; the rest is given back.
+    /// How much of the lease of that grant the holder keeps; the rest is returned.
     pub kept: u64,
-    /// How much is used.
+    /// The amount in use.
     pub used: u64,
-    /// The whole part it wants, floor and all.
+    /// The whole share that is wanted, including the floor.
     pub wanted: u64,
 }
 
-/// The lender's answer, which takes the place of all earlier grants to that life.
+/// The allocator's answer. It replaces all earlier grants to the incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareGrant {
-    /// To the member at this place.
+    /// The index of the member.
     pub member: u32,
-    /// To this life of it.
+    /// The incarnation of the member.
     pub incarnation: u64,
-    /// The lender's term.
+    /// The allocator's term.
     pub term: u64,
-    /// Counts the term's grants, from 1.
+    /// The number of the grant within the term, from 1.
     pub grant_number: u64,
-    /// From [`Ask::asked`].
+    /// From [`ShareRequest::sent_at`].
     pub request_sent_at: Micros,
-    /// Had without end, until another grant says otherwise.
+    /// The part of the share without an end, until another grant changes it.
     pub floor: u64,
-    /// Had on top of it while the lease lasts.
+    /// The part on top of the floor, until the lease ends.
     pub leased: u64,
 }
--- a/crates/rules/src/registry/client.rs
+++ b/crates/rules/src/registry/client.rs
@@ -1,4 +1,4 @@
-//! One client's rules through their versions.
+//! The versions of one client's rules.
 
 use super::outcome::{Desired, Reply};
 use crate::Micros;
@@ -10,78 +10,86 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
+/// One client: its plan, its versions and its recent requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Client {
     pub plan: Arc<Plan>,
     pub plan_digest: Digest,
-    /// The last plan could be read; else it is the one before, and nothing is changed or cut by it.
+    /// Whether the last plan could be read. If not, the one before it stays, and nothing is changed or cut
+    /// under it.
     pub plan_usable: bool,
-    /// The settings have it no more, since then. It stays known for its last version, which must not be given again.
+    /// When the client was removed from the settings. It stays known for its last version number, which must
+    /// not be reused.
     pub dropped: Option<Micros>,
-    /// The last version number given.
+    /// The last version number assigned.
     pub last_version: u64,
     /// The desired version; 0: none yet.
     pub current: u64,
     pub versions: BTreeMap<u64, Version>,
-    /// Of the desired rules, those that a plan made smaller, as they were wanted.
+    /// The original form of those desired rules whose limits a plan lowered.
     pub reduced: Vec<Rule>,
-    /// Rules that a plan took out whole, as they were wanted.
+    /// The original form of rules that a plan removed.
     pub removed: Vec<Rule>,
-    /// What is beyond the plan is cut then.
+    /// When rules that exceed the plan are cut.
     pub cut_at: Option<Micros>,
-    /// When the client changed something, within the last hour.
+    /// The times of the client's changes within the last hour.
     pub changes: VecDeque<Micros>,
     pub requests: VecDeque<AnsweredRequest>,
 }
 
+/// One version of the rules, and how it was created.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Version {
     pub set: Arc<RuleSet>,
     pub stage: Stage,
     pub origin: Origin,
-    /// The version that was desired when it was submitted.
+    /// The version that was desired when this one was submitted.
     pub base: u64,
     pub at: Micros,
-    /// The operator who decided; empty: none had to.
+    /// The operator who decided; empty: no decision was needed.
     pub by: String,
     pub bytes: u64,
 }
 
-/// Where a version stands. Drafts and checked drafts are with the client, as [`crate::json::Draft`].
+/// The stage of a version. Drafts are not stored; they stay with the client ([`crate::json::Draft`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Stage {
-    /// Submitted, for an operator to decide.
+    /// Submitted; waits for an operator.
     Waiting,
-    /// Approved, and what holds.
+    /// Approved and in effect.
     Desired,
-    /// Approved once.
+    /// Approved, then replaced by a later version.
     Superseded,
-    /// An operator approved it after another: it holds joined with that one, under another number.
+    /// Approved by an operator after another version: it is in effect merged with that one, under another
+    /// number.
     Merged(u64),
+    /// Rejected, with the reason.
     Rejected(String),
 }
 
+/// What created a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Origin {
     Client,
+    /// A rollback to an earlier version.
     Back(u64),
-    /// Cut to a plan, or brought back by one.
+    /// Cut to a plan, or restored by one.
     Plan,
     Dropped,
 }
 
-/// A request that made a version.
+/// A request that created a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct AnsweredRequest {
     pub request: Digest,
     pub content: Digest,
     pub version: u64,
-    /// Where the version stood when it was let go.
+    /// The stage of the version when it was removed.
     pub removed_stage: Option<Stage>,
 }
 
 impl Client {
-    /// What is desired: no rules at version 0 where nothing ever was.
+    /// Returns the desired rules; version 0 without rules if there never were any.
     pub(super) fn set(&self) -> Arc<RuleSet> {
         self.versions.get(&self.current).map_or_else(Arc::default, |v| v.set.clone())
     }
@@ -92,7 +100,7 @@
         Desired { client: name.into(), set: self.set(), plan: self.plan.clone(), destroys, by_plan }
     }
 
-    /// The rules of a version that holds or held.
+    /// Returns the rules of a version that is or was in effect.
     pub(super) fn approved(&self, version: u64) -> Option<Arc<RuleSet>> {
         if version == 0 {
             return Some(Arc::default());
@@ -101,7 +109,7 @@
         matches!(found.stage, Stage::Desired | Stage::Superseded).then(|| found.set.clone())
     }
 
-    /// What holds and what plans took of it.
+    /// Returns the rules in effect and those that plans reduced or removed.
     pub(super) fn cut(&self) -> Cut {
         Cut { rules: self.set().rules.clone(), reduced: self.reduced.clone(), removed: self.removed.clone() }
     }
@@ -111,12 +119,13 @@
         versions + check::octets(&self.reduced) + check::octets(&self.removed)
     }
 
-    /// When it is to be cut, if nothing stands in the way.
+    /// Returns when the rules are to be cut, if they can be.
     pub(super) fn due(&self) -> Option<Micros> {
         self.cut_at.filter(|_| self.plan_usable && self.dropped.is_none())
     }
 
-    /// Adds a version that waits. The numbers never come again, so that one number has one content for ever.
+    /// Adds a waiting version. Version numbers are never reused, so that a number always stands for the same
+    /// content.
     pub(super) fn add_version(&mut self, rules: Vec<Rule>, origin: Origin, at: Micros) -> u64 {
         self.last_version += 1;
         let bytes = check::octets(&rules) + 64;
@@ -139,7 +148,8 @@
         }
         self.current = version;
         match origin {
-            // A new wish takes the place of the old one; what it leaves as the plan left it is still wanted whole.
+            // The client's new rules replace the old ones. Rules that it left as the plan had cut them are
+            // still wanted in full.
             Origin::Client if !new.rules.is_empty() => {
                 let same = |name: &str| {
                     let find = |set: &RuleSet| set.rules.iter().find(|r| r.name == name).cloned();
@@ -164,7 +174,8 @@
         self.trim(limits::MAX_VERSIONS);
     }
 
-    /// Lets the oldest versions go down to `most`, but for those that hold, wait, or are what a waiting one was built on.
+    /// Removes the oldest versions until `most` are left, except for those that are desired, wait, or are the
+    /// base of a waiting one.
     pub(super) fn trim(&mut self, most: usize) {
         let waiting = self.versions.iter().filter(|(_, v)| v.stage == Stage::Waiting);
         let mut keep: Vec<u64> = waiting.flat_map(|(number, v)| [*number, v.base]).collect();
@@ -177,7 +188,7 @@
             }
             over -= 1;
             let Some(removed) = self.versions.remove(&version) else { continue };
-            for request in self.requests.iter_mut().filter(|k| k.version == version) {
+            for request in self.requests.iter_mut().filter(|r| r.version == version) {
                 request.removed_stage = Some(removed.stage.clone());
             }
         }
@@ -187,7 +198,7 @@
         self.versions.values().filter(|v| v.stage == Stage::Waiting).count()
     }
 
-    /// What is answered of a version.
+    /// Returns the answer about a version.
     pub(super) fn reply_for(&self, version: u64, removed_stage: Option<&Stage>) -> Reply {
         match self.versions.get(&version).map(|v| &v.stage).or(removed_stage) {
             Some(Stage::Waiting) => Reply::Waiting { version },
--- a/crates/rules/src/registry/command.rs
+++ b/crates/rules/src/registry/command.rs
@@ -1,77 +1,80 @@
-//! What the keepers agree on, as the registry reads it.
+//! The commands of the agreed log, as the registry reads them.
 
 use crate::digest::{Digest, digest_parts};
 use crate::model::{Plan, Rule};
 use serde::{Deserialize, Serialize};
 
-/// One agreed command. Packed with postcard into an entry of the log: a variant or a field is only ever added at the end.
+/// One agreed command, encoded with postcard into a log entry: variants and fields may only be added at the
+/// end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A client's draft.
+    /// Submits a client's draft.
     Submit {
-        /// Names the request ([`crate::json::Draft::request`]): asked again, it is the same.
+        /// Identifies the request ([`crate::json::Draft::request`]); a repeated request has the same one.
         request: Digest,
-        /// Whose.
+        /// The client's system_id.
         client: String,
         /// The version that was edited.
         base: u64,
-        /// All rules.
+        /// All rules of the client.
         rules: Vec<Rule>,
     },
-    /// An operator approves a version that waits.
+    /// Approves a waiting version.
     Approve {
-        /// Whose.
+        /// The client's system_id.
         client: String,
-        /// Which.
+        /// The version to approve.
         version: u64,
         /// The operator.
         by: String,
     },
-    /// An operator turns one down.
+    /// Rejects a waiting version.
     Refuse {
-        /// Whose.
+        /// The client's system_id.
         client: String,
-        /// Which.
+        /// The version to reject.
         version: u64,
         /// The operator.
         by: String,
-        /// The reason, told to the client.
+        /// The reason, which the client is given.
         why: String,
     },
-    /// A client wants an earlier version's rules again, as a new version.
+    /// Restores the rules of an earlier version as a new version.
     Back {
-        /// Whose.
+        /// The client's system_id.
         client: String,
-        /// Which.
+        /// The version to restore.
         version: u64,
-        /// See [`back_request`].
+        /// Identifies the request.
         request: Digest,
     },
-    /// A client's plan as the settings have it now.
+    /// Sets a client's plan to what the settings now have.
     Plan {
-        /// Whose.
+        /// The client's system_id.
         client: String,
-        /// None: it can't be read, and what is approved stays.
+        /// The plan; none: it can't be read, and approved rules stay.
         plan: Option<Box<Plan>>,
-        /// [`crate::digest::plan_digest`]; the same as before changes nothing.
+        /// Digest of the plan ([`crate::digest::plan_digest`]); a command with the same digest as before
+        /// changes nothing.
         digest: Digest,
     },
-    /// The settings have the client no more.
+    /// Drops a client that is no longer in the settings.
     Drop {
-        /// Whose.
+        /// The client's system_id.
         client: String,
     },
-    /// Time went on; see [`super::Registry::due`].
+    /// Lets time pass; see [`super::Registry::due`].
     Tick,
 }
 
-/// Names a roll-back: of a client, to a version, asked for while `current` held, so that the same wish later is another.
+/// Returns the digest that identifies a rollback of a client to a version, requested while `current` was
+/// desired. A rollback to the same version that is requested later therefore counts as a new one.
 pub fn back_request(client: &str, version: u64, current: u64) -> Digest {
     digest_parts("back", &[client.as_bytes(), &version.to_be_bytes(), &current.to_be_bytes()])
 }
 
 impl Command {
-    /// Whose it is.
+    /// Returns the client that the command is about.
     pub fn client(&self) -> Option<&str> {
         match self {
             Command::Submit { client, .. }
@@ -84,12 +87,12 @@
         }
     }
 
-    /// Packed for an entry.
+    /// Encodes the command for a log entry.
     pub fn pack(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Read back; none where the octets are no command, or more than one.
+    /// Decodes a command; returns none if the bytes are not exactly one command.
     pub fn unpack(body: &[u8]) -> Option<Command> {
         let (command, rest) = postcard::take_from_bytes(body).ok()?;
         rest.is_empty().then_some(command)
--- a/crates/rules/src/registry/decide.rs
+++ b/crates/rules/src/registry/decide.rs
@@ -1,4 +1,4 @@
-//! Operators decide on versions that wait.
+//! Operators' decisions on waiting versions.
 
 use super::client::{Client, Stage};
 use super::outcome::Reply;
@@ -16,7 +16,7 @@
         if let Some(reply) = self.unavailable() {
             return reply;
         }
-        // The plan may have changed since it was submitted.
+        // The plan may have changed since the version was submitted.
         let findings = check(&set.rules, &self.plan);
         if let Some(first) = findings.list.first() {
             let why = format!("beyond the plan: {}", first.why);
@@ -37,7 +37,8 @@
                 Reply::Approved { version: self.current }
             }
             Ok(rules) => {
-                // The number that waited names what the operator saw; what is joined needs its own.
+                // The waiting number identifies what the operator saw, so the merged rules need a number of
+                // their own.
                 let merged_version = self.add_version(rules, origin, context.clock);
                 self.stage(version, by, Stage::Merged(merged_version));
                 self.make_desired(context.name, merged_version, by, context.changed);
--- a/crates/rules/src/registry/merge.rs
+++ b/crates/rules/src/registry/merge.rs
@@ -1,13 +1,13 @@
-//! Two editors on one base.
+//! Three-way merge of concurrent edits.
 
 use crate::model::Rule;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// `base` edited to `mine` by one and to `theirs` by another: what neither touched stays, what one touched is as that one
-/// has it, by rule name. Names have to be unique in each.
+/// Merges two edits of `base`, rule by rule (by name): a rule that only one edit changed is taken from that
+/// edit. Names have to be unique in each list.
 ///
 /// # Errors
-/// The names of rules that both touched, to different ends.
+/// Returns the names of rules that both edits changed in different ways.
 pub fn merge(base: &[Rule], theirs: &[Rule], mine: &[Rule]) -> Result<Vec<Rule>, Vec<String>> {
     let by_name =
         |rules| -> BTreeMap<&str, &Rule> { Iterator::map(rules, |r: &Rule| (r.name.as_str(), r)).collect() };
--- a/crates/rules/src/registry/mod.rs
+++ b/crates/rules/src/registry/mod.rs
@@ -1,7 +1,7 @@
-//! Clients' rules from drafts to what is desired: a state machine over agreed commands.
+//! Clients' rules from draft to desired version: a state machine over agreed commands.
 //!
-//! The same commands in the same order, with the same times, make the same registry on every member: everything stands in
-//! ordered maps, all figures are whole numbers, and the only time is the commands'.
+//! The same commands in the same order, with the same times, produce the same registry on every member. All
+//! collections are ordered, all numbers are integers, and the only time is that of the commands.
 
 mod client;
 mod command;
@@ -29,36 +29,37 @@
 use std::sync::Arc;
 use submit::ChangeContext;
 
-/// All clients' rules.
+/// The rules of all clients.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registry {
-    /// The greatest time seen: time never goes back.
+    /// The greatest time seen; the clock never goes back.
     clock: Micros,
-    /// No version up to this is given to a client that is not known.
+    /// A new client gets version numbers above this one.
     version_floor: u64,
     clients: BTreeMap<String, Client>,
     #[serde(skip)]
     index: Index,
 }
 
-/// What is found again from the clients themselves.
+/// Data derived from the clients.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Index {
-    /// Who is cut when.
+    /// When which client is to be cut.
     due: BTreeSet<(Micros, String)>,
-    /// Who was dropped when.
+    /// When which client was dropped.
     dropped: BTreeSet<(Micros, String)>,
     bytes: u64,
 }
 
 impl Registry {
-    /// Without clients.
+    /// Creates a registry without clients.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies one command at a time of day (microseconds; an earlier one than before counts as the same). Cuts that are
-    /// due come first: the command's own client's, then others', [`limits::MAX_CUTS_PER_COMMAND`] at most.
+    /// Applies one command at a time of day (in microseconds; a time before the latest one counts as the
+    /// latest). Due cuts are made first: that of the command's client, then at most
+    /// [`limits::MAX_CUTS_PER_COMMAND`] others.
     pub fn apply(&mut self, wall: Micros, command: &Command) -> Outcome {
         self.clock = self.clock.max(wall);
         let mut changed = Vec::new();
@@ -70,15 +71,16 @@
                 break;
             };
             self.update(&name, &mut changed, |client, context| client.cut_if_due(context));
-            // A cut always clears its time; this guards the loop should that ever not be so.
+            // A cut always clears its time; this keeps the loop from repeating if it ever did not.
             self.index.due.remove(&(at, name));
         }
         let reply = self.execute(command, &mut changed);
         Outcome { reply, changed }
     }
 
-    /// A rollout that stopped goes back from the version that holds to rules that held before, as a new version: what is
-    /// desired now, or nothing where another version holds or the plan no longer allows those rules.
+    /// Rolls a client back when a rollout stopped: from the version in effect to rules that were in effect
+    /// before, as a new version. Returns what is now desired; nothing if another version is in effect or the
+    /// plan no longer allows the rules.
     pub fn take_back(&mut self, wall: Micros, client: &str, version: u64, to: &RuleSet) -> Vec<Desired> {
         self.clock = self.clock.max(wall);
         let mut changed = Vec::new();
@@ -116,12 +118,14 @@
         }
     }
 
-    /// What a command would come to now, without carrying it out: `rules/check`, and a look before the keepers are asked.
+    /// Returns the outcome that a command would have now, without applying it. It serves `rules/check` and
+    /// the check before a command is proposed to the fleet.
     pub fn preview(&self, wall: Micros, command: &Command) -> Outcome {
         self.dry_run(wall, command).0
     }
 
-    /// The same, with the rules that would hold by it, at once or once an operator approves them.
+    /// Returns the same, together with the rules that would be in effect at once or after an operator's
+    /// approval.
     pub fn dry_run(&self, wall: Micros, command: &Command) -> (Outcome, Option<Arc<RuleSet>>) {
         let mut scratch =
             Registry { clock: self.clock, version_floor: self.version_floor, ..Registry::default() };
@@ -138,30 +142,30 @@
         let set = command.client().and_then(|name| scratch.clients.get(name)).zip(version).and_then(
             |(c, version)| {
                 let found = c.versions.get(version)?;
-                // One that another took the place of since is not asked for again.
+                // A version that another one has replaced will not be applied again.
                 (*version == c.current || found.stage == client::Stage::Waiting).then(|| found.set.clone())
             },
         );
         (outcome, set)
     }
 
-    /// When a [`Command::Tick`] has something to do next; a time that is past means now.
+    /// Returns when a [`Command::Tick`] next has something to do; a time in the past means now.
     pub fn due(&self) -> Option<Micros> {
         self.index.due.first().map(|(at, _)| *at)
     }
 
-    /// What is desired for a client.
+    /// Returns what is desired for a client.
     pub fn desired(&self, client: &str) -> Option<Desired> {
         self.clients.get_key_value(client).map(|(name, c)| c.desired(name, false))
     }
 
-    /// What is desired for all clients, by name. After a restart nothing tells what a member applies, so that all of it
-    /// counts as destroying.
+    /// Returns what is desired for all clients, by name. After a restart it is unknown what a member applies,
+    /// so every entry counts as destructive.
     pub fn all(&self) -> impl Iterator<Item = Desired> {
         self.clients.iter().map(|(name, c)| c.desired(name, true))
     }
 
-    /// The digest of all that is desired; costs by how many clients there are.
+    /// Returns the digest of everything desired. The cost grows with the number of clients.
     pub fn digest(&self) -> Digest {
         let each = self.clients.iter().map(|(name, c)| {
             let set = c.set();
@@ -170,22 +174,23 @@
         digest::all_clients_digest(each)
     }
 
-    /// Clients known, dropped ones included.
+    /// Returns the number of known clients, including dropped ones.
     pub fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// No client is known.
+    /// Returns whether no client is known.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// Octets of all versions kept.
+    /// Returns the size of all versions kept.
     pub fn bytes(&self) -> u64 {
         self.index.bytes
     }
 
-    /// Makes a client known, if need be in place of the one that was dropped first.
+    /// Adds a client if it is unknown; if the registry is full, it replaces the client that was dropped
+    /// first.
     fn add_client(&mut self, name: &str) -> Option<Reply> {
         if self.clients.contains_key(name) {
             return None;
@@ -198,7 +203,7 @@
                 return Some(Reply::refused("client", "", "", "as many clients as may have rules"));
             };
             if let Some(removed) = self.clients.remove(&oldest) {
-                // Should it come back, its versions must not begin again with other contents.
+                // If the client returns, its version numbers must not be reused with other contents.
                 self.version_floor = self.version_floor.max(removed.last_version);
                 self.index.bytes = self.index.bytes.saturating_sub(removed.bytes());
             }
@@ -207,7 +212,7 @@
         None
     }
 
-    /// Runs a change of one client and keeps the index in step.
+    /// Runs a change of one client and updates the index.
     fn update<R>(
         &mut self,
         name: &str,
--- a/crates/rules/src/registry/outcome.rs
+++ b/crates/rules/src/registry/outcome.rs
@@ -1,55 +1,56 @@
-//! What came of a command.
+//! The outcome of a command.
 
 use crate::check::{Finding, Findings};
 use crate::model::{Plan, RuleSet};
 use std::sync::Arc;
 
-/// What came of one command: the answer, and what is now to be applied.
+/// The outcome of one command: the answer, and what is to be applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// For whoever asked.
+    /// The answer to the requester.
     pub reply: Reply,
-    /// What is desired now where that changed, of any client: cuts that were due come along with any command.
+    /// The new desired state of each client whose state changed. These may include other clients, whose due
+    /// cuts are made along with any command.
     pub changed: Vec<Desired>,
 }
 
-/// The answer.
+/// The answer to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It holds, or held until a later one took its place.
+    /// The version is in effect, or was until a later one replaced it.
     Approved {
-        /// Its number.
+        /// The version's number.
         version: u64,
     },
-    /// It waits for an operator.
+    /// The version waits for an operator.
     Waiting {
-        /// Its number.
+        /// The version's number.
         version: u64,
     },
-    /// It does not hold.
+    /// The version is refused.
     Refused {
-        /// Its number, where it had one.
+        /// The version's number, if it has one.
         version: Option<u64>,
-        /// Why.
+        /// The reasons.
         findings: Findings,
     },
-    /// Another editor was there first.
+    /// Another edit conflicts with this one.
     Conflict {
-        /// The version that holds, to begin again from.
+        /// The version in effect, from which to start again.
         version: u64,
-        /// The rules that both touched.
+        /// The rules that both edits changed.
         rules: Vec<String>,
-        /// In words.
+        /// The reason in words.
         why: String,
     },
-    /// There is no such client or version, or it is not the asker's to see: the same words for both.
+    /// No such client or version, or the requester may not see it. The answer is the same for both.
     Unknown,
-    /// Taken: a plan, a drop, a tick.
+    /// A plan, a drop or a tick was applied.
     Done,
 }
 
 impl Reply {
-    /// One word, as [`crate::seam::Told::state`] has it.
+    /// Returns the state as one word, for the log and the `state` property.
     pub fn state(&self) -> &'static str {
         match self {
             Reply::Approved { .. } => "approved",
@@ -67,17 +68,19 @@
     }
 }
 
-/// What is to be applied for a client.
+/// The desired state of a client, to be applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Desired {
-    /// Whose.
+    /// The client's system_id.
     pub client: String,
     /// The rules with their version.
     pub set: Arc<RuleSet>,
-    /// The plan that holds; one that allows nothing where the client was dropped.
+    /// The plan in effect; for a dropped client, one that allows nothing.
     pub plan: Arc<Plan>,
-    /// Against what was desired before, something that is kept may be let go: only for a member that is certain.
+    /// Whether applying it may drop kept data, compared with the previous desired state. Only a member that
+    /// is certain of the approval may apply it.
     pub destroys: bool,
-    /// The version was made by a plan (a cut, rules brought back by one) or by the client's being dropped, not by a wish.
+    /// Whether the version was created by a plan (a cut or a restore) or by dropping the client, not by a
+    /// request.
     pub by_plan: bool,
 }
--- a/crates/rules/src/registry/replan.rs
+++ b/crates/rules/src/registry/replan.rs
@@ -1,4 +1,4 @@
-//! A plan that changes under approved rules.
+//! Changes of a plan under approved rules.
 
 use super::client::{Client, Origin};
 use super::outcome::Reply;
@@ -33,7 +33,7 @@
                 return Reply::Done;
             }
         } else if lower || self.cut_at.is_none() {
-            // What is newly beyond has the whole grace; a plan that only gives more does not prolong it.
+            // New violations get the whole grace period; a plan that only allows more does not extend it.
             self.cut_at = Some(clock.saturating_add(plan.grace));
         }
         changed.push(self.desired(name, false));
@@ -41,7 +41,7 @@
         Reply::Done
     }
 
-    /// Cuts to the plan if the grace is over.
+    /// Cuts the rules to the plan if the grace period is over.
     pub(super) fn cut_if_due(&mut self, mut context: ChangeContext<'_>) {
         if self.due().is_some_and(|at| at <= context.clock) {
             self.cut_at = None;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes over what a plan leaves, as a version of its own; false where the rules are as they were.
+    /// Adopts what a plan leaves of the rules, as a new version. Returns false if the rules do not change.
     fn apply_cut(&mut self, to: Cut, context: &mut ChangeContext<'_>) -> bool {
         (self.reduced, self.removed) = (to.reduced, to.removed);
         if to.rules == self.set().rules {
@@ -61,7 +61,8 @@
         true
     }
 
-    /// The settings have the client no more: no rules hold, and nothing of it is kept but its last version.
+    /// Handles the removal of the client from the settings: no rules stay in effect, and only the last
+    /// version is kept.
     pub(super) fn drop_all(&mut self, context: ChangeContext<'_>) -> Reply {
         if self.dropped.is_some() {
             return Reply::Done;
--- a/crates/rules/src/registry/snapshot.rs
+++ b/crates/rules/src/registry/snapshot.rs
@@ -1,4 +1,4 @@
-//! A registry as octets, and back.
+//! Encoding of a registry as a snapshot.
 
 use super::Registry;
 use super::client::{Client, Stage};
@@ -10,22 +10,23 @@
 const MAGIC: &[u8; 8] = b"hrules\x00\x01";
 const HEADER_LEN: usize = MAGIC.len() + 32;
 
-/// Octets that are no snapshot of a registry.
+/// Why bytes are rejected as a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// Another kind of file, or of another version.
+    /// Another kind of file, or another format version.
     #[error("this is no snapshot of rules, or one of another version")]
     UnknownFormat,
-    /// Not as it was written.
+    /// The checksum or the encoding is wrong.
     #[error("the snapshot of rules is damaged")]
     Damaged,
-    /// It was written so, but no registry can be so.
+    /// The encoding is intact, but the contents exceed a bound or are inconsistent.
     #[error("the snapshot of rules is beyond what a registry can be")]
     OutOfBounds,
 }
 
 impl Registry {
-    /// As octets: magic, SHA-256 of what follows, the state with postcard. Equal registries give equal octets.
+    /// Encodes the registry: magic, SHA-256 of the rest, and the state in postcard. Equal registries have
+    /// equal encodings.
     pub fn snapshot(&self) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
         let checksum: Digest = Sha256::digest(&body).into();
@@ -36,10 +37,11 @@
         out
     }
 
-    /// Back from octets; equal to the one it was taken of.
+    /// Decodes a snapshot into a registry equal to the encoded one.
     ///
     /// # Errors
-    /// Where the octets are not as [`Registry::snapshot`] wrote them, or tell of what is beyond all bounds.
+    /// Returns an error if the bytes were not written by [`Registry::snapshot`] or the contents exceed the
+    /// bounds.
     pub fn restore(bytes: &[u8]) -> Result<Registry, SnapshotError> {
         let (header, body) = bytes.split_at_checked(HEADER_LEN).ok_or(SnapshotError::UnknownFormat)?;
         let checksum = header.strip_prefix(MAGIC).ok_or(SnapshotError::UnknownFormat)?;
@@ -67,7 +69,7 @@
 }
 
 impl Client {
-    /// All that commands keep to.
+    /// Checks the invariants that commands preserve.
     fn is_valid(&self) -> bool {
         let number = |n: u64| n <= self.last_version;
         let rules = |rules: &[crate::Rule]| {
@@ -81,7 +83,7 @@
                 && rules(&v.set.rules)
                 && v.bytes == check::octets(&v.set.rules) + 64
         };
-        // Counting on from there must never overflow.
+        // Counting up from here must never overflow.
         self.last_version < 1 << 62
             && number(self.current)
             && (self.current == 0 || self.versions.contains_key(&self.current))
--- a/crates/rules/src/registry/submit.rs
+++ b/crates/rules/src/registry/submit.rs
@@ -1,4 +1,4 @@
-//! Drafts and roll-backs become versions.
+//! Drafts and rollbacks that become versions.
 
 use super::client::{AnsweredRequest, Client, Origin, Stage};
 use super::merge::merge;
@@ -11,11 +11,11 @@
 
 const HOUR: Micros = 3_600_000_000;
 
-/// What a change runs under.
+/// The context in which a client is changed.
 pub(super) struct ChangeContext<'a> {
     pub name: &'a str,
     pub clock: Micros,
-    /// Octets that versions of this client may take, all others as they are.
+    /// The bytes that versions of this client may take, given the size of all others.
     pub bytes_available: u64,
     pub changed: &'a mut Vec<Desired>,
 }
@@ -67,9 +67,9 @@
         self.propose(Change { request, content, rules: set.rules.clone(), origin }, context)
     }
 
-    /// Goes back from the version that holds to rules that held before, as a new version. Neither counted as a change of the
-    /// client's nor put before an operator: both saw these rules approved. False where another version holds by now, or the
-    /// plan no longer allows them.
+    /// Rolls back from the version in effect to earlier rules, as a new version. It neither counts as a
+    /// change of the client nor needs an operator, since these rules were approved before. Returns false if
+    /// another version is in effect by now, or if the plan no longer allows the rules.
     pub(super) fn take_back(&mut self, version: u64, to: &RuleSet, context: ChangeContext<'_>) -> bool {
         if version != self.current || self.unavailable().is_some() || !check(&to.rules, &self.plan).is_empty()
         {
@@ -83,16 +83,16 @@
         true
     }
 
-    /// The answer to a request that was answered before.
+    /// Returns the answer to a request that was answered before.
     fn earlier_reply(&self, request: Digest, content: Digest) -> Option<Reply> {
-        let earlier = self.requests.iter().find(|k| k.request == request)?;
+        let earlier = self.requests.iter().find(|r| r.request == request)?;
         if earlier.content != content {
             return Some(Reply::refused("request", "", "another name", "another request had this name"));
         }
         Some(self.reply_for(earlier.version, earlier.removed_stage.as_ref()))
     }
 
-    /// Why nothing can be changed now.
+    /// Returns a refusal if nothing can be changed now.
     pub(super) fn unavailable(&self) -> Option<Reply> {
         if self.dropped.is_some() {
             return Some(Reply::refused("plan", "none", "", "the settings give this client no plan"));
@@ -101,32 +101,32 @@
         (!self.plan_usable).then(|| Reply::refused("plan", "", "", why))
     }
 
-    /// Rules edited on `base`, joined with what was approved since.
+    /// Merges rules edited on `base` with what was approved since.
     pub(super) fn merge_with_current(&self, base: u64, rules: Vec<Rule>) -> Result<Vec<Rule>, Reply> {
         let now = self.set();
         let version = self.current;
         if base == version {
             return Ok(rules);
         }
-        let Some(from) = self.approved(base) else {
+        let Some(base_rules) = self.approved(base) else {
             let differs = |r: &&Rule| !now.rules.contains(r);
             let rules = rules.iter().filter(differs).map(|r| r.name.clone()).collect();
             return Err(Reply::Conflict { version, rules, why: format!("version {base} is not kept") });
         };
-        let joined = merge(&from.rules, &now.rules, &rules).map_err(|rules| {
+        let merged = merge(&base_rules.rules, &now.rules, &rules).map_err(|rules| {
             let why = format!("changed since version {base}; begin again from version {version}");
             Reply::Conflict { version, rules, why }
         })?;
-        let findings = check(&joined, &self.plan);
+        let findings = check(&merged, &self.plan);
         if let Some(first) = findings.list.first() {
-            // Each editor's rules are right by themselves; only together they are not.
+            // The rules of each editor are valid by themselves, but not together.
             let mut rules: Vec<String> = findings.list.iter().map(|f| f.rule.clone()).collect();
             rules.sort_unstable();
             rules.dedup();
             let why = format!("together with version {version}: {}", first.why);
             return Err(Reply::Conflict { version, rules, why });
         }
-        Ok(joined)
+        Ok(merged)
     }
 
     fn propose(&mut self, change: Change, context: ChangeContext<'_>) -> Reply {
@@ -134,7 +134,7 @@
         let now = self.set();
         if rules == now.rules {
             if rules.is_empty() {
-                // Nothing is wanted, so that nothing is to come back either.
+                // The client wants no rules, so none are to be restored either.
                 self.reduced.clear();
                 self.removed.clear();
             }
@@ -162,7 +162,7 @@
         Reply::Approved { version }
     }
 
-    /// Rate, waiting versions, octets.
+    /// Returns a refusal if the change rate, the number of waiting versions or the size is exceeded.
     fn limit_exceeded(&mut self, rules: &[Rule], context: &ChangeContext<'_>) -> Option<Reply> {
         while self.changes.front().is_some_and(|at| *at <= context.clock.saturating_sub(HOUR)) {
             self.changes.pop_front();
@@ -178,7 +178,7 @@
         }
         let bytes_needed = octets(rules) + 64;
         if self.bytes() + bytes_needed > context.bytes_available {
-            // Its own history is given up before a change is.
+            // The client's history is dropped before a change is refused.
             self.trim(1);
         }
         (self.bytes() + bytes_needed > context.bytes_available)
--- a/crates/rules/src/registry/view.rs
+++ b/crates/rules/src/registry/view.rs
@@ -1,4 +1,4 @@
-//! What is shown, and to whom.
+//! What is shown of the registry, and to whom.
 
 use super::Registry;
 use super::client::{Client, Stage};
@@ -10,69 +10,70 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Who asks.
+/// The client that asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Viewer<'a> {
     /// Its system_id.
     pub client: &'a str,
-    /// The settings call it an operator.
+    /// Whether the settings make it an operator.
     pub operator: bool,
 }
 
-/// What a client is told of its own accord.
+/// A message to a client about the state of its rules.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Notice {
     /// The rule; empty: the plan as a whole.
     pub rule: String,
-    /// Which part of it.
+    /// The field of the rule.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub field: String,
-    /// The plan's figure.
+    /// The plan's maximum.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub plan: String,
-    /// What would fit.
+    /// A value that would be accepted.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub fits: String,
-    /// In words.
+    /// The reason in words.
     pub why: String,
-    /// It is cut then (time of day in microseconds).
+    /// When it will be cut (time of day in microseconds).
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<Micros>,
 }
 
-/// A version that is kept.
+/// A kept version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionInfo {
     /// Its number.
     pub version: u64,
-    /// `waiting`, `approved` (it holds), `superseded`, `joined` (into a later one), `refused`.
+    /// `waiting`, `approved` (in effect), `superseded`, `joined` (merged into a later one) or `refused`.
     pub state: &'static str,
-    /// When it was made.
+    /// When it was created.
     pub at: Micros,
     /// The operator who decided.
     pub by: String,
-    /// Why it was turned down.
+    /// The reason for a rejection.
     pub why: String,
 }
 
-/// What `rules/show` tells.
+/// The contents of `rules/show`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// What holds.
+    /// The rules in effect.
     pub set: Arc<RuleSet>,
-    /// The plan's name.
+    /// The name of the plan.
     pub plan: String,
-    /// Versions that wait for an operator.
+    /// The versions that wait for an operator.
     pub waiting: Vec<u64>,
-    /// What the client should know.
+    /// Messages to the client.
     pub notices: Vec<Notice>,
-    /// Versions kept, in order.
+    /// The kept versions, in order.
     pub versions: Vec<VersionInfo>,
 }
 
 impl Registry {
-    /// What a client has, for whoever may see it: itself and operators. None for a client that does not exist and for one
-    /// that is not the viewer's alike; a client's own view always exists.
+    /// Returns a client's rules to those who may see them: the client itself and operators. Returns none for
+    /// an unknown client and for a client that the viewer may not see alike; a client's own view always
+    /// exists.
     pub fn view(&self, viewer: Viewer<'_>, client: &str) -> Option<View> {
         if !viewer.operator && viewer.client != client {
             return None;
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Whether a command is the viewer's to give. Where not, the answer is [`super::Reply::Unknown`], as it is for a client or
-    /// version that does not exist. Plans, drops and ticks come from members alone.
+    /// Returns whether the viewer may give a command. If not, the answer is [`super::Reply::Unknown`], as for
+    /// a client or version that does not exist. Plans, drops and ticks come from members only.
     pub fn may(viewer: Viewer<'_>, command: &Command) -> bool {
         match command {
             Command::Submit { client, .. } | Command::Back { client, .. } => client == viewer.client,
@@ -95,13 +96,13 @@
         }
     }
 
-    /// What a client should know of its rules: what is beyond its plan and until when it holds, what was cut, and whether
-    /// the plan can't be read. At most [`limits::MAX_FINDINGS`] of each.
+    /// Returns what a client should know about its rules: what exceeds its plan and until when it stays in
+    /// effect, what was cut, and whether the plan can't be read. At most [`limits::MAX_FINDINGS`] of each.
     pub fn notices(&self, client: &str) -> Vec<Notice> {
         self.clients.get(client).filter(|c| c.dropped.is_none()).map(Client::notices).unwrap_or_default()
     }
 
-    /// Versions that wait for an operator, with their clients; at most `most`.
+    /// Returns the versions that wait for an operator, with their clients; at most `most`.
     pub fn waiting(&self, most: usize) -> Vec<(&str, u64)> {
         let mut out = Vec::new();
         for (name, client) in &self.clients {
--- a/crates/rules/src/seam.rs
+++ b/crates/rules/src/seam.rs
@@ -1,110 +1,111 @@
-//! What a sender's node and its process say to each other about rules. It stands here so that the engine need not know
-//! how the process came by an answer.
+//! Messages about rules between a sender's node and its process. They are defined in this crate so that the
+//! engine does not depend on how the process gets an answer.
 
 use crate::check::LetGo;
 use crate::share::Turn;
 use crate::{Plan, RuleSet};
 use std::sync::Arc;
 
-/// Which request of which connection at which sender: given back with the answer.
+/// Identifies a request by sender, connection and the front's own number; returned with the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token {
-    /// The sender's number in its process.
+    /// The index of the sender in its process.
     pub sender: usize,
     /// The connection.
     pub conn: u64,
-    /// The front's own name for the request.
+    /// The number that the front gave to the request.
     pub token: u32,
 }
 
-/// What a client asks, by a topic and its body.
+/// A client's request: a topic and its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// Given back.
+    /// Returned with the answer.
     pub token: Token,
-    /// Who asks: its system_id.
+    /// The system_id of the client that asks.
     pub client: String,
     /// The levels of the topic: `rules`, `show`; `fleet`, `members`; ...
     pub words: Vec<String>,
-    /// The body, JSON or empty.
+    /// The body: JSON, or empty.
     pub body: Vec<u8>,
 }
 
-/// The answer.
+/// The answer to a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Told {
-    /// Of the request.
+    /// The token of the request.
     pub token: Token,
-    /// JSON.
+    /// The answer as JSON.
     pub text: String,
-    /// One word for the log and the `state` property: `approved`, `waiting`, `refused`, `conflict`, `no majority`, `busy`, `shown`,
-    /// `unknown`.
+    /// One word for the log and the `state` property: `approved`, `waiting`, `refused`, `conflict`, `no
+    /// majority`, `busy`, `shown`, `unknown`.
     pub state: &'static str,
 }
 
-/// A client's rules and plan, to be applied by every node of the process: all of it or nothing, between two rounds.
+/// A client's rules and plan, to be applied as a whole by every node of the process, between two rounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Apply {
     /// The client's system_id.
     pub client: String,
-    /// The rules, already cut to what holds now, with this member's share of counts and octets: the client's home has all of
-    /// it, other senders have none ([`crate::share::away`]).
+    /// The rules in effect, with this member's share of counts and sizes. The client's home has the whole
+    /// share, the other senders have an empty one ([`crate::share`]).
     pub set: Arc<RuleSet>,
-    /// Which part of a pace is this member's.
+    /// This member's turn in release rates.
     pub turn: Turn,
-    /// The plan that holds.
+    /// The plan in effect.
     pub plan: Arc<Plan>,
-    /// What destroys (a shorter keeping time, a smaller store) may be applied: its approval is certain.
+    /// Whether changes that drop kept data (a shorter retention time, a smaller store) may be applied,
+    /// because their approval is certain.
     pub certain: bool,
 }
 
-/// A client's changes are fenced off at this member, or the fence is lifted. The nodes' tables stay as they are.
+/// Fences off a client's changes at this member, or lifts the fence. The nodes' tables do not change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fence {
     /// The client's system_id.
     pub client: String,
-    /// What is approved for it, with this member's share: what comes goes by the stricter of this and what is
-    /// applied ([`crate::strict`]). None: the fence is lifted.
+    /// The approved rules, with this member's share. Incoming messages are subject to the stricter of these
+    /// and the applied rules ([`crate::strict`]). None: the fence is lifted.
     pub under: Option<Arc<RuleSet>>,
-    /// Which part of a pace is this member's.
+    /// This member's turn in release rates.
     pub turn: Turn,
 }
 
-/// What a node really applies for a client, read back from its live tables.
+/// The rules that a node applies for a client, read back from its live tables.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Live {
-    /// The sender's number in its process.
+    /// The index of the sender in its process.
     pub sender: usize,
     /// The client's system_id.
     pub client: String,
-    /// Read back from the tables; the version is what was last applied whole.
+    /// The rules read back from the tables; the version is the last one that was applied as a whole.
     pub set: RuleSet,
-    /// Likewise, by which paces are held to.
+    /// The turn in release rates that the node uses.
     pub turn: Turn,
-    /// Why the last one could not be applied.
+    /// The reason why the last rules could not be applied.
     pub trouble: Option<String>,
 }
 
-/// What would a version let go of, by a sender's live tables? Nothing is changed by it.
+/// Asks a sender what its live tables would drop under a version. Nothing is changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Weigh {
-    /// Given back.
+    /// Identifies the question; returned with the answer.
     pub number: u64,
     /// The client's system_id.
     pub client: String,
-    /// The rules, with this member's share of counts and octets.
+    /// The rules, with this member's share of counts and sizes.
     pub set: Arc<RuleSet>,
-    /// As [`Apply::turn`]: by it a sender knows whether the share is its own.
+    /// As in [`Apply::turn`]. It tells a sender whether the share is its own.
     pub turn: Turn,
 }
 
-/// The answer.
+/// The answer of a sender to a dry run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Weighed {
-    /// As it was asked.
+    /// The number of the question.
     pub number: u64,
-    /// The sender's number in its process.
+    /// The index of the sender in its process.
     pub sender: usize,
-    /// What applying it would let go now.
+    /// What would be dropped if the rules were applied now.
     pub would: LetGo,
 }
--- a/crates/rules/src/share.rs
+++ b/crates/rules/src/share.rs
@@ -1,11 +1,13 @@
-//! One member's share of figures that are for the whole installation.
+//! One member's share of limits that are for the whole installation.
 //!
-//! Counts and octets are divided once and for all. A pace is not: where there are more members than it has releases in a
-//! second, some would have nought for ever, and what they hold would never go. It stays whole in the rules, and members
-//! take turns from second to second ([`Turn`]), so that in no second they have more together than the pace.
+//! Counts and sizes are divided permanently. A release rate is not: with more members than releases per
+//! second, some members would have a rate of zero and never release what they hold. The rate stays whole in
+//! the rules, and members take turns from second to second ([`Turn`]), so that in no second they release more
+//! together than the rate allows.
 //!
-//! Within a process nothing is divided: a client's sessions all meet at its home among the senders ([`mod@home`]), where its
-//! names, answers and held messages are, so that the home has all of its process's share and the others have none.
+//! Within a process nothing is divided. All sessions of a client are at its home among the senders
+//! ([`mod@crate::home`]), together with its names, answers and held messages, so the home has the whole share of the
+//! process and the other senders have none.
 
 use crate::Micros;
 use crate::field::Field;
@@ -17,23 +19,24 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// The rules as the member at `place` (from 0, by the order of the members' names) of `members` applies them: spans and
-/// pace as they are, counts and octets divided so that all members' shares add up to the figure. What does not divide goes
-/// one each to the first places; a figure smaller than the number of members leaves some members with 0 ([`thin`]).
+/// Returns the rules as the member at index `place` (from 0, in the order of the members' names) of `members`
+/// applies them. Durations and rates are unchanged; counts and sizes are divided so that all members' shares
+/// add up to the limit. The remainder goes one each to the first members. A limit below the number of members
+/// leaves some members with 0.
 pub fn share(set: &RuleSet, place: usize, members: usize) -> RuleSet {
     let mut out = set.clone();
     let (place, members) = (place as u64, (members as u64).max(1));
     for rule in &mut out.rules {
         for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
-            let part = field.get(&rule.figures).map(|v| v / members + u64::from(place < v % members));
-            field.set(&mut rule.figures, part);
+            let share = field.get(&rule.figures).map(|v| v / members + u64::from(place < v % members));
+            field.set(&mut rule.figures, share);
         }
     }
     out
 }
 
-/// The same for a sender of the process that is not the client's home: no room and no release, as what the home has is all
-/// of the process's share. Spans stay.
+/// Returns the rules for a sender that is not the client's home: counts, sizes and rates are 0, since the
+/// home has the whole share of the process. Durations are unchanged.
 pub fn away(set: &RuleSet) -> RuleSet {
     let mut out = set.clone();
     for rule in &mut out.rules {
@@ -45,47 +48,49 @@
     out
 }
 
-/// Whose turn it is: a member's place among all of them, and how many senders its process has. The senders are told alike,
-/// each knows its own number.
+/// A member's turn in release rates: its index among all members, and the number of senders in its process.
+/// All senders of a process get the same value; each knows its own index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// The member's place, from 0, by the order of the members' names.
+    /// The index of the member, from 0, in the order of the members' names.
     pub place: u32,
-    /// Members.
+    /// The number of members.
     pub members: u32,
-    /// Senders of the member's process.
+    /// The number of senders in the member's process.
     pub senders: u32,
 }
 
 impl Default for Turn {
-    /// Of one alone, which has the whole.
+    /// Returns the turn of a single member with a single sender, which has the whole rate.
     fn default() -> Self {
         Turn { place: 0, members: 1, senders: 1 }
     }
 }
 
 impl Turn {
-    /// How many of a pace of `pace` in a second are this member's in the second of the time of day `wall`. All of a pace's
-    /// releases are numbered on from 1970, and go round among the members: over all of them it is the pace in each second,
-    /// and in the long run each has as many.
-    pub fn part(&self, pace: u64, wall: Micros) -> u64 {
-        let (second, pace) = (u128::try_from(wall.div_euclid(SECOND)).unwrap_or(0), u128::from(pace));
+    /// Returns how many of `rate` releases per second this member may make in the second of the time of day
+    /// `wall`. The releases of a rate are numbered from 1970 on and assigned to the members round-robin. In
+    /// each second the members' parts add up to the rate, and in the long run all members get the same
+    /// number.
+    pub fn part(&self, rate: u64, wall: Micros) -> u64 {
+        let (second, rate) = (u128::try_from(wall.div_euclid(SECOND)).unwrap_or(0), u128::from(rate));
         let members = u128::from(self.members.max(1));
         let place = u128::from(self.place) % members;
-        // Of the first so many, those that are one's own.
-        let own = |of: u128| (of + members - 1 - place) / members;
-        u64::try_from(own(pace * (second + 1)) - own(pace * second)).unwrap_or(u64::MAX)
+        // The number of this member's releases among the `first` ones.
+        let own = |first: u128| (first + members - 1 - place) / members;
+        u64::try_from(own(rate * (second + 1)) - own(rate * second)).unwrap_or(u64::MAX)
     }
 
-    /// Whether a sender of the process, by its number, is the client's home, which has all of the process's share.
+    /// Returns whether a sender of the process, by its index, is the client's home, which has the whole share
+    /// of the process.
     pub fn is_home(&self, client: &str, sender: usize) -> bool {
         let senders = (self.senders as usize).max(1);
         home(client, senders) == sender % senders
     }
 }
 
-/// Figures so small that some of the members have none of them, said to the rules' owner: what a member with none holds
-/// is dropped at once. At most [`limits::MAX_FINDINGS`].
+/// Returns notices to the rules' owner about limits so small that some members get a share of 0, where
+/// messages to be held are dropped at once. At most [`limits::MAX_FINDINGS`].
 pub fn thin(set: &RuleSet, members: usize) -> Vec<Notice> {
     let members = members.max(1) as u64;
     let mut out = Vec::new();
--- a/crates/rules/src/strict.rs
+++ b/crates/rules/src/strict.rs
@@ -1,27 +1,28 @@
-//! The stricter of two rules, figure by figure: what a client's messages go by while its changes are fenced off.
+//! The stricter of two rules, limit by limit, for a client whose changes are fenced off.
 //!
-//! Two sets disagree about what holds: the one that a member applies and the one that is approved. Neither is to be
-//! trusted alone, so that what comes goes by the smaller figure of both. There is one exception: how long a name counts. A
-//! shorter time there would make a remembered name new, and its message would go out twice; the longer one counts.
+//! During a fence the rules that a member applies differ from the approved ones. Since neither can be trusted
+//! alone, incoming messages are subject to the smaller limit of the two. The exception is how long a name is
+//! remembered: a shorter time would make a remembered name look new and its message would be sent twice, so
+//! the longer time applies.
 
 use crate::field::Field;
 
-/// From which of two rules a figure is taken.
+/// The rule from which a limit is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// From what is applied.
+    /// The applied rule.
     Applied,
-    /// From what is approved.
+    /// The approved rule.
     Approved,
 }
 
-/// Which figure counts. `common` is what holds where a rule leaves the figure out; none: no bound at all. Where both are
-/// alike it is the applied one, so that what is counted stays counted where it is.
+/// Returns which limit applies. `common` is the default for a rule that leaves the limit out; none:
+/// unlimited. If both are equal, the applied rule is used, so that existing counts stay where they are.
 pub fn stricter(field: Field, applied: Option<u64>, approved: Option<u64>, common: Option<u64>) -> Side {
     let bound = |figure: Option<u64>| figure.or(common).unwrap_or(u64::MAX);
     let (applied, approved) = (bound(applied), bound(approved));
     let approved_is_stricter = match field {
-        // Guards against a name that one of the two still remembers being taken for new.
+        // Prevents a name that one of the two rules still remembers from being taken for new.
         Field::Remember => approved > applied,
         Field::AnswerFor
         | Field::Remembered
@@ -48,13 +49,13 @@
             let name = field.name();
             assert_eq!(of(Some(large), Some(small), None), Approved, "{name}");
             assert_eq!(of(Some(small), Some(large), None), Applied, "{name}");
-            assert_eq!(of(Some(5), Some(5), None), Applied, "{name}: alike, nothing moves");
-            // What a rule leaves out is what holds in common.
+            assert_eq!(of(Some(5), Some(5), None), Applied, "{name}: equal, so the applied rule stays");
+            // A limit that is left out has the common default.
             assert_eq!(of(None, Some(small), Some(large)), Approved, "{name}");
             assert_eq!(of(Some(large), None, Some(small)), Approved, "{name}");
             assert_eq!(of(None, Some(large), Some(small)), Applied, "{name}");
             assert_eq!(of(None, None, Some(5)), Applied, "{name}");
-            // No bound at all is the least strict.
+            // Having no limit is the least strict.
             let unbound = if field == Field::Remember { Applied } else { Approved };
             assert_eq!(of(None, Some(5), None), unbound, "{name}");
         }
--- a/crates/rules/src/table.rs
+++ b/crates/rules/src/table.rs
@@ -1,33 +1,33 @@
-//! Which figures hold for one message: each from the most specific matching rule that sets it.
+//! Lookup of the limits for one message: each comes from the most specific matching rule that sets it.
 
 use crate::field::Field;
 use crate::model::{Figures, Rule};
 use crate::trie::Trie;
 
-/// A client's rules, made ready for look-ups. A look-up costs by the lengths of address and key and by how many rules
-/// match the message (at most one for each length of prefix), not by how many rules there are.
+/// A client's rules, indexed for lookups. The cost of a lookup depends on the lengths of address and key and
+/// on the number of matching rules (at most one per prefix length), not on the number of rules.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     names: Vec<String>,
-    /// With bits by [`Field`] of what each sets.
+    /// The limits of each rule, with a bit for each [`Field`] that it sets.
     figures: Vec<(Figures, u16)>,
     classes: Vec<String>,
     to: Trie,
     prefixes: Vec<PrefixRules>,
-    /// Bit by [`Field`]: set by any rule. A look-up ends when all of these are found.
+    /// The bits of all fields that any rule sets. A lookup ends once all of them are found.
     all: u16,
 }
 
 /// The rules of one address prefix.
 #[derive(Clone, Debug, Default)]
 struct PrefixRules {
-    /// Keys by class, in order.
+    /// The rules of each class, sorted by the index of the class.
     by_class: Vec<(u32, KeyRules)>,
-    /// Keys of the rules without a class.
+    /// The rules without a class.
     without_class: KeyRules,
 }
 
-/// The rules of one address prefix and class. Most have one without a key, for which no tree is walked.
+/// The rules of one address prefix and class. Most often that is one rule without a key, which needs no tree.
 #[derive(Clone, Debug, Default)]
 enum KeyRules {
     #[default]
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Rules that match a key, the most specific first.
+    /// Returns the rules that match a key, the most specific first.
     fn matching(&self, key: &[u8]) -> impl Iterator<Item = u32> {
         let (one, more) = match self {
             KeyRules::None => (None, None),
@@ -58,31 +58,31 @@
     }
 }
 
-/// What holds for a message.
+/// The result of a lookup for one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Effective {
-    /// The figures; what is left out is as the settings' defaults have it.
+    /// The limits found; for those left out, the defaults in the settings apply.
     pub figures: Figures,
-    /// For each [`Field`] in the order of [`Field::ALL`], the rule that set it, by its place in the rules given: counts
-    /// and octets are held to by rule.
+    /// For each [`Field`], in the order of [`Field::ALL`], the index of the rule that set it. Counts and
+    /// sizes are enforced per rule.
     pub from: [Option<u16>; Field::COUNT],
-    /// The most specific rule that matches.
+    /// The most specific matching rule.
     pub rule: Option<u16>,
 }
 
 impl Effective {
-    /// The rule that set a figure.
+    /// Returns the rule that set a limit.
     pub fn by(&self, field: Field) -> Option<u16> {
         self.from.get(field as usize).copied().flatten()
     }
 }
 
-/// How specific a rule is: of two that match one message the greater one goes first.
+/// Returns a sort key: of two rules that match a message, the one with the greater key takes precedence.
 pub fn specificity(rule: &Rule) -> (usize, bool, usize) {
     (rule.to.len(), !rule.class.is_empty(), rule.key.len())
 }
 
-/// A rule matches a message.
+/// Returns whether a rule matches a message.
 pub fn matches(rule: &Rule, class: &str, to: &[u8], key: &[u8]) -> bool {
     (rule.class.is_empty() || rule.class == class)
         && to.starts_with(rule.to.as_bytes())
@@ -90,19 +90,20 @@
 }
 
 impl Table {
-    /// Of a client's rules, at most 65,535. Of two with the same match the first counts (checked sets have none).
+    /// Indexes a client's rules, at most 65,535. If two have the same match, the first one counts; checked
+    /// rules have no such duplicates.
     pub fn new(rules: &[Rule]) -> Self {
         Self::build(rules, rules.iter().zip(0..).collect(), u16::MAX)
     }
 
-    /// The same of what they say of these fields: a rule that sets none of them costs no look-up anything.
+    /// Indexes only the given fields, so that rules which set none of them cost nothing in lookups.
     pub fn of(rules: &[Rule], fields: &[Field]) -> Self {
         let bits = fields.iter().fold(0, |bits, field| bits | 1 << *field as u16);
         let some = rules.iter().zip(0..).filter(|(rule, _)| field_bits(&rule.figures) & bits != 0);
         Self::build(rules, some.collect(), bits)
     }
 
-    /// Of some of a client's rules, with their places, and of the fields of these bits.
+    /// Indexes some of a client's rules, given with their indexes, for the fields in `bits`.
     fn build(rules: &[Rule], mut order: Vec<(&Rule, u32)>, bits: u16) -> Self {
         let rules = rules.get(..usize::from(u16::MAX)).unwrap_or(rules);
         order.retain(|(_, at)| (*at as usize) < rules.len());
@@ -139,7 +140,7 @@
         }
     }
 
-    /// What holds for a message of a class, to an address, under a key (empty: none).
+    /// Returns the limits for a message with this class, address and key (empty if it has none).
     pub fn look(&self, class: &str, to: &[u8], key: &[u8]) -> Effective {
         let mut found = Effective::default();
         if self.prefixes.is_empty() {
@@ -168,17 +169,17 @@
         found
     }
 
-    /// A rule's name, by its place.
+    /// Returns the name of a rule by its index.
     pub fn name(&self, rule: u16) -> Option<&str> {
         self.names.get(usize::from(rule)).map(String::as_str)
     }
 
-    /// Rules held.
+    /// Returns the number of rules.
     pub fn len(&self) -> usize {
         self.figures.len()
     }
 
-    /// It has no rule.
+    /// Returns whether there are no rules.
     pub fn is_empty(&self) -> bool {
         self.figures.is_empty()
     }
@@ -188,7 +189,7 @@
     Field::ALL.iter().filter(|f| f.get(figures).is_some()).fold(0, |all, f| all | 1 << *f as u16)
 }
 
-/// Takes over the figures of the bits of `take`.
+/// Copies the limits of the fields in `bits`.
 fn copy_fields(found: &mut Effective, figures: &Figures, rule: Option<u16>, mut bits: u16) {
     while let Some(field) = Field::ALL.get(bits.trailing_zeros() as usize) {
         bits &= bits - 1;
--- a/crates/rules/src/trie.rs
+++ b/crates/rules/src/trie.rs
@@ -1,30 +1,31 @@
-//! A prefix tree with whole runs of octets on its edges: a look-up costs by the length of the text, not by how many
-//! prefixes are held.
+//! A radix tree: the cost of a lookup depends on the length of the text, not on the number of prefixes.
 
-/// No value, no node.
+/// Marks a node without a value, and a prefix without a shorter one.
 const NO_VALUE: u32 = u32::MAX;
 
-/// Prefixes, each with a value; a value knows the one of the next shorter prefix. Labels and children of all nodes stand
-/// in one run each: a step down then reads few lines of memory, however many nodes there are.
+/// Prefixes with their values; each value points to that of the next shorter prefix. The labels of all nodes
+/// are in one vector, and so are the children, so that a step down touches few cache lines even in a large
+/// tree.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Trie {
     nodes: Vec<Node>,
     labels: Vec<u8>,
-    /// Of each node in the order of the octets that lead to them.
+    /// The children of each node, in the order of the bytes that lead to them.
     children: Vec<u32>,
+    /// The value of each prefix, and the index of the value of the next shorter prefix.
     values: Vec<(u32, u32)>,
 }
 
-/// The octet that leads to a node is no part of its label.
+/// The byte that leads to a node is not part of its label.
 #[derive(Clone, Copy, Debug)]
 struct Node {
     label: u32,
     label_len: u32,
-    /// Octets that lead to children, as bits. A child's place is the number of bits below its own: unlike a search, this
-    /// takes no branch that depends on the octet.
+    /// A bit set of the bytes that lead to children. The index of a child is the number of bits below its
+    /// own; unlike a search, this has no branch that depends on the byte.
     child_bits: [u64; 4],
     children: u32,
-    /// Place in `ups`, or [`NONE`].
+    /// Index in `values`, or [`NO_VALUE`].
     value: u32,
 }
 
@@ -41,29 +42,31 @@
 }
 
 impl Trie {
-    /// Of prefixes with values. Where one stands twice, the first counts.
-    pub(crate) fn new(mut items: Vec<(&[u8], u32)>) -> Self {
-        items.sort_by_key(|(text, _)| *text);
-        items.dedup_by_key(|(text, _)| *text);
+    /// Builds the tree from prefixes with values. If a prefix occurs twice, the first one counts.
+    pub(crate) fn new(mut prefixes: Vec<(&[u8], u32)>) -> Self {
+        prefixes.sort_by_key(|(text, _)| *text);
+        prefixes.dedup_by_key(|(text, _)| *text);
         let mut trie = Trie::default();
-        if !items.is_empty() {
-            trie.build(&items, 0, NO_VALUE);
+        if !prefixes.is_empty() {
+            trie.build(&prefixes, 0, NO_VALUE);
         }
         trie
     }
 
-    /// Depth of the recursion: the longest prefix, which [`crate::limits`] bounds.
-    fn build(&mut self, items: &[(&[u8], u32)], skip: usize, shorter: u32) -> u32 {
-        let tail = |i: Option<&(&[u8], u32)>| i.and_then(|(t, _)| t.get(skip..)).unwrap_or_default().to_vec();
-        let (first, last) = (tail(items.first()), tail(items.last()));
+    /// Builds a node and the nodes below it. The depth of the recursion is bounded by the longest prefix
+    /// ([`crate::limits`]).
+    fn build(&mut self, prefixes: &[(&[u8], u32)], depth: usize, shorter: u32) -> u32 {
+        let tail =
+            |i: Option<&(&[u8], u32)>| i.and_then(|(t, _)| t.get(depth..)).unwrap_or_default().to_vec();
+        let (first, last) = (tail(prefixes.first()), tail(prefixes.last()));
         let common = first.iter().zip(&last).take_while(|(a, b)| a == b).count();
         let at = self.nodes.len();
         let (label, label_len) = (self.labels.len() as u32, common as u32);
         self.labels.extend(first.iter().take(common));
         self.nodes.push(Node { label, label_len, child_bits: [0; 4], children: 0, value: NO_VALUE });
-        let end = skip + common;
-        let (mut value, mut rest, mut shorter) = (NO_VALUE, items, shorter);
-        if let Some(((text, value_of_text), more)) = items.split_first()
+        let end = depth + common;
+        let (mut value, mut rest, mut shorter) = (NO_VALUE, prefixes, shorter);
+        if let Some(((text, value_of_text), more)) = prefixes.split_first()
             && text.len() == end
         {
             value = self.values.len() as u32;
@@ -74,7 +77,7 @@
         for group in rest.chunk_by(|a, b| a.0.get(end) == b.0.get(end)) {
             let byte = group.first().and_then(|(text, _)| text.get(end));
             if let Some((byte, word)) =
-                byte.and_then(|o| Some((*o, child_bits.get_mut(usize::from(o >> 6))?)))
+                byte.and_then(|b| Some((*b, child_bits.get_mut(usize::from(b >> 6))?)))
             {
                 *word |= 1 << (byte & 63);
                 next.push(self.build(group, end + 1, shorter));
@@ -88,7 +91,7 @@
         at as u32
     }
 
-    /// Values of all prefixes of a text, the longest first.
+    /// Returns the values of all prefixes of a text, the longest prefix first.
     pub(crate) fn prefixes(&self, text: &[u8]) -> Prefixes<'_> {
         let (mut at, mut rest, mut found) = (0u32, text, NO_VALUE);
         while let Some(node) = self.nodes.get(at as usize) {
@@ -111,7 +114,7 @@
     }
 }
 
-/// See [`Trie::prefixes`].
+/// The iterator of [`Trie::prefixes`].
 pub(crate) struct Prefixes<'a> {
     trie: &'a Trie,
     at: u32,
--- a/crates/rules/src/span.rs
+++ b/crates/rules/src/units.rs
@@ -1,23 +1,23 @@
-//! Spans of time and sizes as text with a unit: `30m`, `1MiB`. Whole numbers throughout, as what is read has to be the
-//! same on every member and what is written has to read back equal.
+//! Durations and sizes as text with a unit: `30m`, `1MiB`. All arithmetic is on integers: parsed values have
+//! to be the same on every member, and formatted ones have to parse back to the same value.
 
 use crate::Micros;
 use crate::limits;
 
-const SPAN_UNITS: [(&str, u64); 5] =
+const DURATION_UNITS: [(&str, u64); 5] =
     [("us", 1), ("ms", 1_000), ("s", 1_000_000), ("m", 60_000_000), ("h", 3_600_000_000)];
 const SIZE_UNITS: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
-/// A text that is no span or size. The text is repeated shortened.
+/// A text that is not a valid duration or size, cut to a length that can be quoted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
-    /// No span of time.
+    /// Not a duration.
     #[error("\"{0}\" is no span of time: a number and us, ms, s, m or h, as \"30m\"")]
-    InvalidSpan(String),
-    /// Longer than [`limits::MAX_SPAN`].
+    InvalidDuration(String),
+    /// Longer than [`limits::MAX_DURATION`].
     #[error("\"{0}\" is over a year")]
-    SpanTooLong(String),
-    /// No size.
+    DurationTooLong(String),
+    /// Not a size.
     #[error("\"{0}\" is no size: a whole number and B, KiB, MiB or GiB, as \"1MiB\"")]
     InvalidSize(String),
     /// Larger than [`limits::MAX_SIZE_BYTES`].
@@ -25,14 +25,15 @@
     SizeTooLarge(String),
 }
 
-/// Reads a span such as `30m` or `1.5s`, in microseconds. A part finer than a microsecond is refused.
+/// Parses a duration such as `30m` or `1.5s` into microseconds. A fraction finer than a microsecond is
+/// rejected.
 ///
 /// # Errors
-/// Says what is allowed.
-pub fn parse_span(text: &str) -> Result<Micros, UnitError> {
-    let invalid = || UnitError::InvalidSpan(limits::short(text, limits::MAX_ECHO_CHARS));
-    let too_long = || UnitError::SpanTooLong(limits::short(text, limits::MAX_ECHO_CHARS));
-    let (number, scale) = split_unit(text, &SPAN_UNITS).ok_or_else(invalid)?;
+/// Returns an error that says which form is allowed.
+pub fn parse_duration(text: &str) -> Result<Micros, UnitError> {
+    let invalid = || UnitError::InvalidDuration(limits::short(text, limits::MAX_ECHO_CHARS));
+    let too_long = || UnitError::DurationTooLong(limits::short(text, limits::MAX_ECHO_CHARS));
+    let (number, scale) = split_unit(text, &DURATION_UNITS).ok_or_else(invalid)?;
     let (whole, fraction) = match number.split_once('.') {
         Some((_, "")) => return Err(invalid()),
         Some((whole, fraction)) => (whole, fraction),
@@ -51,18 +52,19 @@
         }
         micros += numerator / denominator;
     }
-    Micros::try_from(micros).ok().filter(|m| *m <= limits::MAX_SPAN).ok_or_else(too_long)
+    Micros::try_from(micros).ok().filter(|m| *m <= limits::MAX_DURATION).ok_or_else(too_long)
 }
 
-/// Writes a span in the largest unit of which it is a whole number; it reads back equal.
-pub fn format_span(span: Micros) -> String {
-    format_with_unit(u64::try_from(span).unwrap_or(0), &SPAN_UNITS, "0s")
+/// Formats a duration in the largest unit of which it is a whole number. The result parses back to the same
+/// value.
+pub fn format_duration(duration: Micros) -> String {
+    format_with_unit(u64::try_from(duration).unwrap_or(0), &DURATION_UNITS, "0s")
 }
 
-/// Reads a size such as `64KiB`, in octets.
+/// Parses a size such as `64KiB` into bytes.
 ///
 /// # Errors
-/// Says what is allowed.
+/// Returns an error that says which form is allowed.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
     let invalid = || UnitError::InvalidSize(limits::short(text, limits::MAX_ECHO_CHARS));
     let too_large = || UnitError::SizeTooLarge(limits::short(text, limits::MAX_ECHO_CHARS));
@@ -74,7 +76,8 @@
     number.checked_mul(scale).filter(|n| *n <= limits::MAX_SIZE_BYTES).ok_or_else(too_large)
 }
 
-/// Writes a size in the largest unit of which it is a whole number; it reads back equal.
+/// Formats a size in the largest unit of which it is a whole number. The result parses back to the same
+/// value.
 pub fn format_size(bytes: u64) -> String {
     format_with_unit(bytes, &SIZE_UNITS, "0B")
 }
@@ -106,15 +109,15 @@
     #[test]
     fn durations_and_sizes_are_parsed() {
         for (text, micros) in [("250ms", 250_000), ("1.5s", 1_500_000), ("30m", 1_800_000_000), ("7us", 7)] {
-            assert_eq!(parse_span(text), Ok(micros), "{text}");
+            assert_eq!(parse_duration(text), Ok(micros), "{text}");
         }
         for text in
             ["", "5", "s", "5 days", "1.2.3s", "-1s", "ms5", "1.s", ".5s", "0.5us", " 1s", "1 s", "é", "1é"]
         {
-            assert!(matches!(parse_span(text), Err(UnitError::InvalidSpan(_))), "{text}");
+            assert!(matches!(parse_duration(text), Err(UnitError::InvalidDuration(_))), "{text}");
         }
         for text in ["99999999h", "99999999999999999999999us"] {
-            assert!(matches!(parse_span(text), Err(UnitError::SpanTooLong(_))), "{text}");
+            assert!(matches!(parse_duration(text), Err(UnitError::DurationTooLong(_))), "{text}");
         }
         assert_eq!(parse_size("64MiB"), Ok(64 << 20));
         for text in ["", "5", "MiB", "1.5GiB", "-1B", "5MB", "5mib"] {
@@ -122,22 +125,22 @@
         }
         assert!(matches!(parse_size("99999999999GiB"), Err(UnitError::SizeTooLarge(_))));
         assert_eq!(
-            [format_span(1_800_000_000), format_span(0), format_size(1 << 20), format_size(0)],
+            [format_duration(1_800_000_000), format_duration(0), format_size(1 << 20), format_size(0)],
             ["30m", "0s", "1MiB", "0B"]
         );
     }
 
     proptest! {
         #[test]
-        fn formatted_values_parse_back_equal(span in 0..=limits::MAX_SPAN, size in 0..=limits::MAX_SIZE_BYTES, scale in 0usize..5) {
-            let span = span - span % SPAN_UNITS[scale].1 as Micros;
-            prop_assert_eq!(parse_span(&format_span(span)), Ok(span));
+        fn formatted_values_parse_back_equal(duration in 0..=limits::MAX_DURATION, size in 0..=limits::MAX_SIZE_BYTES, scale in 0usize..5) {
+            let duration = duration - duration % DURATION_UNITS[scale].1 as Micros;
+            prop_assert_eq!(parse_duration(&format_duration(duration)), Ok(duration));
             prop_assert_eq!(parse_size(&format_size(size)), Ok(size));
         }
 
         #[test]
         fn any_text_parses_without_panic(text in "[0-9.]{0,30}[a-zA-Zé]{0,4}") {
-            let _ = (parse_span(&text), parse_size(&text));
+            let _ = (parse_duration(&text), parse_size(&text));
         }
     }
 }
--- a/crates/rules/tests/check.rs
+++ b/crates/rules/tests/check.rs
@@ -73,7 +73,7 @@
         let mut rule =
             Rule { name: format!("{i:04}{}", "\u{10FFFF}".repeat(28)), class, to, key, ..Rule::default() };
         for field in Field::ALL {
-            let span = (limits::MAX_SPAN - 9_999 + i as i64) as u64;
+            let span = (limits::MAX_DURATION - 9_999 + i as i64) as u64;
             field.set(
                 &mut rule.figures,
                 Some(if field.is_summed() { limits::MAX_COUNT - i as u64 } else { span }),
--- a/crates/rules/tests/quota_shares/measurements.rs
+++ b/crates/rules/tests/quota_shares/measurements.rs
@@ -21,7 +21,7 @@
     let mut holders: Vec<QuotaHolder> =
         (0..members).map(|at| QuotaHolder::new(TUNING, at as u32, 1, 0)).collect();
     let mut allocator = QuotaAllocator::new(TUNING, 0, 1, members, QUOTA, QUOTA / 10 / members as u64);
-    allocator.extend_charge(Micros::MAX);
+    allocator.extend_leadership(Micros::MAX);
     let mut network: VecDeque<(Micros, Packet)> = VecDeque::new();
     let mut kept: VecDeque<(Micros, usize)> = VecDeque::new();
     let mut fixed = kept.clone();
--- a/crates/rules/tests/quota_shares/simulation.rs
+++ b/crates/rules/tests/quota_shares/simulation.rs
@@ -14,7 +14,7 @@
 };
 const STEP: Micros = 2 * MS;
 /// For how long a lender is in charge unless it is renewed.
-const CHARGE_LENGTH: Micros = 400 * MS;
+const LEADERSHIP_LENGTH: Micros = 400 * MS;
 const FAULTS_END: Micros = 12_000 * MS;
 /// From the last fault to when one member has 80% of the plan: a charge that ends, a new lender's wait, and asks.
 const SETTLE_LIMIT: Micros = 1_600 * MS;
@@ -102,7 +102,7 @@
     /// Where lenders are, the last one in charge; earlier ones may not know yet.
     allocators: Vec<(usize, QuotaAllocator)>,
     term: u64,
-    charge_start: Micros,
+    leadership_start: Micros,
     deposed: bool,
     quota: u64,
     /// Figures that lenders went by, and until when they may bind.
@@ -134,7 +134,7 @@
             members,
             allocators: Vec::new(),
             term: 0,
-            charge_start: -CHARGE_LENGTH,
+            leadership_start: -LEADERSHIP_LENGTH,
             deposed: false,
             quota: MAX_QUOTA,
             binding_quotas: Vec::new(),
@@ -206,11 +206,11 @@
             return self.start_allocator();
         };
         // Renewed while its last charge holds; it learns of the plan as it is renewed.
-        if self.time < self.charge_start + CHARGE_LENGTH && !self.deposed {
-            if self.time >= self.charge_start + 50 * MS {
-                self.charge_start = self.time;
-                let until = self.members[*at].local_time(self.time) + CHARGE_LENGTH;
-                allocator.extend_charge(until);
+        if self.time < self.leadership_start + LEADERSHIP_LENGTH && !self.deposed {
+            if self.time >= self.leadership_start + 50 * MS {
+                self.leadership_start = self.time;
+                let until = self.members[*at].local_time(self.time) + LEADERSHIP_LENGTH;
+                allocator.extend_leadership(until);
                 allocator.set_quota(self.quota);
             }
         } else {
@@ -221,14 +221,14 @@
     /// Another lender, once the last one's charge is surely over.
     fn start_allocator(&mut self) {
         // Lenders' clocks are never slower than the world's.
-        let free = self.time >= self.charge_start + CHARGE_LENGTH;
+        let free = self.time >= self.leadership_start + LEADERSHIP_LENGTH;
         let at = self.random.below(self.members.len() as u64) as usize;
         let m = &self.members[at];
         if !free || m.down_until > self.time || m.holder.is_none() {
             return;
         }
         self.term += 1;
-        (self.charge_start, self.deposed) = (self.time, false);
+        (self.leadership_start, self.deposed) = (self.time, false);
         let mut tuning = TUNING;
         if self.fault == Fault::NoDrift {
             tuning.drift_permille = 0;
@@ -238,9 +238,9 @@
         let from = if self.fault == Fault::NoWait { now - 10 * TUNING.lease } else { now };
         let mut allocator =
             QuotaAllocator::new(tuning, from, self.term, self.members.len(), self.quota, floor);
-        allocator.extend_charge(now + CHARGE_LENGTH);
+        allocator.extend_leadership(now + LEADERSHIP_LENGTH);
         if self.fault == Fault::TwoAllocators {
-            allocator.extend_charge(Micros::MAX);
+            allocator.extend_leadership(Micros::MAX);
         }
         self.allocators.push((at, allocator));
         if self.allocators.len() > 4 {
@@ -335,7 +335,7 @@
     fn check(&mut self) -> Result<(), String> {
         let t = self.time;
         // The last lender goes by the figure it was told last, for as long as its charge holds, and its grants for a lease.
-        let binds = t + TUNING.lease + TUNING.lease / 10 + CHARGE_LENGTH;
+        let binds = t + TUNING.lease + TUNING.lease / 10 + LEADERSHIP_LENGTH;
         self.binding_quotas.retain(|(quota, until)| *until > t && *quota != self.quota);
         self.binding_quotas.push((self.quota, binds));
         // Members not yet told of a lowered figure keep the floors of the greatest.
