--- a/crates/rules/src/registry/snapshot.rs
+++ b/crates/rules/src/registry/snapshot.rs
@@ -76,10 +76,10 @@
             rules.len() <= limits::MAX_RULES && check::octets(rules) <= limits::SET_OCTETS
         };
         let version = |(n, v): (&u64, &super::client::Version)| {
-            let holds = (v.stage == Stage::Desired) == (*n == self.current);
+            let stage_matches = (v.stage == Stage::Desired) == (*n == self.current);
             v.set.version == *n
                 && number(*n)
-                && holds
+                && stage_matches
                 && rules(&v.set.rules)
                 && v.bytes == check::octets(&v.set.rules) + 64
         };
--- a/crates/rules/tests/bounded_size.rs
+++ b/crates/rules/tests/bounded_size.rs
@@ -1,4 +1,4 @@
-//! A registry that is edited without end stays as large as it was.
+//! The size of a registry under continuous edits.
 
 mod common;
 
@@ -9,7 +9,7 @@
 const CLIENT_COUNT: u64 = 100;
 const SECOND: i64 = 1_000_000;
 
-/// Numbers that look like chance, the same each time.
+/// Pseudo-random numbers with a fixed seed.
 struct SeededRandom(u64);
 
 impl SeededRandom {
@@ -26,7 +26,7 @@
             hold_count: Some(random.below(250)),
             ..Figures::default()
         };
-        // Of the longest kind, so that what is kept of each weighs.
+        // Names and keys are as long as allowed, so that everything kept adds to the size.
         let (name, key) = (format!("{n}{}", "n".repeat(30)), "k".repeat(limits::MAX_KEY_PREFIX_BYTES));
         Rule { name, class: "RESP".into(), to: format!("000001{n}"), key, figures }
     };
@@ -50,7 +50,7 @@
     let (mut done, mut refused, mut largest, mut sizes) = (0u64, 0u64, 0usize, Vec::new());
     (0..CLIENT_COUNT).for_each(|n| _ = registry.apply(0, &replan(&name(n), client_plan(true, n % 4 == 0))));
     for edit in 0..10_000u64 {
-        // About as often as an hour's changes allow.
+        // About as many changes as the plans allow per hour.
         let (wall, n) = (edit as i64 * 2 * SECOND, random.below(CLIENT_COUNT));
         let client = name(n);
         let version = registry.desired(&client).expect("known").set.version;
@@ -78,12 +78,13 @@
         }
     }
     assert!(done > 5_000 && refused > 500, "{done} done, {refused} refused");
-    // What is kept of each client is full after a while: from then on nothing grows, by snapshots as by its own count.
+    // The history of each client is full after a while; from then on neither the snapshot nor the registry's
+    // own count grows.
     let most = |sizes: &[usize]| sizes.iter().copied().max().unwrap_or(0);
     let (middle, end) = (most(&sizes[24..32]), most(&sizes[32..]));
-    assert!(end <= middle + middle / 20, "{middle} octets, then {end}: {sizes:?}");
-    // 34 versions of at most four rules, 64 requests, an hour's changes: some 40 KB.
+    assert!(end <= middle + middle / 20, "{middle} bytes, then {end}: {sizes:?}");
+    // 34 versions of at most four rules, 64 requests and an hour's changes take about 40 KB.
     let each = largest / CLIENT_COUNT as usize;
-    assert!((1_000..50_000).contains(&each), "{each} octets a client");
+    assert!((1_000..50_000).contains(&each), "{each} bytes per client");
     assert!(Registry::restore(&registry.snapshot()).is_ok_and(|back| back == registry));
 }
--- a/crates/rules/tests/check.rs
+++ b/crates/rules/tests/check.rs
@@ -1,4 +1,4 @@
-//! Findings, cuts, sums, dry runs.
+//! Checks of rules, cuts to a plan, sums, and destructive changes.
 
 mod common;
 
@@ -30,15 +30,15 @@
     assert_eq!(summaries(&of(&sums)), [["b", "hold_count", "1000", "300"], ["c", "hold_count", "1000", "0"]]);
     let many: Vec<Rule> = (1..6).map(|i| rule(&format!("r{i}"), &format!("000001{i}"), i * MINUTE)).collect();
     assert_eq!(summaries(&of(&many)), [["", "rules", "4", "4"]]);
-    let open = Plan { most: Figures { release: None, ..plan.most.clone() }, ..plan.clone() };
-    let paced =
+    let without_release = Plan { most: Figures { release: None, ..plan.most.clone() }, ..plan.clone() };
+    let with_release =
         Rule { figures: Figures { release: Some(1), ..Figures::default() }, ..rule("p", "000001", 0) };
     assert_eq!(
-        summaries(&check(std::slice::from_ref(&paced), &open)),
+        summaries(&check(std::slice::from_ref(&with_release), &without_release)),
         [["p", "release", "none", "leave it out"]]
     );
-    let still = Rule { figures: Figures { release: Some(0), ..Figures::default() }, ..paced };
-    assert_eq!(summaries(&of(&[still])), [["p", "release", "", "1"]]);
+    let zero_rate = Rule { figures: Figures { release: Some(0), ..Figures::default() }, ..with_release };
+    assert_eq!(summaries(&of(&[zero_rate])), [["p", "release", "", "1"]]);
 }
 
 #[test]
@@ -57,14 +57,14 @@
     let many = vec![rule("", "9", -1); 1_000];
     let found = check(&many, &plan());
     assert_eq!((found.list.len(), found.more > 900), (32, true));
-    let far = vec![rule("a", "000001", MINUTE); 1_025];
-    assert_eq!(summaries(&check(&far, &unlimited_plan())), [["", "rules", "1024", ""]]);
+    let too_many = vec![rule("a", "000001", MINUTE); 1_025];
+    assert_eq!(summaries(&check(&too_many, &unlimited_plan())), [["", "rules", "1024", ""]]);
 }
 
 #[test]
 fn accepted_rules_fit_into_one_log_entry() {
     let text = |i: usize, len: usize| format!("{i:0len$}");
-    let far = |i: usize| {
+    let longest_rule = |i: usize| {
         let (class, to, key) = (
             text(i, limits::MAX_CLASS_BYTES),
             text(i, limits::MAX_ADDRESS_PREFIX_BYTES),
@@ -85,12 +85,12 @@
     let mut most = Figures::default();
     Field::ALL.into_iter().for_each(|field| field.set(&mut most, Some(u64::MAX >> 1)));
     let plan = Plan { most, ..unlimited_plan() };
-    let rules: Vec<Rule> = (0..1_024).map(far).collect();
+    let rules: Vec<Rule> = (0..1_024).map(longest_rule).collect();
     let fits = (0..1_024).rfind(|n| check(&rules[..*n], &plan).is_empty()).expect("some");
     let rules = rules[..fits].to_vec();
-    let packed =
+    let encoded_len =
         Command::Submit { request: [255; 32], client: "c".repeat(64), base: u64::MAX, rules }.pack().len();
-    assert!((40_000..60_000).contains(&packed), "{fits} rules, {packed} octets");
+    assert!((40_000..60_000).contains(&encoded_len), "{fits} rules, {encoded_len} bytes");
 }
 
 #[test]
@@ -100,28 +100,28 @@
         found.list.into_iter().map(|f| (f.rule, f.field, f.why)).collect::<Vec<_>>()
     };
     let first = rule("a", "000001", MINUTE);
-    let against = of(&[first.clone(), rule("b", "000001", 2 * MINUTE)]);
+    let contradicting = of(&[first.clone(), rule("b", "000001", 2 * MINUTE)]);
     assert_eq!(
-        against,
+        contradicting,
         [("b".into(), "hold_for".into(), "it contradicts \"a\", which has the same match".into())]
     );
-    let same = of(&[first.clone(), rule("b", "000001", MINUTE)]);
+    let duplicate = of(&[first.clone(), rule("b", "000001", MINUTE)]);
     assert_eq!(
-        same,
+        duplicate,
         [("b".into(), String::new(), "it has the same match as \"a\": one of them is enough".into())]
     );
-    let swallowed = of(&[rule("b", "0000012", MINUTE), first.clone()]);
-    assert_eq!(swallowed, [("b".into(), String::new(), "all it sets holds already by \"a\"".into())]);
-    // One between them that says otherwise gives it a meaning again.
+    let redundant = of(&[rule("b", "0000012", MINUTE), first.clone()]);
+    assert_eq!(redundant, [("b".into(), String::new(), "all it sets holds already by \"a\"".into())]);
+    // A rule between the two that sets something else makes the narrower one effective again.
     assert_eq!(of(&[rule("b", "00000123", MINUTE), rule("between", "0000012", 2 * MINUTE), first]), []);
-    // A count is each rule's own.
+    // Each rule has a count of its own.
     assert_eq!(of(&[counting_rule("b", "0000012", 5), counting_rule("a", "000001", 5)]), []);
 }
 
 #[test]
 fn destructive_changes_are_detected() {
     let a = |hold: i64| rule("a", "000001", hold);
-    let paced = |n| Rule {
+    let with_release = |n| Rule {
         figures: Figures { hold_for: Some(MINUTE), release: Some(n), ..Figures::default() },
         ..a(MINUTE)
     };
@@ -130,8 +130,11 @@
     assert!(destroys(&[], &[a(MINUTE)]), "the defaults that it replaces are not known");
     assert!(destroys(&[a(2 * MINUTE)], &[a(2 * MINUTE), rule("b", "0000012", MINUTE)]));
     assert!(!destroys(&[a(MINUTE)], &[a(MINUTE), rule("b", "0000012", 2 * MINUTE)]));
-    assert!(!destroys(&[paced(9)], &[paced(1)]), "a slower pace loses nothing");
-    assert!(!destroys(&[a(MINUTE)], &[Rule { name: "z".into(), ..a(MINUTE) }]), "a name keeps nothing");
+    assert!(!destroys(&[with_release(9)], &[with_release(1)]), "a slower rate drops nothing");
+    assert!(
+        !destroys(&[a(MINUTE)], &[Rule { name: "z".into(), ..a(MINUTE) }]),
+        "renaming a rule drops nothing"
+    );
 }
 
 fn assert_sums_within_plan(rules: &[Rule], plan: &Plan, members: usize) -> Result<(), TestCaseError> {
@@ -163,16 +166,16 @@
         for was in &cut.rules {
             let now = back.rules.iter().find(|r| r.name == was.name);
             let less = |f: &Field| now.and_then(|n| f.get(&n.figures)) < f.get(&was.figures);
-            // One that says nothing new any more may go out, and then nothing changes.
-            prop_assert!(now.is_none() || !Field::ALL.iter().any(less), "brought back, {} shrank", was.name);
+            // A rule that has become redundant may be removed, which changes nothing.
+            prop_assert!(now.is_none() || !Field::ALL.iter().any(less), "restored, but {} shrank", was.name);
         }
         let whole = restore(&cut, &first);
         let mut rules = rules;
         rules.sort_by(|a, b| a.name.cmp(&b.name));
-        prop_assert_eq!(whole, Cut { rules, ..Cut::default() }, "all comes back");
+        prop_assert_eq!(whole, Cut { rules, ..Cut::default() }, "everything is restored");
     }
 
-    /// Where a change is not marked, no message falls under less than before.
+    /// If a change is not detected as destructive, no message gets a smaller limit than before.
     #[test]
     fn every_destructive_change_is_detected(old in any_rules(), changes in edits(), lower in any::<prop::sample::Index>()) {
         let old = valid_rules(old, &unlimited_plan());
@@ -194,7 +197,7 @@
         }
     }
 
-    /// A rule that is said to be swallowed can go, and nothing changes; one that is not makes a difference somewhere.
+    /// A rule that is not reported as redundant makes a difference for some message.
     #[test]
     fn a_rule_without_effect_is_found_redundant(rules in any_rules()) {
         let spans = |r: &Rule| Field::ALL.iter().all(|f| !f.is_summed() || f.get(&r.figures).is_none());
@@ -206,12 +209,12 @@
             let table = Table::new(&less);
             let differs = all_messages().into_iter()
                 .any(|(c, t, k)| whole.look(c, &t, &k).figures != table.look(c, &t, &k).figures);
-            prop_assert!(differs || !spans(&rules[at]), "{:?} changes nothing and was not found", rules[at]);
+            prop_assert!(differs || !spans(&rules[at]), "{:?} changes nothing and was not reported", rules[at]);
         }
     }
 }
 
-/// Messages of all kinds that the rules of `any_rules` tell apart, and some beside.
+/// All messages that rules from `any_rules` treat differently, and some others.
 fn all_messages() -> Vec<(&'static str, Vec<u8>, Vec<u8>)> {
     let texts = |letters: [u8; 3], most: usize| {
         let mut all = vec![vec![]];
--- a/crates/rules/tests/common/mod.rs
+++ b/crates/rules/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Rules and plans for tests, by hand and at random. Few letters, so that rules meet.
+//! Fixed and random rules and plans for tests. They use few letters, so that rules often overlap.
 #![allow(dead_code)]
 
 use heronroute_rules::{Field, Figures, Plan, Rule};
@@ -39,7 +39,7 @@
     }
 }
 
-/// Figures from a small range, mostly left out.
+/// Limits from a small range, most of them left out.
 fn figures(top: u64) -> impl Strategy<Value = Figures> {
     let some = prop::option::weighted(0.3, 1..=top);
     prop::collection::vec(some, Field::COUNT).prop_map(|values| {
@@ -58,7 +58,7 @@
     prop::collection::vec(any_rule(), 0..8)
 }
 
-/// Rules with a few of them changed, added or taken out, as an editor does.
+/// Returns rules with some of them changed, added or removed, as by an editor.
 pub fn apply_edits(rules: &[Rule], edits: Vec<(Rule, bool)>) -> Vec<Rule> {
     let mut rules = rules.to_vec();
     for (edit, stays) in edits {
@@ -72,7 +72,7 @@
     prop::collection::vec((any_rule(), prop::bool::weighted(0.7)), 0..3)
 }
 
-/// Rules that a plan allows: what `check` names is left out until it names nothing.
+/// Returns rules that a plan allows: those that `check` names are removed until it finds nothing.
 pub fn valid_rules(mut rules: Vec<Rule>, plan: &Plan) -> Vec<Rule> {
     loop {
         let findings = heronroute_rules::check::check(&rules, plan);
@@ -113,7 +113,7 @@
     Plan { most, rules: 1_024, changes_an_hour: 1_000, ..Plan::default() }
 }
 
-/// The same cases each time; with `HERONROUTE_LONG=1` fifty times as many.
+/// Runs the same cases each time; with `HERONROUTE_LONG=1`, 50 times as many.
 pub fn cases(cases: u32) -> ProptestConfig {
     let cases = if std::env::var("HERONROUTE_LONG").is_ok() { cases * 50 } else { cases };
     let rng_seed = prop::test_runner::RngSeed::Fixed(34);
--- a/crates/rules/tests/concurrent_edits.rs
+++ b/crates/rules/tests/concurrent_edits.rs
@@ -1,4 +1,5 @@
-//! Editors on bases old and new, repeats and ways back, against a plain model: a list of versions and the times of changes.
+//! Edits of recent and older versions, repeated requests and rollbacks, compared with a simple model: a list
+//! of versions and the times of changes.
 
 mod common;
 
@@ -9,17 +10,18 @@
 use std::collections::BTreeMap;
 
 const HOUR: i64 = 60 * MINUTE;
-/// Rules by name: how long each holds, in minutes. No two of them match one message.
+/// Rules by name, with their hold time in minutes. No two of them match the same message.
 type RuleMinutes = BTreeMap<u8, i64>;
 
 #[derive(Clone, Debug)]
 enum Action {
-    /// On the version so many before the last, with these rules changed or (0) taken out.
+    /// Edits the version `ago` versions before the last one: these rules are changed, or removed if the time
+    /// is 0.
     Edit {
         ago: usize,
         edits: Vec<(u8, i64)>,
     },
-    /// The request so many before the last, once more.
+    /// Repeats the request `ago` requests before the last one.
     Repeat {
         ago: usize,
     },
@@ -52,7 +54,8 @@
 }
 
 impl Model {
-    /// What the last version and an edit on `base` come to; or the rules that both changed to different ends.
+    /// Returns the merge of the last version with an edit of `base`, or the rules that both changed in
+    /// different ways.
     fn merged(&self, base: usize, mine: &RuleMinutes) -> Result<RuleMinutes, Vec<String>> {
         let (from, now) = (&self.versions[base], self.versions.last().unwrap());
         let (mut out, mut conflicting) = (RuleMinutes::new(), Vec::new());
@@ -68,7 +71,7 @@
         if conflicting.is_empty() { Ok(out) } else { Err(conflicting) }
     }
 
-    /// A version of its own, unless it says nothing new; none where the hour has no more changes.
+    /// Adds a version unless nothing changed; returns none if the hour has no changes left.
     fn add(&mut self, now: i64, most: usize, set: RuleMinutes) -> Option<u64> {
         if self.versions.last() != Some(&set) {
             if self.changes.iter().filter(|at| **at > now - HOUR).count() >= most {
@@ -92,7 +95,7 @@
         registry.apply(0, &Command::Plan { client: "c".into(), plan: Some(Box::new(plan)), digest });
         let mut model = Model { versions: vec![RuleMinutes::new()], changes: Vec::new() };
         let mut now = HOUR;
-        // Requests that made a version, with the answer.
+        // The requests that created a version, with their answers.
         let mut answered: Vec<(Command, Reply)> = Vec::new();
         for (step, action) in actions.into_iter().enumerate() {
             let last = model.versions.len() - 1;
@@ -104,7 +107,7 @@
                 }
                 Action::Repeat { ago } => {
                     let Some((command, reply)) = answered.iter().rev().nth(ago).cloned() else { continue };
-                    prop_assert_eq!(registry.apply(now, &command).reply, reply, "the same request: one version");
+                    prop_assert_eq!(registry.apply(now, &command).reply, reply, "the same request creates no further version");
                     continue;
                 }
                 Action::Edit { ago, edits } => {
@@ -131,21 +134,21 @@
             match expected {
                 Err(conflicting) => match &reply {
                     Reply::Conflict { version, rules, .. } => {
-                        prop_assert_eq!((*version, rules), (last as u64, &conflicting), "it is told which");
+                        prop_assert_eq!((*version, rules), (last as u64, &conflicting), "the conflicting rules are named");
                     }
-                    other => prop_assert!(false, "{:?} where {:?} were changed by both", other, conflicting),
+                    other => prop_assert!(false, "{:?} although both changed {:?}", other, conflicting),
                 },
                 Ok(set) => match model.add(now, 9, set) {
                     Some(version) => prop_assert_eq!(&reply, &Reply::Approved { version }),
-                    None => prop_assert_eq!(reply.state(), "refused", "more changes than an hour has"),
+                    None => prop_assert_eq!(reply.state(), "refused", "no changes left in the hour"),
                 },
             }
             if model.versions.len() - 1 > last {
                 answered.push((command, reply));
             }
-            let holds = registry.desired("c").expect("known").set;
-            prop_assert_eq!(holds.version as usize, model.versions.len() - 1);
-            prop_assert_eq!(&holds.rules, &rules(model.versions.last().unwrap()));
+            let desired = registry.desired("c").expect("known").set;
+            prop_assert_eq!(desired.version as usize, model.versions.len() - 1);
+            prop_assert_eq!(&desired.rules, &rules(model.versions.last().unwrap()));
         }
     }
 }
--- a/crates/rules/tests/json.rs
+++ b/crates/rules/tests/json.rs
@@ -1,4 +1,4 @@
-//! JSON in and out.
+//! Parsing of drafts and the JSON of answers.
 
 mod common;
 
@@ -64,7 +64,7 @@
     assert!(why(&BODY.replace("long", &"x".repeat(70_000))).contains("over 64KiB"));
     let many = format!(r#"{{"rules":[{}{{}}]}}"#, "{},".repeat(1_024));
     assert!(why(&many).starts_with("|rules|too many"));
-    assert!(why(&BODY.replace("30m", &"9".repeat(9_000))).len() < 250, "repeated shortened");
+    assert!(why(&BODY.replace("30m", &"9".repeat(9_000))).len() < 250, "quoted texts are shortened");
 }
 
 #[test]
@@ -111,7 +111,7 @@
         let _ = Registry::restore(&body);
     }
 
-    /// Nearly right ones: octets changed, cut out, doubled.
+    /// Almost valid bodies: with bytes changed, cut off or inserted.
     #[test]
     fn damaged_bodies_never_panic(edits in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..6)) {
         let mut body = BODY.as_bytes().to_vec();
--- a/crates/rules/tests/quota_shares/main.rs
+++ b/crates/rules/tests/quota_shares/main.rs
@@ -1,5 +1,6 @@
-//! Parts of one figure on a virtual clock: members whose clocks run apart, a network that loses, doubles, delays and cuts,
-//! pauses, deaths and new lenders. After every step the sum of all parts is held against the figure.
+//! Quota shares on a virtual clock: members with diverging clocks, a network that loses, duplicates, delays
+//! and blocks messages, pauses, crashes and leader changes. After every step the sum of all shares is
+//! compared with the quota.
 
 mod measurements;
 mod simulation;
@@ -18,18 +19,21 @@
                 worst.kept = worst.kept.max(extremes.kept);
                 worst.settled = worst.settled.max(extremes.settled);
             }
-            Err(why) => panic!("seed {seed} (World::new({seed}, Fault::None).run()): {why}"),
+            Err(why) => panic!("seed {seed} (Simulation::new({seed}, Fault::None).run()): {why}"),
         }
     }
     println!("over {SEEDS} seeds: {worst:?}");
 }
 
-/// Each guard taken out, and the seed that finds it.
+/// Each safeguard is disabled in turn, with a seed that detects it.
 #[test]
 fn each_planted_fault_is_detected() {
     for (fault, seed) in PLANTED_FAULTS {
         let found = Simulation::new(seed, fault).run();
-        assert!(found.is_err_and(|why| why.contains("parts of")), "{fault:?} is not found by seed {seed}");
+        assert!(
+            found.is_err_and(|why| why.contains("shares of")),
+            "{fault:?} is not detected by seed {seed}"
+        );
         assert!(Simulation::new(seed, Fault::None).run().is_ok(), "seed {seed} without {fault:?}");
     }
 }
@@ -43,13 +47,13 @@
     (Fault::TwoAllocators, 2),
 ];
 
-/// Says which seeds find each planted fault.
+/// Prints the seeds that detect each planted fault.
 #[test]
-#[ignore = "to choose the seeds by"]
+#[ignore = "only for choosing the seeds"]
 fn print_the_seeds_that_detect_each_fault() {
     for (fault, _) in PLANTED_FAULTS {
         let found: Vec<u64> = (0..SEEDS)
-            .filter(|s| Simulation::new(*s, fault).run().is_err_and(|w| w.contains("parts of")))
+            .filter(|s| Simulation::new(*s, fault).run().is_err_and(|w| w.contains("shares of")))
             .collect();
         println!("{fault:?}: {found:?}");
     }
--- a/crates/rules/tests/quota_shares/measurements.rs
+++ b/crates/rules/tests/quota_shares/measurements.rs
@@ -1,4 +1,4 @@
-//! Figures for docs/regions.md. Prints, asserts nothing.
+//! Prints the measurements quoted in docs/regions.md; asserts nothing.
 
 use crate::simulation::{MS, SeededRandom, TUNING};
 use heronroute_rules::Micros;
@@ -7,7 +7,8 @@
 
 const QUOTA: u64 = 1_000;
 const RUN_LENGTH: Micros = 30_000 * MS;
-/// Each thing is kept so long, of 4 or 5 that come in a millisecond: 900 of the plan's 1,000 at a time.
+/// The lifetime of an item. With 4 or 5 new items per millisecond, 900 of the quota of 1,000 are in use at a
+/// time.
 const ITEM_LIFETIME: Micros = 200 * MS;
 
 enum Packet {
@@ -15,7 +16,8 @@
     ShareGrant(ShareGrant),
 }
 
-/// Served share by parts and by fixed parts, messages of parts, things that came, the greatest sum of parts and of kept.
+/// Returns the fraction served with leased shares and with fixed shares, the messages for shares, the items
+/// that arrived, and the greatest sums of shares and of items in use.
 fn simulate(members: usize, hot_member_period: Micros, delay: Micros) -> (f64, f64, u64, u64, u64, u64) {
     let mut random = SeededRandom(7);
     let mut holders: Vec<QuotaHolder> =
@@ -85,7 +87,7 @@
 #[test]
 fn print_measurements() {
     println!(
-        "| members | traffic at | one way | served: parts | fixed | one counter | messages/s: parts | one counter | sum | kept |"
+        "| members | traffic at | one way | served: shares | fixed | one counter | messages/s: shares | one counter | sum | kept |"
     );
     for (members, hot_member_period, name) in [
         (3, RUN_LENGTH, "one"),
@@ -97,7 +99,8 @@
             let (shares, fixed, messages, arrived, max_share_sum, max_kept) =
                 simulate(members, hot_member_period, delay * MS);
             let measured_seconds = (RUN_LENGTH / MS / 1_000 - 2) as u64;
-            // One counter serves all that fits the plan, 900 of 1,000, for two messages a thing and one as it ends.
+            // A single counter serves everything that fits the quota (900 of 1,000), at two messages per item
+            // and one at its end.
             println!(
                 "| {members} | {name} | {delay} ms | {shares:.3} | {fixed:.3} | 1.000 | {} | {} | {max_share_sum} | {max_kept} |",
                 messages / measured_seconds,
--- a/crates/rules/tests/quota_shares/simulation.rs
+++ b/crates/rules/tests/quota_shares/simulation.rs
@@ -1,4 +1,4 @@
-//! The world that parts are played in.
+//! The simulation of members that share a quota.
 
 use heronroute_rules::Micros;
 use heronroute_rules::quota_shares::{QuotaAllocator, QuotaHolder, ShareGrant, ShareRequest, Tuning};
@@ -13,32 +13,33 @@
     headroom_permille: 125,
 };
 const STEP: Micros = 2 * MS;
-/// For how long a lender is in charge unless it is renewed.
+/// How long a member stays leader unless it is renewed.
 const LEADERSHIP_LENGTH: Micros = 400 * MS;
 const FAULTS_END: Micros = 12_000 * MS;
-/// From the last fault to when one member has 80% of the plan: a charge that ends, a new lender's wait, and asks.
+/// The time from the last fault until one member has 80% of the quota: the end of a leadership, the new
+/// leader's wait, and some requests.
 const SETTLE_LIMIT: Micros = 1_600 * MS;
 const MAX_QUOTA: u64 = 1_000;
 
-/// A guard that is taken out.
+/// A safeguard that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// A new lender does not wait.
+    /// A new allocator does not wait for one lease.
     NoWait,
-    /// The lender allows for no drift.
+    /// The allocator makes no allowance for drift.
     NoDrift,
-    /// A holder counts its lease from the answer.
+    /// A holder counts its lease from the arrival of the grant.
     LeaseFromArrival,
-    /// The lender takes every ask as naming its last grant.
+    /// The allocator treats every request as acknowledging its last grant.
     AssumesLastGrant,
-    /// A holder says it gave all back, and did not.
+    /// A holder reports that it returned everything, but keeps it.
     KeepsReturned,
-    /// A lender stays in charge beside the next one.
+    /// A leader stays leader beside the next one.
     TwoAllocators,
 }
 
-/// Numbers from a seed (SplitMix64).
+/// Pseudo-random numbers from a seed (SplitMix64).
 pub struct SeededRandom(pub u64);
 
 impl SeededRandom {
@@ -62,12 +63,12 @@
 struct Member {
     holder: Option<QuotaHolder>,
     incarnation: u64,
-    /// Dead or paused until then.
+    /// Crashed or paused until then.
     down_until: Micros,
     drift_permille: Micros,
     offset: Micros,
     demand: u64,
-    /// The last grant given to it.
+    /// The last grant made to this member.
     last_grant: (u64, u64),
 }
 
@@ -82,14 +83,14 @@
     ShareGrant(ShareGrant),
 }
 
-/// The worst of a run.
+/// The worst values of a run.
 #[derive(Debug, Default)]
 pub struct Extremes {
-    /// Thousandths of the greatest figure that may still bind: the sum of parts.
+    /// The sum of shares, in thousandths of the greatest quota that may still apply.
     pub sum: u64,
-    /// Thousandths of the greatest figure of all: what is kept.
+    /// The amount in use, in thousandths of the greatest quota of the run.
     pub kept: u64,
-    /// From the last fault until the one member with traffic has 80% and keeps it.
+    /// The time from the last fault until the only member with traffic has 80% for good.
     pub settled: Micros,
 }
 
@@ -99,13 +100,13 @@
     fault: Fault,
     time: Micros,
     members: Vec<Member>,
-    /// Where lenders are, the last one in charge; earlier ones may not know yet.
+    /// The allocators and the members they run on; the last one is leader, earlier ones may not know yet.
     allocators: Vec<(usize, QuotaAllocator)>,
     term: u64,
     leadership_start: Micros,
     deposed: bool,
     quota: u64,
-    /// Figures that lenders went by, and until when they may bind.
+    /// The quotas that allocators used, and until when they may still apply.
     binding_quotas: Vec<(u64, Micros)>,
     network: Vec<(Micros, usize, Packet)>,
     link_down_until: Vec<Vec<Micros>>,
@@ -119,7 +120,7 @@
             holder: None,
             incarnation: 0,
             down_until: 0,
-            // Mostly as far apart as is allowed.
+            // Most clocks differ by as much as is allowed.
             drift_permille: (random.below(150) as Micros - 50).clamp(0, 50),
             offset: random.duration(1_000_000),
             demand: 0,
@@ -148,7 +149,7 @@
             self.inject_faults();
             self.step()?;
         }
-        // All stands again, and all traffic is at one member.
+        // All faults end, and all traffic moves to one member.
         let hot = self.random.below(self.members.len() as u64) as usize;
         for (at, m) in self.members.iter_mut().enumerate() {
             m.down_until = m.down_until.min(self.time);
@@ -163,7 +164,7 @@
             }
         }
         if self.extremes.settled + STEP >= SETTLE_LIMIT {
-            return Err(format!("not 80% of {} at the one member that has traffic", self.quota));
+            return Err(format!("less than 80% of {} at the only member with traffic", self.quota));
         }
         Ok(self.extremes)
     }
@@ -177,7 +178,7 @@
             6..8 => {
                 self.members[any].down_until = until;
                 self.members[any].holder = None;
-                // The one before is never in charge again.
+                // The previous leader never becomes leader again.
                 self.deposed |= self.allocators.last().is_some_and(|(at, _)| *at == any);
                 self.allocators.retain(|(at, _)| *at != any);
             }
@@ -185,10 +186,10 @@
                 let to = self.random.below(n as u64) as usize;
                 self.link_down_until[any][to] = until;
             }
-            // A lender that does not hear that it is none any more.
+            // A leader that is not notified of its replacement.
             20..24 => self.deposed = true,
             24..27 => self.quota = MAX_QUOTA * (4 + self.random.below(7)) / 10,
-            // Below what the floors of the greatest are together.
+            // Below the sum of the floors of the greatest quota.
             27 => self.quota = MAX_QUOTA / 20,
             28..90 => {
                 let has_traffic = self.random.one_in(2);
@@ -205,7 +206,7 @@
         else {
             return self.start_allocator();
         };
-        // Renewed while its last charge holds; it learns of the plan as it is renewed.
+        // The leader is renewed while its last leadership is valid, and learns of the quota at that time.
         if self.time < self.leadership_start + LEADERSHIP_LENGTH && !self.deposed {
             if self.time >= self.leadership_start + 50 * MS {
                 self.leadership_start = self.time;
@@ -218,9 +219,9 @@
         }
     }
 
-    /// Another lender, once the last one's charge is surely over.
+    /// Starts another allocator once the last leadership has certainly ended.
     fn start_allocator(&mut self) {
-        // Lenders' clocks are never slower than the world's.
+        // The leaders' clocks are never slower than the simulation's.
         let free = self.time >= self.leadership_start + LEADERSHIP_LENGTH;
         let at = self.random.below(self.members.len() as u64) as usize;
         let m = &self.members[at];
@@ -248,14 +249,14 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, packet: fn(&Packet) -> Packet, what: &Packet) {
+    fn send(&mut self, from: usize, to: usize, copy: fn(&Packet) -> Packet, packet: &Packet) {
         let times = if self.random.one_in(10) { 2 } else { 1 };
         for _ in 0..times {
             let late = [4, 4, 4, 30, 30, 30, 30, 30, 30, 800][self.random.below(10) as usize];
             let at = self.time + self.random.duration(late);
             let lost = self.random.one_in(12) || self.link_down_until[from][to] > self.time;
             if !lost {
-                self.network.push((at, to, packet(what)));
+                self.network.push((at, to, copy(packet)));
             }
         }
     }
@@ -265,7 +266,7 @@
         let t = self.time;
         self.renew_or_replace_allocator();
         for at in 0..self.members.len() {
-            // Now and then one asks a lender that is none any more.
+            // Now and then a request goes to a former leader.
             let target = if self.random.one_in(8) { self.allocators.first() } else { self.allocators.last() };
             let leader = target.map(|(l, _)| *l);
             let m = &mut self.members[at];
@@ -334,18 +335,19 @@
 
     fn check(&mut self) -> Result<(), String> {
         let t = self.time;
-        // The last lender goes by the figure it was told last, for as long as its charge holds, and its grants for a lease.
+        // The leader uses the last quota it was notified of for as long as its leadership lasts, and its
+        // grants for one lease more.
         let binds = t + TUNING.lease + TUNING.lease / 10 + LEADERSHIP_LENGTH;
         self.binding_quotas.retain(|(quota, until)| *until > t && *quota != self.quota);
         self.binding_quotas.push((self.quota, binds));
-        // Members not yet told of a lowered figure keep the floors of the greatest.
+        // Members not yet notified of a lowered quota keep the floors of the greatest one.
         let most = self.binding_quotas.iter().map(|(quota, _)| *quota).max().unwrap_or(0).max(MAX_QUOTA / 10);
         let holders = || self.members.iter().filter_map(|m| m.holder.as_ref().map(|h| (m, h)));
         let sum: u64 = holders().map(|(m, h)| h.share(m.local_time(t))).sum();
         let kept: u64 = holders().map(|(_, h)| h.used()).sum();
         self.extremes.sum = self.extremes.sum.max(sum * 1000 / most);
         self.extremes.kept = self.extremes.kept.max(kept * 1000 / MAX_QUOTA);
-        if sum > most { Err(format!("at {t} us, parts of {sum} out of {most}")) } else { Ok(()) }
+        if sum > most { Err(format!("at {t} us, shares of {sum} out of {most}")) } else { Ok(()) }
     }
 }
 
--- a/crates/rules/tests/registry.rs
+++ b/crates/rules/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Edits, decisions, plans that change, by hand.
+//! Scenarios of edits, decisions and changes of plans.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use heronroute_rules::registry::{SnapshotError, Viewer, back_request};
 use heronroute_rules::{Command, Field, Outcome, Plan, Registry, Reply, Rule, digest, limits};
 
-/// A registry, its time, and a count of requests.
+/// A registry with a clock and a request counter.
 #[derive(Default)]
 struct TestRegistry {
     registry: Registry,
@@ -78,7 +78,7 @@
     let mut harness = TestRegistry::new(&plan());
     assert_eq!(harness.submit(0, &[a(1), b(1)]).reply, approved(1));
     assert_eq!(harness.submit(1, &[a(2), b(1)]).reply, approved(2));
-    assert_eq!(harness.submit(1, &[a(1), b(3)]).reply, approved(3), "the other rule");
+    assert_eq!(harness.submit(1, &[a(1), b(3)]).reply, approved(3), "the other rule was changed");
     assert_eq!(harness.desired(), (3, vec![a(2), b(3)]));
     let Reply::Conflict { version: 3, rules, .. } = harness.submit(1, &[a(9), b(1)]).reply else {
         panic!("conflict")
@@ -92,7 +92,7 @@
             why: "changed since version 2; begin again from version 3".into(),
         }
     );
-    // Right each by itself, too much together.
+    // Each edit is valid by itself, but together they exceed the plan.
     assert_eq!(harness.submit(3, &[counting_rule("c", "0000013", 600)]).reply, approved(4));
     let Reply::Conflict { rules, .. } =
         harness.submit(3, &[a(2), b(3), counting_rule("d", "0000014", 600)]).reply
@@ -111,7 +111,7 @@
     assert_eq!([harness.apply(&first).reply, harness.apply(&first).reply], [approved(1), approved(1)]);
     assert_eq!(harness.desired(), (1, vec![a(1)]));
     let other = submit(1, 0, &[a(5)]);
-    assert_eq!(harness.apply(&other).reply.state(), "refused", "the name of another request");
+    assert_eq!(harness.apply(&other).reply.state(), "refused", "the name belongs to another request");
 }
 
 #[test]
@@ -122,7 +122,7 @@
     for version in 1..40 {
         assert_eq!(harness.submit(version, &[a(version as i64 + 1)]).reply, approved(version + 1));
     }
-    assert_eq!(harness.apply(&first).reply, approved(1), "though version 1 is not kept any more");
+    assert_eq!(harness.apply(&first).reply, approved(1), "although version 1 is no longer kept");
     assert_eq!(harness.desired().0, 40);
 }
 
@@ -131,14 +131,14 @@
     let mut harness = TestRegistry::new(&Plan { approval: true, ..plan() });
     let first = submit(9, 0, &[a(1), b(1)]);
     assert_eq!(harness.apply(&first).reply, Reply::Waiting { version: 1 });
-    assert_eq!(harness.desired(), (0, vec![]), "nothing holds before it is approved");
-    assert_eq!(harness.submit(0, &[a(1), b(1)]).reply, Reply::Waiting { version: 1 }, "the same once more");
+    assert_eq!(harness.desired(), (0, vec![]), "nothing is in effect before it is approved");
+    assert_eq!(harness.submit(0, &[a(1), b(1)]).reply, Reply::Waiting { version: 1 }, "the same draft again");
     assert_eq!(
         [harness.approve(1), harness.approve(1), harness.refuse(1)],
         [approved(1), approved(1), approved(1)]
     );
     assert_eq!(harness.apply(&first).reply, approved(1));
-    // Two that wait on one base: the second is joined under its own number, the third is told.
+    // Two versions waiting on one base: the second is merged under a new number, the third conflicts.
     for (version, rules) in [(2, [a(2), b(1)]), (3, [a(1), b(3)]), (4, [a(4), b(1)])] {
         assert_eq!(harness.submit(1, &rules).reply, Reply::Waiting { version });
     }
@@ -153,7 +153,7 @@
     assert_eq!(harness.submit(5, &[b(9)]).reply, Reply::Waiting { version: 6 });
     assert_eq!([harness.refuse(6).state(), harness.approve(6).state()], ["refused"; 2]);
     assert_eq!([harness.approve(66), harness.refuse(0)], [Reply::Unknown, Reply::Unknown]);
-    // What the plan allowed when it was handed in is looked at again.
+    // What the plan allowed at submission is checked again at approval.
     assert_eq!(harness.submit(5, &[b(50)]).reply, Reply::Waiting { version: 7 });
     let mut lower = Plan { approval: true, ..plan() };
     lower.most.hold_for = Some(40 * MINUTE);
@@ -163,13 +163,13 @@
 
 #[test]
 fn the_base_of_a_waiting_version_is_kept() {
-    let (mut asks, mut free) = (Plan { changes_an_hour: 200, ..plan() }, plan());
-    (asks.approval, free.changes_an_hour) = (true, 200);
-    let mut harness = TestRegistry::new(&free);
+    let (mut with_approval, mut without_approval) = (Plan { changes_an_hour: 200, ..plan() }, plan());
+    (with_approval.approval, without_approval.changes_an_hour) = (true, 200);
+    let mut harness = TestRegistry::new(&without_approval);
     harness.submit(0, &[a(1), b(1)]);
-    harness.plan(Some(&asks));
+    harness.plan(Some(&with_approval));
     assert_eq!(harness.submit(1, &[a(1), b(7)]).reply, Reply::Waiting { version: 2 });
-    harness.plan(Some(&free));
+    harness.plan(Some(&without_approval));
     let mut base = 1;
     for hold in 2..40 {
         let Reply::Approved { version } = harness.submit(base, &[a(hold), b(1)]).reply else {
@@ -191,10 +191,10 @@
     harness.plan(Some(&plan()));
     harness.wall = 0;
     harness.plan(Some(&lower));
-    assert_eq!(harness.registry.due(), Some(110 * MINUTE), "by a clock that is behind nothing is cut early");
+    assert_eq!(harness.registry.due(), Some(110 * MINUTE), "a clock that goes back cuts nothing early");
 }
 
-/// With `HERONROUTE_LONG=1`: full registries, and what a large set costs.
+/// With `HERONROUTE_LONG=1`: full registries, and the cost of a large rule set.
 #[test]
 fn a_full_registry_refuses_and_large_sets_cost_little() {
     if std::env::var("HERONROUTE_LONG").is_err() {
@@ -228,7 +228,7 @@
             assert!(registry.bytes() <= limits::MAX_TOTAL_BYTES);
         }
     }
-    println!("{states:?}, {} octets, snapshot {}", registry.bytes(), registry.snapshot().len());
+    println!("{states:?}, {} bytes, snapshot {}", registry.bytes(), registry.snapshot().len());
     assert!(states.contains_key("refused") && registry.bytes() > limits::MAX_TOTAL_BYTES / 2);
     assert_eq!(Registry::restore(&registry.snapshot()), Ok(registry));
 
@@ -262,7 +262,7 @@
     (lower.most.hold_for, lower.most.hold_count) = (Some(40 * MINUTE), Some(500));
     harness.wall = 100;
     harness.plan(Some(&lower));
-    assert_eq!(harness.desired().0, 1, "the grace");
+    assert_eq!(harness.desired().0, 1, "still within the grace period");
     let notices = |harness: &TestRegistry| {
         let notices = harness.registry.notices("c");
         notices.into_iter().map(|n| (n.rule, n.field, n.until)).collect::<Vec<_>>()
@@ -278,7 +278,7 @@
     assert_eq!((changed.len(), changed[0].destroys, changed[0].set.version), (1, true, 2));
     assert_eq!(harness.desired(), (2, vec![a(40), b(30), counting_rule("c", "0000013", 500)]));
     assert_eq!(harness.registry.due(), None);
-    // An edit of one rule leaves the wish for the others.
+    // An edit of one rule does not affect the wanted form of the others.
     assert_eq!(harness.submit(2, &[a(40), b(20), counting_rule("c", "0000013", 500)]).reply, approved(3));
     let back = harness.plan(Some(&plan())).changed;
     assert_eq!((back.len(), back[0].destroys), (1, true), "rule d replaces a default that is not known here");
@@ -299,11 +299,11 @@
     harness.plan(Some(&lower(40, 10)));
     harness.wall = 5 * MINUTE;
     harness.plan(Some(&lower(40, 20)));
-    assert_eq!(harness.registry.due(), Some(10 * MINUTE), "more of something else prolongs nothing");
+    assert_eq!(harness.registry.due(), Some(10 * MINUTE), "raising another limit does not extend the grace");
     harness.plan(Some(&lower(30, 20)));
     assert_eq!(harness.registry.due(), Some(15 * MINUTE));
     harness.plan(Some(&plan()));
-    assert_eq!((harness.registry.due(), harness.desired().0), (None, 1), "room again before it was cut");
+    assert_eq!((harness.registry.due(), harness.desired().0), (None, 1), "allowed again before it was cut");
 }
 
 #[test]
@@ -317,12 +317,16 @@
     harness.wall = 60 * MINUTE;
     assert_eq!((harness.registry.due(), harness.apply(&Command::Tick).changed), (None, vec![]));
     assert_eq!(harness.desired(), (1, vec![a(50)]));
-    assert_eq!(harness.submit(1, &[a(1)]).reply.state(), "refused", "nothing is approved without a plan");
+    assert_eq!(
+        harness.submit(1, &[a(1)]).reply.state(),
+        "refused",
+        "nothing is approved without a readable plan"
+    );
     let long = Plan { classes: vec!["x".repeat(33)], ..plan() };
     harness.plan(Some(&long));
-    assert_eq!(harness.desired().1, [a(50)], "nor by one that is out of bounds");
+    assert_eq!(harness.desired().1, [a(50)], "a plan out of bounds cuts nothing either");
     harness.plan(Some(&lower));
-    assert_eq!(harness.desired(), (2, vec![a(1)]), "the grace is long over");
+    assert_eq!(harness.desired(), (2, vec![a(1)]), "the grace period is over");
 }
 
 #[test]
@@ -333,11 +337,11 @@
     harness.submit(1, &[a(2)]);
     let Reply::Refused { findings, .. } = harness.submit(2, &[a(3)]).reply else { panic!("rate") };
     assert_eq!((findings.list[0].field.as_str(), findings.list[0].plan.as_str()), ("changes_an_hour", "2"));
-    assert_eq!(harness.submit(2, &[a(2)]).reply, approved(2), "what changes nothing is free");
+    assert_eq!(harness.submit(2, &[a(2)]).reply, approved(2), "a submission without a change does not count");
     harness.wall = 60 * MINUTE - 1;
     assert_eq!(harness.submit(2, &[a(3)]).reply.state(), "refused");
     harness.wall = 60 * MINUTE;
-    assert_eq!(harness.submit(2, &[a(3)]).reply, approved(3), "an hour after the first");
+    assert_eq!(harness.submit(2, &[a(3)]).reply, approved(3), "an hour after the first change");
 
     let mut harness = TestRegistry::new(&Plan { changes_an_hour: 9_000, ..plan() });
     for version in 0..100 {
@@ -365,7 +369,7 @@
     assert_eq!(
         registry.apply(0, &plan_for(limits::CLIENTS)).reply,
         Reply::Done,
-        "in place of the one that was dropped"
+        "replaces the dropped client"
     );
     assert_eq!((registry.len(), registry.desired("c7")), (limits::CLIENTS, None));
     registry.apply(0, &Command::Drop { client: "c8".into() });
@@ -392,7 +396,7 @@
     let ops = Viewer { client: "ops", operator: true };
     assert_eq!(harness.registry.view(other, "c"), harness.registry.view(other, "nobody"));
     assert_eq!(harness.registry.view(own, "c"), harness.registry.view(ops, "c"));
-    assert_eq!(harness.registry.view(other, "d").map(|v| v.set.version), Some(0), "its own is there");
+    assert_eq!(harness.registry.view(other, "d").map(|v| v.set.version), Some(0), "its own view exists");
     let approve = |by: &str| Command::Approve { client: "c".into(), version: 1, by: by.into() };
     let may = |viewer, command: &Command| Registry::may(viewer, command);
     assert!(may(ops, &approve("ops")) && !may(ops, &approve("other")) && !may(own, &approve("c")));
@@ -404,10 +408,10 @@
 fn a_preview_changes_nothing_and_predicts_the_outcome() {
     let mut harness = TestRegistry::new(&plan());
     let before = harness.registry.clone();
-    let seen = harness.registry.preview(5, &submit(1, 0, &[a(1)]));
+    let predicted = harness.registry.preview(5, &submit(1, 0, &[a(1)]));
     assert_eq!(harness.registry, before);
     harness.wall = 5;
-    assert_eq!(harness.submit(0, &[a(1)]), seen);
+    assert_eq!(harness.submit(0, &[a(1)]), predicted);
 }
 
 #[test]
@@ -420,10 +424,10 @@
     for at in 0..good.len() {
         let mut bad = good.clone();
         bad[at] ^= 0x10;
-        assert!(Registry::restore(&bad).is_err(), "octet {at}");
-        assert!(Registry::restore(&good[..at]).is_err(), "cut at {at}");
+        assert!(Registry::restore(&bad).is_err(), "byte {at}");
+        assert!(Registry::restore(&good[..at]).is_err(), "cut off at {at}");
     }
-    // Written as one is, of a state that no commands lead to.
+    // With a valid checksum, but a state that no commands lead to.
     use sha2::Digest as _;
     let mut accepted = 0;
     for at in 40..good.len() {
@@ -435,7 +439,7 @@
             accepted += 1;
         }
     }
-    assert!(accepted < good.len(), "some are refused for what they say: {accepted} of {}", good.len());
+    assert!(accepted < good.len(), "some are rejected for their contents: {accepted} of {}", good.len());
 }
 
 #[test]
@@ -451,5 +455,5 @@
         assert_ne!(one, digest(&set(1, &[other, b(2)]), &plan()), "{}", field.name());
     }
     let moved = Rule { class: "RES".into(), to: format!("P{}", a(1).to), ..a(1) };
-    assert_ne!(one, digest(&set(1, &[moved, b(2)]), &plan()), "lengths count");
+    assert_ne!(one, digest(&set(1, &[moved, b(2)]), &plan()), "lengths are part of the digest");
 }
--- a/crates/rules/tests/replication.rs
+++ b/crates/rules/tests/replication.rs
@@ -1,4 +1,5 @@
-//! Any commands in any order: the same on every member, within bounds, one content for one number.
+//! Random commands in random order: the same state on every member, within all bounds, and one content per
+//! version number.
 
 mod common;
 
@@ -38,16 +39,18 @@
     ]
 }
 
-/// Versions are counted back from the one that holds, rules fitted to the plan mostly, so that much comes through.
+/// Makes a command from an action. Versions are counted back from the desired one, and rules are mostly
+/// fitted to the plan, so that many commands succeed.
 fn command(registry: &Registry, plans: &BTreeMap<String, Plan>, action: Action) -> Command {
     let name = |client: u8| format!("c{client}");
-    let holds = |client: u8| registry.desired(&name(client)).map_or(0, |d| d.set.version);
-    let ago = |client: u8, versions_ago: u64| (holds(client) + 1).saturating_sub(versions_ago);
+    let current_version = |client: u8| registry.desired(&name(client)).map_or(0, |d| d.set.version);
+    let version_ago =
+        |client: u8, versions_ago: u64| (current_version(client) + 1).saturating_sub(versions_ago);
     match action {
         Action::Submit { client, request, versions_ago, rules, fit_to_plan } => {
             let plan = plans.get(&name(client)).cloned().unwrap_or_default();
             let rules = if fit_to_plan { valid_rules(rules, &plan) } else { rules };
-            let base = holds(client).saturating_sub(versions_ago);
+            let base = current_version(client).saturating_sub(versions_ago);
             Command::Submit { request: [request; 32], client: name(client), base, rules }
         }
         Action::Approve { client, versions_ago } => {
@@ -55,19 +58,21 @@
             let waits = registry.view(own, &name(client)).and_then(|v| v.waiting.first().copied());
             Command::Approve {
                 client: name(client),
-                version: waits.unwrap_or(ago(client, versions_ago)),
+                version: waits.unwrap_or(version_ago(client, versions_ago)),
                 by: "ops".into(),
             }
         }
         Action::Refuse { client, versions_ago } => Command::Refuse {
             client: name(client),
-            version: ago(client, versions_ago),
+            version: version_ago(client, versions_ago),
             by: "o".into(),
             why: "w".into(),
         },
-        Action::Back { client, versions_ago, request } => {
-            Command::Back { client: name(client), version: ago(client, versions_ago), request: [request; 32] }
-        }
+        Action::Back { client, versions_ago, request } => Command::Back {
+            client: name(client),
+            version: version_ago(client, versions_ago),
+            request: [request; 32],
+        },
         Action::Plan { client, plan } => {
             let digest = plan_digest(&plan);
             Command::Plan { client: name(client), plan: Some(plan), digest }
@@ -86,26 +91,26 @@
         actions in prop::collection::vec((action(), 0..3i64), 1..50), restart_at in any::<prop::sample::Index>(),
     ) {
         let (mut first, mut second) = (Registry::new(), Registry::new());
-        let (mut plans, mut wall, mut graces) = (BTreeMap::<String, Plan>::new(), 0, BTreeMap::new());
+        let (mut plans, mut wall, mut plan_set_at) = (BTreeMap::<String, Plan>::new(), 0, BTreeMap::new());
         let mut contents: BTreeMap<(String, u64), [u8; 32]> = BTreeMap::new();
         let restart = restart_at.index(actions.len());
-        for (step, (action, later)) in actions.into_iter().enumerate() {
-            wall += later;
+        for (step, (action, elapsed)) in actions.into_iter().enumerate() {
+            wall += elapsed;
             let command = command(&first, &plans, action);
-            let command = Command::unpack(&command.pack()).expect("packs and unpacks");
+            let command = Command::unpack(&command.pack()).expect("encodes and decodes");
             if let Command::Plan { client, plan: Some(plan), .. } = &command {
                 plans.insert(client.clone(), (**plan).clone());
-                graces.insert(client.clone(), wall);
+                plan_set_at.insert(client.clone(), wall);
             }
             if let Command::Drop { client } = &command {
                 plans.remove(client);
             }
-            let seen = first.preview(wall, &command);
+            let predicted = first.preview(wall, &command);
             let before = command.client().and_then(|c| first.desired(c));
             let out = first.apply(wall, &command);
             prop_assert_eq!(&out, &second.apply(wall, &command));
-            prop_assert_eq!(&out.reply, &seen.reply);
-            // A member that starts again from its snapshot goes on as the others do.
+            prop_assert_eq!(&out.reply, &predicted.reply);
+            // A member that restarts from its snapshot continues like the others.
             if step == restart {
                 second = Registry::restore(&second.snapshot()).expect("its own");
             }
@@ -114,9 +119,9 @@
                 let RuleSet { version, rules } = &*changed.set;
                 let content = rules_digest(rules);
                 let known = contents.entry((changed.client.clone(), *version)).or_insert(content);
-                prop_assert_eq!(*known, content, "one number, one content");
+                prop_assert_eq!(*known, content, "one content per version number");
             }
-            // Once more, at once: nothing comes of it a second time.
+            // The same command repeated at once has no further effect.
             if let Command::Submit { .. } | Command::Back { .. } = &command
                 && let Reply::Approved { version } | Reply::Waiting { version } = &out.reply
             {
@@ -134,8 +139,8 @@
                 let notices = first.notices(client);
                 let unread = notices.iter().any(|n| n.why.contains("can't be read"));
                 if !beyond(&set.rules, plan).is_empty() && !unread {
-                    // Beyond the plan only within the grace, and its owner knows.
-                    prop_assert!(wall < graces[client] + plan.grace);
+                    // Rules exceed the plan only within the grace period, and the owner is notified.
+                    prop_assert!(wall < plan_set_at[client] + plan.grace);
                     prop_assert!(notices.iter().any(|n| n.until.is_some()));
                 } else if !unread {
                     prop_assert!(check(&set.rules, plan).is_empty());
@@ -154,7 +159,7 @@
         let list = |rules: &BTreeMap<String, Rule>| rules.values().cloned().collect::<Vec<_>>();
         let merged = merge(&list(&base), &list(&first), &list(&second));
         let other = merge(&list(&base), &list(&second), &list(&first));
-        prop_assert_eq!(&merged, &other, "whoever comes first");
+        prop_assert_eq!(&merged, &other, "the same in either order");
         let touched = |by: &BTreeMap<String, Rule>, name: &str| by.get(name) != base.get(name);
         let names: Vec<&str> = ["a", "b", "c", "d", "e", "f"].to_vec();
         let both: Vec<String> = names.iter()
--- a/crates/rules/tests/rule_conflicts.rs
+++ b/crates/rules/tests/rule_conflicts.rs
@@ -1,4 +1,5 @@
-//! What is found of rules among each other, beside a matcher that tries every message over a small alphabet.
+//! Findings on conflicting and redundant rules, compared with an exhaustive search over messages from a small
+//! alphabet.
 
 mod common;
 
@@ -8,7 +9,8 @@
 use heronroute_rules::{Field, Rule};
 use proptest::prelude::*;
 
-/// Messages of every kind that `any_rules` tells apart, with letters and a class that no rule has.
+/// All messages that rules from `any_rules` treat differently, including letters and a class that no rule
+/// has.
 fn messages() -> Vec<(&'static str, String, String)> {
     let words = |letters: &[&str], most: usize| {
         let mut all = vec![String::new()];
@@ -25,7 +27,7 @@
         .collect()
 }
 
-/// The rule that sets a figure for a message: by looking at all.
+/// Returns the rule that sets a limit for a message, by looking at all rules.
 fn setter<'a>(
     rules: &[&'a Rule],
     field: Field,
@@ -36,7 +38,8 @@
     rules.iter().filter(sets).max_by_key(|r| specificity(r)).copied()
 }
 
-/// A message to which a rule makes a difference, if there is one: another figure, or one that is counted apart.
+/// Returns a message for which a rule makes a difference, if any: another limit, or one that is counted
+/// separately.
 fn affected_message<'a>(
     all: &'a [(&'static str, String, String)],
     rules: &[Rule],
@@ -53,13 +56,13 @@
     })
 }
 
-/// Names found, by what is said of them.
+/// Returns the names of the rules whose finding contains a word.
 fn found(rules: &[Rule], word: &str) -> Vec<String> {
     let findings = check(rules, &unlimited_plan());
     findings.list.into_iter().filter(|f| f.why.contains(word)).map(|f| f.rule).collect()
 }
 
-/// Rules of one figure or two, with names of their own, close to each other: most of them overlap.
+/// Rules with unique names and one or two limits, most of which overlap.
 fn overlapping_rules() -> impl Strategy<Value = Vec<Rule>> {
     prop_oneof![rules_over("(A|B)?", "[01]{0,2}", "[xy]{0,1}"), rules_over("A?", "0{0,2}", "x?")]
 }
@@ -95,21 +98,21 @@
         .filter(|(i, r)| rules[..*i].iter().any(|o| same_match(o, r)))
         .map(|(_, r)| r)
         .collect();
-    // One that never matches first, with a twin or without.
+    // Every rule, or its duplicate, is the most specific one for some message.
     for rule in rules {
         let whole: Vec<&Rule> = rules.iter().collect();
         let first = all.iter().any(|(class, to, key)| {
             let fits = |r: &&&Rule| matches(r, class, to.as_bytes(), key.as_bytes());
             whole.iter().filter(fits).max_by_key(|r| specificity(r)).is_some_and(|r| same_match(r, rule))
         });
-        prop_assert!(first, "{} is never asked first", rule.name);
+        prop_assert!(first, "{} is never the most specific", rule.name);
     }
     let reported: Vec<String> = [found(rules, "same match"), found(rules, "contradicts")].concat();
     for rule in rules {
         let is_duplicate = duplicates.iter().any(|t| t.name == rule.name);
-        prop_assert_eq!(is_duplicate, reported.contains(&rule.name), "{} has a twin", rule.name);
+        prop_assert_eq!(is_duplicate, reported.contains(&rule.name), "{} has a duplicate", rule.name);
     }
-    // Two of one match that set one figure otherwise contradict.
+    // Two rules with the same match that set a limit differently contradict each other.
     for (i, rule) in rules.iter().enumerate() {
         let Some(before) = rules[..i].iter().rev().find(|o| same_match(o, rule)) else { continue };
         let contradicts = Field::ALL
@@ -131,13 +134,13 @@
 proptest! {
     #![proptest_config(cases(240))]
 
-    /// Twins, contradictions and rules that say nothing new: all of them are found, and nothing else is.
+    /// All duplicates, contradictions and redundant rules are found, and nothing else.
     #[test]
     fn findings_match_an_exhaustive_search(rules in any_rules()) {
         check_findings(&with_unique_names(rules))?;
     }
 
-    /// A lowered plan makes rules alike; those that say nothing new go out together, and nothing changes by that.
+    /// A lowered plan makes limits equal; removing all redundant rules at once changes nothing.
     #[test]
     fn removing_redundant_rules_together_changes_nothing(rules in overlapping_rules(), most in 1..3u64) {
         let spans = rules.into_iter().map(|mut r| { r.figures.hold_count = None; r });
--- a/crates/rules/tests/share.rs
+++ b/crates/rules/tests/share.rs
@@ -1,4 +1,4 @@
-//! What all members together get of a figure that is for all of them.
+//! The shares of all members of a limit for the whole installation.
 
 mod common;
 
@@ -16,14 +16,14 @@
     RuleSet { version: 1, rules: vec![Rule { name: "r".into(), figures, ..Rule::default() }] }
 }
 
-/// What a sender of a member has, as the installation and the sender itself divide it.
+/// Returns what a sender has, as the installation and the sender itself divide it.
 fn sender_share(whole: &RuleSet, field: Field, turn: Turn, sender: usize) -> u64 {
     let mine = share(whole, turn.place as usize, turn.members as usize);
     let mine = if turn.is_home("c", sender) { mine } else { away(&mine) };
     field.get(&mine.rules[0].figures).expect("set")
 }
 
-/// Any figure, most of them near the numbers of members and senders.
+/// Any value, mostly near the numbers of members and senders.
 fn any_value() -> impl Strategy<Value = u64> {
     prop_oneof![0..4u64, 0..600u64, 0..5_000u64, any::<u64>().prop_map(|n| n >> 23)]
 }
@@ -36,7 +36,7 @@
     assert_eq!([row(0, 2), row(2, 2)], [[1, 1, 0, 1, 1, 0], [0, 1, 1, 0, 1, 1]]);
     assert_eq!(row(1, 7), [2, 3, 2, 2, 3, 2]);
     assert_eq!(Turn::default().part(7, 1), 7);
-    // Numbers that no settings give.
+    // Values that settings never produce.
     let odd = Turn { place: 9, members: 0, senders: 0 };
     assert_eq!((odd.part(u64::MAX, i64::MAX), odd.part(5, i64::MIN)), (u64::MAX, 5));
 }
@@ -44,7 +44,8 @@
 proptest! {
     #![proptest_config(cases(256))]
 
-    /// Counts and octets: all senders of all members have just the figure, and each member's is all at the client's home.
+    /// Counts and sizes: the shares of all members add up to the limit, and each member's share is all at the
+    /// client's home.
     #[test]
     fn shares_add_up_to_the_value(value in any_value(), members in 1u32..=9, senders in prop::collection::vec(1u32..=8, 9)) {
         for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
@@ -54,23 +55,23 @@
                 let turn = Turn { place, members, senders: *senders };
                 let all: Vec<u64> = (0..*senders as usize).map(|s| sender_share(&whole, field, turn, s)).collect();
                 let own = field.get(&share(&whole, place as usize, members as usize).rules[0].figures);
-                prop_assert_eq!(Some(all[home("c", all.len())]), own, "all of the process's share");
+                prop_assert_eq!(Some(all[home("c", all.len())]), own, "the home has the whole share of the process");
                 prop_assert_eq!(Some(all.iter().sum::<u64>()), own);
                 sum += all.iter().sum::<u64>();
                 without += usize::from(own == Some(0));
             }
             prop_assert_eq!(sum, value, "{}", field.name());
             let notes = thin(&whole, members as usize);
-            prop_assert_eq!(notes.len(), usize::from(without > 0 && value > 0), "told where some have none");
+            prop_assert_eq!(notes.len(), usize::from(without > 0 && value > 0), "a notice if some members have none");
             if let Some(note) = notes.first() {
                 prop_assert!(note.why.contains(&format!(": {without} of them have none")), "{}", note.why);
-                prop_assert!(thin(&rules_with(field, u64::from(members)), members as usize).is_empty(), "what would fit");
+                prop_assert!(thin(&rules_with(field, u64::from(members)), members as usize).is_empty(), "the suggested value is accepted");
             }
         }
-        prop_assert_eq!(share(&rules_with(Field::Release, value), 0, 3), rules_with(Field::Release, value), "a pace stays whole");
+        prop_assert_eq!(share(&rules_with(Field::Release, value), 0, 3), rules_with(Field::Release, value), "a rate stays whole");
     }
 
-    /// Spans hold for all alike, and what a sender that is not the home applies has the same fields set.
+    /// Durations are the same for all, and a sender that is not the home has the same fields set.
     #[test]
     fn senders_other_than_the_home_have_empty_shares(values in prop::collection::vec(prop::option::of(any_value()), Field::COUNT)) {
         let mut whole = rules_with(Field::Validity, 1);
@@ -83,8 +84,8 @@
         prop_assert_eq!(away(&other), other);
     }
 
-    /// A pace: in each second of the day all senders together have just the pace; over as many seconds as there are members
-    /// none has more than one more than another.
+    /// Rates: in each second the parts of all senders add up to the rate, and over as many seconds as there
+    /// are members the members' totals differ by at most one.
     #[test]
     fn rate_shares_add_up_in_each_second(
         rate in any_value(), members in 1u32..=500, senders in 1u32..=8, from in 0i64..4_000_000_000, within in 0..SECOND,
--- a/crates/rules/tests/table.rs
+++ b/crates/rules/tests/table.rs
@@ -1,4 +1,4 @@
-//! Look-ups against the plain reading of the order.
+//! Lookups compared with a reference implementation.
 
 mod common;
 
@@ -8,14 +8,14 @@
 use proptest::prelude::*;
 use std::time::Instant;
 
-/// Sorts all rules that match, and takes each figure from the first that sets it.
+/// Sorts all matching rules and takes each limit from the first one that sets it.
 fn reference_lookup(rules: &[Rule], class: &str, to: &[u8], key: &[u8]) -> Effective {
-    let mut fit: Vec<(usize, &Rule)> =
+    let mut matching: Vec<(usize, &Rule)> =
         rules.iter().enumerate().filter(|(_, r)| matches(r, class, to, key)).collect();
-    fit.sort_by_key(|(at, rule)| (std::cmp::Reverse(specificity(rule)), *at));
-    let mut out = Effective { rule: fit.first().map(|(at, _)| *at as u16), ..Effective::default() };
+    matching.sort_by_key(|(at, rule)| (std::cmp::Reverse(specificity(rule)), *at));
+    let mut out = Effective { rule: matching.first().map(|(at, _)| *at as u16), ..Effective::default() };
     for field in Field::ALL {
-        if let Some((at, rule)) = fit.iter().find(|(_, r)| field.get(&r.figures).is_some()) {
+        if let Some((at, rule)) = matching.iter().find(|(_, r)| field.get(&r.figures).is_some()) {
             field.set(&mut out.figures, field.get(&rule.figures));
             out.from[field as usize] = Some(*at as u16);
         }
@@ -33,9 +33,9 @@
         let mut seen = std::collections::BTreeSet::new();
         rules.retain(|r| seen.insert((r.to.clone(), r.class.clone(), r.key.clone())));
         let found = Table::new(&rules).look(&class, to.as_bytes(), key.as_bytes());
-        let plain = reference_lookup(&rules, &class, to.as_bytes(), key.as_bytes());
-        prop_assert_eq!(&found, &plain);
-        // Of some fields it says the same, of others nothing.
+        let expected = reference_lookup(&rules, &class, to.as_bytes(), key.as_bytes());
+        prop_assert_eq!(&found, &expected);
+        // A table of some fields returns the same values for these, and none for the others.
         for some in [&Field::ALL[..4], &Field::ALL[4..]] {
             let of = Table::of(&rules, some).look(&class, to.as_bytes(), key.as_bytes());
             for field in Field::ALL {
@@ -49,15 +49,15 @@
 #[test]
 fn the_most_specific_rule_wins_field_by_field() {
     let unlimited_plan = Rule { class: String::new(), ..rule("wide", "0", 5) };
-    let mut near = rule("near", "000001", 7);
-    near.figures.release = Some(3);
+    let mut narrow = rule("near", "000001", 7);
+    narrow.figures.release = Some(3);
     let keyed = Rule {
         name: "keyed".into(),
         key: "k".into(),
         figures: Figures { hold_for: Some(9), ..Figures::default() },
-        ..near.clone()
+        ..narrow.clone()
     };
-    let table = Table::new(&[unlimited_plan, near, keyed]);
+    let table = Table::new(&[unlimited_plan, narrow, keyed]);
     let at = |class: &str, to: &str, key: &str| {
         let found = table.look(class, to.as_bytes(), key.as_bytes());
         (
@@ -72,7 +72,8 @@
     assert_eq!(at("RESP", "1", ""), (None, None, String::new()));
 }
 
-/// With `HERONROUTE_LONG=1` in release: `cargo test --release -p heronroute-rules --test table -- --nocapture`.
+/// With `HERONROUTE_LONG=1` in release mode:
+/// `cargo test --release -p heronroute-rules --test table -- --nocapture`.
 #[test]
 fn lookup_cost_does_not_grow_with_1000_rules() {
     if std::env::var("HERONROUTE_LONG").is_err() {
@@ -83,7 +84,7 @@
     for count in [0u64, 1, 10, 100, 1_000] {
         let rules: Vec<Rule> = (0..count).map(|i| rule(&format!("r{i}"), &prefix(i), 60 * MINUTE)).collect();
         let table = Table::new(&rules);
-        // Every address falls under one of the rules, in no order.
+        // Every address matches one of the rules, in no particular order.
         let address =
             |i: u64| format!("{}{:02}", prefix(i.wrapping_mul(0x9E37_79B9) % count.max(1)), i % 100);
         let ask: Vec<String> = (0..10_000).map(address).collect();
@@ -96,7 +97,7 @@
             }
             least = least.min(start.elapsed().as_nanos() as f64 / ask.len() as f64);
         }
-        println!("{count} rules: {least:.1} ns a look-up");
+        println!("{count} rules: {least:.1} ns per lookup");
         best.push(least);
     }
     assert!(best[4] < best[1] * 3.0, "{best:?}");
