--- a/crates/rules/src/digest.rs
+++ b/crates/rules/src/digest.rs
@@ -66,7 +66,7 @@
         for part in [&rule.name, &rule.class, &rule.to, &rule.key] {
             hash_text(hash, part);
         }
-        hash_figures(hash, &rule.figures);
+        hash_limits(hash, &rule.figures);
     }
 }
 
@@ -79,13 +79,13 @@
         hash.update((list.len() as u64).to_be_bytes());
         list.into_iter().for_each(|each| hash_text(hash, each));
     }
-    hash_figures(hash, &plan.most);
+    hash_limits(hash, &plan.most);
     hash.update(plan.changes_an_hour.to_be_bytes());
     hash.update([u8::from(plan.approval)]);
     hash.update(plan.grace.to_be_bytes());
 }
 
-fn hash_figures(hash: &mut Sha256, figures: &crate::Figures) {
+fn hash_limits(hash: &mut Sha256, figures: &crate::Figures) {
     for field in Field::ALL {
         match field.raw(figures) {
             Some(value) => {
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -47,6 +47,7 @@
     /// The key prefix to match; empty: any.
     pub key: String,
     /// The limits that the rule sets.
+    #[serde(rename = "figures")]
     pub figures: Figures,
 }
 
--- a/crates/rules/src/registry/mod.rs
+++ b/crates/rules/src/registry/mod.rs
@@ -95,8 +95,9 @@
                 .update(client, changed, |c, context| c.submit(*request, *base, rules, context))
                 .unwrap_or_else(no_plan),
             Command::Back { client, version, request } => {
-                let back = self.update(client, changed, |c, context| c.back(*request, *version, context));
-                back.unwrap_or_else(no_plan)
+                let reply =
+                    self.update(client, changed, |c, context| c.roll_back(*request, *version, context));
+                reply.unwrap_or_else(no_plan)
             }
             Command::Approve { client, version, by } => self
                 .update(client, changed, |c, context| c.approve(*version, by, context))
--- a/crates/rules/src/registry/submit.rs
+++ b/crates/rules/src/registry/submit.rs
@@ -53,7 +53,7 @@
         self.propose(Change { request, content, rules, origin: Origin::Client }, context)
     }
 
-    pub(super) fn back(&mut self, request: Digest, version: u64, context: ChangeContext<'_>) -> Reply {
+    pub(super) fn roll_back(&mut self, request: Digest, version: u64, context: ChangeContext<'_>) -> Reply {
         let content = digest_parts("back to", &[&version.to_be_bytes()]);
         if let Some(reply) = self.earlier_reply(request, content).or_else(|| self.unavailable()) {
             return reply;
