--- a/crates/rules/src/limits.rs
+++ b/crates/rules/src/limits.rs
@@ -7,8 +7,8 @@
 pub const BODY: usize = 64 * 1024;
 /// The maximum number of rules of a client, whatever its plan allows.
 pub const MAX_RULES: usize = 1_024;
-/// The maximum encoded size of a client's rules, in bytes. It is below the 64 KiB of a log entry, to leave room for the
-/// rest of the command.
+/// The maximum encoded size of a client's rules, in bytes. It is below the 64 KiB of a log entry, to leave
+/// room for the rest of the command.
 pub const SET_OCTETS: u64 = 48 * 1024;
 /// The maximum length of a rule's name.
 pub const MAX_RULE_NAME_CHARS: usize = 32;
--- a/crates/rules/src/registry/view.rs
+++ b/crates/rules/src/registry/view.rs
@@ -72,8 +72,7 @@
 
 impl Registry {
     /// Returns a client's rules to those who may see them: the client itself and operators. Returns none for
-    /// an unknown client and for a client that the viewer may not see alike; a client's own view always
-    /// exists.
+    /// an unknown client and likewise for one that the viewer may not see; a client's own view always exists.
     pub fn view(&self, viewer: Viewer<'_>, client: &str) -> Option<View> {
         if !viewer.operator && viewer.client != client {
             return None;
@@ -125,7 +124,7 @@
             plan: self.plan.name.clone(),
             waiting: waits.map(|(number, _)| *number).collect(),
             notices: self.notices(),
-            versions: self.versions.iter().map(|(number, v)| past(*number, v)).collect(),
+            versions: self.versions.iter().map(|(number, v)| version_info(*number, v)).collect(),
         }
     }
 
@@ -160,7 +159,7 @@
     }
 }
 
-fn past(version: u64, kept: &super::client::Version) -> VersionInfo {
+fn version_info(version: u64, kept: &super::client::Version) -> VersionInfo {
     let (state, why) = match &kept.stage {
         Stage::Waiting => ("waiting", ""),
         Stage::Desired => ("approved", ""),
--- a/crates/rules/src/share.rs
+++ b/crates/rules/src/share.rs
@@ -6,8 +6,8 @@
 //! together than the rate allows.
 //!
 //! Within a process nothing is divided. All sessions of a client are at its home among the senders
-//! ([`mod@crate::home`]), together with its names, answers and held messages, so the home has the whole share of the
-//! process and the other senders have none.
+//! ([`mod@crate::home`]), together with its names, answers and held messages, so the home has the whole share
+//! of the process and the other senders have none.
 
 use crate::Micros;
 use crate::field::Field;
--- a/crates/rules/tests/check.rs
+++ b/crates/rules/tests/check.rs
@@ -73,10 +73,10 @@
         let mut rule =
             Rule { name: format!("{i:04}{}", "\u{10FFFF}".repeat(28)), class, to, key, ..Rule::default() };
         for field in Field::ALL {
-            let span = (limits::MAX_DURATION - 9_999 + i as i64) as u64;
+            let duration = (limits::MAX_DURATION - 9_999 + i as i64) as u64;
             field.set(
                 &mut rule.figures,
-                Some(if field.is_summed() { limits::MAX_COUNT - i as u64 } else { span }),
+                Some(if field.is_summed() { limits::MAX_COUNT - i as u64 } else { duration }),
             );
         }
         rule.figures.hold_octets = Some(limits::MAX_SIZE_BYTES - i as u64);
@@ -200,7 +200,7 @@
     /// A rule that is not reported as redundant makes a difference for some message.
     #[test]
     fn a_rule_without_effect_is_found_redundant(rules in any_rules()) {
-        let spans = |r: &Rule| Field::ALL.iter().all(|f| !f.is_summed() || f.get(&r.figures).is_none());
+        let only_durations = |r: &Rule| Field::ALL.iter().all(|f| !f.is_summed() || f.get(&r.figures).is_none());
         let rules: Vec<Rule> = valid_rules(rules, &unlimited_plan()).into_iter().collect();
         let whole = Table::new(&rules);
         for at in 0..rules.len() {
@@ -209,7 +209,7 @@
             let table = Table::new(&less);
             let differs = all_messages().into_iter()
                 .any(|(c, t, k)| whole.look(c, &t, &k).figures != table.look(c, &t, &k).figures);
-            prop_assert!(differs || !spans(&rules[at]), "{:?} changes nothing and was not reported", rules[at]);
+            prop_assert!(differs || !only_durations(&rules[at]), "{:?} changes nothing and was not reported", rules[at]);
         }
     }
 }
--- a/crates/rules/tests/rule_conflicts.rs
+++ b/crates/rules/tests/rule_conflicts.rs
@@ -100,10 +100,10 @@
         .collect();
     // Every rule, or its duplicate, is the most specific one for some message.
     for rule in rules {
-        let whole: Vec<&Rule> = rules.iter().collect();
+        let all_rules: Vec<&Rule> = rules.iter().collect();
         let first = all.iter().any(|(class, to, key)| {
             let fits = |r: &&&Rule| matches(r, class, to.as_bytes(), key.as_bytes());
-            whole.iter().filter(fits).max_by_key(|r| specificity(r)).is_some_and(|r| same_match(r, rule))
+            all_rules.iter().filter(fits).max_by_key(|r| specificity(r)).is_some_and(|r| same_match(r, rule))
         });
         prop_assert!(first, "{} is never the most specific", rule.name);
     }
@@ -143,9 +143,9 @@
     /// A lowered plan makes limits equal; removing all redundant rules at once changes nothing.
     #[test]
     fn removing_redundant_rules_together_changes_nothing(rules in overlapping_rules(), most in 1..3u64) {
-        let spans = rules.into_iter().map(|mut r| { r.figures.hold_count = None; r });
+        let durations_only = rules.into_iter().map(|mut r| { r.figures.hold_count = None; r });
         let mut rules: Vec<Rule> = Vec::new();
-        spans.for_each(|r| if !rules.iter().any(|o| same_match(o, &r)) { rules.push(r) });
+        durations_only.for_each(|r| if !rules.iter().any(|o| same_match(o, &r)) { rules.push(r) });
         let mut plan = unlimited_plan();
         Field::HoldFor.set(&mut plan.most, Some(most));
         let cut = cut(&Cut { rules: rules.clone(), ..Cut::default() }, &plan).rules;
@@ -160,8 +160,8 @@
     #[test]
     fn findings_on_overlapping_rules_match_an_exhaustive_search(rules in overlapping_rules()) {
         check_findings(&rules)?;
-        let mut alone: Vec<Rule> = Vec::new();
-        rules.into_iter().for_each(|r| if !alone.iter().any(|o| same_match(o, &r)) { alone.push(r) });
-        check_findings(&alone)?;
+        let mut without_duplicates: Vec<Rule> = Vec::new();
+        rules.into_iter().for_each(|r| if !without_duplicates.iter().any(|o| same_match(o, &r)) { without_duplicates.push(r) });
+        check_findings(&without_duplicates)?;
     }
 }
--- a/crates/rules/tests/table.rs
+++ b/crates/rules/tests/table.rs
@@ -36,11 +36,11 @@
         let expected = reference_lookup(&rules, &class, to.as_bytes(), key.as_bytes());
         prop_assert_eq!(&found, &expected);
         // A table of some fields returns the same values for these, and none for the others.
-        for some in [&Field::ALL[..4], &Field::ALL[4..]] {
-            let of = Table::of(&rules, some).look(&class, to.as_bytes(), key.as_bytes());
+        for fields in [&Field::ALL[..4], &Field::ALL[4..]] {
+            let partial = Table::of(&rules, fields).look(&class, to.as_bytes(), key.as_bytes());
             for field in Field::ALL {
-                let same = if some.contains(&field) { (field.get(&found.figures), found.by(field)) } else { (None, None) };
-                prop_assert_eq!((field.get(&of.figures), of.by(field)), same);
+                let expected = if fields.contains(&field) { (field.get(&found.figures), found.by(field)) } else { (None, None) };
+                prop_assert_eq!((field.get(&partial.figures), partial.by(field)), expected);
             }
         }
     }
@@ -48,16 +48,16 @@
 
 #[test]
 fn the_most_specific_rule_wins_field_by_field() {
-    let unlimited_plan = Rule { class: String::new(), ..rule("wide", "0", 5) };
-    let mut narrow = rule("near", "000001", 7);
-    narrow.figures.release = Some(3);
+    let wide_rule = Rule { class: String::new(), ..rule("wide", "0", 5) };
+    let mut narrow_rule = rule("near", "000001", 7);
+    narrow_rule.figures.release = Some(3);
     let keyed = Rule {
         name: "keyed".into(),
         key: "k".into(),
         figures: Figures { hold_for: Some(9), ..Figures::default() },
-        ..narrow.clone()
+        ..narrow_rule.clone()
     };
-    let table = Table::new(&[unlimited_plan, narrow, keyed]);
+    let table = Table::new(&[wide_rule, narrow_rule, keyed]);
     let at = |class: &str, to: &str, key: &str| {
         let found = table.look(class, to.as_bytes(), key.as_bytes());
         (
@@ -87,15 +87,17 @@
         // Every address matches one of the rules, in no particular order.
         let address =
             |i: u64| format!("{}{:02}", prefix(i.wrapping_mul(0x9E37_79B9) % count.max(1)), i % 100);
-        let ask: Vec<String> = (0..10_000).map(address).collect();
-        assert!(count == 0 || ask.iter().all(|to| table.look("RESP", to.as_bytes(), b"").rule.is_some()));
+        let addresses: Vec<String> = (0..10_000).map(address).collect();
+        assert!(
+            count == 0 || addresses.iter().all(|to| table.look("RESP", to.as_bytes(), b"").rule.is_some())
+        );
         let mut least = f64::MAX;
         for _ in 0..50 {
             let start = Instant::now();
-            for to in &ask {
+            for to in &addresses {
                 std::hint::black_box(table.look("RESP", to.as_bytes(), b"key"));
             }
-            least = least.min(start.elapsed().as_nanos() as f64 / ask.len() as f64);
+            least = least.min(start.elapsed().as_nanos() as f64 / addresses.len() as f64);
         }
         println!("{count} rules: {least:.1} ns per lookup");
         best.push(least);
