--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Responsibilities: holds plans and each client's rules ([`model`]) and converts them from and to JSON
 //! ([`json`], [`units`]); checks rules against a plan and against each other, with findings, and counts what
-//! a change would drop ([`check`]); takes drafts through to the desired version ([`registry`]), identically on
-//! every member that applies the same commands in the same order; looks up the limits for one message
+//! a change would drop ([`check`]); takes drafts through to the desired version ([`registry`]), identically
+//! on every member that applies the same commands in the same order; looks up the limits for one message
 //! ([`table`]); computes the digests by which members are compared ([`mod@digest`]).
 //!
 //! Decisions: what a plan allows, which of two concurrent edits is a conflict, what a lowered plan cuts and
