--- a/crates/config/src/check/plans.rs
+++ b/crates/config/src/check/plans.rs
@@ -4,7 +4,7 @@
 use super::receivers::is_prefix;
 use crate::raw;
 use heronroute::Micros;
-use heronroute_rules::{Figures, Plan};
+use heronroute_rules::{Plan, RuleLimits};
 use std::collections::BTreeSet;
 
 const MOST_RULES: u32 = 10_000;
@@ -62,14 +62,14 @@
         rules: c.count(&path("rules"), p.rules, 16, MOST_RULES) as usize,
         classes: p.class.clone(),
         prefixes: p.prefix.clone(),
-        most: figures(c, at, p),
+        most: limits(c, at, p),
         changes_an_hour: c.count(&path("changes_an_hour"), p.changes_an_hour, 20, 100_000),
         approval: p.approval,
         grace: c.span(&path("grace"), &p.grace, 86_400_000_000, 0),
     }
 }
 
-fn figures(c: &mut Check, at: &str, p: &raw::Plan) -> Figures {
+fn limits(c: &mut Check, at: &str, p: &raw::Plan) -> RuleLimits {
     let octets = c.size(&format!("{at}.hold_octets"), &p.hold_octets, 0, 1);
     if octets > MOST_OCTETS {
         c.say(&format!("{at}.hold_octets"), format!("\"{}\" is too large: at most 1024GiB", p.hold_octets));
@@ -84,7 +84,7 @@
         let count = c.count(&format!("{at}.{field}"), value, 0, most);
         (count > 0).then_some(u64::from(count))
     };
-    Figures {
+    RuleLimits {
         answer_for,
         remember,
         remembered: count("remembered", p.remembered, MOST_COUNT),
--- a/crates/contracts/src/member/clauses.rs
+++ b/crates/contracts/src/member/clauses.rs
@@ -6,7 +6,7 @@
 use crate::suite::Clause;
 use heronroute_fleet::{Life, Micros, Start};
 use heronroute_installation::seam::{Input, Member, Output};
-use heronroute_rules::seam::{Ask, Token, Told};
+use heronroute_rules::seam::{ClientRequest, Token, Told};
 
 type Of<'a> = &'a dyn Joining;
 
@@ -67,8 +67,8 @@
         self.asked += 1;
         let token = Token { sender: 0, conn: 1, token: self.asked };
         let words = topic.split('/').map(str::to_string).collect();
-        let ask = Ask { token, client: CLIENT.into(), words, body: body.as_bytes().to_vec() };
-        (token, self.give(Input::Ask(ask)))
+        let ask = ClientRequest { token, client: CLIENT.into(), words, body: body.as_bytes().to_vec() };
+        (token, self.give(Input::ClientRequest(ask)))
     }
 
     fn answers(&self, token: Token) -> usize {
--- a/crates/contracts/src/member/wrong.rs
+++ b/crates/contracts/src/member/wrong.rs
@@ -43,8 +43,10 @@
         if input == Input::Tick {
             out.append(&mut self.later);
         }
-        let (linked, mute) =
-            (matches!(input, Input::Linked { .. }), matches!(&input, Input::Ask(a) if a.words.len() < 2));
+        let (linked, mute) = (
+            matches!(input, Input::Linked { .. }),
+            matches!(&input, Input::ClientRequest(a) if a.words.len() < 2),
+        );
         let small = matches!(&input, Input::Message { payload, .. } if payload.len() < 200 && payload.first().is_some_and(|o| *o < 3));
         let mut all = Vec::new();
         self.inner.handle(now, wall, input, &mut all);
--- a/crates/drift/src/content.rs
+++ b/crates/drift/src/content.rs
@@ -5,7 +5,7 @@
 //! rule the same.
 
 use crate::Digest;
-use heronroute_rules::{Figures, Rule};
+use heronroute_rules::{Rule, RuleLimits};
 use sha2::{Digest as _, Sha256};
 
 /// The digest of rules, whatever the order they stand in. The version is not part of it.
@@ -36,7 +36,7 @@
             hash.update(text.as_bytes());
         }
         // Taken apart by name: a figure that is added later fails to build here instead of going unseen.
-        let Figures {
+        let RuleLimits {
             answer_for,
             remember,
             remembered,
@@ -46,7 +46,7 @@
             trails,
             validity,
             release,
-        } = &rule.figures;
+        } = &rule.limits;
         let spans = [answer_for, remember, hold_for, validity].map(|span| span.map(|s| s as u64));
         let counts = [remembered, hold_count, hold_octets, trails, release].map(|count| *count);
         for figure in spans.into_iter().chain(counts) {
--- a/crates/drift/tests/sim/mod.rs
+++ b/crates/drift/tests/sim/mod.rs
@@ -11,7 +11,7 @@
 
 use heronroute_drift::*;
 use heronroute_fleet::{Life, Name, Standing, Start, Term};
-use heronroute_rules::{Figures, Rule, RuleSet};
+use heronroute_rules::{Rule, RuleLimits, RuleSet};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -26,8 +26,8 @@
 pub type Set = (u64, i64);
 
 pub fn rules((version, salt): Set) -> RuleSet {
-    let figures = Figures { hold_for: Some(version as i64 * 1000 + salt), ..Figures::default() };
-    let rule = Rule { name: "r".into(), class: "RESP".into(), figures, ..Rule::default() };
+    let limits = RuleLimits { hold_for: Some(version as i64 * 1000 + salt), ..RuleLimits::default() };
+    let rule = Rule { name: "r".into(), class: "RESP".into(), limits, ..Rule::default() };
     RuleSet { version, rules: vec![rule] }
 }
 
--- a/crates/drift/tests/trees.rs
+++ b/crates/drift/tests/trees.rs
@@ -4,7 +4,7 @@
 use heronroute_drift::tree::{BUCKET, FAN, Path, Tree, diff};
 use heronroute_drift::*;
 use heronroute_fleet::{Life, Name, Standing, Start, Term};
-use heronroute_rules::{Figures, Rule};
+use heronroute_rules::{Rule, RuleLimits};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -59,19 +59,19 @@
 /// Under postcard `hold_for: 5` and `validity: 5` are the same octets, as fields that are not set are left out.
 #[test]
 fn a_figure_under_another_name_is_another_content() {
-    let rule = |figures| [Rule { name: "r".into(), figures, ..Rule::default() }];
+    let rule = |limits| [Rule { name: "r".into(), limits, ..Rule::default() }];
     let ones = [
-        Figures { answer_for: Some(5), ..Figures::default() },
-        Figures { remember: Some(5), ..Figures::default() },
-        Figures { remembered: Some(5), ..Figures::default() },
-        Figures { hold_for: Some(5), ..Figures::default() },
-        Figures { hold_count: Some(5), ..Figures::default() },
-        Figures { hold_octets: Some(5), ..Figures::default() },
-        Figures { trails: Some(5), ..Figures::default() },
-        Figures { validity: Some(5), ..Figures::default() },
-        Figures { release: Some(5), ..Figures::default() },
-        Figures { release: Some(0), ..Figures::default() },
-        Figures::default(),
+        RuleLimits { answer_for: Some(5), ..RuleLimits::default() },
+        RuleLimits { remember: Some(5), ..RuleLimits::default() },
+        RuleLimits { remembered: Some(5), ..RuleLimits::default() },
+        RuleLimits { hold_for: Some(5), ..RuleLimits::default() },
+        RuleLimits { hold_count: Some(5), ..RuleLimits::default() },
+        RuleLimits { hold_octets: Some(5), ..RuleLimits::default() },
+        RuleLimits { trails: Some(5), ..RuleLimits::default() },
+        RuleLimits { validity: Some(5), ..RuleLimits::default() },
+        RuleLimits { release: Some(5), ..RuleLimits::default() },
+        RuleLimits { release: Some(0), ..RuleLimits::default() },
+        RuleLimits::default(),
     ];
     let digests: BTreeSet<Digest> = ones.iter().map(|one| content::digest(&rule(one.clone()))).collect();
     assert_eq!(digests.len(), ones.len());
--- a/crates/engine/benches/node.rs
+++ b/crates/engine/benches/node.rs
@@ -9,7 +9,7 @@
 use heronroute_engine::front::Speaks;
 use heronroute_engine::{Gone, Node, Output, Start};
 use heronroute_rules::seam::Apply;
-use heronroute_rules::{Figures, Plan, Rule, RuleSet};
+use heronroute_rules::{Plan, Rule, RuleLimits, RuleSet};
 use heronroute_smpp::client;
 use heronroute_smpp::server::{Event, Limits, Mode, Session};
 use heronroute_smpp::submission::{Submission, Wanted};
@@ -128,7 +128,7 @@
                     Output::Keep(_)
                     | Output::Journal(_)
                     | Output::Live(_)
-                    | Output::Ask(_)
+                    | Output::ClientRequest(_)
                     | Output::Copying
                     | Output::Inherited(_) => {}
                 }
@@ -200,13 +200,13 @@
     let rule = |i: usize| {
         let (d, more) =
             (1 + i % 20, if i.is_multiple_of(4) { String::new() } else { format!("{:03}", i % 1_000) });
-        let figures = match i % 3 {
-            0 => Figures { validity: Some(3_000_000_000), ..Figures::default() },
-            1 => Figures { answer_for: Some(60_000_000), ..Figures::default() },
-            _ => Figures { hold_count: Some(1_000), ..Figures::default() },
+        let limits = match i % 3 {
+            0 => RuleLimits { validity: Some(3_000_000_000), ..RuleLimits::default() },
+            1 => RuleLimits { answer_for: Some(60_000_000), ..RuleLimits::default() },
+            _ => RuleLimits { hold_count: Some(1_000), ..RuleLimits::default() },
         };
         let class = if i.is_multiple_of(2) { "RESP".to_string() } else { String::new() };
-        Rule { name: format!("r{i}"), class, to: format!("{d:06}{more}"), key: String::new(), figures }
+        Rule { name: format!("r{i}"), class, to: format!("{d:06}{more}"), key: String::new(), limits }
     };
     let set = RuleSet { version: 1, rules: (0..rules.unwrap_or(0)).map(rule).collect() };
     let apply = Apply {
--- a/crates/engine/src/applying/apply.rs
+++ b/crates/engine/src/applying/apply.rs
@@ -12,8 +12,8 @@
 use heronroute_journal::Book;
 use heronroute_journal::entry::{Applied, What};
 use heronroute_rules::seam::Apply;
-use heronroute_rules::share::away;
-use heronroute_rules::{Figures, Plan, RuleSet, Turn};
+use heronroute_rules::share::empty_share;
+use heronroute_rules::{Plan, RuleLimits, RuleSet, Turn};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -75,7 +75,7 @@
 
     /// Of its process's share this sender has all or none.
     pub(super) fn own_part(&self, client: &str, set: Arc<RuleSet>, turn: Turn) -> Arc<RuleSet> {
-        if turn.is_home(client, self.index) { set } else { Arc::new(away(&set)) }
+        if turn.is_home(client, self.index) { set } else { Arc::new(empty_share(&set)) }
     }
 
     fn can_apply(&self, apply: &Apply, latest: &RuleSet) -> Result<(), String> {
@@ -96,9 +96,9 @@
     }
 
     /// What holds where no rule says otherwise.
-    pub(super) fn common(&self) -> Figures {
+    pub(super) fn common(&self) -> RuleLimits {
         let held = self.cfg.held;
-        Figures {
+        RuleLimits {
             answer_for: Some(0),
             remember: Some(self.cfg.mqtt.as_ref().map_or(0, |m| m.remember)),
             hold_for: Some(held.map_or(0, |h| h.age)),
@@ -106,7 +106,7 @@
             hold_octets: Some(held.map_or(0, |h| h.octets)),
             trails: Some(held.map_or(0, |h| h.trails as u64)),
             remembered: self.cfg.mqtt.as_ref().map(|m| m.remembered as u64),
-            ..Figures::default()
+            ..RuleLimits::default()
         }
     }
 
@@ -140,14 +140,14 @@
         let stay: BTreeSet<u32> = after.places.iter().map(|p| p.part).collect();
         let gone = before.iter().flat_map(|b| &b.places).map(|p| p.part).filter(|p| !stay.contains(p));
         let gone: Vec<u32> = gone.collect();
-        let now_has: Vec<(u32, Figures)> =
-            after.places.iter().zip(&set.rules).map(|(p, r)| (p.part, r.figures.clone())).collect();
+        let now_has: Vec<(u32, RuleLimits)> =
+            after.places.iter().zip(&set.rules).map(|(p, r)| (p.part, r.limits.clone())).collect();
         keeping.rules.insert(client, after);
         for part in &gone {
             keeping.names.limit(client, *part, None);
         }
-        for (part, figures) in &now_has {
-            keeping.names.limit(client, *part, figures.remembered);
+        for (part, limits) in &now_has {
+            keeping.names.limit(client, *part, limits.remembered);
         }
         let kept: Vec<(u32, PartRoom)> = gone
             .iter()
--- a/crates/engine/src/applying/asks.rs
+++ b/crates/engine/src/applying/asks.rs
@@ -4,7 +4,7 @@
 use crate::front::No;
 use crate::ids::ConnId;
 use crate::node::{Node, Output};
-use heronroute_rules::seam::{Ask, Token, Told};
+use heronroute_rules::seam::{ClientRequest, Token, Told};
 
 /// Questions of a connection that wait for their answer at most; more are answered at once, that it is busy.
 const ASKS: usize = 16;
@@ -28,7 +28,7 @@
         open.insert(token);
         let client = self.cfg.clients.get(client).map(|c| c.system_id.clone()).unwrap_or_default();
         let token = Token { sender: self.index, conn, token };
-        self.outputs.push(Output::Ask(Ask { token, client, words, body }));
+        self.outputs.push(Output::ClientRequest(ClientRequest { token, client, words, body }));
     }
 
     /// The process's answer to an [`Output::Ask`]. One that nobody waits for any more is dropped.
--- a/crates/engine/src/applying/fence.rs
+++ b/crates/engine/src/applying/fence.rs
@@ -31,8 +31,8 @@
         tracing::info!(client = fence.client, version = under.version, "fenced: the stricter of both holds");
         let (has, gone) = known.set(under, fence.turn);
         gone.iter().for_each(|part| keeping.names.limit(client, *part, None));
-        for (part, figures) in &has {
-            keeping.names.limit(client, *part, figures.remembered);
+        for (part, limits) in &has {
+            keeping.names.limit(client, *part, limits.remembered);
         }
         if let Some(store) = &mut self.held {
             has.iter().for_each(|(part, f)| store.limit(client as u32, *part, rules::room(f)));
--- a/crates/engine/src/keeping/change.rs
+++ b/crates/engine/src/keeping/change.rs
@@ -1,7 +1,7 @@
 //! What a new version of a client's rules would let go of: a shorter keeping time, a smaller store. It errs on one side:
 //! what can't be told to be harmless is named.
 
-use heronroute_rules::{Field, Figures, Rule, RuleSet};
+use heronroute_rules::{Field, Rule, RuleLimits, RuleSet};
 
 /// Figures by which something is kept. Names and answers that are kept already stay for as long as was said when they
 /// were kept, whatever a new version says; validity and pace concern what comes.
@@ -12,7 +12,7 @@
 pub(crate) fn destroys(
     before: &RuleSet,
     after: &RuleSet,
-    common: &Figures,
+    common: &RuleLimits,
 ) -> Option<(String, &'static str)> {
     let find =
         |set: &'_ RuleSet, name: &str| -> Option<Rule> { set.rules.iter().find(|r| r.name == name).cloned() };
@@ -22,7 +22,7 @@
         let place = |r: &Rule| (r.class.clone(), r.to.clone(), r.key.clone());
         // Messages that it matched fall under another, whose room may be smaller.
         let moved = old.is_some() && old.as_ref().map(place) != new.as_ref().map(place);
-        let (old, new) = (old.unwrap_or_default().figures, new.unwrap_or_default().figures);
+        let (old, new) = (old.unwrap_or_default().limits, new.unwrap_or_default().limits);
         for field in KEPT {
             let (was, is) = (field.get(&old), field.get(&new));
             if was.is_none() && is.is_none() {
--- a/crates/engine/src/keeping/change/tests.rs
+++ b/crates/engine/src/keeping/change/tests.rs
@@ -4,13 +4,14 @@
 
 #[test]
 fn only_what_keeps_less_is_named() {
-    let set = |to: &str, figures: Figures| RuleSet {
+    let set = |to: &str, limits: RuleLimits| RuleSet {
         version: 1,
-        rules: vec![Rule { name: "r".into(), to: to.into(), figures, ..Rule::default() }],
+        rules: vec![Rule { name: "r".into(), to: to.into(), limits, ..Rule::default() }],
     };
     let none = RuleSet::default();
-    let hold = |n| Figures { hold_count: Some(n), ..Figures::default() };
-    let brief = Figures { validity: Some(1), release: Some(1), remember: Some(1), ..Figures::default() };
+    let hold = |n| RuleLimits { hold_count: Some(n), ..RuleLimits::default() };
+    let brief =
+        RuleLimits { validity: Some(1), release: Some(1), remember: Some(1), ..RuleLimits::default() };
     let common = hold(10);
     for (before, after, field) in [
         (&none, &set("", hold(10)), None),
--- a/crates/engine/src/keeping/fence.rs
+++ b/crates/engine/src/keeping/fence.rs
@@ -7,7 +7,7 @@
 use super::rules::{Keep, Rules};
 use heronroute_held::Parts;
 use heronroute_rules::strict::{Side, stricter};
-use heronroute_rules::{Effective, Field, Figures, RuleSet, Turn};
+use heronroute_rules::{EffectiveLimits, Field, RuleLimits, RuleSet, Turn};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -24,10 +24,10 @@
 
 impl Fence {
     /// Sets it, over what is approved now. Gives the figures of each part, and the parts whose names are not counted any more.
-    pub(crate) fn set(&mut self, under: Arc<RuleSet>, turn: Turn) -> (Vec<(u32, Figures)>, Vec<u32>) {
+    pub(crate) fn set(&mut self, under: Arc<RuleSet>, turn: Turn) -> (Vec<(u32, RuleLimits)>, Vec<u32>) {
         let rules = Rules::fenced(&under, turn, self.rules.as_ref());
-        let has: Vec<(u32, Figures)> =
-            rules.places.iter().zip(&under.rules).map(|(p, r)| (p.part, r.figures.clone())).collect();
+        let has: Vec<(u32, RuleLimits)> =
+            rules.places.iter().zip(&under.rules).map(|(p, r)| (p.part, r.limits.clone())).collect();
         let gone = self.parts.iter().copied().filter(|p| has.iter().all(|(part, _)| part != p)).collect();
         self.parts.extend(has.iter().map(|(part, _)| *part));
         (self.under, self.rules) = (Some(under), Some(rules));
@@ -52,9 +52,9 @@
 
 /// What holds for one message under a fence.
 pub(crate) struct Strict<'a> {
-    applied: Option<(&'a Rules, Effective)>,
-    approved: (&'a Rules, Effective),
-    common: &'a Figures,
+    applied: Option<(&'a Rules, EffectiveLimits)>,
+    approved: (&'a Rules, EffectiveLimits),
+    common: &'a RuleLimits,
 }
 
 impl<'a> Strict<'a> {
@@ -62,8 +62,8 @@
     fn new(
         applied: Option<&'a Rules>,
         approved: &'a Rules,
-        common: &'a Figures,
-        table: impl Fn(&'a Rules) -> Effective,
+        common: &'a RuleLimits,
+        table: impl Fn(&'a Rules) -> EffectiveLimits,
     ) -> Self {
         let look = |rules: &'a Rules| (rules, table(rules));
         Strict { applied: applied.map(look), approved: look(approved), common }
@@ -73,7 +73,7 @@
     pub(crate) fn at_hand_in(
         applied: Option<&'a Rules>,
         approved: &'a Rules,
-        common: &'a Figures,
+        common: &'a RuleLimits,
         (class, to, key): (&str, &str, &str),
     ) -> Keep {
         Self::new(applied, approved, common, |rules| rules.at_hand_in(class, to, key)).keep()
@@ -83,7 +83,7 @@
     pub(crate) fn later(
         applied: Option<&'a Rules>,
         approved: &'a Rules,
-        common: &'a Figures,
+        common: &'a RuleLimits,
         (class, to, key): (&str, &str, &str),
     ) -> Parts {
         Self::new(applied, approved, common, |rules| rules.later(class, to, key)).parts()
@@ -91,7 +91,7 @@
 
     /// A figure, and the part in which the message counts for it.
     fn pick(&self, field: Field) -> (Option<u64>, u32) {
-        let figure = |found: &Effective| field.get(&found.figures);
+        let figure = |found: &EffectiveLimits| field.get(&found.limits);
         let applied = self.applied.as_ref().and_then(|(_, found)| figure(found));
         let approved = figure(&self.approved.1);
         let side = stricter(field, applied, approved, field.get(self.common));
--- a/crates/engine/src/keeping/fence/tests.rs
+++ b/crates/engine/src/keeping/fence/tests.rs
@@ -4,13 +4,13 @@
 use crate::keeping::rules::FENCED as PARTS;
 use heronroute_rules::{Plan, Rule};
 
-fn set(figures: Figures) -> RuleSet {
-    RuleSet { version: 1, rules: vec![Rule { name: "r".into(), figures, ..Rule::default() }] }
+fn set(limits: RuleLimits) -> RuleSet {
+    RuleSet { version: 1, rules: vec![Rule { name: "r".into(), limits, ..Rule::default() }] }
 }
 
-fn all(n: i64) -> Figures {
+fn all(n: i64) -> RuleLimits {
     let m = n as u64;
-    Figures {
+    RuleLimits {
         answer_for: Some(n),
         remember: Some(n),
         remembered: Some(m),
@@ -25,8 +25,8 @@
 
 #[test]
 fn each_figure_of_a_message_is_the_stricter_and_counts_with_its_rule() {
-    let common = Figures::default();
-    let of = |applied: Figures, approved: Figures| {
+    let common = RuleLimits::default();
+    let of = |applied: RuleLimits, approved: RuleLimits| {
         let applied = Rules::new(&set(applied), Arc::new(Plan::default()), Turn::default(), None);
         let mut fence = Fence::default();
         let (has, _) = fence.set(Arc::new(set(approved)), Turn::default());
@@ -46,7 +46,7 @@
     assert_eq!(parts, Parts { age: mine, count: mine, octets: mine, trails: mine });
     // Each by itself.
     let (_, parts, mine, theirs) =
-        of(Figures { hold_for: Some(9), ..all(5) }, Figures { hold_for: Some(5), ..all(9) });
+        of(RuleLimits { hold_for: Some(9), ..all(5) }, RuleLimits { hold_for: Some(5), ..all(9) });
     assert_eq!(parts, Parts { age: theirs, count: mine, octets: mine, trails: mine });
 }
 
--- a/crates/engine/src/keeping/pace.rs
+++ b/crates/engine/src/keeping/pace.rs
@@ -21,7 +21,7 @@
     /// goes more than the member's part of it, so that the members together keep to the pace; and in no second from any
     /// moment on, so that what is left of one is not let go at once with what the next one has.
     pub(crate) fn may(&mut self, now: Micros, wall: Micros, turn: Turn) -> bool {
-        self.in_a_second(now) < turn.part(self.whole, wall).min(MOST)
+        self.in_a_second(now) < turn.rate_share(self.whole, wall).min(MOST)
     }
 
     /// Whether one may go by two paces at once. Each has its own turns, and those may never fall on one second: the smaller
--- a/crates/engine/src/keeping/rules.rs
+++ b/crates/engine/src/keeping/rules.rs
@@ -3,7 +3,7 @@
 use super::pace::Pace;
 use crate::Micros;
 use heronroute_held::{PartRoom, Parts};
-use heronroute_rules::{Effective, Field, Figures, Plan, Rule, RuleSet, Table, Turn};
+use heronroute_rules::{EffectiveLimits, Field, Plan, Rule, RuleLimits, RuleSet, Table, Turn};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -83,7 +83,7 @@
                 next = next.wrapping_add(1).max(first);
                 next
             });
-            if let Some(most) = r.figures.release {
+            if let Some(most) = r.limits.release {
                 let mut pace = before.and_then(|b| b.paces.get(&part)).cloned().unwrap_or_default();
                 pace.whole = most;
                 paces.insert(part, pace);
@@ -98,13 +98,13 @@
     }
 
     /// What its rules say of a message at its hand-in.
-    pub(crate) fn at_hand_in(&self, class: &str, to: &str, key: &str) -> Effective {
-        self.at_hand_in.look(class, to.as_bytes(), key.as_bytes())
+    pub(crate) fn at_hand_in(&self, class: &str, to: &str, key: &str) -> EffectiveLimits {
+        self.at_hand_in.lookup(class, to.as_bytes(), key.as_bytes())
     }
 
     /// What they say of it later.
-    pub(crate) fn later(&self, class: &str, to: &str, key: &str) -> Effective {
-        self.later.look(class, to.as_bytes(), key.as_bytes())
+    pub(crate) fn later(&self, class: &str, to: &str, key: &str) -> EffectiveLimits {
+        self.later.lookup(class, to.as_bytes(), key.as_bytes())
     }
 
     /// The part of a rule; 0: of none.
@@ -114,18 +114,18 @@
 
     /// What holds for a message that is submitted.
     pub(crate) fn keep(&self, class: &str, to: &str, key: &str) -> Keep {
-        let found = self.at_hand_in.look(class, to.as_bytes(), key.as_bytes());
+        let found = self.at_hand_in.lookup(class, to.as_bytes(), key.as_bytes());
         Keep {
-            validity: found.figures.validity,
-            remember: found.figures.remember,
+            validity: found.limits.validity,
+            remember: found.limits.remember,
             names: self.part(found.by(Field::Remembered)),
-            answer_for: found.figures.answer_for.unwrap_or(0).max(0),
+            answer_for: found.limits.answer_for.unwrap_or(0).max(0),
         }
     }
 
     /// The parts in which a message counts while it is held.
     pub(crate) fn parts(&self, class: &str, to: &str, key: &str) -> Parts {
-        let found = self.later.look(class, to.as_bytes(), key.as_bytes());
+        let found = self.later.lookup(class, to.as_bytes(), key.as_bytes());
         Parts {
             age: self.part(found.by(Field::HoldFor)),
             count: self.part(found.by(Field::HoldCount)),
@@ -136,7 +136,7 @@
 
     /// The part whose pace holds a message's release.
     pub(crate) fn pace(&self, class: &str, to: &str, key: &str) -> u32 {
-        self.part(self.later.look(class, to.as_bytes(), key.as_bytes()).by(Field::Release))
+        self.part(self.later.lookup(class, to.as_bytes(), key.as_bytes()).by(Field::Release))
     }
 
     /// The rules as the tables have them: those figures that the look-up finds for exactly what a rule matches, and of
@@ -144,35 +144,35 @@
     pub(crate) fn read_back(&self, rooms: &[(u32, PartRoom)], names: impl Fn(u32) -> Option<u64>) -> RuleSet {
         let rooms: BTreeMap<u32, PartRoom> = rooms.iter().copied().collect();
         let rules = self.places.iter().zip(0u16..).map(|(p, at)| {
-            let mut figures = Figures::default();
+            let mut limits = RuleLimits::default();
             for (fields, table) in [(&AT_HAND_IN[..], &self.at_hand_in), (&LATER[..], &self.later)] {
-                let found: Effective = table.look(&p.class, p.to.as_bytes(), p.key.as_bytes());
+                let found: EffectiveLimits = table.lookup(&p.class, p.to.as_bytes(), p.key.as_bytes());
                 for field in fields.iter().filter(|f| found.by(**f) == Some(at)) {
-                    field.set(&mut figures, field.get(&found.figures));
+                    field.set(&mut limits, field.get(&found.limits));
                 }
             }
             let room = rooms.get(&p.part).copied().unwrap_or_default();
-            figures.hold_for = room.age;
-            figures.hold_count = room.count.map(|n| n as u64);
-            figures.hold_octets = room.octets;
-            figures.trails = room.trails.map(|n| n as u64);
-            figures.remembered = names(p.part);
-            figures.release = self.paces.get(&p.part).map(|p| p.whole);
+            limits.hold_for = room.age;
+            limits.hold_count = room.count.map(|n| n as u64);
+            limits.hold_octets = room.octets;
+            limits.trails = room.trails.map(|n| n as u64);
+            limits.remembered = names(p.part);
+            limits.release = self.paces.get(&p.part).map(|p| p.whole);
             let (name, class) = (p.name.clone(), p.class.clone());
-            Rule { name, class, to: p.to.clone(), key: p.key.clone(), figures }
+            Rule { name, class, to: p.to.clone(), key: p.key.clone(), limits }
         });
         RuleSet { version: self.version, rules: rules.collect() }
     }
 }
 
 /// What a rule gives the held store.
-pub(crate) fn room(figures: &Figures) -> PartRoom {
+pub(crate) fn room(limits: &RuleLimits) -> PartRoom {
     let size = |n: Option<u64>| n.map(|n| usize::try_from(n).unwrap_or(usize::MAX));
     PartRoom {
-        age: figures.hold_for,
-        count: size(figures.hold_count),
-        octets: figures.hold_octets,
-        trails: size(figures.trails),
+        age: limits.hold_for,
+        count: size(limits.hold_count),
+        octets: limits.hold_octets,
+        trails: size(limits.trails),
     }
 }
 
--- a/crates/engine/src/keeping/rules/tests.rs
+++ b/crates/engine/src/keeping/rules/tests.rs
@@ -11,17 +11,17 @@
 
 #[test]
 fn what_is_read_back_is_what_each_table_has() {
-    let figures = Figures {
+    let limits = RuleLimits {
         hold_count: Some(5),
         remembered: Some(6),
         release: Some(7),
         validity: Some(8),
-        ..Figures::default()
+        ..RuleLimits::default()
     };
     let rule = |name: &str, to: &str| Rule {
         name: name.into(),
         to: to.into(),
-        figures: figures.clone(),
+        limits: limits.clone(),
         ..Rule::default()
     };
     let set = RuleSet { version: 3, rules: vec![rule("a", ""), rule("b", "1")] };
@@ -31,12 +31,12 @@
         |count| parts.iter().map(|p| (*p, PartRoom { count, ..PartRoom::default() })).collect::<Vec<_>>();
     assert_eq!(rules.read_back(&rooms(Some(5)), |_| Some(6)), set);
     let mut other = set.clone();
-    other.rules.iter_mut().for_each(|r| r.figures.hold_count = Some(4));
+    other.rules.iter_mut().for_each(|r| r.limits.hold_count = Some(4));
     assert_eq!(rules.read_back(&rooms(Some(4)), |_| Some(6)), other, "the store has another room");
-    other.rules.iter_mut().for_each(|r| r.figures.remembered = None);
+    other.rules.iter_mut().for_each(|r| r.limits.remembered = None);
     assert_eq!(rules.read_back(&rooms(Some(4)), |_| None), other, "names are not counted");
     rules.paces.remove(&parts[1]);
-    other.rules[1].figures.release = None;
+    other.rules[1].limits.release = None;
     assert_eq!(rules.read_back(&rooms(Some(4)), |_| None), other);
     // A rule of the same name keeps its part; one that comes back has another.
     let one = RuleSet { version: 4, rules: vec![rule("b", "")] };
--- a/crates/engine/src/node/api.rs
+++ b/crates/engine/src/node/api.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::ids::ConnId;
 use heronroute_journal::{Book, Entry};
-use heronroute_rules::seam::{Ask, Live};
+use heronroute_rules::seam::{ClientRequest, Live};
 use std::net::SocketAddr;
 
 /// How a connection ended.
@@ -42,7 +42,7 @@
     /// What is applied for a client, from now on or still; on nodes of a fleet only.
     Live(Live),
     /// A client asks about its rules or about the fleet; to be answered with [`Node::told`]. On nodes of a fleet only.
-    Ask(Ask),
+    ClientRequest(ClientRequest),
 }
 
 /// What a node starts from.
--- a/crates/engine/tests/fleet.rs
+++ b/crates/engine/tests/fleet.rs
@@ -184,7 +184,7 @@
                     }
                     Output::Keep(_)
                     | Output::Live(_)
-                    | Output::Ask(_)
+                    | Output::ClientRequest(_)
                     | Output::Copying
                     | Output::Inherited(_) => {}
                 }
--- a/crates/engine/tests/keeping.rs
+++ b/crates/engine/tests/keeping.rs
@@ -7,7 +7,7 @@
 use heronroute_engine::{Gone, Output};
 use heronroute_journal::disk::Faults;
 use heronroute_rules::seam::{Apply, Token, Told};
-use heronroute_rules::{Figures, Rule, RuleSet, Turn};
+use heronroute_rules::{Rule, RuleLimits, RuleSet, Turn};
 use heronroute_standins::mqtt::{Heard, field};
 use kept::{MS, Rig, SECOND, apply, id, rule, set, settings};
 
@@ -17,8 +17,8 @@
     let (_, first) = r.hand(0, "to/1000001/PAY//before", 20);
     assert_eq!(field(&first[0], "stat"), Some("DELIVRD"));
     assert_eq!(r.hand(0, "to/1000001/PAY//before", 20), (0, vec![]), "no rule: acknowledged, as ever");
-    let figures = Figures { answer_for: Some(3 * SECOND), ..Figures::default() };
-    r.rules(1, &[rule("told", "1", figures)]);
+    let limits = RuleLimits { answer_for: Some(3 * SECOND), ..RuleLimits::default() };
+    r.rules(1, &[rule("told", "1", limits)]);
     let (_, first) = r.hand(0, "to/1000001/PAY//order", 20);
     let plain = |told: &[String]| -> Vec<(String, String)> {
         told.iter().map(|t| (id(t), field(t, "stat").unwrap_or_default().to_string())).collect()
@@ -51,7 +51,7 @@
 #[test]
 fn a_repeat_of_an_open_message_and_one_owed_already_is_answered_once() {
     let mut r = Rig::new("");
-    r.rules(1, &[rule("told", "", Figures { answer_for: Some(9 * SECOND), ..Figures::default() })]);
+    r.rules(1, &[rule("told", "", RuleLimits { answer_for: Some(9 * SECOND), ..RuleLimits::default() })]);
     r.down = true;
     let topic = "to/1000001/RESP//a";
     for _ in 0..3 {
@@ -66,7 +66,7 @@
 #[test]
 fn an_answer_that_is_still_owed_is_not_owed_twice() {
     let mut r = Rig::new("held { }");
-    r.rules(1, &[rule("told", "", Figures { answer_for: Some(60 * SECOND), ..Figures::default() })]);
+    r.rules(1, &[rule("told", "", RuleLimits { answer_for: Some(60 * SECOND), ..RuleLimits::default() })]);
     r.down = true;
     let topic = "to/1000001/RESP//a";
     r.hand(0, topic, 3);
@@ -94,13 +94,13 @@
 #[test]
 fn a_name_beyond_the_number_is_unsure_and_never_new() {
     let mut r = Rig::new("");
-    let figures = |n| Figures {
+    let limits = |n| RuleLimits {
         remembered: Some(n),
         answer_for: Some(9 * SECOND),
         remember: Some(5 * SECOND),
-        ..Figures::default()
+        ..RuleLimits::default()
     };
-    r.rules(1, &[rule("names", "1", figures(3))]);
+    r.rules(1, &[rule("names", "1", limits(3))]);
     let topic = |n: &str| format!("to/1000001/PAY//{n}");
     for n in ["a", "b", "c", "d"] {
         assert_eq!(r.hand(0, &topic(n), 20).0, 0);
@@ -113,10 +113,10 @@
     }
     assert_eq!(r.hand(2, &topic("a"), 20), (0, vec![]), "another client's are another's");
     // Smaller: not before it is certain.
-    let live = r.apply(2, &[rule("names", "1", figures(1))], false);
+    let live = r.apply(2, &[rule("names", "1", limits(1))], false);
     assert!(live.set.version == 1 && live.trouble.unwrap().contains("remembered"));
     assert_eq!(r.hand(0, &topic("b"), 20).0, 0);
-    r.rules(2, &[rule("names", "1", figures(1))]);
+    r.rules(2, &[rule("names", "1", limits(1))]);
     assert_eq!(r.hand(0, &topic("b"), 20).0, 0x97);
     assert_eq!(r.hand(0, &topic("d"), 20).1.len(), 1);
     // No rule any more: nothing that was given up comes back, or is new.
@@ -129,8 +129,8 @@
     assert_eq!(r.ran.len(), 6, "its time is over");
 }
 
-fn hold(count: Option<u64>, octets: Option<u64>, age: Option<i64>) -> Figures {
-    Figures { hold_count: count, hold_octets: octets, hold_for: age, ..Figures::default() }
+fn hold(count: Option<u64>, octets: Option<u64>, age: Option<i64>) -> RuleLimits {
+    RuleLimits { hold_count: count, hold_octets: octets, hold_for: age, ..RuleLimits::default() }
 }
 
 #[test]
@@ -173,7 +173,7 @@
 }
 
 /// Four held under a rule for five, then a fence over what is approved, then four more.
-fn held_under(approved: Figures) -> Rig {
+fn held_under(approved: RuleLimits) -> Rig {
     let mut r = Rig::new("held { count: 10 }");
     r.down = true;
     r.rules(1, &[rule("x", "11", hold(Some(5), None, Some(60 * SECOND)))]);
@@ -188,7 +188,7 @@
     r.fence(Some(&[rule("x", "11", approved)]));
     assert_eq!(r.held(0), 4, "what is kept is not let go by a fence");
     let live = r.node().live("c").unwrap();
-    assert_eq!(live.set.rules[0].figures.hold_count, Some(5), "what is applied is told as it is");
+    assert_eq!(live.set.rules[0].limits.hold_count, Some(5), "what is applied is told as it is");
     hand(&mut r, 10);
     r
 }
@@ -220,18 +220,18 @@
 #[test]
 fn under_a_fence_a_name_counts_for_the_longer_time_and_those_kept_are_not_given_up() {
     let mut r = Rig::new("");
-    let figures = |n, seconds, answer: i64| Figures {
+    let limits = |n, seconds, answer: i64| RuleLimits {
         remembered: Some(n),
         remember: Some(seconds * SECOND),
         answer_for: Some(answer * SECOND),
-        ..Figures::default()
+        ..RuleLimits::default()
     };
-    r.rules(1, &[rule("x", "1", figures(5, 3, 60))]);
+    r.rules(1, &[rule("x", "1", limits(5, 3, 60))]);
     let topic = |n: &str| format!("to/1000001/PAY//{n}");
     for n in ["a", "b", "c"] {
         r.hand(0, &topic(n), 20);
     }
-    r.fence(Some(&[rule("x", "1", figures(2, 20, 0))]));
+    r.fence(Some(&[rule("x", "1", limits(2, 20, 0))]));
     let told = |r: &mut Rig, n: &str| {
         let (code, told) = r.hand(0, &topic(n), 20);
         (code, told.len())
@@ -262,13 +262,13 @@
     for (applied, approved) in [((900, 9), (100, 2)), ((100, 2), (900, 9))] {
         let mut r = Rig::new("held { }");
         r.down = true;
-        let figures = |(validity, release): (i64, u64)| Figures {
+        let limits = |(validity, release): (i64, u64)| RuleLimits {
             validity: Some(validity * MS),
             release: Some(release),
-            ..Figures::default()
+            ..RuleLimits::default()
         };
-        r.rules(1, &[rule("x", "", figures(applied))]);
-        r.fence(Some(&[rule("x", "", figures(approved))]));
+        r.rules(1, &[rule("x", "", limits(applied))]);
+        r.fence(Some(&[rule("x", "", limits(approved))]));
         let (_, told) = r.hand(0, "to/1000001/RESP", 130);
         assert_eq!(told.len(), 1, "answered after 100 ms: {applied:?} {approved:?}");
         for n in 0..8 {
@@ -313,8 +313,8 @@
 fn validity_is_cut_and_a_release_goes_no_faster_than_its_rule() {
     let mut r = Rig::new("held { }");
     r.down = true;
-    let figures = Figures { validity: Some(100 * MS), release: Some(2), ..Figures::default() };
-    r.rules(1, &[rule("slow", "", figures)]);
+    let limits = RuleLimits { validity: Some(100 * MS), release: Some(2), ..RuleLimits::default() };
+    r.rules(1, &[rule("slow", "", limits)]);
     let (_, told) = r.hand(0, "to/1000001/RESP", 130);
     assert_eq!(told.len(), 1, "answered after its time, not after its class's second");
     for n in 0..11 {
@@ -341,7 +341,7 @@
 #[test]
 fn what_is_in_force_is_read_back() {
     let mut r = Rig::new("held { }");
-    let all = Figures {
+    let all = RuleLimits {
         answer_for: Some(1),
         remember: Some(2),
         remembered: Some(3),
@@ -363,10 +363,10 @@
         with("RESP", "1", "", "c"),
         with("", "1", "k", "d"),
     ];
-    rules.push(rule("none", "2", Figures::default()));
+    rules.push(rule("none", "2", RuleLimits::default()));
     r.rules(4, &rules);
     let mut fewer = rules.clone();
-    fewer[1].figures = Figures { trails: Some(1), ..Figures::default() };
+    fewer[1].limits = RuleLimits { trails: Some(1), ..RuleLimits::default() };
     fewer.remove(0);
     r.rules(5, &fewer);
     assert_eq!(r.node().live("c").unwrap().set, set(5, &fewer));
@@ -501,7 +501,7 @@
 fn without_a_fleet_there_is_nothing_of_it() {
     let cfg = settings("");
     let mut r = Rig::with(cfg.clone(), true, Faults::default());
-    r.rules(1, &[rule("a", "", Figures { validity: Some(5), ..Figures::default() })]);
+    r.rules(1, &[rule("a", "", RuleLimits { validity: Some(5), ..RuleLimits::default() })]);
     r.fleet = false;
     r.crash();
     r.enter();
@@ -523,14 +523,14 @@
 
 #[test]
 fn a_clients_home_has_all_of_its_processs_share_and_the_other_senders_none_of_it() {
-    let figures = Figures {
+    let limits = RuleLimits {
         hold_for: Some(60 * SECOND),
         hold_count: Some(40),
         remembered: Some(30),
         release: Some(20),
-        ..Figures::default()
+        ..RuleLimits::default()
     };
-    let rules = [rule("long", "1", figures)];
+    let rules = [rule("long", "1", limits)];
     let turn = Turn { place: 0, members: 3, senders: 4 };
     let mut homes = 0;
     for sender in 0..4 {
@@ -539,7 +539,7 @@
         r.node().apply(now, apply);
         r.pass(2);
         let live = r.node().live("c").unwrap();
-        let has = &live.set.rules[0].figures;
+        let has = &live.set.rules[0].limits;
         let own = turn.is_home("c", sender);
         homes += usize::from(own);
         let part = |n| Some(if own { n } else { 0 });
--- a/crates/engine/tests/kept/mod.rs
+++ b/crates/engine/tests/kept/mod.rs
@@ -8,8 +8,8 @@
 use heronroute_engine::{ConnId, Gone, Node, Output, Start};
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::{Entry, Journal};
-use heronroute_rules::seam::{Apply, Ask, Fence, Live};
-use heronroute_rules::{Figures, Plan, Rule, RuleSet, Turn};
+use heronroute_rules::seam::{Apply, ClientRequest, Fence, Live};
+use heronroute_rules::{Plan, Rule, RuleLimits, RuleSet, Turn};
 use heronroute_smpp::server::{self, Session};
 use heronroute_standins::mqtt::{Hand, Heard, MqttClient, Who, field};
 use rusmpp_core::CommandStatus;
@@ -53,7 +53,7 @@
     pub receivers: BTreeMap<ConnId, Session>,
     pub clients: Vec<Client>,
     pub lives: Vec<Live>,
-    pub asks: Vec<Ask>,
+    pub asks: Vec<ClientRequest>,
     /// Bodies that arrived.
     pub ran: Vec<String>,
     /// Receivers can't be reached.
@@ -218,7 +218,7 @@
             Output::Keep(_) => {}
             Output::Journal(entries) => self.waiting.push(entries),
             Output::Live(live) => self.lives.push(live),
-            Output::Ask(ask) => self.asks.push(ask),
+            Output::ClientRequest(ask) => self.asks.push(ask),
             Output::Copying => {}
             Output::Inherited(origin) => self.inherited.push(origin),
         }
@@ -308,8 +308,8 @@
     }
 }
 
-pub fn rule(name: &str, to: &str, figures: Figures) -> Rule {
-    Rule { name: name.into(), to: to.into(), figures, ..Rule::default() }
+pub fn rule(name: &str, to: &str, limits: RuleLimits) -> Rule {
+    Rule { name: name.into(), to: to.into(), limits, ..Rule::default() }
 }
 
 pub fn set(version: u64, rules: &[Rule]) -> RuleSet {
--- a/crates/engine/tests/mqtt.rs
+++ b/crates/engine/tests/mqtt.rs
@@ -247,7 +247,7 @@
                     }
                     Output::Keep(_)
                     | Output::Live(_)
-                    | Output::Ask(_)
+                    | Output::ClientRequest(_)
                     | Output::Copying
                     | Output::Inherited(_) => {}
                     Output::Journal(entries) => self.waiting.push(entries),
--- a/crates/engine/tests/paces.rs
+++ b/crates/engine/tests/paces.rs
@@ -4,18 +4,18 @@
 mod rig;
 
 use heronroute_rules::seam::Fence;
-use heronroute_rules::{Figures, Turn};
+use heronroute_rules::{RuleLimits, Turn};
 use kept::{MS, Rig, apply, rule, set};
 use std::sync::Arc;
 
 /// A backlog at each node goes under one pace; gives when messages arrived, in milliseconds.
 fn released(members: u32, senders: u32, pace: u64, each: usize, seconds: i64) -> Vec<i64> {
-    let figures = Figures { release: Some(pace), ..Figures::default() };
+    let limits = RuleLimits { release: Some(pace), ..RuleLimits::default() };
     let mut nodes = Vec::new();
     for place in 0..members {
         for sender in 0..senders {
             let mut r = Rig::at("held { }", sender as usize);
-            let mut apply = apply(1, &[rule("slow", "", figures.clone())], true);
+            let mut apply = apply(1, &[rule("slow", "", limits.clone())], true);
             apply.turn = Turn { place, members, senders };
             let now = r.now;
             r.node().apply(now, apply);
@@ -74,10 +74,10 @@
 #[test]
 fn under_a_fence_two_paces_whose_turns_never_meet_let_go_at_the_smaller_one() {
     let turn = Turn { place: 1, members: 4, senders: 1 };
-    assert!((0..100).map(|s| s * 1_000 * MS).all(|at| turn.part(1, at) * turn.part(2, at) == 0));
+    assert!((0..100).map(|s| s * 1_000 * MS).all(|at| turn.rate_share(1, at) * turn.rate_share(2, at) == 0));
     for (applied, approved) in [(1, 2), (2, 1)] {
         let mut r = Rig::at("held { }", 0);
-        let rules = |pace| [rule("slow", "", Figures { release: Some(pace), ..Figures::default() })];
+        let rules = |pace| [rule("slow", "", RuleLimits { release: Some(pace), ..RuleLimits::default() })];
         let apply = heronroute_rules::seam::Apply { turn, ..apply(1, &rules(applied), true) };
         let now = r.now;
         r.node().apply(now, apply);
--- a/crates/engine/tests/weigh.rs
+++ b/crates/engine/tests/weigh.rs
@@ -3,9 +3,9 @@
 mod kept;
 mod rig;
 
-use heronroute_rules::check::LetGo;
-use heronroute_rules::seam::Weigh;
-use heronroute_rules::{Figures, Rule};
+use heronroute_rules::check::LossCounts;
+use heronroute_rules::seam::DryRun;
+use heronroute_rules::{Rule, RuleLimits};
 use kept::{Rig, SECOND, apply, rule, set};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,7 @@
     for (name, to) in [("a", "11"), ("b", "12"), ("c", "1"), ("d", "122")] {
         if rng.random_bool(0.7) {
             let mut some = |most: u64| rng.random_bool(0.5).then(|| rng.random_range(0..most));
-            let figures = Figures {
+            let limits = RuleLimits {
                 answer_for: some(2).map(|_| 60 * SECOND),
                 remember: Some(60 * SECOND),
                 remembered: some(6),
@@ -26,17 +26,17 @@
                 hold_octets: some(3_000),
                 hold_for: some(5).map(|s| s as i64 * SECOND),
                 trails: some(6),
-                ..Figures::default()
+                ..RuleLimits::default()
             };
-            out.push(rule(name, to, figures));
+            out.push(rule(name, to, limits));
         }
     }
     out
 }
 
-fn weigh(r: &mut Rig, rules: &[Rule]) -> LetGo {
+fn weigh(r: &mut Rig, rules: &[Rule]) -> LossCounts {
     let (now, set) = (r.now, set(2, rules).into());
-    r.node().weigh(now, &Weigh { number: 7, client: "c".into(), set, turn: Default::default() }).would
+    r.node().weigh(now, &DryRun { number: 7, client: "c".into(), set, turn: Default::default() }).would
 }
 
 /// Messages held and their octets.
@@ -50,7 +50,7 @@
 #[test]
 fn what_is_said_to_be_let_go_is_let_go() {
     let seeds = if std::env::var("HERONROUTE_LONG").is_ok() { 3_000 } else { 60 };
-    let (mut all, mut told_all) = (LetGo::default(), 0);
+    let (mut all, mut told_all) = (LossCounts::default(), 0);
     for seed in 0..seeds {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut r = Rig::new("held { count: 9 trails: 9 }");
@@ -75,9 +75,9 @@
         let now = r.now;
         r.node().apply(now, apply(2, &second, true));
         r.pass(2);
-        assert_eq!(weigh(&mut r, &second), LetGo::default(), "seed {seed}: it is gone already");
+        assert_eq!(weigh(&mut r, &second), LossCounts::default(), "seed {seed}: it is gone already");
         let (names, kept) = (answered(&mut r), held(&mut r));
-        let mut gone = LetGo { trails: would.trails, ..LetGo::default() };
+        let mut gone = LossCounts { trails: would.trails, ..LossCounts::default() };
         (gone.messages, gone.octets) = (held_before.0 - kept.0, held_before.1 - kept.1);
         for (was, is) in names_before.iter().zip(&names) {
             let lost = was.0 != UNSURE && is.0 == UNSURE;
@@ -88,7 +88,7 @@
         all = all.and(would);
         told_all += names_before.iter().filter(|(_, told)| *told > 0).count();
     }
-    let LetGo { names, answers, messages, trails, .. } = all;
+    let LossCounts { names, answers, messages, trails, .. } = all;
     assert!(
         [names, answers, messages, trails].iter().all(|n| *n > 7) && told_all > 100,
         "{all:?} {told_all}"
@@ -99,11 +99,11 @@
 fn what_is_not_known_here_lets_nothing_go() {
     let mut r = Rig::new("");
     assert_eq!(
-        weigh(&mut r, &[rule("x", "", Figures { hold_count: Some(0), ..Figures::default() })]),
-        LetGo::default()
+        weigh(&mut r, &[rule("x", "", RuleLimits { hold_count: Some(0), ..RuleLimits::default() })]),
+        LossCounts::default()
     );
     let (now, set) = (r.now, set(1, &[]).into());
     let weighed =
-        r.node().weigh(now, &Weigh { number: 3, client: "nobody".into(), set, turn: Default::default() });
-    assert_eq!((weighed.number, weighed.would), (3, LetGo::default()));
+        r.node().weigh(now, &DryRun { number: 3, client: "nobody".into(), set, turn: Default::default() });
+    assert_eq!((weighed.number, weighed.would), (3, LossCounts::default()));
 }
--- a/crates/installation/src/apply.rs
+++ b/crates/installation/src/apply.rs
@@ -9,7 +9,7 @@
 use heronroute_fleet::Name;
 use heronroute_rules::registry::{Desired, Notice};
 use heronroute_rules::seam::{Apply, Fence};
-use heronroute_rules::share::{share, thin};
+use heronroute_rules::share::{empty_share_notices, share};
 use heronroute_rules::{Plan, RuleSet, Turn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -196,8 +196,8 @@
     }
 
     /// What of rules is too little to be had by all.
-    pub fn thin(&self, set: &RuleSet) -> Vec<Notice> {
-        thin(set, self.members)
+    pub fn empty_share_notices(&self, set: &RuleSet) -> Vec<Notice> {
+        empty_share_notices(set, self.members)
     }
 
     fn shared(&self, desired: &Desired) -> Sent {
--- a/crates/installation/src/asks/read.rs
+++ b/crates/installation/src/asks/read.rs
@@ -4,8 +4,8 @@
 use heronroute_rules::check::{Finding, Findings};
 use heronroute_rules::json;
 use heronroute_rules::limits;
-use heronroute_rules::registry::{Command, Registry, Reply, Viewer, back_request};
-use heronroute_rules::seam::Ask;
+use heronroute_rules::registry::{Command, Registry, Reply, Viewer, rollback_request_id};
+use heronroute_rules::seam::ClientRequest;
 use serde::Deserialize;
 
 /// What is asked.
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// The answer, where there is nothing to be asked: what does not exist and what is not the asker's to ask alike.
-pub fn read(ask: &Ask, operator: bool, registry: &Registry) -> Result<Question, Reply> {
+pub fn read(ask: &ClientRequest, operator: bool, registry: &Registry) -> Result<Question, Reply> {
     let client = ask.client.clone();
     let words: Vec<&str> = ask.words.iter().map(String::as_str).collect();
     let viewer = Viewer { client: &ask.client, operator };
@@ -53,8 +53,8 @@
             let body: Onto = body(&ask.body)?;
             // Which version the wish was made on names it: asked again after it was granted, it is still the same wish.
             let base = body.base.unwrap_or_else(|| registry.desired(&client).map_or(0, |d| d.set.version));
-            let request = back_request(&client, version, base);
-            Question::Decide(Command::Back { client, version, request })
+            let request = rollback_request_id(&client, version, base);
+            Question::Decide(Command::RollBack { client, version, request })
         }
         ["rules", "approve", whose, version] => {
             let (whose, version) = ((*whose).to_owned(), number(version)?);
@@ -63,7 +63,7 @@
         ["rules", "refuse", whose, version] => {
             let (whose, version) = ((*whose).to_owned(), number(version)?);
             let why = if operator { body::<Why>(&ask.body)?.why } else { String::new() };
-            let why = limits::short(&why, limits::WHY);
+            let why = limits::shorten(&why, limits::MAX_REASON_CHARS);
             Question::Decide(Command::Refuse { client: whose, version, by: client, why })
         }
         ["fleet", "members"] => Question::Members,
@@ -71,12 +71,12 @@
         _ => return Err(Reply::Unknown),
     };
     match &question {
-        Question::Decide(command) if !Registry::may(viewer, command) => Err(Reply::Unknown),
+        Question::Decide(command) if !Registry::is_permitted(viewer, command) => Err(Reply::Unknown),
         _ => Ok(question),
     }
 }
 
-fn submit(ask: &Ask) -> Result<Command, Reply> {
+fn submit(ask: &ClientRequest) -> Result<Command, Reply> {
     let draft = json::read(&ask.body).map_err(|findings| Reply::Refused { version: None, findings })?;
     let request = draft.request(&ask.client);
     Ok(Command::Submit { request, client: ask.client.clone(), base: draft.base, rules: draft.rules })
@@ -94,7 +94,7 @@
     };
     match body {
         [] => Ok(T::default()),
-        _ if body.len() > limits::BODY => Err(wrong("the body is over 64KiB".into())),
+        _ if body.len() > limits::MAX_BODY_BYTES => Err(wrong("the body is over 64KiB".into())),
         _ => serde_json::from_slice(body).map_err(|e| wrong(e.to_string())),
     }
 }
--- a/crates/installation/src/asks/weighing.rs
+++ b/crates/installation/src/asks/weighing.rs
@@ -4,8 +4,8 @@
 use crate::Micros;
 use crate::limits;
 use heronroute_fleet::Life;
-use heronroute_rules::check::LetGo;
-use heronroute_rules::seam::{Ask, Weighed};
+use heronroute_rules::check::LossCounts;
+use heronroute_rules::seam::{ClientRequest, DryRunResult};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Whose {
     /// A client of this member's, with the rest of its answer.
-    Client(Ask, Value, &'static str),
+    Client(ClientRequest, Value, &'static str),
     /// Another member, by its place and its number for the question; which life of it, where it asked through a third one.
     Member(usize, u64, Option<Life>),
 }
@@ -26,9 +26,9 @@
     /// Senders of this process that have not answered.
     pub senders: BTreeSet<usize>,
     /// What those that have said, together.
-    pub here: LetGo,
+    pub here: LossCounts,
     /// Other members that were asked, by their places, with what they said.
-    pub others: BTreeMap<usize, Option<LetGo>>,
+    pub others: BTreeMap<usize, Option<LossCounts>>,
     /// It is waited for so long.
     pub until: Micros,
 }
@@ -60,7 +60,7 @@
     }
 
     /// A sender of this process answers. Gives back what is whole by that.
-    pub fn sender(&mut self, weighed: &Weighed) -> Option<Weighing> {
+    pub fn sender(&mut self, weighed: &DryRunResult) -> Option<Weighing> {
         let one = self.open.get_mut(&weighed.number)?;
         if one.senders.remove(&weighed.sender) {
             one.here = one.here.and(weighed.would);
@@ -69,7 +69,7 @@
     }
 
     /// Another member does.
-    pub fn member(&mut self, peer: usize, number: u64, would: LetGo) -> Option<Weighing> {
+    pub fn member(&mut self, peer: usize, number: u64, would: LossCounts) -> Option<Weighing> {
         let said = self.open.get_mut(&number)?.others.get_mut(&peer)?;
         said.get_or_insert(would);
         self.whole(number)
--- a/crates/installation/src/limits.rs
+++ b/crates/installation/src/limits.rs
@@ -24,11 +24,11 @@
 /// Clients fenced at most; a fence beyond is not set, and is asked for again.
 pub const FENCED: usize = 1024;
 /// Clients that nodes tell of at most; what they tell of others is dropped and counted.
-pub const LIVE: usize = heronroute_rules::limits::CLIENTS;
+pub const LIVE: usize = heronroute_rules::limits::MAX_CLIENTS;
 /// Challenges that wait for the nodes at most; the newest of each client counts.
 pub const CHALLENGES: usize = 16;
 /// What this member wants written to the log, waiting, at most.
-pub const ERRANDS: usize = 2 * heronroute_rules::limits::CLIENTS;
+pub const ERRANDS: usize = 2 * heronroute_rules::limits::MAX_CLIENTS;
 /// Turns of one input through its parts at most; what is left comes with the next.
 pub const TURNS: usize = 8;
 /// `rules/check` of one client: beyond it the answer is `busy`, with the time after which to come back.
--- a/crates/installation/src/page.rs
+++ b/crates/installation/src/page.rs
@@ -57,7 +57,7 @@
         if body.is_empty() {
             return Ok(Page::default());
         }
-        if body.len() > heronroute_rules::limits::BODY {
+        if body.len() > heronroute_rules::limits::MAX_BODY_BYTES {
             return Err(refused("", "the body is over 64KiB"));
         }
         let body: Option<Body> = serde_json::from_slice(body).map_err(|e| refused("", &e.to_string()))?;
--- a/crates/installation/src/process/answers.rs
+++ b/crates/installation/src/process/answers.rs
@@ -12,11 +12,11 @@
 use heronroute_journal::Storage;
 use heronroute_rules::json;
 use heronroute_rules::registry::Viewer;
-use heronroute_rules::seam::{Ask, Told};
+use heronroute_rules::seam::{ClientRequest, Told};
 use serde_json::{Value, json};
 
 impl<S: Storage> Installation<S> {
-    pub(super) fn ask(&mut self, now: Micros, ask: Ask) {
+    pub(super) fn ask(&mut self, now: Micros, ask: ClientRequest) {
         let operator = self.cfg.clients.get(&ask.client).is_some_and(|c| c.operator);
         let question = match asks::read(&ask, operator, self.machine.registry()) {
             Ok(question) => question,
@@ -42,11 +42,11 @@
         self.outputs.push(Output::Told(told));
     }
 
-    fn show(&self, ask: &Ask, operator: bool, client: &str) -> Told {
+    fn show(&self, ask: &ClientRequest, operator: bool, client: &str) -> Told {
         let viewer = Viewer { client: &ask.client, operator };
         match self.machine.registry().view(viewer, client) {
             Some(mut view) => {
-                view.notices.extend(self.applier.thin(&view.set));
+                view.notices.extend(self.applier.empty_share_notices(&view.set));
                 asks::told(ask, self.marked(self.rolled(json::show(&view), client)), "shown")
             }
             None => asks::unknown(ask),
@@ -105,7 +105,7 @@
         .to_string()
     }
 
-    fn drift(&mut self, now: Micros, ask: Ask, page: &Page) {
+    fn drift(&mut self, now: Micros, ask: ClientRequest, page: &Page) {
         if let Err(reply) = page.exists(|name| self.places.contains_key(name)) {
             return self.told(asks::reply(&ask, &reply));
         }
@@ -127,7 +127,7 @@
         self.pass(now, peer, None, &wire);
     }
 
-    pub(super) fn nothing_known(&mut self, ask: &Ask) {
+    pub(super) fn nothing_known(&mut self, ask: &ClientRequest) {
         let page = Page::read(&ask.body).unwrap_or_default();
         let text = page.unknown(self.keepers.term(), self.allows().edits, self.places.keys());
         self.told(asks::told(ask, text, "shown"));
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -20,9 +20,9 @@
             Input::Unlinked { peer } => self.link(now, peer, None),
             Input::Message { peer, payload } => self.message(now, peer, &payload),
             Input::Outlived(start) => self.over(start),
-            Input::Ask(ask) => self.ask(now, ask),
+            Input::ClientRequest(ask) => self.ask(now, ask),
             Input::Live(live) => self.live(now, live),
-            Input::Weighed(weighed) => {
+            Input::DryRunResult(weighed) => {
                 let whole = self.weighings.sender(&weighed);
                 self.weighed(whole);
             }
@@ -99,8 +99,8 @@
                 Err(_) => self.counts.undecodable += 1,
             },
             Wire::Shown { number, text } => self.shown(&sayer.name, number, text),
-            Wire::Weigh { number, client, rules } => self.weigh_for(now, sayer, number, &client, rules),
-            Wire::Weighed { number, would } => {
+            Wire::DryRun { number, client, rules } => self.weigh_for(now, sayer, number, &client, rules),
+            Wire::DryRunResult { number, would } => {
                 let whole = self.weighings.member(sayer.peer, number, would);
                 self.weighed(whole);
             }
--- a/crates/installation/src/process/log.rs
+++ b/crates/installation/src/process/log.rs
@@ -12,7 +12,7 @@
 use heronroute_journal::Storage;
 use heronroute_rules::check::{Finding, Findings};
 use heronroute_rules::registry::Reply;
-use heronroute_rules::seam::Ask;
+use heronroute_rules::seam::ClientRequest;
 
 impl<S: Storage> Installation<S> {
     pub(super) fn learn(&mut self, now: Micros) {
@@ -179,7 +179,12 @@
         self.outputs.push(Output::Told(told));
     }
 
-    pub(super) fn propose(&mut self, now: Micros, ask: Ask, command: heronroute_rules::registry::Command) {
+    pub(super) fn propose(
+        &mut self,
+        now: Micros,
+        ask: ClientRequest,
+        command: heronroute_rules::registry::Command,
+    ) {
         let number = self.next_number();
         let body = Body::Rules(command.clone()).pack();
         if let Some(over) = self.open.request(number, ask, command) {
--- a/crates/installation/src/process/weigh.rs
+++ b/crates/installation/src/process/weigh.rs
@@ -11,9 +11,9 @@
 use heronroute_fleet::Standing;
 use heronroute_fleet::members::Row;
 use heronroute_journal::Storage;
-use heronroute_rules::check::{LetGo, octets};
+use heronroute_rules::check::{LossCounts, octets};
 use heronroute_rules::registry::Command;
-use heronroute_rules::seam::{Ask, Weigh};
+use heronroute_rules::seam::{ClientRequest, DryRun};
 use heronroute_rules::{Rule, RuleSet};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 
 impl<S: Storage> Installation<S> {
     /// What `rules/submit` would say, whether anything that is kept would be let go, and how much.
-    pub(super) fn check(&mut self, now: Micros, ask: Ask, command: &Command) {
+    pub(super) fn check(&mut self, now: Micros, ask: ClientRequest, command: &Command) {
         // Guards against a client that asks as fast as it can: every member's senders would look for it without end.
         if let Err(wait) = self.rates.client(now, &ask.client) {
             return self.told(asks::too_often(&ask, wait));
@@ -34,9 +34,10 @@
             if let Some(desired) = outcome.changed.iter().find(own) {
                 object.insert("destroys".into(), desired.destroys.into());
             }
-            let thin = set.as_ref().map(|set| self.applier.thin(set)).unwrap_or_default();
-            if !thin.is_empty() {
-                object.insert("notices".into(), json!(thin));
+            let empty_share_notices =
+                set.as_ref().map(|set| self.applier.empty_share_notices(set)).unwrap_or_default();
+            if !empty_share_notices.is_empty() {
+                object.insert("notices".into(), json!(empty_share_notices));
             }
         }
         let Some(set) = set else {
@@ -49,7 +50,7 @@
         let number = self.weigh(now, whose, &client, &set, &others);
         for peer in others {
             let rules = set.rules.clone();
-            self.pass(now, peer, None, &Wire::Weigh { number, client: client.clone(), rules });
+            self.pass(now, peer, None, &Wire::DryRun { number, client: client.clone(), rules });
         }
         let whole = self.weighings.whole(number);
         self.weighed(whole);
@@ -74,14 +75,14 @@
         let weighing = Weighing {
             whose,
             senders: self.cfg.senders.iter().copied().collect::<BTreeSet<_>>(),
-            here: LetGo::default(),
+            here: LossCounts::default(),
             others: others.iter().map(|at| (*at, None)).collect::<BTreeMap<_, _>>(),
             until: now.saturating_add(self.cfg.pace.patience),
         };
         let over = self.weighings.open(number, weighing);
         self.weighed(over);
         let turn = self.applier.turn();
-        self.outputs.push(Output::Weigh(Weigh { number, client: client.to_owned(), set, turn }));
+        self.outputs.push(Output::DryRun(DryRun { number, client: client.to_owned(), set, turn }));
         number
     }
 
@@ -110,7 +111,7 @@
         match whose {
             // Part of a member's would look like all of it.
             Whose::Member(peer, number, life) if senders.is_empty() => {
-                self.pass(self.last, peer, life.as_ref(), &Wire::Weighed { number, would: here });
+                self.pass(self.last, peer, life.as_ref(), &Wire::DryRunResult { number, would: here });
             }
             Whose::Member(..) => {}
             Whose::Client(ask, mut value, state) => {
--- a/crates/installation/src/report.rs
+++ b/crates/installation/src/report.rs
@@ -9,7 +9,7 @@
 use heronroute_drift::{Answer, Challenge, Digest, Partly, Reporter, content};
 use heronroute_fleet::Life;
 use heronroute_rules::seam::Live;
-use heronroute_rules::share::away;
+use heronroute_rules::share::empty_share;
 use heronroute_rules::{RuleSet, Turn};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
@@ -158,13 +158,13 @@
     /// What the home applies, where all others apply the same without a share.
     fn agreed(&self) -> Option<&'a Applied> {
         let home = self.home?;
-        let none = away(&home.0);
+        let none = empty_share(&home.0);
         self.others.iter().all(|(set, turn)| *set == none && *turn == home.1).then_some(home)
     }
 
     /// How many of them apply exactly what they were told.
     fn right(&self, sent: &Sent) -> usize {
-        let none = away(&sent.share);
+        let none = empty_share(&sent.share);
         let home = self.home.filter(|applied| is(applied, &sent.share, sent.turn)).is_some();
         self.others.iter().filter(|applied| is(applied, &none, sent.turn)).count() + usize::from(home)
     }
@@ -205,14 +205,14 @@
 
 /// A sender that takes others' turns at a pace goes beyond it, whatever its rules say.
 fn is((set, turn): &Applied, part: &RuleSet, own: Turn) -> bool {
-    set == part && (*turn == own || set.rules.iter().all(|r| r.figures.release.is_none()))
+    set == part && (*turn == own || set.rules.iter().all(|r| r.limits.release.is_none()))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
     use heronroute_fleet::{Name, Start};
-    use heronroute_rules::{Figures, Plan, Rule};
+    use heronroute_rules::{Plan, Rule, RuleLimits};
     use std::sync::Arc;
 
     const TURN: Turn = Turn { place: 1, members: 3, senders: 2 };
@@ -220,8 +220,8 @@
     const OTHER: usize = 4;
 
     fn set(version: u64, hold: u64) -> RuleSet {
-        let figures = Figures { hold_count: Some(hold), release: Some(2), ..Figures::default() };
-        RuleSet { version, rules: vec![Rule { name: "one".into(), figures, ..Rule::default() }] }
+        let limits = RuleLimits { hold_count: Some(hold), release: Some(2), ..RuleLimits::default() };
+        RuleSet { version, rules: vec![Rule { name: "one".into(), limits, ..Rule::default() }] }
     }
     fn sent(version: u64) -> Sent {
         Sent {
@@ -233,7 +233,7 @@
     }
     /// Of the client's home, or of the other one with the same but without a share.
     fn live(sender: usize, set: RuleSet) -> Live {
-        let set = if sender == HOME { set } else { away(&set) };
+        let set = if sender == HOME { set } else { empty_share(&set) };
         Live { sender, client: "c".into(), set, turn: TURN, trouble: None }
     }
     fn reports() -> Reports {
--- a/crates/installation/src/seam.rs
+++ b/crates/installation/src/seam.rs
@@ -7,7 +7,7 @@
 use heronroute_region::List;
 use heronroute_region::rights::Out;
 use heronroute_region::seam::{Copies, Fenced, GiveUp, Right, TakeUp, TakenUp, TookUp};
-use heronroute_rules::seam::{Apply, Ask, Fence, Live, Told, Weigh, Weighed};
+use heronroute_rules::seam::{Apply, ClientRequest, DryRun, DryRunResult, Fence, Live, Told};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -39,11 +39,11 @@
     /// process bears its name. They don't link with it until it starts above that.
     Outlived(heronroute_fleet::Start),
     /// A client asks at one of the nodes.
-    Ask(Ask),
+    ClientRequest(ClientRequest),
     /// A node says what it really applies.
     Live(Live),
     /// A node answers [`Output::Weigh`].
-    Weighed(Weighed),
+    DryRunResult(DryRunResult),
     /// How the process fares; the newest counts.
     Health(Health),
     /// The settings were read again: what they say of clients now. Where this member is in charge, plans that changed are put
@@ -74,7 +74,7 @@
     /// To be applied by all nodes.
     Apply(Apply),
     /// What would applying this let go? Asked of all nodes.
-    Weigh(Weigh),
+    DryRun(DryRun),
     /// A fence is set or lifted, to be told to all nodes; again after each start of the member.
     Fence(Fence),
     /// For the log and the tests: an entry was decided, seen here in its order.
--- a/crates/installation/src/waves/mod.rs
+++ b/crates/installation/src/waves/mod.rs
@@ -19,7 +19,7 @@
 use heronroute_drift::detector::MOST_ROLLOUTS;
 use heronroute_drift::rollout::Baseline;
 use heronroute_fleet::Name;
-use heronroute_rules::check::beyond;
+use heronroute_rules::check::plan_violations;
 use heronroute_rules::registry::{Desired, Registry};
 use heronroute_rules::{RuleSet, limits};
 use serde::{Deserialize, Serialize};
@@ -141,7 +141,7 @@
         if before.version == now.set.version {
             // The plan alone. Where it is stricter than what some are held at, and not than what the others apply, nothing
             // will be cut: they must not stay beyond it until their wave comes.
-            let over = |set: &Arc<RuleSet>| !beyond(&set.rules, &now.plan).is_empty();
+            let over = |set: &Arc<RuleSet>| !plan_violations(&set.rules, &now.plan).is_empty();
             if !over(&now.set) && self.spreads.get(client).is_some_and(|one| one.meant.iter().any(over)) {
                 self.spreads.remove(client);
             }
@@ -220,9 +220,9 @@
         if spread.version != halt.version || spread.halted.is_some() {
             return None;
         }
-        let why = limits::short(&halt.why, limits::WHY);
+        let why = limits::shorten(&halt.why, limits::MAX_REASON_CHARS);
         spread.halted = Some(why.clone());
-        let back = halt.back.then(|| registry.take_back(wall, &halt.client, halt.version, &spread.proved));
+        let back = halt.back.then(|| registry.undo_rollout(wall, &halt.client, halt.version, &spread.proved));
         let changed = back.unwrap_or_default();
         if let Some(desired) = changed.iter().find(|desired| desired.client == halt.client) {
             self.spreads.remove(&halt.client);
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -5,7 +5,7 @@
 use heronroute_fleet::queue::MOST_MESSAGE;
 use heronroute_fleet::{Kind, Life, Name};
 use heronroute_region::rights;
-use heronroute_rules::check::{self, LetGo};
+use heronroute_rules::check::{self, LossCounts};
 use heronroute_rules::{Rule, limits};
 use serde::{Deserialize, Serialize};
 
@@ -39,7 +39,7 @@
         text: String,
     },
     /// What would this member's share of these rules let go of a client's, if it were applied?
-    Weigh {
+    DryRun {
         /// Given back.
         number: u64,
         /// Whose.
@@ -48,11 +48,11 @@
         rules: Vec<Rule>,
     },
     /// The answer, of all senders of the member's process.
-    Weighed {
+    DryRunResult {
         /// As it was asked.
         number: u64,
         /// What.
-        would: LetGo,
+        would: LossCounts,
     },
     /// As [`Wire::Seek`], for a page; see [`crate::page::Page::of`].
     Page {
@@ -128,7 +128,7 @@
             Wire::Agreement(_) => Kind::Agreement,
             Wire::Drift(_) => Kind::Drift,
             Wire::Log(_) | Wire::Seek { .. } | Wire::Shown { .. } | Wire::Page { .. } => Kind::Log,
-            Wire::Weigh { .. } | Wire::Weighed { .. } => Kind::Log,
+            Wire::DryRun { .. } | Wire::DryRunResult { .. } => Kind::Log,
             Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } => Kind::Carried,
         }
     }
@@ -138,7 +138,7 @@
     pub fn carries(&self) -> bool {
         match self {
             Wire::Drift(_) | Wire::Seek { .. } | Wire::Page { .. } | Wire::Shown { .. } => true,
-            Wire::Weigh { .. } | Wire::Weighed { .. } => true,
+            Wire::DryRun { .. } | Wire::DryRunResult { .. } => true,
             Wire::Gossip(_) | Wire::Agreement(_) | Wire::Log(_) => false,
             Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } => false,
         }
@@ -158,8 +158,9 @@
         let fits = match &wire {
             Wire::Drift(pieces) => pieces.len() <= MOST_PIECES,
             Wire::Shown { text, .. } => text.len() <= MOST_SHOWN,
-            Wire::Weigh { client, rules, .. } => {
-                client.len() <= limits::CLIENT && check::octets(rules) <= limits::SET_OCTETS
+            Wire::DryRun { client, rules, .. } => {
+                client.len() <= limits::MAX_CLIENT_NAME_BYTES
+                    && check::octets(rules) <= limits::MAX_RULES_BYTES
             }
             _ => true,
         };
@@ -189,12 +190,12 @@
             Wire::Drift(vec![Piece::Report { report, sent: 5 }, Piece::Order { order, answers: 5 }]),
             Wire::Seek { number: 9 },
             Wire::Shown { number: 9, text: "{}".into() },
-            Wire::Weigh {
+            Wire::DryRun {
                 number: 9,
                 client: "oduya".into(),
                 rules: vec![Rule { name: "r".into(), ..Rule::default() }],
             },
-            Wire::Weighed { number: 9, would: LetGo { messages: 300, ..LetGo::default() } },
+            Wire::DryRunResult { number: 9, would: LossCounts { messages: 300, ..LossCounts::default() } },
             Wire::Page { number: 9, after: "member/a".into(), most: Some(3) },
             Wire::Carry { to: life.clone(), payload: &[1, 2] },
             Wire::Carried { from: life.clone(), to: life.clone(), payload: &[] },
--- a/crates/installation/tests/agreed.rs
+++ b/crates/installation/tests/agreed.rs
@@ -28,7 +28,7 @@
     }
     // Each member holds its share of the count.
     let held =
-        |at: usize| world.nodes[at].engine.at_home("oduya").unwrap().rules[0].figures.hold_count.unwrap();
+        |at: usize| world.nodes[at].engine.at_home("oduya").unwrap().rules[0].limits.hold_count.unwrap();
     assert_eq!((0..3).map(held).sum::<u64>(), 30);
     world.sound();
 }
@@ -207,7 +207,7 @@
     let mut world = three();
     let rules = vec![];
     for number in 0..1_000 {
-        let wire = Wire::Weigh { number, client: "oduya".into(), rules: rules.clone() };
+        let wire = Wire::DryRun { number, client: "oduya".into(), rules: rules.clone() };
         world.give(0, Input::Message { peer: 1, payload: wire.pack().unwrap() });
     }
     assert_eq!(world.nodes[0].engine.weighed, 20);
--- a/crates/installation/tests/hard_cases.rs
+++ b/crates/installation/tests/hard_cases.rs
@@ -7,7 +7,7 @@
 use heronroute_installation::seam::Input;
 use heronroute_installation::wire::{Piece, Wire};
 use heronroute_installation::{Condition, Planned};
-use heronroute_rules::{Figures, Plan};
+use heronroute_rules::{Plan, RuleLimits};
 use rig::engine::Mode;
 use rig::node::Folder;
 use rig::{MS, S, World, draft, plan};
@@ -212,7 +212,7 @@
     assert!(world.until(5 * S, World::applied).is_some());
     world.split(&[2]);
     let low = Plan {
-        most: Figures { hold_count: Some(90), ..plan("low", 90).most.clone() },
+        most: RuleLimits { hold_count: Some(90), ..plan("low", 90).most.clone() },
         ..(*plan("low", 90)).clone()
     };
     for at in 0..3 {
@@ -227,7 +227,7 @@
     assert!(!shown["notices"].as_array().unwrap().is_empty(), "its owner is told: {shown}");
     world.run(15 * S);
     let held = |w: &World, at: usize| {
-        w.nodes[at].engine.at_home("oduya").unwrap().rules[0].figures.hold_count.unwrap()
+        w.nodes[at].engine.at_home("oduya").unwrap().rules[0].limits.hold_count.unwrap()
     };
     assert_eq!((held(&world, 0), held(&world, 2)), (30, 200), "cut on one side, as it was on the other");
     world.kill(2, Folder::Kept);
--- a/crates/installation/tests/reach.rs
+++ b/crates/installation/tests/reach.rs
@@ -5,7 +5,7 @@
 use heronroute_installation::waves::{Halt, MOST, Wave, Zones};
 use heronroute_rules::digest::plan_digest;
 use heronroute_rules::registry::Command;
-use heronroute_rules::{Figures, Plan, Rule};
+use heronroute_rules::{Plan, Rule, RuleLimits};
 use std::collections::BTreeSet;
 
 const S: i64 = 1_000_000;
@@ -45,7 +45,7 @@
     }
 
     fn plan(&mut self, client: &str, hold: u64) {
-        let most = Figures { hold_count: Some(hold), ..Figures::default() };
+        let most = RuleLimits { hold_count: Some(hold), ..RuleLimits::default() };
         let plan =
             Plan { name: "p".into(), rules: 4, most, changes_an_hour: 9, grace: 5 * S, ..Plan::default() };
         let digest = plan_digest(&plan);
@@ -54,8 +54,8 @@
     }
 
     fn submit(&mut self, client: &str, base: u64, hold: u64) {
-        let figures = Figures { hold_count: Some(hold), ..Figures::default() };
-        let rules = vec![Rule { name: "r".into(), to: "1".into(), figures, ..Rule::default() }];
+        let limits = RuleLimits { hold_count: Some(hold), ..RuleLimits::default() };
+        let rules = vec![Rule { name: "r".into(), to: "1".into(), limits, ..Rule::default() }];
         let request = [u8::try_from(hold % 251).unwrap(); 32];
         self.add(Body::Rules(Command::Submit { request, client: client.into(), base, rules }));
     }
@@ -113,7 +113,7 @@
     assert_eq!(log.meant("c"), [3, 1, 1, 1, 1, 1], "the same first one again");
     assert!(matches!(log.halt(3, 3, true), Effect::Spread { changed, .. } if changed.len() == 1));
     let back = log.machine.registry().desired("c").unwrap().set;
-    assert_eq!((back.version, back.rules[0].figures.hold_count), (4, Some(50)));
+    assert_eq!((back.version, back.rules[0].limits.hold_count), (4, Some(50)));
     assert_eq!(log.meant("c"), [4; 6], "for all");
     // Asked for again, by this one or the next in charge, it is done.
     assert_eq!(log.halt(3, 3, true), Effect::Nothing);
--- a/crates/installation/tests/rig/engine.rs
+++ b/crates/installation/tests/rig/engine.rs
@@ -1,9 +1,9 @@
 //! The senders' nodes of one process: what they apply is on their own disk and outlives the process.
 
-use heronroute_rules::check::LetGo;
+use heronroute_rules::check::LossCounts;
 use heronroute_rules::home::home;
-use heronroute_rules::seam::{Apply, Live, Weigh, Weighed};
-use heronroute_rules::share::away;
+use heronroute_rules::seam::{Apply, DryRun, DryRunResult, Live};
+use heronroute_rules::share::empty_share;
 use heronroute_rules::{RuleSet, Turn};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -60,7 +60,10 @@
             };
             if takes {
                 let own = apply.turn.is_home(&apply.client, sender);
-                table.insert(apply.client.clone(), if own { (*apply.set).clone() } else { away(&apply.set) });
+                table.insert(
+                    apply.client.clone(),
+                    if own { (*apply.set).clone() } else { empty_share(&apply.set) },
+                );
             }
             let set = table.get(&apply.client).cloned().unwrap_or_default();
             let trouble = (self.mode == Mode::Unable).then(|| "no room".to_string());
@@ -73,14 +76,16 @@
     }
 
     /// What would go beyond the counts of the rules.
-    pub fn weigh(&mut self, weigh: &Weigh) -> Vec<Weighed> {
+    pub fn weigh(&mut self, weigh: &DryRun) -> Vec<DryRunResult> {
         self.weighed += 1;
-        let room: u64 = weigh.set.rules.iter().filter_map(|r| r.figures.hold_count).sum();
-        let would = LetGo { messages: self.holds.saturating_sub(room), ..LetGo::default() };
+        let room: u64 = weigh.set.rules.iter().filter_map(|r| r.limits.hold_count).sum();
+        let would = LossCounts { messages: self.holds.saturating_sub(room), ..LossCounts::default() };
         let senders = if self.mode == Mode::Hung { 0 } else { self.tables.len() };
-        let none = LetGo { messages: self.holds, ..LetGo::default() };
+        let none = LossCounts { messages: self.holds, ..LossCounts::default() };
         let would = |sender| if weigh.turn.is_home(&weigh.client, sender) { would } else { none };
-        (0..senders).map(|sender| Weighed { number: weigh.number, sender, would: would(sender) }).collect()
+        (0..senders)
+            .map(|sender| DryRunResult { number: weigh.number, sender, would: would(sender) })
+            .collect()
     }
 
     /// A rule is altered on disk and read back.
@@ -89,7 +94,7 @@
         for (sender, table) in self.tables.iter_mut().enumerate() {
             let Some(set) = table.get_mut(client) else { continue };
             for rule in &mut set.rules {
-                rule.figures.hold_for = Some(1);
+                rule.limits.hold_for = Some(1);
             }
             let set = set.clone();
             out.push(Live { sender, client: client.into(), set, turn: Turn::default(), trouble: None });
@@ -103,7 +108,7 @@
         let clients: Vec<String> = self.tables.iter().flat_map(|table| table.keys().cloned()).collect();
         let agreed = |client: &String| {
             let own = self.at_home(client)?;
-            let other = away(own);
+            let other = empty_share(own);
             let at_home = home(client, self.tables.len());
             let mut others = self.tables.iter().enumerate().filter(|(at, _)| *at != at_home);
             others.all(|(_, table)| table.get(client) == Some(&other)).then(|| (client.clone(), own.clone()))
--- a/crates/installation/tests/rig/mod.rs
+++ b/crates/installation/tests/rig/mod.rs
@@ -14,9 +14,9 @@
 use heronroute_installation::{Client, Planned};
 use heronroute_rules::check::destroys;
 use heronroute_rules::registry::Desired;
-use heronroute_rules::seam::{Ask, Live, Token, Told, Weighed};
+use heronroute_rules::seam::{ClientRequest, DryRunResult, Live, Token, Told};
 use heronroute_rules::share::share;
-use heronroute_rules::{Figures, Plan, RuleSet};
+use heronroute_rules::{Plan, RuleLimits, RuleSet};
 use node::{Folder, Node};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
     Deliver { from: usize, to: usize, link: u64, payload: Vec<u8> },
     Join(usize, usize),
     Live(usize, u64, Live),
-    Weighed(usize, u64, Weighed),
+    DryRunResult(usize, u64, DryRunResult),
     Start(usize, Option<heronroute_fleet::Start>),
 }
 
@@ -77,12 +77,12 @@
 }
 
 pub fn plan(name: &str, hold: u64) -> Arc<Plan> {
-    let most = Figures {
+    let most = RuleLimits {
         hold_for: Some(3_600 * S),
         hold_count: Some(hold),
         answer_for: Some(600 * S),
         release: Some(1_000),
-        ..Figures::default()
+        ..RuleLimits::default()
     };
     Arc::new(Plan {
         name: name.into(),
@@ -337,11 +337,11 @@
                     None => _ = fences.remove(&fence.client),
                 }
             }
-            Output::Weigh(weigh) => {
+            Output::DryRun(weigh) => {
                 let starts = self.nodes[at].starts;
                 for weighed in self.nodes[at].engine.weigh(&weigh) {
                     let soon = self.now + self.rng.random_range(1..20) * MS;
-                    self.at(soon, Event::Weighed(at, starts, weighed));
+                    self.at(soon, Event::DryRunResult(at, starts, weighed));
                 }
             }
             Output::Decided(decided) => {
@@ -548,8 +548,8 @@
                 }
             }
             Some(Event::Join(a, b)) => self.join(a, b),
-            Some(Event::Weighed(node, starts, weighed)) if self.nodes[node].starts == starts => {
-                self.give(node, Input::Weighed(weighed));
+            Some(Event::DryRunResult(node, starts, weighed)) if self.nodes[node].starts == starts => {
+                self.give(node, Input::DryRunResult(weighed));
             }
             Some(Event::Live(node, starts, live)) if self.nodes[node].starts == starts => {
                 self.give(node, Input::Live(live));
@@ -593,8 +593,8 @@
             dead: self.nodes[at].member.is_none(),
         });
         let words = words.split('/').map(str::to_string).collect();
-        let ask = Ask { token, client: client.into(), words, body: body.as_bytes().to_vec() };
-        self.give(at, Input::Ask(ask));
+        let ask = ClientRequest { token, client: client.into(), words, body: body.as_bytes().to_vec() };
+        self.give(at, Input::ClientRequest(ask));
         id
     }
 
--- a/crates/installation/tests/waves.rs
+++ b/crates/installation/tests/waves.rs
@@ -218,7 +218,7 @@
     world.run(6 * S);
     assert_eq!(applied(&world, "oduya"), [2; 6]);
     let held =
-        |at: usize| world.nodes[at].engine.at_home("oduya").unwrap().rules[0].figures.hold_count.unwrap();
+        |at: usize| world.nodes[at].engine.at_home("oduya").unwrap().rules[0].limits.hold_count.unwrap();
     assert_eq!((0..6).map(held).sum::<u64>(), 90);
     // What fits the lower plan while that from before does not, reaches those who wait at once as well.
     world.submit(0, "banda", 0, "long", 900);
--- a/crates/net/src/fleet/port.rs
+++ b/crates/net/src/fleet/port.rs
@@ -2,7 +2,7 @@
 
 use heronroute_fleet::link::Stats;
 use heronroute_installation::Client;
-use heronroute_rules::seam::{Ask, Live, Told, Weighed};
+use heronroute_rules::seam::{ClientRequest, DryRunResult, Live, Told};
 use mio::Waker;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 /// What a member's thread is told from within its process.
 #[derive(Debug)]
 pub enum Word {
-    Ask(Ask),
+    ClientRequest(ClientRequest),
     Live(Live),
-    Weighed(Weighed),
+    DryRunResult(DryRunResult),
     /// What the settings say of clients now.
     Clients(BTreeMap<String, Client>),
     /// Counts are wanted.
@@ -59,8 +59,8 @@
 
     /// Brings a client's question to the member. An answer at once where there is no room: it may ask again, and nothing was
     /// begun.
-    pub fn ask(&mut self, ask: Ask) -> Option<Told> {
-        let Err(Word::Ask(ask)) = self.port.tell(Word::Ask(ask)) else { return None };
+    pub fn ask(&mut self, ask: ClientRequest) -> Option<Told> {
+        let Err(Word::ClientRequest(ask)) = self.port.tell(Word::ClientRequest(ask)) else { return None };
         Some(Told { token: ask.token, text: r#"{"state":"busy"}"#.into(), state: "busy" })
     }
 
@@ -71,8 +71,8 @@
     }
 
     /// Brings what was weighed to the member. Where there is no room it is not told: the member waits for it only so long.
-    pub fn weighed(&mut self, weighed: Weighed) {
-        _ = self.port.tell(Word::Weighed(weighed));
+    pub fn weighed(&mut self, weighed: DryRunResult) {
+        _ = self.port.tell(Word::DryRunResult(weighed));
     }
 
     /// Tries again what found no room.
--- a/crates/net/src/fleet/start.rs
+++ b/crates/net/src/fleet/start.rs
@@ -9,7 +9,7 @@
 use heronroute_fleet::{Micros, Start};
 use heronroute_installation::Client;
 use heronroute_installation::seam::Member;
-use heronroute_rules::seam::{Apply, Fence, Told, Weigh};
+use heronroute_rules::seam::{Apply, DryRun, Fence, Told};
 use mio::net::TcpListener;
 use std::collections::BTreeMap;
 use std::io;
@@ -46,7 +46,7 @@
     /// To all.
     Fence(Fence),
     /// To all.
-    Weigh(Weigh),
+    DryRun(DryRun),
 }
 
 /// A member that listens and can be told, and does not run yet.
--- a/crates/net/src/fleet/thread.rs
+++ b/crates/net/src/fleet/thread.rs
@@ -44,7 +44,7 @@
 
 impl Member for Still {
     fn handle(&mut self, _: Micros, _: Micros, input: Input, out: &mut Vec<Output>) {
-        if let Input::Ask(ask) = input {
+        if let Input::ClientRequest(ask) = input {
             out.push(Output::Told(asks::no_majority(&ask)));
         }
     }
@@ -200,9 +200,9 @@
         self.busy = false;
         for _ in 0..WORDS {
             match self.inbox.try_recv() {
-                Ok(Word::Ask(ask)) => self.give(Input::Ask(ask)),
+                Ok(Word::ClientRequest(ask)) => self.give(Input::ClientRequest(ask)),
                 Ok(Word::Live(live)) => self.give(Input::Live(live)),
-                Ok(Word::Weighed(weighed)) => self.give(Input::Weighed(weighed)),
+                Ok(Word::DryRunResult(weighed)) => self.give(Input::DryRunResult(weighed)),
                 Ok(Word::Clients(clients)) => {
                     self.clients = Some(clients.clone());
                     self.give(Input::Clients(clients));
@@ -318,7 +318,7 @@
                     Output::Told(told) => answers(Answer::Told(told)),
                     Output::Apply(apply) => answers(Answer::Apply(apply)),
                     Output::Fence(fence) => answers(Answer::Fence(fence)),
-                    Output::Weigh(weigh) => answers(Answer::Weigh(weigh)),
+                    Output::DryRun(weigh) => answers(Answer::DryRun(weigh)),
                     Output::Decided(decided) => {
                         tracing::debug!(index = decided.index, from = %decided.entry.request.from.name, "decided");
                     }
--- a/crates/net/src/reactor/commands.rs
+++ b/crates/net/src/reactor/commands.rs
@@ -4,7 +4,7 @@
 use heronroute_config::Config;
 use heronroute_engine::front::Speaks;
 use heronroute_journal::Usage;
-use heronroute_rules::seam::{Apply, Fence, Told, Weigh};
+use heronroute_rules::seam::{Apply, DryRun, Fence, Told};
 use mio::net::TcpStream;
 use std::sync::Arc;
 use std::sync::mpsc::{Sender, TryRecvError};
@@ -31,7 +31,7 @@
     /// The installation's member sets a fence or lifts it.
     Fence(Fence),
     /// The installation's member asks what a client's rules would drop.
-    Weigh(Weigh),
+    DryRun(DryRun),
     /// Block the thread for a time, as a stalled machine would. For drills.
     Stall(Duration),
 }
@@ -72,7 +72,7 @@
             Command::Told(told) => self.node.told(now, told),
             Command::Apply(apply) => self.node.apply(now, apply),
             Command::Fence(fence) => self.node.fence(now, fence),
-            Command::Weigh(weigh) => {
+            Command::DryRun(weigh) => {
                 let weighed = self.node.weigh(now, &weigh);
                 if let Some(fleet) = &mut self.fleet {
                     fleet.weighed(weighed);
--- a/crates/net/src/reactor/outputs.rs
+++ b/crates/net/src/reactor/outputs.rs
@@ -37,7 +37,7 @@
             }
             // Nothing is copied to a partner yet.
             Output::Copying | Output::Inherited(_) => {}
-            Output::Ask(ask) => {
+            Output::ClientRequest(ask) => {
                 let now = self.clock.now();
                 // Nobody to ask, or no room: answered at once.
                 if let Some(told) = self.fleet.as_mut().and_then(|f| f.ask(ask)) {
--- a/crates/net/src/service.rs
+++ b/crates/net/src/service.rs
@@ -216,9 +216,9 @@
                 sender.send(Command::Fence(fence.clone()));
             }
         }
-        Answer::Weigh(weigh) => {
+        Answer::DryRun(weigh) => {
             for sender in &senders {
-                sender.send(Command::Weigh(weigh.clone()));
+                sender.send(Command::DryRun(weigh.clone()));
             }
         }
     })
--- a/crates/net/tests/fleet.rs
+++ b/crates/net/tests/fleet.rs
@@ -7,7 +7,7 @@
 use heronroute_installation::seam::{Health, Input, Member, Output};
 use heronroute_net::Clock;
 use heronroute_net::fleet::{Answer, Bound, Fleet, SenderPort, Setup};
-use heronroute_rules::seam::{Ask, Live, Token, Told, Weigh, Weighed};
+use heronroute_rules::seam::{ClientRequest, DryRun, DryRunResult, Live, Token, Told};
 use heronroute_rules::{RuleSet, Turn};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     unlinked: Vec<usize>,
     messages: Vec<(usize, Vec<u8>)>,
     lives: Vec<Live>,
-    weighed: Vec<Weighed>,
+    weighed: Vec<DryRunResult>,
     outlived: Vec<Start>,
     health: Vec<Health>,
 }
@@ -53,12 +53,17 @@
             }
             Input::Unlinked { peer } => heard.unlinked.push(peer),
             Input::Message { peer, payload } => heard.messages.push((peer, payload)),
-            Input::Ask(ask) if ask.words.contains(&"check".to_string()) => {
+            Input::ClientRequest(ask) if ask.words.contains(&"check".to_string()) => {
                 let set = Arc::new(RuleSet::default());
-                out.push(Output::Weigh(Weigh { number: 12, client: ask.client, set, turn: Turn::default() }));
+                out.push(Output::DryRun(DryRun {
+                    number: 12,
+                    client: ask.client,
+                    set,
+                    turn: Turn::default(),
+                }));
             }
-            Input::Weighed(weighed) => heard.weighed.push(weighed),
-            Input::Ask(ask) => {
+            Input::DryRunResult(weighed) => heard.weighed.push(weighed),
+            Input::ClientRequest(ask) => {
                 out.push(Output::Told(Told { token: ask.token, text: ask.client, state: "shown" }));
             }
             Input::Live(live) => heard.lives.push(live),
@@ -184,7 +189,7 @@
     let at = addresses(2);
     let place = start(0, &at, 1, 0);
     let mut port = SenderPort::new(place.fleet.port());
-    let ask = |n| Ask {
+    let ask = |n| ClientRequest {
         token: Token { sender: 3, conn: 4, token: n },
         client: "oduya".into(),
         words: vec!["rules".into(), "show".into()],
@@ -200,9 +205,9 @@
     assert_eq!(port.ask(ask(1)), None);
     let Answer::Told(told) = place.answers.recv_timeout(5_000 * MS).unwrap() else { panic!() };
     assert_eq!((told.token, told.state), (ask(1).token, "shown"));
-    assert_eq!(port.ask(Ask { words: vec!["rules".into(), "check".into()], ..ask(2) }), None);
-    let Answer::Weigh(weigh) = place.answers.recv_timeout(5_000 * MS).unwrap() else { panic!() };
-    let weighed = Weighed { number: weigh.number, sender: 3, would: Default::default() };
+    assert_eq!(port.ask(ClientRequest { words: vec!["rules".into(), "check".into()], ..ask(2) }), None);
+    let Answer::DryRun(weigh) = place.answers.recv_timeout(5_000 * MS).unwrap() else { panic!() };
+    let weighed = DryRunResult { number: weigh.number, sender: 3, would: Default::default() };
     port.weighed(weighed);
     until("what was weighed", || place.heard.lock().unwrap().weighed == [weighed]);
     // The member stands still: its inbox is bounded, and the sender is not held up.
--- a/crates/rules/src/check/bounds.rs
+++ b/crates/rules/src/check/bounds.rs
@@ -29,7 +29,7 @@
                 out.push(Finding::new(&rule.name, field, "", "", "it has a control character"));
             }
         }
-        if Field::ALL.iter().all(|f| f.raw(&rule.figures).is_none()) {
+        if Field::ALL.iter().all(|f| f.raw(&rule.limits).is_none()) {
             out.push(Finding::new(&rule.name, "", "", "", "it sets nothing"));
         }
         Field::ALL.into_iter().for_each(|field| check_field(rule, field, out));
@@ -37,7 +37,7 @@
 }
 
 fn check_field(rule: &Rule, field: Field, out: &mut Findings) {
-    let Some(value) = field.raw(&rule.figures) else { return };
+    let Some(value) = field.raw(&rule.limits) else { return };
     let most = match field.unit() {
         Unit::Duration => limits::MAX_DURATION as u64,
         Unit::Count => limits::MAX_COUNT,
--- a/crates/rules/src/check/conflicts.rs
+++ b/crates/rules/src/check/conflicts.rs
@@ -15,7 +15,7 @@
     for rule in rules {
         let Some(first) = seen.insert((&rule.to, &rule.class, &rule.key), rule) else { continue };
         duplicates = true;
-        let differs = Field::ALL.into_iter().find(|f| match (f.get(&first.figures), f.get(&rule.figures)) {
+        let differs = Field::ALL.into_iter().find(|f| match (f.get(&first.limits), f.get(&rule.limits)) {
             (Some(a), Some(b)) => a != b,
             _ => false,
         });
@@ -57,12 +57,12 @@
     for (i, rule) in by_specificity.iter().enumerate() {
         let (mut by, mut direct) = ("", true);
         let mut set_by_wider_rule = |field: Field| {
-            let Some(value) = field.get(&rule.figures) else { return true };
+            let Some(value) = field.get(&rule.limits) else { return true };
             if field.is_summed() {
                 return false;
             }
             for next in by_specificity.iter().skip(i + 1).filter(|next| overlaps(next, rule)) {
-                match field.get(&next.figures) {
+                match field.get(&next.limits) {
                     Some(other) if other == value && contains(next, rule) => {
                         by = &next.name;
                         return true;
@@ -104,7 +104,7 @@
             return false;
         }
         *comparisons_left -= 1;
-        let Some(has) = field.get(&other.figures) else { continue };
+        let Some(has) = field.get(&other.limits) else { continue };
         if matches(other, &class, to.as_bytes(), key.as_bytes()) {
             return i < at || has == value;
         }
--- a/crates/rules/src/check/cut.rs
+++ b/crates/rules/src/check/cut.rs
@@ -6,7 +6,7 @@
 use super::plan::within_scope;
 use crate::field::Field;
 use crate::limits;
-use crate::model::{Figures, Plan, Rule};
+use crate::model::{Plan, Rule, RuleLimits};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The number of passes that remove redundant rules. Any that remain make the client's next change fail its
@@ -35,7 +35,7 @@
     for rule in order {
         if within_scope(rule, plan) && rules.len() < plan.rules {
             let mut lower = rule.clone();
-            lower_to_plan(&mut lower.figures, plan);
+            lower_to_plan(&mut lower.limits, plan);
             rules.push(lower);
         }
     }
@@ -58,21 +58,21 @@
     }
     for rule in &mut rules {
         if let Some(original) = originals.get(rule.name.as_str()) {
-            raise_towards(&mut rule.figures, &original.figures, plan, &mut room_left);
+            raise_towards(&mut rule.limits, &original.limits, plan, &mut room_left);
         }
     }
     for original in &current.removed {
         let mut rule = original.clone();
-        lower_to_plan(&mut rule.figures, plan);
+        lower_to_plan(&mut rule.limits, plan);
         let within_limits = rules.len() < plan.rules.min(limits::MAX_RULES)
-            && octets(&rules) + octets(std::slice::from_ref(original)) <= limits::SET_OCTETS;
-        let need = |f: &Field| value_or_zero(*f, &rule.figures);
+            && octets(&rules) + octets(std::slice::from_ref(original)) <= limits::MAX_RULES_BYTES;
+        let need = |f: &Field| value_or_zero(*f, &rule.limits);
         let room = Field::ALL.iter().all(|f| room_left.get(f).is_none_or(|room_left| need(f) <= *room_left));
         if within_limits && room && within_scope(&rule, plan) && sets_any(&rule) && !conflicts(&rules, &rule)
         {
             room_left
                 .iter_mut()
-                .for_each(|(f, room_left)| *room_left -= value_or_zero(*f, &rule.figures).min(*room_left));
+                .for_each(|(f, room_left)| *room_left -= value_or_zero(*f, &rule.limits).min(*room_left));
             rules.push(rule);
         }
     }
@@ -113,7 +113,7 @@
     for rule in latest.filter_map(|r| known.remove(r.name.as_str())) {
         result.removed.push(rule.clone());
     }
-    while result.removed.len() > limits::MAX_RULES || octets(&result.removed) > limits::SET_OCTETS {
+    while result.removed.len() > limits::MAX_RULES || octets(&result.removed) > limits::MAX_RULES_BYTES {
         let half = result.removed.len() / 2;
         result.removed.truncate(half);
     }
@@ -122,10 +122,10 @@
 
 /// Lowers each limit to the plan's maximum. Limits that the plan does not name, and those that would become
 /// an invalid zero, are left out.
-fn lower_to_plan(figures: &mut Figures, plan: &Plan) {
+fn lower_to_plan(limits: &mut RuleLimits, plan: &Plan) {
     for field in Field::ALL {
-        let value = field.get(figures).zip(field.get(&plan.most)).map(|(value, most)| value.min(most));
-        field.set(figures, value.filter(|v| *v > 0 || !field.requires_nonzero()));
+        let value = field.get(limits).zip(field.get(&plan.most)).map(|(value, most)| value.min(most));
+        field.set(limits, value.filter(|v| *v > 0 || !field.requires_nonzero()));
     }
 }
 
@@ -134,16 +134,16 @@
     let sum = sum(rules, field);
     let Some(most) = field.get(&plan.most).map(u128::from).filter(|most| sum > *most) else { return };
     for rule in rules {
-        let part = field.get(&rule.figures).map(|v| u64::try_from(u128::from(v) * most / sum).unwrap_or(0));
+        let part = field.get(&rule.limits).map(|v| u64::try_from(u128::from(v) * most / sum).unwrap_or(0));
         // A rate of zero would hold messages forever, so the limit is left out and the settings' default
         // applies.
-        field.set(&mut rule.figures, part.filter(|v| *v > 0 || !field.requires_nonzero()));
+        field.set(&mut rule.limits, part.filter(|v| *v > 0 || !field.requires_nonzero()));
     }
 }
 
 fn raise_towards(
-    current: &mut Figures,
-    original: &Figures,
+    current: &mut RuleLimits,
+    original: &RuleLimits,
     plan: &Plan,
     room_left: &mut BTreeMap<Field, u128>,
 ) {
@@ -165,15 +165,15 @@
 }
 
 fn sets_any(rule: &Rule) -> bool {
-    Field::ALL.iter().any(|f| f.get(&rule.figures).is_some())
+    Field::ALL.iter().any(|f| f.get(&rule.limits).is_some())
 }
 
 fn sum(rules: &[Rule], field: Field) -> u128 {
-    rules.iter().map(|r| value_or_zero(field, &r.figures)).sum()
+    rules.iter().map(|r| value_or_zero(field, &r.limits)).sum()
 }
 
-fn value_or_zero(field: Field, figures: &Figures) -> u128 {
-    field.get(figures).map_or(0, u128::from)
+fn value_or_zero(field: Field, limits: &RuleLimits) -> u128 {
+    field.get(limits).map_or(0, u128::from)
 }
 
 /// Returns whether another rule has the same name or the same match.
--- a/crates/rules/src/check/destroys.rs
+++ b/crates/rules/src/check/destroys.rs
@@ -16,15 +16,15 @@
     }
     let (old_by_match, new_by_match) = (by_match(old), by_match(new));
     Field::ALL.into_iter().filter(|f| f.smaller_loses_data()).any(|field| {
-        let get = |rule: Option<&&Rule>| rule.and_then(|r| field.get(&r.figures));
+        let get = |rule: Option<&&Rule>| rule.and_then(|r| field.get(&r.limits));
         // If every match that set the limit still sets it at least as high, a message falls under its old
         // rule or a new one.
-        let lost = old_by_match.iter().any(|(at, rule)| match field.get(&rule.figures) {
+        let lost = old_by_match.iter().any(|(at, rule)| match field.get(&rule.limits) {
             Some(value) => get(new_by_match.get(at)).is_none_or(|now| now < value),
             None => false,
         });
         lost || new_by_match.iter().any(|(at, rule)| {
-            match (field.get(&rule.figures), get(old_by_match.get(at))) {
+            match (field.get(&rule.limits), get(old_by_match.get(at))) {
                 (None, _) | (_, Some(_)) => false,
                 (Some(value), None) => gives_less(old, rule, field, value),
             }
@@ -36,7 +36,7 @@
 fn gives_less(old: &[Rule], rule: &Rule, field: Field, value: u64) -> bool {
     let mut covered = false;
     for was in old.iter().filter(|was| overlaps(was, rule)) {
-        let Some(had) = field.get(&was.figures) else { continue };
+        let Some(had) = field.get(&was.limits) else { continue };
         if value < had {
             return true;
         }
--- a/crates/rules/src/check/dry_run.rs
+++ b/crates/rules/src/check/dry_run.rs
@@ -4,7 +4,7 @@
 
 /// The numbers of items that would be dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LetGo {
+pub struct LossCounts {
     /// Names; a message submitted again under one of them would have an uncertain outcome.
     pub names: u64,
     /// Answers that could no longer be repeated.
@@ -19,10 +19,10 @@
     pub at_least: bool,
 }
 
-impl LetGo {
+impl LossCounts {
     /// Returns the sum of the counts of two senders or members.
-    pub fn and(self, other: LetGo) -> LetGo {
-        LetGo {
+    pub fn and(self, other: LossCounts) -> LossCounts {
+        LossCounts {
             names: self.names.saturating_add(other.names),
             answers: self.answers.saturating_add(other.answers),
             messages: self.messages.saturating_add(other.messages),
--- a/crates/rules/src/check/finding.rs
+++ b/crates/rules/src/check/finding.rs
@@ -21,13 +21,13 @@
 impl Finding {
     /// Creates a finding, with all texts shortened to what may be quoted back.
     pub fn new(rule: &str, field: &str, plan: &str, fits: &str, why: &str) -> Self {
-        let echo = |text: &str| limits::short(text, limits::MAX_ECHO_CHARS);
+        let echo = |text: &str| limits::shorten(text, limits::MAX_ECHO_CHARS);
         Finding {
-            rule: limits::short(rule, limits::MAX_RULE_NAME_CHARS),
+            rule: limits::shorten(rule, limits::MAX_RULE_NAME_CHARS),
             field: echo(field),
             plan: echo(plan),
             fits: echo(fits),
-            why: limits::short(why, limits::WHY),
+            why: limits::shorten(why, limits::MAX_REASON_CHARS),
         }
     }
 }
--- a/crates/rules/src/check/plan.rs
+++ b/crates/rules/src/check/plan.rs
@@ -32,7 +32,7 @@
     let most = field.get(&plan.most);
     let mut left = most.unwrap_or(0);
     for rule in rules {
-        let Some(value) = field.get(&rule.figures) else { continue };
+        let Some(value) = field.get(&rule.limits) else { continue };
         let Some(most) = most else {
             let why = "the plan does not let it be set";
             out.push(Finding::new(&rule.name, field.name(), "none", "leave it out", why));
@@ -82,7 +82,7 @@
     let bounded = |list: &[String], count: usize, most: usize| {
         list.len() <= count && list.iter().all(|t| t.len() <= most)
     };
-    plan.name.len() <= limits::CLIENT
+    plan.name.len() <= limits::MAX_CLIENT_NAME_BYTES
         && plan.grace >= 0
         && bounded(&plan.classes, limits::MAX_PLAN_CLASSES, limits::MAX_CLASS_BYTES)
         && bounded(&plan.prefixes, limits::MAX_PLAN_PREFIXES, limits::MAX_ADDRESS_PREFIX_BYTES)
--- a/crates/rules/src/digest.rs
+++ b/crates/rules/src/digest.rs
@@ -66,7 +66,7 @@
         for part in [&rule.name, &rule.class, &rule.to, &rule.key] {
             hash_text(hash, part);
         }
-        hash_limits(hash, &rule.figures);
+        hash_limits(hash, &rule.limits);
     }
 }
 
@@ -85,9 +85,9 @@
     hash.update(plan.grace.to_be_bytes());
 }
 
-fn hash_limits(hash: &mut Sha256, figures: &crate::Figures) {
+fn hash_limits(hash: &mut Sha256, limits: &crate::RuleLimits) {
     for field in Field::ALL {
-        match field.raw(figures) {
+        match field.raw(limits) {
             Some(value) => {
                 hash.update([1]);
                 hash.update(value.to_be_bytes());
--- a/crates/rules/src/field.rs
+++ b/crates/rules/src/field.rs
@@ -1,7 +1,7 @@
 //! The limits of a rule by name, so that checks, cuts and digests process all of them in the same way.
 
 use crate::Micros;
-use crate::model::Figures;
+use crate::model::RuleLimits;
 use crate::units::{format_duration, format_size};
 
 /// One limit that a rule can set.
@@ -100,50 +100,50 @@
     }
 
     /// Returns the value as it is, even if it is out of bounds.
-    pub fn raw(self, figures: &Figures) -> Option<i128> {
+    pub fn raw(self, limits: &RuleLimits) -> Option<i128> {
         match self {
-            Field::AnswerFor => figures.answer_for.map(i128::from),
-            Field::Remember => figures.remember.map(i128::from),
-            Field::Remembered => figures.remembered.map(i128::from),
-            Field::HoldFor => figures.hold_for.map(i128::from),
-            Field::HoldCount => figures.hold_count.map(i128::from),
-            Field::HoldOctets => figures.hold_octets.map(i128::from),
-            Field::Trails => figures.trails.map(i128::from),
-            Field::Validity => figures.validity.map(i128::from),
-            Field::Release => figures.release.map(i128::from),
+            Field::AnswerFor => limits.answer_for.map(i128::from),
+            Field::Remember => limits.remember.map(i128::from),
+            Field::Remembered => limits.remembered.map(i128::from),
+            Field::HoldFor => limits.hold_for.map(i128::from),
+            Field::HoldCount => limits.hold_count.map(i128::from),
+            Field::HoldOctets => limits.hold_octets.map(i128::from),
+            Field::Trails => limits.trails.map(i128::from),
+            Field::Validity => limits.validity.map(i128::from),
+            Field::Release => limits.release.map(i128::from),
         }
     }
 
     /// Returns the value. A negative duration, which only a command from another program can contain, counts
     /// as 0.
-    pub fn get(self, figures: &Figures) -> Option<u64> {
+    pub fn get(self, limits: &RuleLimits) -> Option<u64> {
         let span = |v: Option<Micros>| v.map(|v| u64::try_from(v).unwrap_or(0));
         match self {
-            Field::AnswerFor => span(figures.answer_for),
-            Field::Remember => span(figures.remember),
-            Field::Remembered => figures.remembered,
-            Field::HoldFor => span(figures.hold_for),
-            Field::HoldCount => figures.hold_count,
-            Field::HoldOctets => figures.hold_octets,
-            Field::Trails => figures.trails,
-            Field::Validity => span(figures.validity),
-            Field::Release => figures.release,
+            Field::AnswerFor => span(limits.answer_for),
+            Field::Remember => span(limits.remember),
+            Field::Remembered => limits.remembered,
+            Field::HoldFor => span(limits.hold_for),
+            Field::HoldCount => limits.hold_count,
+            Field::HoldOctets => limits.hold_octets,
+            Field::Trails => limits.trails,
+            Field::Validity => span(limits.validity),
+            Field::Release => limits.release,
         }
     }
 
     /// Sets or clears the value.
-    pub fn set(self, figures: &mut Figures, value: Option<u64>) {
+    pub fn set(self, limits: &mut RuleLimits, value: Option<u64>) {
         let span = value.map(|v| Micros::try_from(v).unwrap_or(Micros::MAX));
         match self {
-            Field::AnswerFor => figures.answer_for = span,
-            Field::Remember => figures.remember = span,
-            Field::Remembered => figures.remembered = value,
-            Field::HoldFor => figures.hold_for = span,
-            Field::HoldCount => figures.hold_count = value,
-            Field::HoldOctets => figures.hold_octets = value,
-            Field::Trails => figures.trails = value,
-            Field::Validity => figures.validity = span,
-            Field::Release => figures.release = value,
+            Field::AnswerFor => limits.answer_for = span,
+            Field::Remember => limits.remember = span,
+            Field::Remembered => limits.remembered = value,
+            Field::HoldFor => limits.hold_for = span,
+            Field::HoldCount => limits.hold_count = value,
+            Field::HoldOctets => limits.hold_octets = value,
+            Field::Trails => limits.trails = value,
+            Field::Validity => limits.validity = span,
+            Field::Release => limits.release = value,
         }
     }
 
--- a/crates/rules/src/json/answer.rs
+++ b/crates/rules/src/json/answer.rs
@@ -98,7 +98,7 @@
     let texts = [("name", &rule.name), ("class", &rule.class), ("to", &rule.to), ("key", &rule.key)];
     out.extend(texts.map(|(name, text)| (name.to_string(), Value::from(text.as_str()))));
     for field in Field::ALL {
-        if let Some(value) = field.get(&rule.figures) {
+        if let Some(value) = field.get(&rule.limits) {
             let value = if field.unit() == Unit::Count { value.into() } else { field.format(value).into() };
             out.insert(field.name().into(), value);
         }
--- a/crates/rules/src/json/draft.rs
+++ b/crates/rules/src/json/draft.rs
@@ -3,7 +3,7 @@
 use crate::check::{Finding, Findings};
 use crate::digest::{Digest, digest_parts, rules_digest};
 use crate::limits;
-use crate::model::{Figures, Rule};
+use crate::model::{Rule, RuleLimits};
 use crate::units::{UnitError, parse_duration, parse_size};
 use serde::Deserialize;
 
@@ -69,7 +69,7 @@
 /// field.
 pub fn read(body: &[u8]) -> Result<Draft, Findings> {
     let body_finding = |why: &str| Findings::one(Finding::new("", "", "", "", why));
-    if body.len() > limits::BODY {
+    if body.len() > limits::MAX_BODY_BYTES {
         return Err(body_finding("the body is over 64KiB"));
     }
     let raw: DraftBody = serde_json::from_slice(body).map_err(|e| body_finding(&e.to_string()))?;
@@ -82,7 +82,7 @@
             "too many rules",
         )));
     }
-    if raw.request.as_ref().is_some_and(|r| r.is_empty() || r.len() > limits::CLIENT) {
+    if raw.request.as_ref().is_some_and(|r| r.is_empty() || r.len() > limits::MAX_CLIENT_NAME_BYTES) {
         return Err(Findings::one(Finding::new(
             "",
             "request",
@@ -112,7 +112,7 @@
             None
         }
     };
-    let mut figures = Figures {
+    let mut limits = RuleLimits {
         answer_for: duration("answer_for", raw.answer_for),
         remember: duration("remember", raw.remember),
         hold_for: duration("hold_for", raw.hold_for),
@@ -123,12 +123,12 @@
         trails: raw.trails,
         release: raw.release,
     };
-    figures.hold_octets = raw.hold_octets.and_then(|text| match parse_size(&text) {
+    limits.hold_octets = raw.hold_octets.and_then(|text| match parse_size(&text) {
         Ok(size) => Some(size),
         Err(error) => {
             report("hold_octets", &error);
             None
         }
     });
-    Rule { name, class, to, key, figures }
+    Rule { name, class, to, key, limits }
 }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -34,10 +34,10 @@
 pub use check::{Finding, Findings};
 pub use digest::{Digest, digest};
 pub use field::Field;
-pub use model::{Figures, Plan, Rule, RuleSet};
+pub use model::{Plan, Rule, RuleLimits, RuleSet};
 pub use registry::{Command, Desired, Outcome, Registry, Reply};
 pub use share::Turn;
-pub use table::{Effective, Table};
+pub use table::{EffectiveLimits, Table};
 
 /// A time of day or a duration, in microseconds.
 pub type Micros = i64;
--- a/crates/rules/src/limits.rs
+++ b/crates/rules/src/limits.rs
@@ -4,12 +4,12 @@
 use crate::Micros;
 
 /// The maximum size of a JSON body, in bytes.
-pub const BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The maximum number of rules of a client, whatever its plan allows.
 pub const MAX_RULES: usize = 1_024;
 /// The maximum encoded size of a client's rules, in bytes. It is below the 64 KiB of a log entry, to leave
 /// room for the rest of the command.
-pub const SET_OCTETS: u64 = 48 * 1024;
+pub const MAX_RULES_BYTES: u64 = 48 * 1024;
 /// The maximum length of a rule's name.
 pub const MAX_RULE_NAME_CHARS: usize = 32;
 /// The maximum length of a class's name.
@@ -30,16 +30,16 @@
 pub const MAX_ECHO_CHARS: usize = 80;
 
 /// The maximum length of a client's or an operator's name, in bytes.
-pub const CLIENT: usize = 64;
+pub const MAX_CLIENT_NAME_BYTES: usize = 64;
 /// The maximum length of an operator's reason, in characters.
-pub const WHY: usize = 200;
+pub const MAX_REASON_CHARS: usize = 200;
 /// The maximum number of classes in a plan.
 pub const MAX_PLAN_CLASSES: usize = 64;
 /// The maximum number of prefixes in a plan.
 pub const MAX_PLAN_PREFIXES: usize = 256;
 
 /// The maximum number of clients in the registry, including dropped ones.
-pub const CLIENTS: usize = 4_096;
+pub const MAX_CLIENTS: usize = 4_096;
 /// The number of versions kept for a client, not counting waiting ones.
 pub const MAX_VERSIONS: usize = 16;
 /// The maximum number of versions of a client that wait for an operator.
@@ -56,6 +56,6 @@
 pub const MAX_SNAPSHOT_BYTES: usize = 256 << 20;
 
 /// Returns the first `most` characters of a text.
-pub fn short(text: &str, most: usize) -> String {
+pub fn shorten(text: &str, most: usize) -> String {
     text.chars().take(most).collect()
 }
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -11,7 +11,7 @@
 /// later ones. The JSON of the topics is defined in [`crate::json`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Figures {
+pub struct RuleLimits {
     /// How long a final answer is kept, to be returned again when a message with the same name is submitted
     /// again.
     pub answer_for: Option<Micros>,
@@ -48,7 +48,7 @@
     pub key: String,
     /// The limits that the rule sets.
     #[serde(rename = "figures")]
-    pub figures: Figures,
+    pub limits: RuleLimits,
 }
 
 /// All rules of a client at one version. Versions are counted per client, from 1; version 0 has no rules.
@@ -74,7 +74,7 @@
     /// The maximum of each limit. For counts, sizes and rates it also bounds the sum over all rules and all
     /// members. A limit that is left out cannot be set by the client: a line forgotten in the settings must
     /// not mean "unlimited".
-    pub most: Figures,
+    pub most: RuleLimits,
     /// The maximum number of changes per hour.
     pub changes_an_hour: u32,
     /// Whether an operator has to approve changes.
--- a/crates/rules/src/registry/client.rs
+++ b/crates/rules/src/registry/client.rs
@@ -72,7 +72,7 @@
 pub(super) enum Origin {
     Client,
     /// A rollback to an earlier version.
-    Back(u64),
+    RollBack(u64),
     /// Cut to a plan, or restored by one.
     Plan,
     Dropped,
@@ -141,7 +141,7 @@
         let old = self.set();
         let Some(found) = self.versions.get_mut(&version) else { return };
         found.stage = Stage::Desired;
-        found.by = limits::short(by, limits::CLIENT);
+        found.by = limits::shorten(by, limits::MAX_CLIENT_NAME_BYTES);
         let (new, origin) = (found.set.clone(), found.origin);
         if let Some(was) = self.versions.get_mut(&self.current) {
             was.stage = Stage::Superseded;
@@ -164,7 +164,7 @@
                 self.removed.retain(|r| !replaced(r));
             }
             Origin::Plan => {}
-            Origin::Client | Origin::Back(_) | Origin::Dropped => {
+            Origin::Client | Origin::RollBack(_) | Origin::Dropped => {
                 self.reduced.clear();
                 self.removed.clear();
             }
--- a/crates/rules/src/registry/command.rs
+++ b/crates/rules/src/registry/command.rs
@@ -40,7 +40,7 @@
         why: String,
     },
     /// Restores the rules of an earlier version as a new version.
-    Back {
+    RollBack {
         /// The client's system_id.
         client: String,
         /// The version to restore.
@@ -69,7 +69,7 @@
 
 /// Returns the digest that identifies a rollback of a client to a version, requested while `current` was
 /// desired. A rollback to the same version that is requested later therefore counts as a new one.
-pub fn back_request(client: &str, version: u64, current: u64) -> Digest {
+pub fn rollback_request_id(client: &str, version: u64, current: u64) -> Digest {
     digest_parts("back", &[client.as_bytes(), &version.to_be_bytes(), &current.to_be_bytes()])
 }
 
@@ -80,7 +80,7 @@
             Command::Submit { client, .. }
             | Command::Approve { client, .. }
             | Command::Refuse { client, .. }
-            | Command::Back { client, .. }
+            | Command::RollBack { client, .. }
             | Command::Plan { client, .. }
             | Command::Drop { client } => Some(client),
             Command::Tick => None,
--- a/crates/rules/src/registry/decide.rs
+++ b/crates/rules/src/registry/decide.rs
@@ -57,14 +57,14 @@
     }
 
     fn reject(&mut self, version: u64, by: &str, why: &str) {
-        self.stage(version, by, Stage::Rejected(limits::short(why, limits::WHY)));
+        self.stage(version, by, Stage::Rejected(limits::shorten(why, limits::MAX_REASON_CHARS)));
         self.trim(limits::MAX_VERSIONS + limits::MAX_WAITING_VERSIONS);
     }
 
     fn stage(&mut self, version: u64, by: &str, stage: Stage) {
         if let Some(found) = self.versions.get_mut(&version) {
             found.stage = stage;
-            found.by = limits::short(by, limits::CLIENT);
+            found.by = limits::shorten(by, limits::MAX_CLIENT_NAME_BYTES);
         }
     }
 }
--- a/crates/rules/src/registry/mod.rs
+++ b/crates/rules/src/registry/mod.rs
@@ -13,7 +13,7 @@
 mod submit;
 mod view;
 
-pub use command::{Command, back_request};
+pub use command::{Command, rollback_request_id};
 pub use merge::merge;
 pub use outcome::{Desired, Outcome, Reply};
 pub use snapshot::SnapshotError;
@@ -81,10 +81,10 @@
     /// Rolls a client back when a rollout stopped: from the version in effect to rules that were in effect
     /// before, as a new version. Returns what is now desired; nothing if another version is in effect or the
     /// plan no longer allows the rules.
-    pub fn take_back(&mut self, wall: Micros, client: &str, version: u64, to: &RuleSet) -> Vec<Desired> {
+    pub fn undo_rollout(&mut self, wall: Micros, client: &str, version: u64, to: &RuleSet) -> Vec<Desired> {
         self.clock = self.clock.max(wall);
         let mut changed = Vec::new();
-        self.update(client, &mut changed, |client, context| client.take_back(version, to, context));
+        self.update(client, &mut changed, |client, context| client.undo_rollout(version, to, context));
         changed
     }
 
@@ -94,7 +94,7 @@
             Command::Submit { request, client, base, rules } => self
                 .update(client, changed, |c, context| c.submit(*request, *base, rules, context))
                 .unwrap_or_else(no_plan),
-            Command::Back { client, version, request } => {
+            Command::RollBack { client, version, request } => {
                 let reply =
                     self.update(client, changed, |c, context| c.roll_back(*request, *version, context));
                 reply.unwrap_or_else(no_plan)
@@ -196,10 +196,10 @@
         if self.clients.contains_key(name) {
             return None;
         }
-        if name.is_empty() || name.len() > limits::CLIENT {
+        if name.is_empty() || name.len() > limits::MAX_CLIENT_NAME_BYTES {
             return Some(Reply::refused("client", "", "1 to 64 octets", "a name of a client that can't be"));
         }
-        if self.clients.len() >= limits::CLIENTS {
+        if self.clients.len() >= limits::MAX_CLIENTS {
             let Some((_, oldest)) = self.index.dropped.pop_first() else {
                 return Some(Reply::refused("client", "", "", "as many clients as may have rules"));
             };
--- a/crates/rules/src/registry/replan.rs
+++ b/crates/rules/src/registry/replan.rs
@@ -26,7 +26,7 @@
         self.plan = Arc::new(plan.clone());
         (self.plan_digest, self.plan_usable, self.dropped) = (digest, true, None);
         let ChangeContext { name, clock, changed, .. } = context;
-        if check::beyond(&self.set().rules, plan).is_empty() {
+        if check::plan_violations(&self.set().rules, plan).is_empty() {
             self.cut_at = None;
             let back = restore(&self.cut(), plan);
             if self.apply_cut(back, &mut ChangeContext { name, clock, bytes_available: 0, changed }) {
--- a/crates/rules/src/registry/snapshot.rs
+++ b/crates/rules/src/registry/snapshot.rs
@@ -55,11 +55,11 @@
         let (mut registry, rest) =
             postcard::take_from_bytes::<Registry>(body).map_err(|_| SnapshotError::Damaged)?;
         let is_valid = registry.version_floor < 1 << 62
-            && registry.clients.len() <= limits::CLIENTS
+            && registry.clients.len() <= limits::MAX_CLIENTS
             && registry
                 .clients
                 .iter()
-                .all(|(name, client)| name.len() <= limits::CLIENT && client.is_valid());
+                .all(|(name, client)| name.len() <= limits::MAX_CLIENT_NAME_BYTES && client.is_valid());
         if !rest.is_empty() || !is_valid {
             return Err(SnapshotError::OutOfBounds);
         }
@@ -73,7 +73,7 @@
     fn is_valid(&self) -> bool {
         let number = |n: u64| n <= self.last_version;
         let rules = |rules: &[crate::Rule]| {
-            rules.len() <= limits::MAX_RULES && check::octets(rules) <= limits::SET_OCTETS
+            rules.len() <= limits::MAX_RULES && check::octets(rules) <= limits::MAX_RULES_BYTES
         };
         let version = |(n, v): (&u64, &super::client::Version)| {
             let stage_matches = (v.stage == Stage::Desired) == (*n == self.current);
--- a/crates/rules/src/registry/submit.rs
+++ b/crates/rules/src/registry/submit.rs
@@ -63,14 +63,14 @@
         if !findings.is_empty() {
             return Reply::Refused { version: None, findings };
         }
-        let origin = Origin::Back(version);
+        let origin = Origin::RollBack(version);
         self.propose(Change { request, content, rules: set.rules.clone(), origin }, context)
     }
 
     /// Rolls back from the version in effect to earlier rules, as a new version. It neither counts as a
     /// change of the client nor needs an operator, since these rules were approved before. Returns false if
     /// another version is in effect by now, or if the plan no longer allows the rules.
-    pub(super) fn take_back(&mut self, version: u64, to: &RuleSet, context: ChangeContext<'_>) -> bool {
+    pub(super) fn undo_rollout(&mut self, version: u64, to: &RuleSet, context: ChangeContext<'_>) -> bool {
         if version != self.current || self.unavailable().is_some() || !check(&to.rules, &self.plan).is_empty()
         {
             return false;
@@ -78,7 +78,7 @@
         if self.bytes() + octets(&to.rules) + 64 > context.bytes_available {
             self.trim(1);
         }
-        let back = self.add_version(to.rules.clone(), Origin::Back(to.version), context.clock);
+        let back = self.add_version(to.rules.clone(), Origin::RollBack(to.version), context.clock);
         self.make_desired(context.name, back, "", context.changed);
         true
     }
--- a/crates/rules/src/registry/view.rs
+++ b/crates/rules/src/registry/view.rs
@@ -85,9 +85,9 @@
 
     /// Returns whether the viewer may give a command. If not, the answer is [`super::Reply::Unknown`], as for
     /// a client or version that does not exist. Plans, drops and ticks come from members only.
-    pub fn may(viewer: Viewer<'_>, command: &Command) -> bool {
+    pub fn is_permitted(viewer: Viewer<'_>, command: &Command) -> bool {
         match command {
-            Command::Submit { client, .. } | Command::Back { client, .. } => client == viewer.client,
+            Command::Submit { client, .. } | Command::RollBack { client, .. } => client == viewer.client,
             Command::Approve { by, .. } | Command::Refuse { by, .. } => {
                 viewer.operator && by == viewer.client
             }
@@ -145,7 +145,7 @@
             ));
         }
         if self.cut_at.is_some() {
-            for finding in check::beyond(&self.set().rules, &self.plan).list {
+            for finding in check::plan_violations(&self.set().rules, &self.plan).list {
                 let check::Finding { rule, field, plan, fits, why } = finding;
                 out.push(Notice { rule, field, plan, fits, why, until: self.due() });
             }
--- a/crates/rules/src/seam.rs
+++ b/crates/rules/src/seam.rs
@@ -1,7 +1,7 @@
 //! Messages about rules between a sender's node and its process. They are defined in this crate so that the
 //! engine does not depend on how the process gets an answer.
 
-use crate::check::LetGo;
+use crate::check::LossCounts;
 use crate::share::Turn;
 use crate::{Plan, RuleSet};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 /// A client's request: a topic and its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Returned with the answer.
     pub token: Token,
     /// The system_id of the client that asks.
@@ -88,7 +88,7 @@
 
 /// Asks a sender what its live tables would drop under a version. Nothing is changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Weigh {
+pub struct DryRun {
     /// Identifies the question; returned with the answer.
     pub number: u64,
     /// The client's system_id.
@@ -101,11 +101,11 @@
 
 /// The answer of a sender to a dry run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Weighed {
+pub struct DryRunResult {
     /// The number of the question.
     pub number: u64,
     /// The index of the sender in its process.
     pub sender: usize,
     /// What would be dropped if the rules were applied now.
-    pub would: LetGo,
+    pub would: LossCounts,
 }
--- a/crates/rules/src/share.rs
+++ b/crates/rules/src/share.rs
@@ -28,8 +28,8 @@
     let (place, members) = (place as u64, (members as u64).max(1));
     for rule in &mut out.rules {
         for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
-            let share = field.get(&rule.figures).map(|v| v / members + u64::from(place < v % members));
-            field.set(&mut rule.figures, share);
+            let share = field.get(&rule.limits).map(|v| v / members + u64::from(place < v % members));
+            field.set(&mut rule.limits, share);
         }
     }
     out
@@ -37,12 +37,12 @@
 
 /// Returns the rules for a sender that is not the client's home: counts, sizes and rates are 0, since the
 /// home has the whole share of the process. Durations are unchanged.
-pub fn away(set: &RuleSet) -> RuleSet {
+pub fn empty_share(set: &RuleSet) -> RuleSet {
     let mut out = set.clone();
     for rule in &mut out.rules {
         for field in Field::ALL.into_iter().filter(|f| f.is_summed()) {
-            let none = field.get(&rule.figures).map(|_| 0);
-            field.set(&mut rule.figures, none);
+            let none = field.get(&rule.limits).map(|_| 0);
+            field.set(&mut rule.limits, none);
         }
     }
     out
@@ -72,7 +72,7 @@
     /// `wall`. The releases of a rate are numbered from 1970 on and assigned to the members round-robin. In
     /// each second the members' parts add up to the rate, and in the long run all members get the same
     /// number.
-    pub fn part(&self, rate: u64, wall: Micros) -> u64 {
+    pub fn rate_share(&self, rate: u64, wall: Micros) -> u64 {
         let (second, rate) = (u128::try_from(wall.div_euclid(SECOND)).unwrap_or(0), u128::from(rate));
         let members = u128::from(self.members.max(1));
         let place = u128::from(self.place) % members;
@@ -91,12 +91,12 @@
 
 /// Returns notices to the rules' owner about limits so small that some members get a share of 0, where
 /// messages to be held are dropped at once. At most [`limits::MAX_FINDINGS`].
-pub fn thin(set: &RuleSet, members: usize) -> Vec<Notice> {
+pub fn empty_share_notices(set: &RuleSet, members: usize) -> Vec<Notice> {
     let members = members.max(1) as u64;
     let mut out = Vec::new();
     for rule in &set.rules {
         for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
-            let Some(value) = field.get(&rule.figures).filter(|v| *v > 0 && *v < members) else { continue };
+            let Some(value) = field.get(&rule.limits).filter(|v| *v > 0 && *v < members) else { continue };
             let without = members - value;
             out.push(Notice {
                 rule: rule.name.clone(),
--- a/crates/rules/src/table.rs
+++ b/crates/rules/src/table.rs
@@ -1,7 +1,7 @@
 //! Lookup of the limits for one message: each comes from the most specific matching rule that sets it.
 
 use crate::field::Field;
-use crate::model::{Figures, Rule};
+use crate::model::{Rule, RuleLimits};
 use crate::trie::Trie;
 
 /// A client's rules, indexed for lookups. The cost of a lookup depends on the lengths of address and key and
@@ -10,7 +10,7 @@
 pub struct Table {
     names: Vec<String>,
     /// The limits of each rule, with a bit for each [`Field`] that it sets.
-    figures: Vec<(Figures, u16)>,
+    limits: Vec<(RuleLimits, u16)>,
     classes: Vec<String>,
     to: Trie,
     prefixes: Vec<PrefixRules>,
@@ -60,9 +60,9 @@
 
 /// The result of a lookup for one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Effective {
+pub struct EffectiveLimits {
     /// The limits found; for those left out, the defaults in the settings apply.
-    pub figures: Figures,
+    pub limits: RuleLimits,
     /// For each [`Field`], in the order of [`Field::ALL`], the index of the rule that set it. Counts and
     /// sizes are enforced per rule.
     pub from: [Option<u16>; Field::COUNT],
@@ -70,7 +70,7 @@
     pub rule: Option<u16>,
 }
 
-impl Effective {
+impl EffectiveLimits {
     /// Returns the rule that set a limit.
     pub fn by(&self, field: Field) -> Option<u16> {
         self.from.get(field as usize).copied().flatten()
@@ -99,7 +99,7 @@
     /// Indexes only the given fields, so that rules which set none of them cost nothing in lookups.
     pub fn of(rules: &[Rule], fields: &[Field]) -> Self {
         let bits = fields.iter().fold(0, |bits, field| bits | 1 << *field as u16);
-        let some = rules.iter().zip(0..).filter(|(rule, _)| field_bits(&rule.figures) & bits != 0);
+        let some = rules.iter().zip(0..).filter(|(rule, _)| field_bits(&rule.limits) & bits != 0);
         Self::build(rules, some.collect(), bits)
     }
 
@@ -128,12 +128,12 @@
                 prefixes.push(prefix_rules);
             }
         }
-        let figures: Vec<(Figures, u16)> =
-            rules.iter().map(|r| (r.figures.clone(), field_bits(&r.figures) & bits)).collect();
+        let limits: Vec<(RuleLimits, u16)> =
+            rules.iter().map(|r| (r.limits.clone(), field_bits(&r.limits) & bits)).collect();
         Table {
-            all: figures.iter().fold(0, |all, (_, mask)| all | mask),
+            all: limits.iter().fold(0, |all, (_, mask)| all | mask),
             names: rules.iter().map(|r| r.name.clone()).collect(),
-            figures,
+            limits,
             classes,
             to: Trie::new(to),
             prefixes,
@@ -141,8 +141,8 @@
     }
 
     /// Returns the limits for a message with this class, address and key (empty if it has none).
-    pub fn look(&self, class: &str, to: &[u8], key: &[u8]) -> Effective {
-        let mut found = Effective::default();
+    pub fn lookup(&self, class: &str, to: &[u8], key: &[u8]) -> EffectiveLimits {
+        let mut found = EffectiveLimits::default();
         if self.prefixes.is_empty() {
             return found;
         }
@@ -155,10 +155,10 @@
             });
             for keys in by_class.into_iter().chain([&prefix_rules.without_class]) {
                 for rule in keys.matching(key) {
-                    let Some((figures, mask)) = self.figures.get(rule as usize) else { continue };
+                    let Some((limits, mask)) = self.limits.get(rule as usize) else { continue };
                     let rule = u16::try_from(rule).ok();
                     found.rule = found.rule.or(rule);
-                    copy_fields(&mut found, figures, rule, mask & !found_bits);
+                    copy_fields(&mut found, limits, rule, mask & !found_bits);
                     found_bits |= mask;
                     if found_bits == self.all {
                         return found;
@@ -176,24 +176,24 @@
 
     /// Returns the number of rules.
     pub fn len(&self) -> usize {
-        self.figures.len()
+        self.limits.len()
     }
 
     /// Returns whether there are no rules.
     pub fn is_empty(&self) -> bool {
-        self.figures.is_empty()
+        self.limits.is_empty()
     }
 }
 
-fn field_bits(figures: &Figures) -> u16 {
-    Field::ALL.iter().filter(|f| f.get(figures).is_some()).fold(0, |all, f| all | 1 << *f as u16)
+fn field_bits(limits: &RuleLimits) -> u16 {
+    Field::ALL.iter().filter(|f| f.get(limits).is_some()).fold(0, |all, f| all | 1 << *f as u16)
 }
 
 /// Copies the limits of the fields in `bits`.
-fn copy_fields(found: &mut Effective, figures: &Figures, rule: Option<u16>, mut bits: u16) {
+fn copy_fields(found: &mut EffectiveLimits, limits: &RuleLimits, rule: Option<u16>, mut bits: u16) {
     while let Some(field) = Field::ALL.get(bits.trailing_zeros() as usize) {
         bits &= bits - 1;
-        field.set(&mut found.figures, field.get(figures));
+        field.set(&mut found.limits, field.get(limits));
         if let Some(from) = found.from.get_mut(*field as usize) {
             *from = rule;
         }
--- a/crates/rules/src/units.rs
+++ b/crates/rules/src/units.rs
@@ -31,8 +31,8 @@
 /// # Errors
 /// Returns an error that says which form is allowed.
 pub fn parse_duration(text: &str) -> Result<Micros, UnitError> {
-    let invalid = || UnitError::InvalidDuration(limits::short(text, limits::MAX_ECHO_CHARS));
-    let too_long = || UnitError::DurationTooLong(limits::short(text, limits::MAX_ECHO_CHARS));
+    let invalid = || UnitError::InvalidDuration(limits::shorten(text, limits::MAX_ECHO_CHARS));
+    let too_long = || UnitError::DurationTooLong(limits::shorten(text, limits::MAX_ECHO_CHARS));
     let (number, scale) = split_unit(text, &DURATION_UNITS).ok_or_else(invalid)?;
     let (whole, fraction) = match number.split_once('.') {
         Some((_, "")) => return Err(invalid()),
@@ -66,8 +66,8 @@
 /// # Errors
 /// Returns an error that says which form is allowed.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
-    let invalid = || UnitError::InvalidSize(limits::short(text, limits::MAX_ECHO_CHARS));
-    let too_large = || UnitError::SizeTooLarge(limits::short(text, limits::MAX_ECHO_CHARS));
+    let invalid = || UnitError::InvalidSize(limits::shorten(text, limits::MAX_ECHO_CHARS));
+    let too_large = || UnitError::SizeTooLarge(limits::shorten(text, limits::MAX_ECHO_CHARS));
     let (number, scale) = split_unit(text, &SIZE_UNITS).ok_or_else(invalid)?;
     if !all_digits(number) {
         return Err(invalid());
--- a/crates/rules/tests/bounded_size.rs
+++ b/crates/rules/tests/bounded_size.rs
@@ -4,7 +4,7 @@
 
 use common::{MINUTE, plan};
 use heronroute_rules::digest::plan_digest;
-use heronroute_rules::{Command, Figures, Plan, Registry, Reply, Rule, limits};
+use heronroute_rules::{Command, Plan, Registry, Reply, Rule, RuleLimits, limits};
 
 const CLIENT_COUNT: u64 = 100;
 const SECOND: i64 = 1_000_000;
@@ -21,14 +21,14 @@
 
 fn rules(random: &mut SeededRandom) -> Vec<Rule> {
     let rule = |n: u64, random: &mut SeededRandom| {
-        let figures = Figures {
+        let limits = RuleLimits {
             hold_for: Some(1 + random.below(60 * MINUTE as u64) as i64),
             hold_count: Some(random.below(250)),
-            ..Figures::default()
+            ..RuleLimits::default()
         };
         // Names and keys are as long as allowed, so that everything kept adds to the size.
         let (name, key) = (format!("{n}{}", "n".repeat(30)), "k".repeat(limits::MAX_KEY_PREFIX_BYTES));
-        Rule { name, class: "RESP".into(), to: format!("000001{n}"), key, figures }
+        Rule { name, class: "RESP".into(), to: format!("000001{n}"), key, limits }
     };
     (0..1 + random.below(4)).map(|n| rule(n, random)).collect()
 }
@@ -59,11 +59,14 @@
         request[..8].copy_from_slice(&edit.to_be_bytes());
         let command = match (random.below(20), waits) {
             (0, _) => replan(&client, client_plan(random.below(2) == 0, n.is_multiple_of(4))),
-            (1, _) => Command::Back { client, version: version.saturating_sub(random.below(5)), request },
+            (1, _) => Command::RollBack { client, version: version.saturating_sub(random.below(5)), request },
             (2 | 3, Some(version)) => Command::Approve { client, version, by: "o".repeat(64) },
-            (4, Some(version)) => {
-                Command::Refuse { client, version, by: "o".repeat(64), why: "w".repeat(limits::WHY) }
-            }
+            (4, Some(version)) => Command::Refuse {
+                client,
+                version,
+                by: "o".repeat(64),
+                why: "w".repeat(limits::MAX_REASON_CHARS),
+            },
             (5, _) => Command::Tick,
             _ => Command::Submit { request, client, base: version, rules: rules(&mut random) },
         };
--- a/crates/rules/tests/check.rs
+++ b/crates/rules/tests/check.rs
@@ -5,7 +5,7 @@
 use common::*;
 use heronroute_rules::check::{Cut, Findings, check, cut, destroys, restore};
 use heronroute_rules::share::share;
-use heronroute_rules::{Command, Field, Figures, Plan, Rule, RuleSet, Table, limits};
+use heronroute_rules::{Command, Field, Plan, Rule, RuleLimits, RuleSet, Table, limits};
 use proptest::prelude::*;
 
 fn summaries(found: &Findings) -> Vec<[&str; 4]> {
@@ -30,14 +30,14 @@
     assert_eq!(summaries(&of(&sums)), [["b", "hold_count", "1000", "300"], ["c", "hold_count", "1000", "0"]]);
     let many: Vec<Rule> = (1..6).map(|i| rule(&format!("r{i}"), &format!("000001{i}"), i * MINUTE)).collect();
     assert_eq!(summaries(&of(&many)), [["", "rules", "4", "4"]]);
-    let without_release = Plan { most: Figures { release: None, ..plan.most.clone() }, ..plan.clone() };
+    let without_release = Plan { most: RuleLimits { release: None, ..plan.most.clone() }, ..plan.clone() };
     let with_release =
-        Rule { figures: Figures { release: Some(1), ..Figures::default() }, ..rule("p", "000001", 0) };
+        Rule { limits: RuleLimits { release: Some(1), ..RuleLimits::default() }, ..rule("p", "000001", 0) };
     assert_eq!(
         summaries(&check(std::slice::from_ref(&with_release), &without_release)),
         [["p", "release", "none", "leave it out"]]
     );
-    let zero_rate = Rule { figures: Figures { release: Some(0), ..Figures::default() }, ..with_release };
+    let zero_rate = Rule { limits: RuleLimits { release: Some(0), ..RuleLimits::default() }, ..with_release };
     assert_eq!(summaries(&of(&[zero_rate])), [["p", "release", "", "1"]]);
 }
 
@@ -50,7 +50,7 @@
     assert_eq!([of(""), of(&"é".repeat(33)), of("a\n")], [(); 3].map(|()| Some("name".to_string())));
     let twice = [rule("a", "0000011", MINUTE), rule("a", "0000012", MINUTE)];
     assert_eq!(summaries(&check(&twice, &plan())), [["a", "name", "", "another name"]]);
-    let nothing = Rule { figures: Figures::default(), ..rule("n", "000001", 0) };
+    let nothing = Rule { limits: RuleLimits::default(), ..rule("n", "000001", 0) };
     assert_eq!(summaries(&check(&[nothing], &plan())), [["n", "", "", ""]]);
     let below = rule("n", "000001", -1);
     assert_eq!(summaries(&check(&[below], &plan())), [["n", "hold_for", "", ""]]);
@@ -75,14 +75,14 @@
         for field in Field::ALL {
             let duration = (limits::MAX_DURATION - 9_999 + i as i64) as u64;
             field.set(
-                &mut rule.figures,
+                &mut rule.limits,
                 Some(if field.is_summed() { limits::MAX_COUNT - i as u64 } else { duration }),
             );
         }
-        rule.figures.hold_octets = Some(limits::MAX_SIZE_BYTES - i as u64);
+        rule.limits.hold_octets = Some(limits::MAX_SIZE_BYTES - i as u64);
         rule
     };
-    let mut most = Figures::default();
+    let mut most = RuleLimits::default();
     Field::ALL.into_iter().for_each(|field| field.set(&mut most, Some(u64::MAX >> 1)));
     let plan = Plan { most, ..unlimited_plan() };
     let rules: Vec<Rule> = (0..1_024).map(longest_rule).collect();
@@ -122,7 +122,7 @@
 fn destructive_changes_are_detected() {
     let a = |hold: i64| rule("a", "000001", hold);
     let with_release = |n| Rule {
-        figures: Figures { hold_for: Some(MINUTE), release: Some(n), ..Figures::default() },
+        limits: RuleLimits { hold_for: Some(MINUTE), release: Some(n), ..RuleLimits::default() },
         ..a(MINUTE)
     };
     assert!(!destroys(&[a(MINUTE)], &[a(MINUTE)]) && !destroys(&[a(MINUTE)], &[a(2 * MINUTE)]));
@@ -141,9 +141,9 @@
     let set = RuleSet { version: 1, rules: rules.to_vec() };
     for field in Field::ALL.into_iter().filter(|f| f.is_divided()) {
         let shares = (0..members).map(|m| share(&set, m, members));
-        let sum: u64 = shares.flat_map(|s| s.rules).filter_map(|r| field.get(&r.figures)).sum();
+        let sum: u64 = shares.flat_map(|s| s.rules).filter_map(|r| field.get(&r.limits)).sum();
         prop_assert!(sum <= field.get(&plan.most).unwrap_or(0), "{}", field.name());
-        let whole: u64 = rules.iter().filter_map(|r| field.get(&r.figures)).sum();
+        let whole: u64 = rules.iter().filter_map(|r| field.get(&r.limits)).sum();
         prop_assert_eq!(sum, whole, "shares add up");
     }
     Ok(())
@@ -165,7 +165,7 @@
         prop_assert_eq!(check(&back.rules, &second), Findings::default());
         for was in &cut.rules {
             let now = back.rules.iter().find(|r| r.name == was.name);
-            let less = |f: &Field| now.and_then(|n| f.get(&n.figures)) < f.get(&was.figures);
+            let less = |f: &Field| now.and_then(|n| f.get(&n.limits)) < f.get(&was.limits);
             // A rule that has become redundant may be removed, which changes nothing.
             prop_assert!(now.is_none() || !Field::ALL.iter().any(less), "restored, but {} shrank", was.name);
         }
@@ -181,7 +181,7 @@
         let old = valid_rules(old, &unlimited_plan());
         let mut new = apply_edits(&old, changes);
         if let Some(rule) = new.len().checked_sub(1).and_then(|most| new.get_mut(lower.index(most + 1))) {
-            rule.figures.hold_for = rule.figures.hold_for.map(|v| v - 1);
+            rule.limits.hold_for = rule.limits.hold_for.map(|v| v - 1);
         }
         let new = valid_rules(new, &unlimited_plan());
         if destroys(&old, &new) {
@@ -189,7 +189,7 @@
         }
         let (a, b) = (Table::new(&old), Table::new(&new));
         for (class, to, key) in all_messages() {
-            let (was, is) = (a.look(class, &to, &key).figures, b.look(class, &to, &key).figures);
+            let (was, is) = (a.lookup(class, &to, &key).limits, b.lookup(class, &to, &key).limits);
             for field in Field::ALL.into_iter().filter(|f| f.smaller_loses_data()) {
                 let (was, is) = (field.get(&was), field.get(&is));
                 prop_assert!(is >= was && (was.is_some() || is.is_none()), "{} {:?} {:?}", field.name(), was, is);
@@ -200,7 +200,7 @@
     /// A rule that is not reported as redundant makes a difference for some message.
     #[test]
     fn a_rule_without_effect_is_found_redundant(rules in any_rules()) {
-        let only_durations = |r: &Rule| Field::ALL.iter().all(|f| !f.is_summed() || f.get(&r.figures).is_none());
+        let only_durations = |r: &Rule| Field::ALL.iter().all(|f| !f.is_summed() || f.get(&r.limits).is_none());
         let rules: Vec<Rule> = valid_rules(rules, &unlimited_plan()).into_iter().collect();
         let whole = Table::new(&rules);
         for at in 0..rules.len() {
@@ -208,7 +208,7 @@
             less.remove(at);
             let table = Table::new(&less);
             let differs = all_messages().into_iter()
-                .any(|(c, t, k)| whole.look(c, &t, &k).figures != table.look(c, &t, &k).figures);
+                .any(|(c, t, k)| whole.lookup(c, &t, &k).limits != table.lookup(c, &t, &k).limits);
             prop_assert!(differs || !only_durations(&rules[at]), "{:?} changes nothing and was not reported", rules[at]);
         }
     }
--- a/crates/rules/tests/common/mod.rs
+++ b/crates/rules/tests/common/mod.rs
@@ -1,19 +1,19 @@
 //! Fixed and random rules and plans for tests. They use few letters, so that rules often overlap.
 #![allow(dead_code)]
 
-use heronroute_rules::{Field, Figures, Plan, Rule};
+use heronroute_rules::{Field, Plan, Rule, RuleLimits};
 use proptest::prelude::*;
 
 pub const MINUTE: i64 = 60_000_000;
 
 pub fn rule(name: &str, to: &str, hold_for: i64) -> Rule {
-    let figures = Figures { hold_for: Some(hold_for), ..Figures::default() };
-    Rule { name: name.into(), class: "RESP".into(), to: to.into(), key: String::new(), figures }
+    let limits = RuleLimits { hold_for: Some(hold_for), ..RuleLimits::default() };
+    Rule { name: name.into(), class: "RESP".into(), to: to.into(), key: String::new(), limits }
 }
 
 pub fn counting_rule(name: &str, to: &str, hold_count: u64) -> Rule {
-    let figures = Figures { hold_count: Some(hold_count), ..Figures::default() };
-    Rule { figures, ..rule(name, to, 0) }
+    let limits = RuleLimits { hold_count: Some(hold_count), ..RuleLimits::default() };
+    Rule { limits, ..rule(name, to, 0) }
 }
 
 pub fn plan() -> Plan {
@@ -22,7 +22,7 @@
         rules: 4,
         classes: vec!["RESP".into()],
         prefixes: vec!["000001".into()],
-        most: Figures {
+        most: RuleLimits {
             answer_for: Some(10 * MINUTE),
             remember: Some(10 * MINUTE),
             remembered: Some(1_000),
@@ -40,18 +40,23 @@
 }
 
 /// Limits from a small range, most of them left out.
-fn figures(top: u64) -> impl Strategy<Value = Figures> {
+fn limits(top: u64) -> impl Strategy<Value = RuleLimits> {
     let some = prop::option::weighted(0.3, 1..=top);
     prop::collection::vec(some, Field::COUNT).prop_map(|values| {
-        let mut figures = Figures::default();
-        Field::ALL.into_iter().zip(values).for_each(|(field, value)| field.set(&mut figures, value));
-        figures
+        let mut limits = RuleLimits::default();
+        Field::ALL.into_iter().zip(values).for_each(|(field, value)| field.set(&mut limits, value));
+        limits
     })
 }
 
 pub fn any_rule() -> impl Strategy<Value = Rule> {
-    ("[a-f]", "(A|B)?", "[01]{0,3}", "[xy]{0,2}", figures(6))
-        .prop_map(|(name, class, to, key, figures)| Rule { name, class, to, key, figures })
+    ("[a-f]", "(A|B)?", "[01]{0,3}", "[xy]{0,2}", limits(6)).prop_map(|(name, class, to, key, limits)| Rule {
+        name,
+        class,
+        to,
+        key,
+        limits,
+    })
 }
 
 pub fn any_rules() -> impl Strategy<Value = Vec<Rule>> {
@@ -90,15 +95,15 @@
     );
     (most, 0..8usize, lists, any::<bool>(), 0..5i64, 0..40u32).prop_map(
         |(most, rules, lists, approval, grace, rate)| {
-            let mut figures = Figures::default();
-            Field::ALL.into_iter().zip(most).for_each(|(field, value)| field.set(&mut figures, value));
+            let mut limits = RuleLimits::default();
+            Field::ALL.into_iter().zip(most).for_each(|(field, value)| field.set(&mut limits, value));
             let list = |l: Vec<&str>| l.into_iter().map(String::from).collect();
             Plan {
                 name: "any".into(),
                 rules,
                 classes: list(lists.0),
                 prefixes: list(lists.1),
-                most: figures,
+                most: limits,
                 changes_an_hour: rate,
                 approval,
                 grace,
@@ -108,7 +113,7 @@
 }
 
 pub fn unlimited_plan() -> Plan {
-    let mut most = Figures::default();
+    let mut most = RuleLimits::default();
     Field::ALL.into_iter().for_each(|field| field.set(&mut most, Some(1 << 40)));
     Plan { most, rules: 1_024, changes_an_hour: 1_000, ..Plan::default() }
 }
--- a/crates/rules/tests/concurrent_edits.rs
+++ b/crates/rules/tests/concurrent_edits.rs
@@ -122,7 +122,7 @@
                 }
                 Action::RollBack { ago } => {
                     let version = last.saturating_sub(ago).max(1);
-                    let command = Command::Back { client: "c".into(), version: version as u64, request };
+                    let command = Command::RollBack { client: "c".into(), version: version as u64, request };
                     let Some(set) = model.versions.get(version) else {
                         prop_assert_eq!(registry.apply(now, &command).reply, Reply::Unknown);
                         continue;
--- a/crates/rules/tests/json.rs
+++ b/crates/rules/tests/json.rs
@@ -5,7 +5,7 @@
 use common::*;
 use heronroute_rules::json::{NO_MAJORITY, read, show};
 use heronroute_rules::registry::{View, Viewer};
-use heronroute_rules::{Command, Figures, Registry, Reply, Rule, RuleSet};
+use heronroute_rules::{Command, Registry, Reply, Rule, RuleLimits, RuleSet};
 use proptest::prelude::*;
 
 const BODY: &str =
@@ -30,7 +30,7 @@
     assert_ne!(draft.request("oduya"), read(named.as_bytes()).expect("read").request("oduya"));
     let all = r#"{"rules":[{"name":"a","answer_for":"1.5s","remember":"2h","remembered":5,"hold_for":"3ms",
         "hold_count":6,"hold_octets":"1MiB","trails":7,"validity":"4us","release":8}]}"#;
-    let figures = Figures {
+    let limits = RuleLimits {
         answer_for: Some(1_500_000),
         remember: Some(7_200_000_000),
         remembered: Some(5),
@@ -43,7 +43,7 @@
     };
     assert_eq!(
         read(all.as_bytes()).expect("read").rules,
-        [Rule { name: "a".into(), figures, ..Rule::default() }]
+        [Rule { name: "a".into(), limits, ..Rule::default() }]
     );
 }
 
--- a/crates/rules/tests/registry.rs
+++ b/crates/rules/tests/registry.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use heronroute_rules::digest::plan_digest;
-use heronroute_rules::registry::{SnapshotError, Viewer, back_request};
+use heronroute_rules::registry::{SnapshotError, Viewer, rollback_request_id};
 use heronroute_rules::{Command, Field, Outcome, Plan, Registry, Reply, Rule, digest, limits};
 
 /// A registry with a clock and a request counter.
@@ -38,8 +38,8 @@
 
     fn roll_back(&mut self, version: u64) -> Reply {
         let current = self.registry.desired("c").expect("known").set.version;
-        let request = back_request("c", version, current);
-        self.apply(&Command::Back { client: "c".into(), version, request }).reply
+        let request = rollback_request_id("c", version, current);
+        self.apply(&Command::RollBack { client: "c".into(), version, request }).reply
     }
 
     fn approve(&mut self, version: u64) -> Reply {
@@ -359,19 +359,19 @@
     let mut registry = Registry::new();
     let plan_for =
         |i: usize| Command::Plan { client: format!("c{i}"), plan: Some(Box::new(plan())), digest: [1; 32] };
-    (0..limits::CLIENTS).for_each(|i| assert_eq!(registry.apply(0, &plan_for(i)).reply, Reply::Done));
-    assert_eq!(registry.apply(0, &plan_for(limits::CLIENTS)).reply.state(), "refused");
+    (0..limits::MAX_CLIENTS).for_each(|i| assert_eq!(registry.apply(0, &plan_for(i)).reply, Reply::Done));
+    assert_eq!(registry.apply(0, &plan_for(limits::MAX_CLIENTS)).reply.state(), "refused");
     let rules = vec![a(1)];
     registry
         .apply(0, &Command::Submit { request: [1; 32], client: "c7".into(), base: 0, rules: rules.clone() });
     let dropped = registry.apply(0, &Command::Drop { client: "c7".into() }).changed;
     assert_eq!((dropped[0].set.version, dropped[0].set.rules.len(), dropped[0].destroys), (2, 0, true));
     assert_eq!(
-        registry.apply(0, &plan_for(limits::CLIENTS)).reply,
+        registry.apply(0, &plan_for(limits::MAX_CLIENTS)).reply,
         Reply::Done,
         "replaces the dropped client"
     );
-    assert_eq!((registry.len(), registry.desired("c7")), (limits::CLIENTS, None));
+    assert_eq!((registry.len(), registry.desired("c7")), (limits::MAX_CLIENTS, None));
     registry.apply(0, &Command::Drop { client: "c8".into() });
     registry.apply(0, &plan_for(7));
     let again = Command::Submit { request: [1; 32], client: "c7".into(), base: 0, rules };
@@ -398,10 +398,18 @@
     assert_eq!(harness.registry.view(own, "c"), harness.registry.view(ops, "c"));
     assert_eq!(harness.registry.view(other, "d").map(|v| v.set.version), Some(0), "its own view exists");
     let approve = |by: &str| Command::Approve { client: "c".into(), version: 1, by: by.into() };
-    let may = |viewer, command: &Command| Registry::may(viewer, command);
-    assert!(may(ops, &approve("ops")) && !may(ops, &approve("other")) && !may(own, &approve("c")));
-    assert!(may(own, &submit(1, 0, &[])) && !may(other, &submit(1, 0, &[])) && !may(ops, &submit(1, 0, &[])));
-    assert!(!may(ops, &Command::Tick));
+    let is_permitted = |viewer, command: &Command| Registry::is_permitted(viewer, command);
+    assert!(
+        is_permitted(ops, &approve("ops"))
+            && !is_permitted(ops, &approve("other"))
+            && !is_permitted(own, &approve("c"))
+    );
+    assert!(
+        is_permitted(own, &submit(1, 0, &[]))
+            && !is_permitted(other, &submit(1, 0, &[]))
+            && !is_permitted(ops, &submit(1, 0, &[]))
+    );
+    assert!(!is_permitted(ops, &Command::Tick));
 }
 
 #[test]
@@ -451,7 +459,7 @@
     assert_ne!(one, digest(&set(1, &[a(1), b(2)]), &Plan { grace: 0, ..plan() }));
     for field in Field::ALL {
         let mut other = a(1);
-        field.set(&mut other.figures, Some(77));
+        field.set(&mut other.limits, Some(77));
         assert_ne!(one, digest(&set(1, &[other, b(2)]), &plan()), "{}", field.name());
     }
     let moved = Rule { class: "RES".into(), to: format!("P{}", a(1).to), ..a(1) };
--- a/crates/rules/tests/replication.rs
+++ b/crates/rules/tests/replication.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use heronroute_rules::check::{beyond, check};
+use heronroute_rules::check::{check, plan_violations};
 use heronroute_rules::digest::{plan_digest, rules_digest};
 use heronroute_rules::registry::{Viewer, merge};
 use heronroute_rules::{Command, Plan, Registry, Reply, Rule, RuleSet, limits};
@@ -16,7 +16,7 @@
     Submit { client: u8, request: u8, versions_ago: u64, rules: Vec<Rule>, fit_to_plan: bool },
     Approve { client: u8, versions_ago: u64 },
     Refuse { client: u8, versions_ago: u64 },
-    Back { client: u8, versions_ago: u64, request: u8 },
+    RollBack { client: u8, versions_ago: u64, request: u8 },
     Plan { client: u8, plan: Box<Plan> },
     Unreadable { client: u8 },
     Drop { client: u8 },
@@ -31,7 +31,7 @@
         8 => submit.prop_map(|(client, request, versions_ago, rules, fit_to_plan)| Action::Submit { client, request, versions_ago, rules, fit_to_plan }),
         3 => version.clone().prop_map(|(client, versions_ago)| Action::Approve { client, versions_ago }),
         1 => version.clone().prop_map(|(client, versions_ago)| Action::Refuse { client, versions_ago }),
-        2 => (version, any::<u8>()).prop_map(|((client, versions_ago), request)| Action::Back { client, versions_ago, request }),
+        2 => (version, any::<u8>()).prop_map(|((client, versions_ago), request)| Action::RollBack { client, versions_ago, request }),
         3 => (client.clone(), any_plan()).prop_map(|(client, plan)| Action::Plan { client, plan: Box::new(plan) }),
         1 => client.clone().prop_map(|client| Action::Unreadable { client }),
         1 => client.prop_map(|client| Action::Drop { client }),
@@ -68,7 +68,7 @@
             by: "o".into(),
             why: "w".into(),
         },
-        Action::Back { client, versions_ago, request } => Command::Back {
+        Action::RollBack { client, versions_ago, request } => Command::RollBack {
             client: name(client),
             version: version_ago(client, versions_ago),
             request: [request; 32],
@@ -122,7 +122,7 @@
                 prop_assert_eq!(*known, content, "one content per version number");
             }
             // The same command repeated at once has no further effect.
-            if let Command::Submit { .. } | Command::Back { .. } = &command
+            if let Command::Submit { .. } | Command::RollBack { .. } = &command
                 && let Reply::Approved { version } | Reply::Waiting { version } = &out.reply
             {
                 let mut again = first.clone();
@@ -138,7 +138,7 @@
                 prop_assert!(waits.waiting.len() <= limits::MAX_WAITING_VERSIONS && waits.versions.len() <= 36);
                 let notices = first.notices(client);
                 let unread = notices.iter().any(|n| n.why.contains("can't be read"));
-                if !beyond(&set.rules, plan).is_empty() && !unread {
+                if !plan_violations(&set.rules, plan).is_empty() && !unread {
                     // Rules exceed the plan only within the grace period, and the owner is notified.
                     prop_assert!(wall < plan_set_at[client] + plan.grace);
                     prop_assert!(notices.iter().any(|n| n.until.is_some()));
--- a/crates/rules/tests/rule_conflicts.rs
+++ b/crates/rules/tests/rule_conflicts.rs
@@ -34,7 +34,7 @@
     (class, to, key): &(&str, String, String),
 ) -> Option<&'a Rule> {
     let sets =
-        |r: &&&Rule| field.get(&r.figures).is_some() && matches(r, class, to.as_bytes(), key.as_bytes());
+        |r: &&&Rule| field.get(&r.limits).is_some() && matches(r, class, to.as_bytes(), key.as_bytes());
     rules.iter().filter(sets).max_by_key(|r| specificity(r)).copied()
 }
 
@@ -50,7 +50,7 @@
     all.iter().find(|message| {
         Field::ALL.into_iter().any(|field| {
             let (a, b) = (setter(&with, field, message), setter(&without, field, message));
-            let value = |r: Option<&Rule>| r.and_then(|r| field.get(&r.figures));
+            let value = |r: Option<&Rule>| r.and_then(|r| field.get(&r.limits));
             value(a) != value(b) || (field.is_summed() && a.map(|r| &r.name) != b.map(|r| &r.name))
         })
     })
@@ -73,7 +73,7 @@
         let rule =
             |(i, (class, to, key, hold, count)): (usize, (String, String, String, i64, Option<u64>))| {
                 let mut rule = Rule { name: format!("r{i}"), class, to, key, ..Rule::default() };
-                (rule.figures.hold_for, rule.figures.hold_count) = (Some(hold), count);
+                (rule.limits.hold_for, rule.limits.hold_count) = (Some(hold), count);
                 rule
             };
         all.into_iter().enumerate().map(rule).collect()
@@ -81,7 +81,7 @@
 }
 
 fn with_unique_names(rules: Vec<Rule>) -> Vec<Rule> {
-    let sets = |r: &Rule| Field::ALL.iter().any(|f| f.get(&r.figures).is_some());
+    let sets = |r: &Rule| Field::ALL.iter().any(|f| f.get(&r.limits).is_some());
     let rules = rules.into_iter().filter(sets).enumerate();
     rules.map(|(i, r)| Rule { name: format!("r{i}"), ..r }).collect()
 }
@@ -117,7 +117,7 @@
         let Some(before) = rules[..i].iter().rev().find(|o| same_match(o, rule)) else { continue };
         let contradicts = Field::ALL
             .into_iter()
-            .any(|f| f.get(&before.figures).zip(f.get(&rule.figures)).is_some_and(|(a, b)| a != b));
+            .any(|f| f.get(&before.limits).zip(f.get(&rule.limits)).is_some_and(|(a, b)| a != b));
         prop_assert_eq!(contradicts, found(rules, "contradicts").contains(&rule.name), "{}", rule.name);
     }
     if duplicates.is_empty() {
@@ -143,7 +143,7 @@
     /// A lowered plan makes limits equal; removing all redundant rules at once changes nothing.
     #[test]
     fn removing_redundant_rules_together_changes_nothing(rules in overlapping_rules(), most in 1..3u64) {
-        let durations_only = rules.into_iter().map(|mut r| { r.figures.hold_count = None; r });
+        let durations_only = rules.into_iter().map(|mut r| { r.limits.hold_count = None; r });
         let mut rules: Vec<Rule> = Vec::new();
         durations_only.for_each(|r| if !rules.iter().any(|o| same_match(o, &r)) { rules.push(r) });
         let mut plan = unlimited_plan();
@@ -152,7 +152,7 @@
         prop_assert!(check(&cut, &plan).is_empty());
         let (before, after): (Vec<&Rule>, Vec<&Rule>) = (rules.iter().collect(), cut.iter().collect());
         for message in messages() {
-            let value = |of: &[&Rule]| setter(of, Field::HoldFor, &message).and_then(|r| Field::HoldFor.get(&r.figures));
+            let value = |of: &[&Rule]| setter(of, Field::HoldFor, &message).and_then(|r| Field::HoldFor.get(&r.limits));
             prop_assert_eq!(value(&before).map(|v| v.min(most)), value(&after), "{:?}", message);
         }
     }
--- a/crates/rules/tests/table.rs
+++ b/crates/rules/tests/table.rs
@@ -4,19 +4,20 @@
 
 use common::*;
 use heronroute_rules::table::{matches, specificity};
-use heronroute_rules::{Effective, Field, Figures, Rule, Table};
+use heronroute_rules::{EffectiveLimits, Field, Rule, RuleLimits, Table};
 use proptest::prelude::*;
 use std::time::Instant;
 
 /// Sorts all matching rules and takes each limit from the first one that sets it.
-fn reference_lookup(rules: &[Rule], class: &str, to: &[u8], key: &[u8]) -> Effective {
+fn reference_lookup(rules: &[Rule], class: &str, to: &[u8], key: &[u8]) -> EffectiveLimits {
     let mut matching: Vec<(usize, &Rule)> =
         rules.iter().enumerate().filter(|(_, r)| matches(r, class, to, key)).collect();
     matching.sort_by_key(|(at, rule)| (std::cmp::Reverse(specificity(rule)), *at));
-    let mut out = Effective { rule: matching.first().map(|(at, _)| *at as u16), ..Effective::default() };
+    let mut out =
+        EffectiveLimits { rule: matching.first().map(|(at, _)| *at as u16), ..EffectiveLimits::default() };
     for field in Field::ALL {
-        if let Some((at, rule)) = matching.iter().find(|(_, r)| field.get(&r.figures).is_some()) {
-            field.set(&mut out.figures, field.get(&rule.figures));
+        if let Some((at, rule)) = matching.iter().find(|(_, r)| field.get(&r.limits).is_some()) {
+            field.set(&mut out.limits, field.get(&rule.limits));
             out.from[field as usize] = Some(*at as u16);
         }
     }
@@ -32,15 +33,15 @@
     ) {
         let mut seen = std::collections::BTreeSet::new();
         rules.retain(|r| seen.insert((r.to.clone(), r.class.clone(), r.key.clone())));
-        let found = Table::new(&rules).look(&class, to.as_bytes(), key.as_bytes());
+        let found = Table::new(&rules).lookup(&class, to.as_bytes(), key.as_bytes());
         let expected = reference_lookup(&rules, &class, to.as_bytes(), key.as_bytes());
         prop_assert_eq!(&found, &expected);
         // A table of some fields returns the same values for these, and none for the others.
         for fields in [&Field::ALL[..4], &Field::ALL[4..]] {
-            let partial = Table::of(&rules, fields).look(&class, to.as_bytes(), key.as_bytes());
+            let partial = Table::of(&rules, fields).lookup(&class, to.as_bytes(), key.as_bytes());
             for field in Field::ALL {
-                let expected = if fields.contains(&field) { (field.get(&found.figures), found.by(field)) } else { (None, None) };
-                prop_assert_eq!((field.get(&partial.figures), partial.by(field)), expected);
+                let expected = if fields.contains(&field) { (field.get(&found.limits), found.by(field)) } else { (None, None) };
+                prop_assert_eq!((field.get(&partial.limits), partial.by(field)), expected);
             }
         }
     }
@@ -50,19 +51,19 @@
 fn the_most_specific_rule_wins_field_by_field() {
     let wide_rule = Rule { class: String::new(), ..rule("wide", "0", 5) };
     let mut narrow_rule = rule("near", "000001", 7);
-    narrow_rule.figures.release = Some(3);
+    narrow_rule.limits.release = Some(3);
     let keyed = Rule {
         name: "keyed".into(),
         key: "k".into(),
-        figures: Figures { hold_for: Some(9), ..Figures::default() },
+        limits: RuleLimits { hold_for: Some(9), ..RuleLimits::default() },
         ..narrow_rule.clone()
     };
     let table = Table::new(&[wide_rule, narrow_rule, keyed]);
     let at = |class: &str, to: &str, key: &str| {
-        let found = table.look(class, to.as_bytes(), key.as_bytes());
+        let found = table.lookup(class, to.as_bytes(), key.as_bytes());
         (
-            found.figures.hold_for,
-            found.figures.release,
+            found.limits.hold_for,
+            found.limits.release,
             found.rule.and_then(|r| table.name(r)).unwrap_or("").to_string(),
         )
     };
@@ -89,13 +90,13 @@
             |i: u64| format!("{}{:02}", prefix(i.wrapping_mul(0x9E37_79B9) % count.max(1)), i % 100);
         let addresses: Vec<String> = (0..10_000).map(address).collect();
         assert!(
-            count == 0 || addresses.iter().all(|to| table.look("RESP", to.as_bytes(), b"").rule.is_some())
+            count == 0 || addresses.iter().all(|to| table.lookup("RESP", to.as_bytes(), b"").rule.is_some())
         );
         let mut least = f64::MAX;
         for _ in 0..50 {
             let start = Instant::now();
             for to in &addresses {
-                std::hint::black_box(table.look("RESP", to.as_bytes(), b"key"));
+                std::hint::black_box(table.lookup("RESP", to.as_bytes(), b"key"));
             }
             least = least.min(start.elapsed().as_nanos() as f64 / addresses.len() as f64);
         }
