--- a/crates/rules/src/digest.rs
+++ b/crates/rules/src/digest.rs
@@ -1,54 +1,56 @@
-//! Digests by which what members apply is compared with what was approved.
+//! Digests for comparing the rules that members apply with the approved ones.
 
 use crate::field::Field;
 use crate::model::{Plan, Rule, RuleSet};
 use sha2::{Digest as _, Sha256};
 
-/// SHA-256.
+/// A SHA-256 digest.
 pub type Digest = [u8; 32];
 
-/// Of a client's rules and plan. Neither the order of rules nor the version counts: a roll-back to the same content has
-/// the same digest, and versions are compared beside it.
+/// Returns the digest of a client's rules and plan. It does not depend on the order of the rules or on the
+/// version: after a rollback to the same content the digest is the same, and versions are compared
+/// separately.
 pub fn digest(set: &RuleSet, plan: &Plan) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules 1");
-    rules_into(&mut hash, &set.rules);
-    plan_into(&mut hash, plan);
+    hash_rules(&mut hash, &set.rules);
+    hash_plan(&mut hash, plan);
     hash.finalize().into()
 }
 
-/// Of rules alone.
+/// Returns the digest of rules alone.
 pub fn rules_digest(rules: &[Rule]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules only 1");
-    rules_into(&mut hash, rules);
+    hash_rules(&mut hash, rules);
     hash.finalize().into()
 }
 
-/// Of a plan: names it in [`crate::Command::Plan`].
+/// Returns the digest of a plan, which identifies it in [`crate::Command::Plan`].
 pub fn plan_digest(plan: &Plan) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute plan 1");
-    plan_into(&mut hash, plan);
+    hash_plan(&mut hash, plan);
     hash.finalize().into()
 }
 
-/// Of all clients: name, version and [`digest`] of each, in the order of the names.
-pub fn all<'a>(clients: impl IntoIterator<Item = (&'a str, u64, Digest)>) -> Digest {
+/// Returns the digest of all clients: name, version and [`digest`] of each, in the order of the names.
+pub fn all_clients_digest<'a>(clients: impl IntoIterator<Item = (&'a str, u64, Digest)>) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute clients 1");
     for (client, version, digest) in clients {
-        text(&mut hash, client);
+        hash_text(&mut hash, client);
         hash.update(version.to_be_bytes());
         hash.update(digest);
     }
     hash.finalize().into()
 }
 
-/// Of parts, each with its length in front so that no two lists of parts look alike.
-pub(crate) fn parts(kind: &str, parts: &[&[u8]]) -> Digest {
+/// Returns the digest of a list of parts. Each part is preceded by its length, so that no two lists hash
+/// alike.
+pub(crate) fn digest_parts(kind: &str, parts: &[&[u8]]) -> Digest {
     let mut hash = Sha256::new();
-    text(&mut hash, kind);
+    hash_text(&mut hash, kind);
     for part in parts {
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
@@ -56,36 +58,36 @@
     hash.finalize().into()
 }
 
-fn rules_into(hash: &mut Sha256, rules: &[Rule]) {
+fn hash_rules(hash: &mut Sha256, rules: &[Rule]) {
     let mut order: Vec<&Rule> = rules.iter().collect();
     order.sort_by_key(|r| (&r.name, &r.to, &r.class, &r.key));
     hash.update((order.len() as u64).to_be_bytes());
     for rule in order {
         for part in [&rule.name, &rule.class, &rule.to, &rule.key] {
-            text(hash, part);
+            hash_text(hash, part);
         }
-        figures_into(hash, &rule.figures);
+        hash_limits(hash, &rule.limits);
     }
 }
 
-fn plan_into(hash: &mut Sha256, plan: &Plan) {
-    text(hash, &plan.name);
+fn hash_plan(hash: &mut Sha256, plan: &Plan) {
+    hash_text(hash, &plan.name);
     hash.update((plan.rules as u64).to_be_bytes());
     for list in [&plan.classes, &plan.prefixes] {
         let mut list: Vec<&String> = list.iter().collect();
         list.sort_unstable();
         hash.update((list.len() as u64).to_be_bytes());
-        list.into_iter().for_each(|each| text(hash, each));
+        list.into_iter().for_each(|each| hash_text(hash, each));
     }
-    figures_into(hash, &plan.most);
+    hash_limits(hash, &plan.most);
     hash.update(plan.changes_an_hour.to_be_bytes());
     hash.update([u8::from(plan.approval)]);
     hash.update(plan.grace.to_be_bytes());
 }
 
-fn figures_into(hash: &mut Sha256, figures: &crate::Figures) {
+fn hash_limits(hash: &mut Sha256, limits: &crate::RuleLimits) {
     for field in Field::ALL {
-        match field.raw(figures) {
+        match field.raw(limits) {
             Some(value) => {
                 hash.update([1]);
                 hash.update(value.to_be_bytes());
@@ -95,7 +97,7 @@
     }
 }
 
-fn text(hash: &mut Sha256, text: &str) {
+fn hash_text(hash: &mut Sha256, text: &str) {
     hash.update((text.len() as u64).to_be_bytes());
     hash.update(text);
 }
--- a/crates/rules/src/json/answer.rs
+++ b/crates/rules/src/json/answer.rs
@@ -1,4 +1,4 @@
-//! Answers, as the topics fix them; fields are left out where they say nothing.
+//! The JSON of answers, as specified for the topics. Fields without content are left out.
 
 use crate::check::Finding;
 use crate::field::{Field, Unit};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// The answer where there is no majority.
+/// The answer when there is no majority.
 pub const NO_MAJORITY: &str = r#"{"state":"no majority"}"#;
 
 #[derive(Serialize)]
@@ -19,7 +19,7 @@
     rules: Option<&'a [String]>,
     #[serde(skip_serializing_if = "Option::is_none")]
     findings: Option<&'a [Finding]>,
-    /// Findings beside those listed.
+    /// The number of findings that are not listed.
     #[serde(skip_serializing_if = "Option::is_none")]
     more: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -27,9 +27,9 @@
 }
 
 impl Reply {
-    /// As JSON.
+    /// Returns the answer as JSON.
     pub fn json(&self) -> String {
-        text(&self.answer())
+        to_json(&self.answer())
     }
 
     fn answer(&self) -> Answer<'_> {
@@ -65,11 +65,11 @@
     #[serde(skip_serializing_if = "<[Notice]>::is_empty")]
     notices: &'a [Notice],
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    versions: Vec<Past<'a>>,
+    versions: Vec<VersionEntry<'a>>,
 }
 
 #[derive(Serialize)]
-struct Past<'a> {
+struct VersionEntry<'a> {
     version: u64,
     state: &'static str,
     #[serde(skip_serializing_if = "str::is_empty")]
@@ -78,11 +78,12 @@
     why: &'a str,
 }
 
-/// The answer to `rules/show`.
+/// Returns the answer to `rules/show`.
 pub fn show(view: &View) -> String {
     let versions = view.versions.iter();
-    let versions = versions.map(|p| Past { version: p.version, state: p.state, by: &p.by, why: &p.why });
-    text(&Show {
+    let versions =
+        versions.map(|p| VersionEntry { version: p.version, state: p.state, by: &p.by, why: &p.why });
+    to_json(&Show {
         version: view.set.version,
         rules: view.set.rules.iter().map(rule).collect(),
         plan: &view.plan,
@@ -97,15 +98,16 @@
     let texts = [("name", &rule.name), ("class", &rule.class), ("to", &rule.to), ("key", &rule.key)];
     out.extend(texts.map(|(name, text)| (name.to_string(), Value::from(text.as_str()))));
     for field in Field::ALL {
-        if let Some(value) = field.get(&rule.figures) {
-            let value = if field.unit() == Unit::Count { value.into() } else { field.show(value).into() };
+        if let Some(value) = field.get(&rule.limits) {
+            let value = if field.unit() == Unit::Count { value.into() } else { field.format(value).into() };
             out.insert(field.name().into(), value);
         }
     }
     out
 }
 
-/// None of the shapes above can fail to be written; what can't be is said as unknown rather than with a panic.
-fn text(answer: &impl Serialize) -> String {
+/// Serializes an answer. None of the types above can fail to serialize; if one did, the state would be
+/// `unknown` instead of a panic.
+fn to_json(answer: &impl Serialize) -> String {
     serde_json::to_string(answer).unwrap_or_else(|_| r#"{"state":"unknown"}"#.into())
 }
--- a/crates/rules/tests/json.rs
+++ b/crates/rules/tests/json.rs
@@ -1,11 +1,11 @@
-//! JSON in and out.
+//! Parsing of drafts and the JSON of answers.
 
 mod common;
 
 use common::*;
 use heronroute_rules::json::{NO_MAJORITY, read, show};
 use heronroute_rules::registry::{View, Viewer};
-use heronroute_rules::{Command, Figures, Registry, Reply, Rule, RuleSet};
+use heronroute_rules::{Command, Registry, Reply, Rule, RuleLimits, RuleSet};
 use proptest::prelude::*;
 
 const BODY: &str =
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn the_body_that_is_fixed_is_read() {
+fn a_draft_is_read() {
     let draft = read(BODY.as_bytes()).expect("read");
-    assert_eq!((draft.base, draft.rules.clone()), (0, vec![rule("long", "000001", 30 * M)]));
+    assert_eq!((draft.base, draft.rules.clone()), (0, vec![rule("long", "000001", 30 * MINUTE)]));
     assert_eq!(
         draft.request("oduya"),
         read(BODY.replace(',', ", ").as_bytes()).expect("read").request("oduya")
@@ -30,7 +30,7 @@
     assert_ne!(draft.request("oduya"), read(named.as_bytes()).expect("read").request("oduya"));
     let all = r#"{"rules":[{"name":"a","answer_for":"1.5s","remember":"2h","remembered":5,"hold_for":"3ms",
         "hold_count":6,"hold_octets":"1MiB","trails":7,"validity":"4us","release":8}]}"#;
-    let figures = Figures {
+    let limits = RuleLimits {
         answer_for: Some(1_500_000),
         remember: Some(7_200_000_000),
         remembered: Some(5),
@@ -43,12 +43,12 @@
     };
     assert_eq!(
         read(all.as_bytes()).expect("read").rules,
-        [Rule { name: "a".into(), figures, ..Rule::default() }]
+        [Rule { name: "a".into(), limits, ..Rule::default() }]
     );
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_rule_and_field() {
     assert!(why(&BODY.replace("hold_for", "hold_four")).contains("unknown field `hold_four`"));
     assert!(why(&BODY.replace("\"base\"", "\"bass\"")).contains("unknown field `bass`"));
     assert!(why(&BODY.replace("30m", "30 days")).starts_with("long|hold_for|\"30 days\" is no span"));
@@ -64,11 +64,11 @@
     assert!(why(&BODY.replace("long", &"x".repeat(70_000))).contains("over 64KiB"));
     let many = format!(r#"{{"rules":[{}{{}}]}}"#, "{},".repeat(1_024));
     assert!(why(&many).starts_with("|rules|too many"));
-    assert!(why(&BODY.replace("30m", &"9".repeat(9_000))).len() < 250, "repeated shortened");
+    assert!(why(&BODY.replace("30m", &"9".repeat(9_000))).len() < 250, "quoted texts are shortened");
 }
 
 #[test]
-fn answers_are_as_fixed() {
+fn answers_have_the_documented_form() {
     assert_eq!(Reply::Approved { version: 1 }.json(), r#"{"state":"approved","version":1}"#);
     assert_eq!(Reply::Waiting { version: 2 }.json(), r#"{"state":"waiting","version":2}"#);
     assert_eq!(NO_MAJORITY, r#"{"state":"no majority"}"#);
@@ -96,7 +96,7 @@
     #![proptest_config(cases(256))]
 
     #[test]
-    fn what_is_shown_can_be_handed_in(rules in any_rules()) {
+    fn shown_rules_can_be_submitted(rules in any_rules()) {
         let set = RuleSet { version: 3, rules: rules.clone() };
         let view = View { set: set.into(), ..View::default() };
         let text = show(&view).replace("\"version\"", "\"base\"");
@@ -105,22 +105,22 @@
     }
 
     #[test]
-    fn no_octets_make_it_panic(body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_never_panic(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = read(&body);
         let _ = Command::unpack(&body);
         let _ = Registry::restore(&body);
     }
 
-    /// Nearly right ones: octets changed, cut out, doubled.
+    /// Almost valid bodies: with bytes changed, cut off or inserted.
     #[test]
-    fn damaged_bodies_are_read_or_refused(edits in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..6)) {
+    fn damaged_bodies_never_panic(edits in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 1..6)) {
         let mut body = BODY.as_bytes().to_vec();
-        for (at, octet, kind) in edits {
+        for (at, byte, kind) in edits {
             let at = at.index(body.len());
             match kind {
-                0 => body[at] = octet,
+                0 => body[at] = byte,
                 1 => body.truncate(at.max(1)),
-                _ => body.insert(at, octet),
+                _ => body.insert(at, byte),
             }
         }
         if let Ok(draft) = read(&body) {
