--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -303,7 +303,7 @@
         "Pong" => {
             Event::Probed { endpoint: inst.intern(f.text(1)?), outcome: f.outcome(2)?, report: f.report(4)? }
         }
-        "Datagram" => Event::Note { from: f.index_or(1, 0)? as u32, text: f.text(2)?.to_string() },
+        "Datagram" => Event::PeerMessage { from: f.index_or(1, 0)? as u32, text: f.text(2)?.to_string() },
         _ => return Ok(None),
     }))
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,74 +1,76 @@
-//! The types through which a sender and a [`Dispatcher`](crate::Dispatcher) talk: settings, events, actions.
+//! The types through which a sender and a [`Dispatcher`](crate::Dispatcher) communicate: settings, events,
+//! actions.
 
 use std::fmt;
 
-/// Time in microseconds on the sender's own clock, or a span of it.
+/// A point in time on the sender's own clock, or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A message, by the sender's number for it. Numbers are never used twice.
+/// The number of a message, assigned by the sender. A number is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MsgId(pub u64);
 
-/// An endpoint, by the sender's number for it; the same number whenever it is named again.
+/// The number of an endpoint, assigned by the sender. An endpoint that is listed again has the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct EndpointId(pub u32);
 
-/// A destination: the receiver that a message is meant for.
+/// The number of a destination: the receiver to which a message is addressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct DestId(pub i64);
 
-/// What a second delivery of a message would do.
+/// The effect of delivering a message a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
-    /// A repeat does no harm.
+    /// None: the message is idempotent.
     Free,
-    /// A repeat is dropped by the destination within the class's window.
+    /// The destination drops duplicates that arrive within the class's window.
     Guarded,
-    /// A repeat takes effect again.
+    /// The message takes effect again, so it must be delivered at most once.
     #[default]
     SingleShot,
 }
 
-/// Which endpoints of a destination share the memory that drops repeats of a guarded message.
+/// The endpoints of a destination that share the memory by which duplicates of a guarded message are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Group {
     /// All endpoints of the destination.
     #[default]
     All,
-    /// Those in the same zone.
+    /// The endpoints in the same zone.
     Zone,
-    /// That endpoint alone.
+    /// Only the endpoint itself.
     Endpoint,
 }
 
-/// How a message's worth falls after its aim.
+/// How the worth of a message falls once its age exceeds the aim of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Late {
-    /// Evenly, down to the late share at the deadline.
+    /// Linearly, down to the late share at the deadline.
     #[default]
     Line,
-    /// By half with each further aim, down to the late share.
+    /// By half for each further aim that passes, down to the late share.
     Halves,
 }
 
-/// A class of messages.
+/// The settings of a class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Delivered within this span, a message earns its full worth.
+    /// The latency objective: a message delivered within this time earns its full worth.
     pub aim: Micros,
-    /// The whole span in which a message may be delivered.
+    /// The time within which a message may be delivered at all.
     pub deadline: Micros,
-    /// What a repeat would do.
+    /// The effect of a duplicate delivery.
     pub effect: Effect,
-    /// For guarded classes: which endpoints drop repeats.
+    /// For guarded classes: the endpoints that share the memory of deliveries.
     pub group: Group,
-    /// For guarded classes: how long repeats are dropped, from the first send that may have run.
+    /// For guarded classes: how long duplicates are dropped, from the first attempt that may have been
+    /// executed.
     pub window: Micros,
-    /// Messages with the same key go one at a time, in order.
+    /// Whether messages with the same key are sent one at a time, in order.
     pub ordered: bool,
-    /// Worth of a message delivered in time.
+    /// The worth of a message that is delivered in time.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// The share of the worth that remains at the deadline.
     pub late_share: f64,
 }
 
@@ -87,107 +89,107 @@
     }
 }
 
-/// A kind of destination.
+/// The settings of a kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KindSettings {
-    /// Messages in one call at most.
+    /// The maximum number of messages in one call.
     pub batch: u32,
-    /// The endpoints are separate routes, each with its own limit, pace and outages.
+    /// Whether the endpoints are separate routes, each with its own limit, rate and outages.
     pub apart: bool,
 }
 
-/// A tenant, whose traffic beyond its quota is worth little.
+/// The settings of a tenant. Its messages beyond the quota have a reduced worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Messages a second over all senders within its share.
+    /// The tenant's quota in messages per second, over all senders.
     pub quota: f64,
 }
 
-/// How the directory is heard.
+/// How changes of the directory reach the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// The directory sends changes without being asked.
     #[default]
     Push,
-    /// Changes come only to those who have asked with [`Action::Subscribe`].
+    /// The directory sends changes only to senders that subscribed with [`Action::Subscribe`].
     Ask,
 }
 
-/// What a listed weight says of a destination.
+/// The meaning of the weights in the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Weights {
-    /// Nothing.
+    /// Weights have no meaning.
     #[default]
     Silent,
-    /// The calls a second that the destination (or route) takes from all senders together.
+    /// The calls per second that the destination (or route) accepts from all senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, but up to half too high or too low.
     Rough,
 }
 
-/// Everything a dispatcher is told at its start.
+/// The settings of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of senders, this one included.
+    /// The number of senders, including this one.
     pub senders: u32,
-    /// This sender's zone.
+    /// The zone of this sender.
     pub zone: usize,
-    /// Calls that may be out at once.
+    /// The maximum number of concurrent calls.
     pub slots: u32,
-    /// Messages that may be held, sent or not.
+    /// The maximum number of messages held, whether sent or not.
     pub max_open: u32,
-    /// Attempts for one message at most.
+    /// The maximum number of attempts per message.
     pub max_attempts: u32,
-    /// A message may have two attempts out at once.
+    /// Whether a message may have two attempts in flight at once.
     pub second_copies: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Endpoints may be probed.
+    /// Whether endpoints may be probed.
     pub probes: bool,
-    /// Notes may be sent to the other senders.
+    /// Whether messages may be sent to the other senders.
     pub peers: bool,
-    /// The longest retry-after that a client heeds; 0 where clients are not told.
+    /// The longest retry-after that a client respects; 0 where clients don't receive one.
     pub max_retry_after: Micros,
-    /// Idle connections close after this.
+    /// The time after which an idle connection closes.
     pub idle_close: Micros,
-    /// Calls that one connection carries at once.
+    /// The number of concurrent calls on one connection.
     pub streams: u32,
-    /// Least time between two rounds.
+    /// The minimum time between two rounds.
     pub quantum: Micros,
-    /// How the directory is heard.
+    /// How changes of the directory reach the sender.
     pub discovery: Discovery,
-    /// Where it must be asked: without a subscription, what was listed this long before the last question counts
-    /// as told.
+    /// Where the sender has to subscribe: without a subscription, it counts as informed of everything that
+    /// was listed this long before its last request.
     pub ask_every: Micros,
-    /// Grace in which sends to a draining or gone endpoint must end.
+    /// The grace period within which calls to a draining or removed endpoint must end.
     pub drain_grace: Micros,
-    /// Multiple of its present capacity at which a cold destination falls over.
+    /// The multiple of its current capacity at which a cold destination fails from overload.
     pub fall_multiple: f64,
-    /// Span over which that is counted.
+    /// The time over which that load is counted.
     pub fall_window: Micros,
-    /// Share of its capacity with which a destination returns from an outage.
+    /// The share of its capacity that a destination has right after an outage.
     pub cold_from: f64,
-    /// Time until a returned destination has all of its capacity.
+    /// The time after which a recovered destination has its full capacity.
     pub warm_up: Micros,
-    /// For ordered classes: how long a key rests after an attempt that may still run.
+    /// For ordered classes: how long a key is paused after an attempt that may still be executed.
     pub order_settle: Micros,
-    /// How worth falls after the aim.
+    /// How the worth of a message falls once its age exceeds the aim.
     pub late: Late,
-    /// Worth of a message beyond its tenant's quota, as a share.
+    /// The share of its worth that a message beyond its tenant's quota keeps.
     pub over_share_worth: f64,
-    /// What listed weights say.
+    /// The meaning of the weights in the directory.
     pub weights: Weights,
-    /// Price of attempts that cross zones.
+    /// The price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Price of new connections.
+    /// The price of a new connection.
     pub handshake_price: f64,
-    /// For each zone: fee for each message that a route apart there takes on.
+    /// For each zone: the fee for each message that a separate route in that zone accepts.
     pub zone_fees: Vec<f64>,
-    /// Classes of message, by index.
+    /// The classes of messages, by index.
     pub classes: Vec<ClassSettings>,
-    /// Kinds of destination, by index.
+    /// The kinds of destinations, by index.
     pub kinds: Vec<KindSettings>,
-    /// Tenants, by index; may be empty.
+    /// The tenants, by index; may be empty.
     pub tenants: Vec<TenantSettings>,
 }
 
@@ -228,7 +230,7 @@
     }
 }
 
-/// Settings with which no dispatcher can work.
+/// Invalid settings, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(String);
 
@@ -241,64 +243,64 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks the figures that the dispatcher relies on.
+    /// Checks the values on which the dispatcher relies.
     ///
     /// # Errors
-    /// Names the first figure that is out of range.
+    /// Returns an error that describes the first value out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let bad = |what: &str| Err(SettingsError(what.to_string()));
+        let invalid = |reason: &str| Err(SettingsError(reason.to_string()));
         if self.slots == 0 || self.max_open == 0 || self.max_attempts == 0 || self.senders == 0 {
-            return bad("slots, max_open, max_attempts and senders must be at least 1");
+            return invalid("slots, max_open, max_attempts and senders must be at least 1");
         }
         let rules = [self.drain_grace, self.fall_window, self.warm_up, self.order_settle, self.ask_every];
-        let spans = rules.into_iter().chain([self.quantum, self.max_retry_after, self.idle_close]);
-        if spans.into_iter().any(|s| !(0..=MAX_SPAN).contains(&s)) {
-            return bad("a span of time is negative or over a year");
+        let durations = rules.into_iter().chain([self.quantum, self.max_retry_after, self.idle_close]);
+        if durations.into_iter().any(|duration| !(0..=MAX_DURATION).contains(&duration)) {
+            return invalid("a span of time is negative or over a year");
         }
-        let figures = [self.fall_multiple, self.cold_from, self.over_share_worth];
-        if figures.iter().any(|f| !f.is_finite() || *f < 0.0) {
-            return bad("a multiple or share is negative or not a number");
+        let factors = [self.fall_multiple, self.cold_from, self.over_share_worth];
+        if factors.iter().any(|factor| !factor.is_finite() || *factor < 0.0) {
+            return invalid("a multiple or share is negative or not a number");
         }
-        for c in &self.classes {
-            if [c.aim, c.deadline, c.window].iter().any(|s| !(0..=MAX_SPAN).contains(s)) {
-                return bad("a class has a span of time that is negative or over a year");
+        for class in &self.classes {
+            if [class.aim, class.deadline, class.window].iter().any(|d| !(0..=MAX_DURATION).contains(d)) {
+                return invalid("a class has a span of time that is negative or over a year");
             }
-            if !(c.worth.is_finite() && c.late_share.is_finite()) {
-                return bad("a class has a worth that is not a number");
+            if !(class.worth.is_finite() && class.late_share.is_finite()) {
+                return invalid("a class has a worth that is not a number");
             }
         }
         Ok(())
     }
 }
 
-/// Spans beyond this are taken for mistakes; it also keeps sums of times from overflowing.
-pub(crate) const MAX_SPAN: Micros = 366 * 24 * 3600 * 1_000_000;
+/// Longer durations are rejected as mistakes. The bound also keeps sums of times from overflowing.
+pub(crate) const MAX_DURATION: Micros = 366 * 24 * 3600 * 1_000_000;
 
-/// An endpoint's standing in the directory, which says nothing of its health.
+/// The status of an endpoint in the directory. It says nothing about the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Listed.
     Up,
-    /// To be sent nothing new.
+    /// Still listed, but must receive nothing new.
     Draining,
-    /// Gone.
+    /// No longer listed.
     Removed,
 }
 
-/// One line of the directory.
+/// One entry of the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The destination it belongs to.
+    /// The destination to which it belongs.
     pub dest: DestId,
-    /// Its standing.
+    /// Its status.
     pub status: Status,
-    /// Kind of its destination, by index.
+    /// The kind of its destination, by index.
     pub kind: usize,
     /// Its zone, by index.
     pub zone: usize,
-    /// Its weight, where one is given; see [`Weights`].
+    /// Its weight, if the directory gives one; see [`Weights`].
     pub weight: Option<f64>,
 }
 
@@ -307,53 +309,54 @@
 pub enum Outcome {
     /// Delivered.
     Done,
-    /// The destination answered with an error; it may have run.
+    /// The destination answered with an error; the message may have been executed.
     Error,
-    /// Turned away unseen: above the limit, queue full, shut or draining.
+    /// Rejected before processing: over the limit, queue full, closed or draining.
     Busy,
-    /// Turned away unseen, with the connection: the endpoint takes no further one now. Only where it says so.
+    /// Rejected before processing, together with the connection: the endpoint accepts no further connections
+    /// at the moment. Used only where the endpoint says so.
     Crowded,
-    /// No answer in time; it may have run or still do so.
+    /// No answer within the timeout; the message may have been executed, or still be.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection; the message was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the message may have been executed.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled by the sender; the message may have been executed.
     Cancelled,
-    /// Never sent: no slot was free, the message was over, or its attempts were used up.
+    /// Never sent: no slot was free, the message was closed, or its attempts were used up.
     Skipped,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt had no effect.
+    /// Returns whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Busy | Outcome::Crowded | Outcome::ConnectFailed | Outcome::Skipped)
     }
 }
 
-/// What an endpoint tells of its limit.
+/// What an endpoint reports of its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// Share of the allowance that is left.
+    /// The share of the allowance that remains.
     pub left: Option<f64>,
-    /// Calls a second that the limit allows; 0 where there is none.
+    /// The calls per second that the limit allows; 0 where there is none.
     pub limit: Option<f64>,
 }
 
-/// What a sender tells its dispatcher. Events that name something unknown are ignored.
+/// An event that the sender passes to its dispatcher. Events that name something unknown are ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The directory: the whole list, or changes to it.
+    /// The content of the directory, or changes to it.
     Members {
-        /// Endpoints missing from `entries` are gone.
+        /// Whether `entries` is the whole directory: endpoints that it doesn't name are removed.
         whole: bool,
-        /// The lines.
+        /// The entries.
         entries: Vec<EndpointEntry>,
     },
-    /// A question to the directory failed, or the subscription broke; the list at hand still holds.
+    /// A request to the directory failed, or the subscription broke. The last known entries stay valid.
     DirectoryFailed,
-    /// A message to deliver, which is owed one final answer.
+    /// A message to deliver. The sender owes its client exactly one final answer.
     Message {
         /// The message.
         id: MsgId,
@@ -361,64 +364,64 @@
         class: usize,
         /// Its tenant, by index.
         tenant: usize,
-        /// What it is about, in classes that keep order.
+        /// Its ordering key, in ordered classes.
         key: Option<String>,
         /// Its destination.
         dest: DestId,
-        /// Time until it is given up.
+        /// The time until its deadline.
         time_left: Micros,
-        /// It is known to have been handed in before.
+        /// Whether it is known to have been submitted before.
         again: bool,
     },
-    /// After a restart, for a message that was just given with [`Event::Message`]: what had become of it before.
+    /// After a restart: the earlier attempts of a message that [`Event::Message`] has just passed in.
     Resumed {
         /// The message.
         id: MsgId,
-        /// Attempts made before.
+        /// The number of earlier attempts.
         attempts: u32,
-        /// Where and how long ago the first attempt was made that may have run, if one was.
+        /// The endpoint and the age of the first attempt that may have been executed, if there was one.
         may_run: Option<(EndpointId, Micros)>,
     },
     /// After a restart: what was known of a listed endpoint before.
     Remembered {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The rest of a wait that it told, 0 if none.
+        /// The remaining time of a wait that the endpoint asked for, 0 if none.
         wait: Micros,
-        /// How long calls there had been failing, if they were.
+        /// How long calls to the endpoint had been failing, if they were.
         bad_for: Option<Micros>,
-        /// How long ago it came back from an outage, if it was still cold.
+        /// How long ago the endpoint recovered from an outage, if it was still warming up.
         back: Option<Micros>,
-        /// Calls a second that it was to be given, where the last call was refused.
+        /// The budget of the endpoint in calls per second, if its last call was refused.
         budget: Option<f64>,
     },
     /// An attempt ended.
     Outcome {
         /// The message.
         id: MsgId,
-        /// Number of the attempt, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// Where it went.
+        /// The endpoint to which it went.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// The message is closed; no answer is owed any more.
+        /// Whether the message is closed, so that no answer is owed any more.
         last: bool,
-        /// Time since it was sent.
+        /// The time since the attempt was sent.
         elapsed: Micros,
-        /// For [`Outcome::Busy`]: the wait asked for, 0 if none.
+        /// For [`Outcome::Busy`]: the wait that the endpoint asked for, 0 if none.
         wait: Micros,
-        /// What was told of the limit.
+        /// What the endpoint reported of its limit.
         report: Option<Report>,
     },
-    /// Nobody wants this message any more.
+    /// The client withdrew the message.
     Left {
         /// The message.
         id: MsgId,
     },
-    /// A timer asked for with [`Action::Timer`] fell due.
+    /// A timer that was requested with [`Action::Timer`] fired.
     Timer {
-        /// Its token.
+        /// The token of the timer.
         token: u64,
     },
     /// A probe ended.
@@ -427,58 +430,59 @@
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// What was told of the limit.
+        /// What the endpoint reported of its limit.
         report: Option<Report>,
     },
-    /// A note from another sender.
-    Note {
-        /// Number of the sender it came from.
+    /// A message from another sender.
+    PeerMessage {
+        /// The number of the sender from which it came.
         from: u32,
         /// Its text.
         text: String,
     },
 }
 
-/// What a dispatcher asks its sender to do, in order.
+/// An action that the dispatcher requests from its sender. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call an endpoint with a message. Sends of one round to one endpoint share a call where its kind batches.
+    /// Send a message to an endpoint. Where the kind allows batches, all sends of one round to one endpoint
+    /// share a call.
     Send {
         /// The message.
         id: MsgId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Wait for the answer this long.
+        /// How long to wait for the answer.
         timeout: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The message.
         id: MsgId,
-        /// Number of the attempt.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// Final answer: handed back unsent, trying again does no harm.
+    /// Final answer: the message was not delivered, and submitting it again does no harm.
     Refuse {
         /// The message.
         id: MsgId,
-        /// Time the client should stay away.
+        /// How long the client should wait before it submits the message again.
         retry_after: Micros,
     },
-    /// Final answer: given up.
+    /// Final answer: the delivery failed.
     Fail {
         /// The message.
         id: MsgId,
     },
-    /// Ask for [`Event::Timer`] at this time.
+    /// Send an [`Event::Timer`] at the given time.
     Timer {
-        /// When.
+        /// The time.
         at: Micros,
-        /// Returned with the event.
+        /// The token to return with the event.
         token: u64,
     },
-    /// Ask the directory for all changes missed so far and from now on; the answer is [`Event::Members`] or
-    /// [`Event::DirectoryFailed`].
+    /// Ask the directory for all changes missed so far and for those to come. The answer is
+    /// [`Event::Members`] or [`Event::DirectoryFailed`].
     Subscribe,
     /// Probe an endpoint.
     Probe {
@@ -490,7 +494,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send a note to all other senders.
+    /// Send a message to all other senders.
     Tell {
         /// Its text, 256 bytes at most.
         text: String,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
 //! # heronroute
 //!
-//! Decides, for a dispatcher of notifications to outside receivers, which held message goes to which
-//! endpoint when, how long to wait for it, when to try again, refuse or fail it. It does no I/O: a sender
-//! feeds it [`Event`]s with a clock and carries out the [`Action`]s it answers with.
+//! Decides, for a sender that delivers messages to outside receivers, which message goes to which endpoint
+//! and when, how long to wait for the answer, and when to retry, refuse or fail it. The library does no I/O:
+//! the sender passes [`Event`]s and a clock to a [`Dispatcher`] and carries out the [`Action`]s that it
+//! returns.
 //!
-//! The mechanism is the bulkhead: every destination owns a bounded pool of permits sized from its own
-//! traffic, so that one slow destination cannot take all slots. `docs/design.md` tells what was kept of the
-//! source, what was added, and when each addition acts.
+//! The mechanism is a bulkhead: every destination has a bounded pool of permits, sized from its own traffic,
+//! so that one slow destination can't use up all slots. `docs/design.md` describes the original design, what
+//! was added to it, and when each addition takes effect.
 //!
 //! ```
 //! use heronroute::{Action, ClassSettings, Dispatcher, DestId, Effect, EndpointEntry, EndpointId, Event};
@@ -28,7 +29,7 @@
 //! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), .. }));
 //! assert!(sent);
 //!
-//! // Later, the sender reports how the call ended; a delivered message needs no further answer.
+//! // Later, the sender reports how the call ended. A delivered message needs no further answer.
 //! actions.clear();
 //! let outcome = Event::Outcome {
 //!     id: MsgId(1), attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Done, last: true,
@@ -49,67 +50,73 @@
 pub use interface::*;
 pub use state::Dispatcher;
 
-/// What is believed of an endpoint and its destination, for those who hold it against what passed.
+/// The dispatcher's current view of an endpoint and its destination, for diagnostics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Belief {
-    /// Permits of the pool, and how many are taken.
+    /// The permits of the pool, and how many are in use.
     pub pool: (u32, u32),
-    /// Latency: the 99th percentile and the mean, in microseconds.
+    /// The 99th percentile and the mean of the latency, in microseconds.
     pub latency: (f64, f64),
-    /// Messages that wait for the destination.
+    /// The number of messages that wait for the destination.
     pub held: usize,
-    /// Calls a second that may go there; infinite where nothing was refused.
+    /// The call budget in calls per second; infinite where nothing was refused.
     pub budget: f64,
-    /// No call before this.
+    /// The time before which no call is made.
     pub wait_until: Micros,
-    /// Failures lately, from 0 to 1.
+    /// A moving average of failures, from 0 to 1.
     pub fails: f64,
-    /// It is under suspicion: next asked then.
+    /// The time of the next trial, if the endpoint is suspected to have failed.
     pub trouble: Option<Micros>,
-    /// It came back and is loaded bit by bit.
+    /// Whether the endpoint has recovered and its load is raised gradually.
     pub warming: bool,
 }
 
-/// What a restart must know of an endpoint, so that it is not pushed over by senders that forgot its outage.
+/// The state of an endpoint that must survive a restart, so that restarted senders don't overload a
+/// destination whose outage they have forgotten.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Known {
-    /// Calls there have failed since then.
+pub struct RestartState {
+    /// The time since which calls to it have failed.
     pub bad_since: Option<Micros>,
-    /// It has been back from an outage, and cold, since then.
+    /// The time at which it recovered from an outage, while it is still warming up.
     pub back_since: Option<Micros>,
-    /// The last call was refused, and so many a second are to be made.
+    /// The budget in calls per second, if the last call was refused.
     pub budget: Option<f64>,
 }
 
 impl Dispatcher {
-    /// What is believed of an endpoint; nothing is changed by asking.
+    /// Returns the dispatcher's view of an endpoint, without changing anything.
     pub fn belief(&self, endpoint: EndpointId) -> Option<Belief> {
         let e = self.endpoints.get(&endpoint)?;
-        let lane = self.lanes.get(&e.lane)?;
+        let pool = self.pools.get(&e.pool)?;
         Some(Belief {
-            pool: (lane.permits, lane.out),
-            latency: (lane.latency.p99(), lane.latency.mean()),
-            held: self.dests.get(&e.dest).map_or(0, |d| d.hold.len()),
-            budget: lane.budget,
-            wait_until: lane.wait_until,
-            fails: e.fails,
-            trouble: e.trouble.as_ref().map(|t| t.next),
-            warming: e.warm.is_some(),
+            pool: (pool.permits, pool.in_flight),
+            latency: (pool.latency.p99(), pool.latency.mean()),
+            held: self.destinations.get(&e.dest).map_or(0, |d| d.pending.len()),
+            budget: pool.budget,
+            wait_until: pool.wait_until,
+            fails: e.failure_share,
+            trouble: e.suspicion.as_ref().map(|s| s.next_trial),
+            warming: e.ramp.is_some(),
         })
     }
 
-    /// What a restart must know of an endpoint; to be given again with [`Event::Remembered`].
-    pub fn known(&self, endpoint: EndpointId) -> Known {
-        let Some(e) = self.endpoints.get(&endpoint) else { return Known::default() };
-        let lane = self.lanes.get(&e.lane).filter(|l| l.refused);
-        let back_since = e.warm.as_ref().map(|w| w.since);
-        Known { bad_since: e.first_bad, back_since, budget: lane.map(|l| l.budget).filter(|b| b.is_finite()) }
+    /// Returns the state of an endpoint that must survive a restart. It is passed back with
+    /// [`Event::Remembered`].
+    pub fn known(&self, endpoint: EndpointId) -> RestartState {
+        let Some(e) = self.endpoints.get(&endpoint) else { return RestartState::default() };
+        let pool = self.pools.get(&e.pool).filter(|pool| pool.refused);
+        let back_since = e.ramp.as_ref().map(|ramp| ramp.since);
+        RestartState {
+            bad_since: e.failing_since,
+            back_since,
+            budget: pool.map(|pool| pool.budget).filter(|b| b.is_finite()),
+        }
     }
 
-    /// How many destinations, lanes, endpoints, messages, calls and keys are remembered, for those who watch
-    /// a sender's memory.
+    /// Returns the number of destinations, pools, endpoints, messages, calls and keys in memory, for
+    /// monitoring.
     pub fn kept(&self) -> usize {
-        let fleet = self.dests.len() + self.lanes.len() + self.endpoints.len();
-        fleet + self.msgs.len() + self.calls.len() + self.keys.len()
+        let directory = self.destinations.len() + self.pools.len() + self.endpoints.len();
+        directory + self.messages.len() + self.calls.len() + self.keys.len()
     }
 }
--- a/src/policy/message.rs
+++ b/src/policy/message.rs
@@ -1,81 +1,83 @@
-//! A message's life: whether it may be tried again, its final answer, its end.
+//! The life cycle of a message: whether it may be tried again, its final answer, and its end.
 
 use crate::{interface::*, state::*};
 
 impl Dispatcher {
-    /// The message is over for its client. Attempts still out are remembered until they end.
+    /// Closes a message: its client needs no answer any more. Attempts in flight are kept until they end.
     pub(super) fn close(&mut self, id: MsgId) {
-        let Some(msg) = self.msgs.get_mut(&id) else { return };
-        if !msg.closed {
-            self.open -= 1;
-            self.agenda.remove(&(msg.deadline - self.set.quantum, Due::Msg(id)));
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        if !message.closed {
+            self.open_messages -= 1;
+            self.schedule.remove(&(message.deadline - self.settings.quantum, Task::CheckMessage(id)));
         }
-        msg.closed = true;
-        let entry = (msg.seq, id);
-        self.dests.entry(msg.dest).and_modify(|d| _ = d.hold.remove(&entry));
-        if msg.out.is_empty() {
-            let key = msg.key.take();
-            if let Some((k, key)) = key.and_then(|k| self.keys.get_mut(&k).map(|key| (k, key))) {
+        message.closed = true;
+        let entry = (message.sequence, id);
+        self.destinations.entry(message.dest).and_modify(|d| _ = d.pending.remove(&entry));
+        if message.in_flight.is_empty() {
+            let key = message.key.take();
+            if let Some((name, key)) = key.and_then(|name| self.keys.get_mut(&name).map(|key| (name, key))) {
                 key.queue.remove(&entry);
-                if key.queue.is_empty() && key.rest_until <= self.now {
-                    self.keys.remove(&k);
+                if key.queue.is_empty() && key.paused_until <= self.now {
+                    self.keys.remove(&name);
                 }
-                self.ready.insert(msg.dest);
+                self.ready.insert(message.dest);
             }
-            self.msgs.remove(&id);
+            self.messages.remove(&id);
         }
     }
 
-    pub(super) fn class(&self, msg: &Msg) -> &ClassSettings {
-        self.set.classes.get(msg.class).unwrap_or(&self.plain)
+    pub(super) fn class_of(&self, message: &Message) -> &ClassSettings {
+        self.settings.classes.get(message.class).unwrap_or(&self.default_class)
     }
 
-    /// Whether a further attempt is allowed at all, now.
+    /// Returns whether a further attempt is allowed at all, now.
     pub(super) fn may_retry(&self, id: MsgId) -> bool {
-        let Some(msg) = self.msgs.get(&id) else { return false };
-        if msg.closed || !msg.out.is_empty() || msg.attempts >= self.set.max_attempts {
+        let Some(message) = self.messages.get(&id) else { return false };
+        if message.closed || !message.in_flight.is_empty() || message.attempts >= self.settings.max_attempts {
             return false;
         }
-        let class = self.class(msg);
-        match (class.effect, msg.may_run) {
+        let class = self.class_of(message);
+        match (class.effect, message.may_run) {
             (Effect::Free, _) | (_, None) => true,
             (Effect::Guarded, Some((first, at))) => {
-                let left = |d: &Dest| d.endpoints.iter().any(|e| self.same_group(class.group, at, *e));
-                let left = class.group == Group::All || self.dests.get(&msg.dest).is_some_and(left);
-                self.now < first + class.window && left
+                let any =
+                    |d: &Destination| d.endpoints.iter().any(|e| self.drops_duplicates(class.group, at, *e));
+                let any = class.group == Group::All || self.destinations.get(&message.dest).is_some_and(any);
+                self.now < first + class.window && any
             }
             (Effect::SingleShot, Some(_)) => false,
         }
     }
 
-    /// Whether a listed endpoint drops repeats of what may have run at another of its destination.
-    pub(super) fn same_group(&self, group: Group, at: EndpointId, other: EndpointId) -> bool {
-        let Some(e) = self.endpoints.get(&other).filter(|e| e.listed) else { return false };
+    /// Returns whether `other` is listed and drops duplicates of a message that may have been executed at
+    /// `first`, another endpoint of its destination.
+    pub(super) fn drops_duplicates(&self, group: Group, first: EndpointId, other: EndpointId) -> bool {
+        let Some(endpoint) = self.endpoints.get(&other).filter(|e| e.listed) else { return false };
         match group {
             Group::All => true,
-            Group::Zone => self.endpoints.get(&at).is_some_and(|a| a.zone == e.zone),
-            Group::Endpoint => at == other,
+            Group::Zone => self.endpoints.get(&first).is_some_and(|f| f.zone == endpoint.zone),
+            Group::Endpoint => first == other,
         }
     }
 
-    /// Whether a client may be told that handing it in again does no harm.
-    pub(super) fn may_refuse(&self, msg: &Msg) -> bool {
-        let class = self.class(msg);
+    /// Returns whether the client may be told that submitting the message again does no harm.
+    pub(super) fn may_refuse(&self, message: &Message) -> bool {
+        let class = self.class_of(message);
         class.effect == Effect::Free
-            || (msg.out.is_empty() && msg.may_run.is_none())
+            || (message.in_flight.is_empty() && message.may_run.is_none())
             || (class.effect == Effect::Guarded && class.group == Group::All)
     }
 
-    /// The final answer. A client that may come again is told when a try may succeed: once the destination
-    /// can take a call, and a random while later, so that those refused together don't come together.
-    pub(super) fn finish(&mut self, id: MsgId, out: &mut Vec<Action>) {
-        let (chance, most) = (self.chance(), self.set.max_retry_after as f64);
-        let Some(msg) = self.msgs.get(&id) else { return };
-        out.push(if self.may_refuse(msg) {
-            let (list, look) = self.usable(msg.dest);
-            let closed = list.iter().all(|(_, careful, _)| *careful && self.set.probes);
-            let wait = if closed { look.at.saturating_sub(self.now) as f64 } else { 0.0 };
-            let retry_after = (wait.clamp(most / 4.0, most / 2.0) + most * chance / 2.0) as Micros;
+    /// Gives the final answer. The retry-after of a refusal is the time until the destination can take a
+    /// call, plus a random time, so that clients refused together don't return together.
+    pub(super) fn give_final_answer(&mut self, id: MsgId, out: &mut Vec<Action>) {
+        let (random, most) = (self.random(), self.settings.max_retry_after as f64);
+        let Some(message) = self.messages.get(&id) else { return };
+        out.push(if self.may_refuse(message) {
+            let (usable, recheck) = self.usable_endpoints(message.dest);
+            let closed = usable.iter().all(|(_, careful, _)| *careful && self.settings.probes);
+            let wait = if closed { recheck.at.saturating_sub(self.now) as f64 } else { 0.0 };
+            let retry_after = (wait.clamp(most / 4.0, most / 2.0) + most * random / 2.0) as Micros;
             Action::Refuse { id, retry_after }
         } else {
             Action::Fail { id }
@@ -83,11 +85,13 @@
         self.close(id);
     }
 
-    /// The final answer is due: time is up, or nothing more may be tried.
-    pub(super) fn expire(&mut self, id: MsgId, out: &mut Vec<Action>) {
-        let Some(msg) = self.msgs.get(&id).filter(|m| !m.closed) else { return };
-        if self.now + self.set.quantum >= msg.deadline || (msg.out.is_empty() && !self.may_retry(id)) {
-            self.finish(id, out);
+    /// Gives the final answer if it is due: the deadline has come, or no further attempt is allowed.
+    pub(super) fn answer_if_due(&mut self, id: MsgId, out: &mut Vec<Action>) {
+        let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { return };
+        if self.now + self.settings.quantum >= message.deadline
+            || (message.in_flight.is_empty() && !self.may_retry(id))
+        {
+            self.give_final_answer(id, out);
         }
     }
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,40 +1,41 @@
-//! Tenants' quotas: which messages are beyond the quota of their tenant, and what those are worth.
+//! The quotas of tenants: which messages exceed the quota of their tenant, and what those are worth.
 
 use crate::state::*;
 
-/// Seconds of a quota that a tenant may submit at once.
+/// Seconds of its quota that a tenant may submit at once.
 const BURST: f64 = 5.0;
 /// Messages that a tenant may submit at once, however small its quota.
-const LEAST_BURST: f64 = 5.0;
-/// A sender that is one of several may see this many times its even part of a tenant's traffic.
-const UNEVEN: f64 = 4.0;
+const MIN_BURST: f64 = 5.0;
+/// Where there are several senders, one may receive this multiple of its even share of a tenant's traffic.
+const UNEVEN_SHARE: f64 = 4.0;
 
 impl Dispatcher {
-    /// Counts a message against its tenant's quota. Returns whether it is beyond.
+    /// Counts a message against its tenant's quota. Returns whether the message exceeds it.
     pub(super) fn exceeds_quota(&mut self, tenant: usize) -> bool {
-        let Some(quota) = self.set.tenants.get(tenant).map(|t| t.quota) else { return false };
+        let Some(quota) = self.settings.tenants.get(tenant).map(|t| t.quota) else { return false };
         if !quota.is_finite() || quota <= 0.0 {
             return false;
         }
-        let uneven = if self.set.senders > 1 { UNEVEN } else { 1.0 };
-        let rate = quota * uneven / f64::from(self.set.senders);
-        let most = (rate * BURST).max(LEAST_BURST);
+        let uneven = if self.settings.senders > 1 { UNEVEN_SHARE } else { 1.0 };
+        let rate = quota * uneven / f64::from(self.settings.senders);
+        let burst = (rate * BURST).max(MIN_BURST);
         let now = self.now;
-        let allowance = self.allowances.entry(tenant).or_insert(Allowance { left: most, filled: now });
-        let since = (now - allowance.filled) as f64 / 1e6;
-        allowance.left = (allowance.left + rate * since).min(most);
-        allowance.filled = now;
-        let exceeds = allowance.left < 1.0;
+        let allowance =
+            self.allowances.entry(tenant).or_insert(Allowance { remaining: burst, refilled_at: now });
+        let since = (now - allowance.refilled_at) as f64 / 1e6;
+        allowance.remaining = (allowance.remaining + rate * since).min(burst);
+        allowance.refilled_at = now;
+        let exceeds = allowance.remaining < 1.0;
         if !exceeds {
-            allowance.left -= 1.0;
+            allowance.remaining -= 1.0;
         }
         exceeds
     }
 
-    /// What a message is worth where room is short. Guards against a tenant that floods a destination beyond its quota, and
-    /// whose messages fill the room of the others.
-    pub(super) fn worth_of_room(&self, msg: &Msg) -> f64 {
-        let share = if msg.exceeds_quota { self.set.over_share_worth } else { 1.0 };
-        share * self.worth(msg, 0.0)
+    /// Returns the worth by which messages are kept when the buffer is full. It keeps a tenant that floods a
+    /// destination beyond its quota from displacing the messages of other tenants.
+    pub(super) fn shedding_worth(&self, message: &Message) -> f64 {
+        let share = if message.exceeds_quota { self.settings.over_share_worth } else { 1.0 };
+        share * self.worth(message, 0.0)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,167 +1,183 @@
-//! The plain data that the decisions in `src/policy` are kept in. Nothing is decided here.
+//! The data on which the decisions in `src/policy` work. No decisions are made here.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Decides for one sender. Feed it rounds of events; it answers with actions.
+/// Makes the decisions of one sender: takes events in rounds and answers with actions.
 #[derive(Default)]
 pub struct Dispatcher {
     pub(crate) now: Micros,
-    pub(crate) random: u64,
-    pub(crate) set: Settings,
-    pub(crate) seq: u64,
-    pub(crate) lanes: BTreeMap<LaneKey, Lane>,
-    pub(crate) dests: BTreeMap<DestId, Dest>,
+    /// State of the random number generator.
+    pub(crate) random_state: u64,
+    pub(crate) settings: Settings,
+    /// The last number given to a message or call.
+    pub(crate) sequence: u64,
+    pub(crate) pools: BTreeMap<PoolKey, Pool>,
+    pub(crate) destinations: BTreeMap<DestId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    pub(crate) msgs: BTreeMap<MsgId, Msg>,
+    pub(crate) messages: BTreeMap<MsgId, Message>,
     pub(crate) calls: BTreeMap<u64, Call>,
-    pub(crate) keys: BTreeMap<String, Key>,
+    pub(crate) keys: BTreeMap<String, OrderingKey>,
     pub(crate) allowances: BTreeMap<usize, Allowance>,
-    /// What falls due when: a round looks at this and at `ready`, never at all that exists.
-    pub(crate) agenda: BTreeSet<(Micros, Due)>,
-    /// Destinations with a hold for which something has changed, or that wait for a slot.
+    /// Scheduled work by due time. A round looks only at this and at `ready`, never at everything that
+    /// exists.
+    pub(crate) schedule: BTreeSet<(Micros, Task)>,
+    /// Destinations with pending messages for which something changed, or that wait for a slot.
     pub(crate) ready: BTreeSet<DestId>,
-    /// Destinations whose budgets, pools and ramps were brought up to the present in this round.
+    /// Destinations whose budgets, pools and ramps have been updated in this round.
     pub(crate) refreshed: BTreeSet<DestId>,
-    pub(crate) plain: ClassSettings,
-    /// When each kind last refused a connection; endpoints whose calls ended in this round.
-    pub(crate) scarce: BTreeMap<usize, Micros>,
-    /// For each kind, whether calls that follow a refusal come to nothing (1) or succeed (0).
-    pub(crate) heat: BTreeMap<usize, f64>,
-    pub(crate) idle: BTreeSet<EndpointId>,
+    pub(crate) default_class: ClassSettings,
+    /// For each kind: when it last refused a connection.
+    pub(crate) refused_connections: BTreeMap<usize, Micros>,
+    /// For each kind: whether calls that follow a refusal fail (1) or succeed (0).
+    pub(crate) retry_failures: BTreeMap<usize, f64>,
+    /// Endpoints whose calls ended in this round.
+    pub(crate) idle_candidates: BTreeSet<EndpointId>,
     pub(crate) directory: Directory,
-    pub(crate) open: usize,
-    pub(crate) used: u32,
-    pub(crate) sweep_at: Micros,
-    pub(crate) wake: Micros,
+    pub(crate) open_messages: usize,
+    pub(crate) used_slots: u32,
+    pub(crate) cleanup_at: Micros,
+    pub(crate) timer_at: Micros,
 }
 
-/// What has one limit and one pool: a destination, or a route of it where routes are apart.
+/// Identifies a pool: that of a destination, or of one route where the routes are separate.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum LaneKey {
+pub(crate) enum PoolKey {
     #[default]
-    Nowhere,
-    Whole(DestId),
+    Unassigned,
+    Destination(DestId),
     Route(EndpointId),
 }
 
-/// Events a second, fading with its memory.
+/// An event rate per second, averaged with exponential decay.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Rate {
-    pub(crate) born: Micros,
-    pub(crate) at: Micros,
+    pub(crate) created_at: Micros,
+    pub(crate) updated_at: Micros,
     pub(crate) value: f64,
-    pub(crate) memory: f64,
+    /// Decay time constant in microseconds.
+    pub(crate) time_constant: f64,
 }
 
-/// Latency as a log-normal, which gives a p99 from few samples.
+/// A log-normal model of latency, which gives a 99th percentile from few samples.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Latency {
-    pub(crate) n: f64,
-    pub(crate) mu: f64,
-    pub(crate) var: f64,
+    pub(crate) samples: f64,
+    pub(crate) log_mean: f64,
+    pub(crate) log_variance: f64,
+    /// Fast-moving average in microseconds.
     pub(crate) recent: f64,
 }
 
-/// A lane's pool, pace and wait.
+/// A pool of permits, with its call budget and rate limit.
 #[derive(Default)]
-pub(crate) struct Lane {
+pub(crate) struct Pool {
     pub(crate) dest: DestId,
     pub(crate) limit: Option<f64>,
     pub(crate) latency: Latency,
     pub(crate) permits: u32,
-    pub(crate) resized: Micros,
-    pub(crate) out: u32,
+    pub(crate) resized_at: Micros,
+    pub(crate) in_flight: u32,
     pub(crate) wait_until: Micros,
+    /// Calls per second.
     pub(crate) budget: f64,
     pub(crate) tokens: f64,
-    pub(crate) filled: Micros,
-    pub(crate) pace: f64,
-    pub(crate) cut: Micros,
-    /// Refusals that successes have not made up for.
-    pub(crate) strain: f64,
-    /// The last call was refused.
+    pub(crate) refilled_at: Micros,
+    /// Rate at which tokens are refilled, in calls per second.
+    pub(crate) refill_rate: f64,
+    pub(crate) budget_cut_at: Micros,
+    /// Refusals less the successes since.
+    pub(crate) net_refusals: f64,
+    /// Whether the last call was refused.
     pub(crate) refused: bool,
     pub(crate) accepted: Rate,
 }
 
-/// A destination's demand and its hold, oldest first.
+/// The demand of a destination and its pending messages, oldest first.
 #[derive(Default)]
-pub(crate) struct Dest {
-    pub(crate) rate: Rate,
-    /// The same over a longer time: this sender's part of the traffic.
+pub(crate) struct Destination {
+    pub(crate) arrivals: Rate,
+    /// The same over a longer time: this sender's share of the traffic.
     pub(crate) share: Rate,
-    pub(crate) hold: BTreeSet<(u64, MsgId)>,
+    pub(crate) pending: BTreeSet<(u64, MsgId)>,
     pub(crate) endpoints: BTreeSet<EndpointId>,
-    /// When it is next on the agenda.
-    pub(crate) look: Micros,
+    /// The time of its next entry in the schedule.
+    pub(crate) next_check: Micros,
 }
 
-/// An endpoint under suspicion, and the trials by which it is asked.
+/// The suspicion that an endpoint has failed, and the trials that test it.
 #[derive(Default)]
-pub(crate) struct Trouble {
-    pub(crate) next: Micros,
+pub(crate) struct Suspicion {
+    pub(crate) next_trial: Micros,
     pub(crate) backoff: Micros,
+    /// When the trial call in flight was sent.
     pub(crate) trial: Option<Micros>,
-    /// Only symptoms that prove nothing ran: an unsafe message may be the trial.
+    /// Whether no failed call had any effect: then an unsafe message may be the trial.
     pub(crate) harmless: bool,
+    /// Whether a probe is in flight.
     pub(crate) probing: bool,
+    /// Whether a probe succeeded since the last failure.
     pub(crate) probed: bool,
 }
 
-/// An endpoint that came back and is loaded bit by bit.
-pub(crate) struct Warm {
+/// The ramp of an endpoint that recovered and whose load is raised gradually.
+pub(crate) struct Ramp {
     pub(crate) since: Micros,
     pub(crate) tokens: f64,
-    pub(crate) pace: f64,
-    pub(crate) filled: Micros,
+    /// Rate at which tokens are refilled, in calls per second.
+    pub(crate) refill_rate: f64,
+    pub(crate) refilled_at: Micros,
 }
 
-/// An endpoint's use and health.
+/// The use and health of an endpoint.
 #[derive(Default)]
 pub(crate) struct Endpoint {
-    pub(crate) lane: LaneKey,
+    pub(crate) pool: PoolKey,
     pub(crate) dest: DestId,
     pub(crate) kind: usize,
     pub(crate) zone: usize,
     pub(crate) listed: bool,
-    pub(crate) out: u32,
-    pub(crate) used: Micros,
-    pub(crate) conns: u32,
-    /// When a connection was last refused beside a success.
-    pub(crate) crowded: Option<Micros>,
-    pub(crate) last_ok: Micros,
-    /// The first failure or refusal since a success.
-    pub(crate) first_bad: Option<Micros>,
-    pub(crate) fails: f64,
-    pub(crate) trouble: Option<Trouble>,
-    pub(crate) warm: Option<Warm>,
-}
-
-/// An attempt that is out.
+    pub(crate) in_flight: u32,
+    pub(crate) last_used: Micros,
+    pub(crate) connections: u32,
+    /// When a connection was last refused although other calls succeeded.
+    pub(crate) connection_refused_at: Option<Micros>,
+    pub(crate) last_success: Micros,
+    /// The time of the first failure or refusal since the last success.
+    pub(crate) failing_since: Option<Micros>,
+    /// Moving average of failures, from 0 to 1.
+    pub(crate) failure_share: f64,
+    pub(crate) suspicion: Option<Suspicion>,
+    pub(crate) ramp: Option<Ramp>,
+}
+
+/// An attempt in flight.
 pub(crate) struct Attempt {
-    pub(crate) no: u32,
+    pub(crate) number: u32,
     pub(crate) call: u64,
-    pub(crate) sent: Micros,
+    pub(crate) sent_at: Micros,
 }
 
-/// A message and what has been tried with it.
+/// A message and its attempts.
 #[derive(Default)]
-pub(crate) struct Msg {
-    pub(crate) seq: u64,
+pub(crate) struct Message {
+    pub(crate) sequence: u64,
     pub(crate) class: usize,
     pub(crate) key: Option<String>,
     pub(crate) dest: DestId,
     pub(crate) deadline: Micros,
-    /// Since when its age counts.
-    pub(crate) since: Micros,
-    /// Its time is its own, shorter than its class's.
+    /// The time from which its age counts.
+    pub(crate) age_from: Micros,
+    /// Whether it came with much less time than its class allows.
     pub(crate) short: bool,
-    /// Its tenant had used up its quota.
+    /// Whether its tenant had used up its quota.
     pub(crate) exceeds_quota: bool,
+    /// The number of attempts so far.
     pub(crate) attempts: u32,
-    pub(crate) out: Vec<Attempt>,
+    pub(crate) in_flight: Vec<Attempt>,
+    /// The time and endpoint of the first attempt that may have been executed.
     pub(crate) may_run: Option<(Micros, EndpointId)>,
+    /// The endpoint of the last attempt, which the next one avoids if it can.
     pub(crate) avoid: Option<EndpointId>,
     pub(crate) closed: bool,
 }
@@ -169,73 +185,75 @@
 /// What a tenant may still submit within its quota.
 pub(crate) struct Allowance {
     /// Messages.
-    pub(crate) left: f64,
-    /// When that was computed.
-    pub(crate) filled: Micros,
+    pub(crate) remaining: f64,
+    /// When `remaining` was computed.
+    pub(crate) refilled_at: Micros,
 }
 
-/// A call that is out, with the messages that share its fate.
+/// A call in flight, with the messages that it carries.
 #[derive(Default)]
 pub(crate) struct Call {
     pub(crate) endpoint: EndpointId,
-    pub(crate) sent: Micros,
-    pub(crate) left: u32,
-    pub(crate) judged: bool,
+    pub(crate) sent_at: Micros,
+    /// Messages without an outcome yet.
+    pub(crate) unanswered: u32,
+    /// Whether its first outcome has been counted for the endpoint's health.
+    pub(crate) recorded: bool,
     pub(crate) trial: bool,
     pub(crate) cancelled: bool,
-    /// How long the connection had rested.
-    pub(crate) rested: Micros,
+    /// How long the connection had been idle before the call.
+    pub(crate) idle_for: Micros,
 }
 
-/// The order of a key's messages.
+/// The order of the messages of a key.
 #[derive(Default)]
-pub(crate) struct Key {
+pub(crate) struct OrderingKey {
     pub(crate) queue: BTreeSet<(u64, MsgId)>,
-    pub(crate) rest_until: Micros,
+    pub(crate) paused_until: Micros,
 }
 
-/// How an attempt ended, and what was told with it.
+/// How an attempt ended, and what the endpoint reported with it.
 #[derive(Clone, Copy)]
-pub(crate) struct Answer {
+pub(crate) struct AttemptResult {
     pub(crate) outcome: Outcome,
-    pub(crate) took: Micros,
+    pub(crate) elapsed: Micros,
     pub(crate) wait: Micros,
     pub(crate) report: Option<Report>,
 }
 
-/// What is known of a directory that must be asked.
+/// The state of the subscription to a directory that has to be asked.
 #[derive(Default)]
 pub(crate) struct Directory {
-    pub(crate) asked: bool,
+    pub(crate) requested: bool,
     pub(crate) subscribed: bool,
-    /// When it is asked next.
-    pub(crate) next: Micros,
+    /// When the next request may be sent.
+    pub(crate) next_request: Micros,
     pub(crate) backoff: Micros,
 }
 
-/// What can fall due.
+/// Work that can be scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    /// A message's final answer.
-    Msg(MsgId),
-    /// A call's silence.
-    Call(u64),
-    /// A destination that can send again.
-    Dest(DestId),
-    /// The directory's turn to be asked.
-    Ask,
-}
-
-/// When a destination that can send nothing is looked at again.
-pub(crate) struct Look {
+pub(crate) enum Task {
+    /// Give the final answer of a message if it is due.
+    CheckMessage(MsgId),
+    /// Check whether a call has been silent for too long.
+    CheckSilence(u64),
+    /// Consider a destination again that could not send.
+    CheckDestination(DestId),
+    /// Subscribe to the directory.
+    Subscribe,
+}
+
+/// When to consider a destination again that can send nothing now.
+pub(crate) struct Recheck {
     pub(crate) at: Micros,
-    /// A slot that becomes free may change it.
-    pub(crate) slot: bool,
+    /// Whether a slot that becomes free may change that.
+    pub(crate) on_free_slot: bool,
 }
 
-/// What a destination would send next.
+/// The next call that a destination would make.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) struct Choice {
+pub(crate) struct Candidate {
     pub(crate) rank: f64,
     pub(crate) id: MsgId,
     pub(crate) endpoint: EndpointId,
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -136,7 +136,7 @@
             events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None });
             events.push(Event::Left { id });
             events.push(Event::Timer { token: u64::MAX });
-            events.push(Event::Note { from: 9, text: "?".into() });
+            events.push(Event::PeerMessage { from: 9, text: "?".into() });
             let report = Some(Report { left: Some(f64::NAN), limit: Some(f64::NAN) });
             events.push(Event::Probed { endpoint, outcome, report });
         }
