--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -9,13 +9,13 @@
     let mut out = BufWriter::with_capacity(1 << 20, io::stdout().lock());
     let mut host = Host::default();
     for (number, line) in stdin.lock().lines().enumerate() {
-        let at = |e: String| format!("line {}: {e}", number + 1);
-        let line = line.map_err(|e| at(e.to_string()))?;
+        let with_line = |e: String| format!("line {}: {e}", number + 1);
+        let line = line.map_err(|e| with_line(e.to_string()))?;
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(&line).map_err(at)?;
-        writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| at(e.to_string()))?;
+        let reply = host.batch(&line).map_err(with_line)?;
+        writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| with_line(e.to_string()))?;
     }
     Ok(())
 }
--- a/crates/wirehost/tests/host.rs
+++ b/crates/wirehost/tests/host.rs
@@ -1,4 +1,4 @@
-//! The adapter: parsing, isolation of instances, bad input.
+//! Tests of the adapter: parsing, isolation of instances, invalid input.
 
 use heronroute_wirehost::Host;
 
@@ -9,9 +9,9 @@
     format!(r#"{{"TUs":{now},"seq":9,"msgs":[{}]}}"#, msgs.join(","))
 }
 
-fn started(host: &mut Host) -> String {
-    let list = r#"["Announce","sender/1","Persisted",1,3]"#;
-    host.batch(&batch(1000, &[START, TABLE, list])).expect("a good batch")
+fn start_instance(host: &mut Host) -> String {
+    let announce = r#"["Announce","sender/1","Persisted",1,3]"#;
+    host.batch(&batch(1000, &[START, TABLE, announce])).expect("a valid batch")
 }
 
 fn inbound(sender: &str, id: &str) -> String {
@@ -19,55 +19,56 @@
 }
 
 #[test]
-fn a_message_is_issued_and_the_sequence_number_restated() {
+fn a_message_is_issued_and_the_sequence_number_returned() {
     let mut host = Host::default();
-    started(&mut host);
-    let reply = host.batch(&batch(2000, &[&inbound("sender/1", "00000000000000ab")])).expect("good");
+    start_instance(&mut host);
+    let reply = host.batch(&batch(2000, &[&inbound("sender/1", "00000000000000ab")])).expect("valid");
     assert!(reply.contains(r#"["Issue","sender/1","00000000000000ab","10.0.0.1:80","#), "{reply}");
     assert!(reply.contains(r#""seq":9"#));
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let reply = Host::default().batch(&batch(1, &[])).expect("good");
+    let reply = Host::default().batch(&batch(1, &[])).expect("valid");
     assert_eq!(reply, r#"{"output":[],"seq":9}"#);
 }
 
 #[test]
-fn unknown_names_and_instances_are_disregarded() {
+fn unknown_names_and_instances_are_ignored() {
     let mut host = Host::default();
-    started(&mut host);
-    let news = r#"["Novelty","sender/1",1,2,3]"#;
-    let reply = host.batch(&batch(2000, &[news, &inbound("sender/2", "00000000000000ab")])).expect("good");
+    start_instance(&mut host);
+    let unknown = r#"["Novelty","sender/1",1,2,3]"#;
+    let reply =
+        host.batch(&batch(2000, &[unknown, &inbound("sender/2", "00000000000000ab")])).expect("valid");
     assert!(!reply.contains("Issue"), "{reply}");
 }
 
 #[test]
-fn a_stopped_instance_forgets_and_may_start_again_in_the_same_batch() {
+fn a_stopped_instance_loses_its_state_and_may_start_again_in_the_same_batch() {
     let mut host = Host::default();
-    started(&mut host);
+    start_instance(&mut host);
     let first = inbound("sender/1", "00000000000000ab");
-    let reply = host.batch(&batch(2000, &[&first, r#"["Teardown","sender/1"]"#, START])).expect("good");
+    let reply = host.batch(&batch(2000, &[&first, r#"["Teardown","sender/1"]"#, START])).expect("valid");
     assert!(!reply.contains("00000000000000ab"), "{reply}");
-    let again = host.batch(&batch(3000, &[&inbound("sender/1", "00000000000000ac")])).expect("good");
-    assert!(!again.contains("Issue"), "its list is gone: {again}");
+    let again = host.batch(&batch(3000, &[&inbound("sender/1", "00000000000000ac")])).expect("valid");
+    assert!(!again.contains("Issue"), "its directory is lost: {again}");
 }
 
 #[test]
-fn a_list_number_is_resolved_in_the_order_of_events() {
+fn a_table_number_refers_to_the_last_table_before_the_event() {
     let mut host = Host::default();
     let (a, b) = (START.replace("sender/1", "sender/2"), r#"["Announce","sender/1","Persisted",1,3]"#);
     let other = r#"["Table",3,[["up",0,1,null,0,"10.0.0.2:80",7]]]"#;
     let msgs = [START, &a, TABLE, b, other, r#"["Announce","sender/2","Persisted",1,3]"#];
-    host.batch(&batch(1000, &msgs)).expect("good");
+    host.batch(&batch(1000, &msgs)).expect("valid");
     let (x, y) = (inbound("sender/1", "00000000000000a1"), inbound("sender/2", "00000000000000a2"));
-    let reply = host.batch(&batch(2000, &[&x, &y])).expect("good");
+    let reply = host.batch(&batch(2000, &[&x, &y])).expect("valid");
     assert!(reply.contains(r#""00000000000000a1","10.0.0.1:80""#), "{reply}");
     assert!(reply.contains(r#""00000000000000a2","10.0.0.2:80""#), "{reply}");
 }
 
 #[test]
-fn bad_input_is_named_with_its_place() {
+fn errors_name_the_position_of_invalid_input() {
     let cases = [
         ("{", "bad batch"),
         (r#"{"TUs":"x","seq":1,"msgs":[]}"#, "bad batch"),
@@ -80,14 +81,14 @@
     ];
     for (line, want) in cases {
         let mut host = Host::default();
-        started(&mut host);
+        start_instance(&mut host);
         let error = host.batch(line).expect_err(line);
         assert!(error.contains(want), "{line}: {error}");
     }
 }
 
 #[test]
-fn the_program_ends_with_one_plain_line_on_bad_input() {
+fn the_program_ends_with_a_one_line_error_on_invalid_input() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut child = Command::new(env!("CARGO_BIN_EXE_heronroute-wirehost"))
