--- a/benches/long_lists.rs
+++ b/benches/long_lists.rs
@@ -1,5 +1,5 @@
-//! The cost of a decision by the number of endpoints of a destination, in one run: messages come at a steady rate to eight
-//! destinations, and each call is answered after 5 ms.
+//! Measures the cost of a decision for different numbers of endpoints per destination, in one run: messages
+//! arrive at a steady rate for eight destinations, and each call is answered after 5 ms.
 //!
 //! `cargo bench -p heronroute --bench long_lists`
 
@@ -11,15 +11,15 @@
 use std::time::Instant;
 
 const DESTINATIONS: u32 = 8;
-/// Endpoints of a destination.
+/// Endpoints per destination.
 const ENDPOINTS: [u32; 3] = [25, 100, 400];
 const MESSAGES: u64 = 4_000;
-/// Between two messages.
-const GAP: Micros = 8_000;
-/// How long a call takes.
-const TOOK: Micros = 5_000;
+/// Time between two messages.
+const MESSAGE_INTERVAL: Micros = 8_000;
+/// Duration of a call.
+const CALL_DURATION: Micros = 5_000;
 
-fn list(endpoints: u32) -> Event {
+fn directory(endpoints: u32) -> Event {
     let entry = |n: u32| EndpointEntry {
         endpoint: EndpointId(n),
         dest: DestId(i64::from(n % DESTINATIONS)),
@@ -31,16 +31,17 @@
     Event::Members { whole: true, entries: (0..endpoints * DESTINATIONS).map(entry).collect() }
 }
 
-/// Microseconds a message takes with so many endpoints a destination, and how many were sent.
-fn cost(endpoints: u32) -> (f64, usize) {
+/// Returns the time per message in microseconds with this number of endpoints per destination, and the number
+/// of messages sent.
+fn measure(endpoints: u32) -> (f64, usize) {
     let mut settings = Settings::default();
     settings.classes.push(ClassSettings { effect: Effect::Free, ..ClassSettings::default() });
-    let mut dispatcher = Dispatcher::new(0, 7, settings).expect("the settings are sound");
+    let mut dispatcher = Dispatcher::new(0, 7, settings).expect("the settings are valid");
     let (mut actions, mut answers, mut sent) = (Vec::new(), VecDeque::new(), 0);
-    dispatcher.round(0, &[list(endpoints)], &mut actions);
-    let began = Instant::now();
+    dispatcher.round(0, &[directory(endpoints)], &mut actions);
+    let started = Instant::now();
     for n in 1..=MESSAGES {
-        let now = n as Micros * GAP;
+        let now = n as Micros * MESSAGE_INTERVAL;
         let mut events = vec![Event::Message {
             id: MsgId(n),
             class: 0,
@@ -62,20 +63,20 @@
                     endpoint: *endpoint,
                     outcome: Outcome::Done,
                     last: true,
-                    elapsed: TOOK,
+                    elapsed: CALL_DURATION,
                     wait: 0,
                     report: None,
                 });
             }
         }
     }
-    (began.elapsed().as_secs_f64() * 1e6 / MESSAGES as f64, sent)
+    (started.elapsed().as_secs_f64() * 1e6 / MESSAGES as f64, sent)
 }
 
 fn main() {
-    let costs: Vec<(f64, usize)> = ENDPOINTS.iter().map(|n| cost(*n)).collect();
+    let measurements: Vec<(f64, usize)> = ENDPOINTS.iter().map(|n| measure(*n)).collect();
     println!("{:>10} {:>12} {:>6} {:>6}", "endpoints", "us/message", "ratio", "sent");
-    for (endpoints, (cost, sent)) in ENDPOINTS.iter().zip(&costs) {
-        println!("{endpoints:>10} {cost:>12.2} {:>6.2} {sent:>6}", cost / costs[0].0);
+    for (endpoints, (cost, sent)) in ENDPOINTS.iter().zip(&measurements) {
+        println!("{endpoints:>10} {cost:>12.2} {:>6.2} {sent:>6}", cost / measurements[0].0);
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A hand-driven sender: settings, events and a look at the answers.
+//! A sender driven step by step by a test: its settings and events, and the actions of its dispatcher.
 #![allow(dead_code)]
 
 use heronroute::*;
@@ -6,7 +6,7 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 pub const FREE: usize = 0;
-pub const KEYED: usize = 1;
+pub const GUARDED: usize = 1;
 pub const UNSAFE: usize = 2;
 pub const ORDERED: usize = 3;
 
@@ -56,14 +56,14 @@
     Event::Message { id, class, tenant: 0, key: None, dest, time_left: 20 * S, again: false }
 }
 
-pub fn keyed(id: u64, dest: i64, key: &str) -> Event {
+pub fn ordered_message(id: u64, dest: i64, key: &str) -> Event {
     let (id, dest, key) = (MsgId(id), DestId(dest), Some(key.to_string()));
     Event::Message { id, class: ORDERED, tenant: 0, key, dest, time_left: 20 * S, again: false }
 }
 
-/// A call that is out.
+/// An attempt in flight.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Out {
+pub struct Attempt {
     pub id: u64,
     pub attempt: u32,
     pub endpoint: u32,
@@ -71,10 +71,11 @@
     pub timeout: Micros,
 }
 
-pub struct World {
-    pub d: Dispatcher,
+/// A sender with its dispatcher, and what the dispatcher requested so far.
+pub struct TestSender {
+    pub dispatcher: Dispatcher,
     pub now: Micros,
-    pub out: Vec<Out>,
+    pub in_flight: Vec<Attempt>,
     pub attempts: std::collections::BTreeMap<u64, u32>,
     pub refused: Vec<u64>,
     pub failed: Vec<u64>,
@@ -82,17 +83,17 @@
     pub closes: Vec<u32>,
     pub cancels: Vec<(u64, u32)>,
     pub sent_at: Vec<Micros>,
-    pub timers: usize,
-    pub due: std::collections::BTreeSet<Micros>,
+    pub timer_requests: usize,
+    pub timers: std::collections::BTreeSet<Micros>,
 }
 
-impl World {
-    pub fn new(set: Settings, entries: Vec<EndpointEntry>) -> World {
-        let d = Dispatcher::new(0, 7, set).expect("settings are good");
-        let mut w = World {
-            d,
+impl TestSender {
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> TestSender {
+        let dispatcher = Dispatcher::new(0, 7, settings).expect("the settings are valid");
+        let mut sender = TestSender {
+            dispatcher,
             now: 0,
-            out: vec![],
+            in_flight: vec![],
             attempts: Default::default(),
             refused: vec![],
             failed: vec![],
@@ -100,25 +101,25 @@
             closes: vec![],
             cancels: vec![],
             sent_at: vec![],
-            timers: 0,
-            due: Default::default(),
+            timer_requests: 0,
+            timers: Default::default(),
         };
-        w.round(&[Event::Members { whole: true, entries }]);
-        w
+        sender.round(&[Event::Members { whole: true, entries }]);
+        sender
     }
 
-    /// One round at the present time; gives the calls that it started.
-    pub fn round(&mut self, events: &[Event]) -> Vec<Out> {
+    /// Runs one round at the current time. Returns the attempts that it started.
+    pub fn round(&mut self, events: &[Event]) -> Vec<Attempt> {
         let mut actions = Vec::new();
-        self.d.round(self.now, events, &mut actions);
-        let mut fresh = Vec::new();
+        self.dispatcher.round(self.now, events, &mut actions);
+        let mut started = Vec::new();
         for a in &actions {
             match a {
                 Action::Send { id, endpoint, timeout } => {
-                    let n = self.attempts.entry(id.0).or_insert(0);
+                    let count = self.attempts.entry(id.0).or_insert(0);
                     let (id, endpoint, timeout) = (id.0, endpoint.0, *timeout);
-                    fresh.push(Out { id, attempt: *n, endpoint, sent: self.now, timeout });
-                    *n += 1;
+                    started.push(Attempt { id, attempt: *count, endpoint, sent: self.now, timeout });
+                    *count += 1;
                 }
                 Action::Refuse { id, .. } => self.refused.push(id.0),
                 Action::Fail { id } => self.failed.push(id.0),
@@ -126,80 +127,81 @@
                 Action::Cancel { id, attempt } => self.cancels.push((id.0, *attempt)),
                 Action::Close { endpoint } => self.closes.push(endpoint.0),
                 Action::Timer { at, .. } => {
-                    self.timers += 1;
-                    self.due.insert(*at);
+                    self.timer_requests += 1;
+                    self.timers.insert(*at);
                 }
                 _ => {}
             }
         }
-        self.sent_at.extend(fresh.iter().map(|o| o.sent));
-        self.out.extend(fresh.clone());
-        fresh
+        self.sent_at.extend(started.iter().map(|o| o.sent));
+        self.in_flight.extend(started.clone());
+        started
     }
 
-    /// Lets time pass in steps of 10 ms, time-outs included; gives the calls started meanwhile.
-    pub fn pass(&mut self, span: Micros) -> Vec<Out> {
+    /// Advances the time in steps of 10 ms, with timeouts. Returns the attempts started meanwhile.
+    pub fn advance(&mut self, span: Micros) -> Vec<Attempt> {
         let end = self.now + span;
-        let mut fresh = Vec::new();
+        let mut started = Vec::new();
         while self.now < end {
             self.now += 10 * MS;
-            let late: Vec<Out> =
-                self.out.iter().filter(|o| self.now - o.sent >= o.timeout).cloned().collect();
+            let timed_out: Vec<Attempt> =
+                self.in_flight.iter().filter(|o| self.now - o.sent >= o.timeout).cloned().collect();
             let mut events = vec![Event::Timer { token: 0 }];
-            events.extend(late.iter().map(|o| self.end(o, Outcome::TimedOut, 0)));
-            fresh.extend(self.round(&events));
+            events.extend(timed_out.iter().map(|o| self.end_attempt(o, Outcome::TimedOut, 0)));
+            started.extend(self.round(&events));
         }
-        fresh
+        started
     }
 
-    /// The event that ends a call.
-    pub fn end(&mut self, o: &Out, outcome: Outcome, wait: Micros) -> Event {
-        self.out.retain(|x| x != o);
-        let (id, endpoint) = (MsgId(o.id), EndpointId(o.endpoint));
-        let (attempt, last, elapsed) = (o.attempt, outcome == Outcome::Done, self.now - o.sent);
+    /// Removes an attempt from those in flight and returns the event that ends it.
+    pub fn end_attempt(&mut self, attempt: &Attempt, outcome: Outcome, wait: Micros) -> Event {
+        self.in_flight.retain(|other| other != attempt);
+        let (id, endpoint) = (MsgId(attempt.id), EndpointId(attempt.endpoint));
+        let (attempt, last, elapsed) = (attempt.attempt, outcome == Outcome::Done, self.now - attempt.sent);
         Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None }
     }
 
-    pub fn finish(&mut self, o: &Out, outcome: Outcome) -> Vec<Out> {
-        let e = self.end(o, outcome, 0);
-        self.round(&[e])
+    pub fn finish_attempt(&mut self, attempt: &Attempt, outcome: Outcome) -> Vec<Attempt> {
+        let event = self.end_attempt(attempt, outcome, 0);
+        self.round(&[event])
     }
 
-    /// Serves everything that goes out, 100 ms a call, one new message each `gap`, for `n` messages.
-    pub fn healthy(&mut self, first: u64, n: u64, class: usize, dest: i64, gap: Micros) {
+    /// Submits `n` messages, one each `gap`, and answers every call after 100 ms.
+    pub fn serve_steadily(&mut self, first: u64, n: u64, class: usize, dest: i64, gap: Micros) {
         for i in 0..n {
             self.round(&[message(first + i, class, dest)]);
             let mut left = gap;
             while left > 0 {
-                self.pass(10 * MS);
+                self.advance(10 * MS);
                 left -= 10 * MS;
-                let due: Vec<Out> =
-                    self.out.iter().filter(|o| self.now - o.sent >= 100 * MS).cloned().collect();
+                let due: Vec<Attempt> =
+                    self.in_flight.iter().filter(|o| self.now - o.sent >= 100 * MS).cloned().collect();
                 for o in due {
-                    self.finish(&o, Outcome::Done);
+                    self.finish_attempt(&o, Outcome::Done);
                 }
             }
         }
-        for o in self.out.clone() {
-            self.finish(&o, Outcome::Done);
+        for o in self.in_flight.clone() {
+            self.finish_attempt(&o, Outcome::Done);
         }
     }
 
-    /// Ends the attempts that were called off.
-    pub fn cancel_answered(&mut self) {
+    /// Ends the attempts that were cancelled.
+    pub fn confirm_cancellations(&mut self) {
         for (id, attempt) in std::mem::take(&mut self.cancels) {
-            if let Some(o) = self.out.iter().find(|o| (o.id, o.attempt) == (id, attempt)).cloned() {
-                self.finish(&o, Outcome::Cancelled);
+            if let Some(o) = self.in_flight.iter().find(|o| (o.id, o.attempt) == (id, attempt)).cloned() {
+                self.finish_attempt(&o, Outcome::Cancelled);
             }
         }
     }
 
-    /// Calls started from one time until before another.
-    pub fn calls(&self, from: Micros, to: Micros) -> usize {
+    /// Returns the number of attempts started from `from` until before `to`.
+    pub fn calls_between(&self, from: Micros, to: Micros) -> usize {
         self.sent_at.iter().filter(|t| (from..to).contains(t)).count()
     }
 
-    pub fn open(&self, dest_of: impl Fn(u32) -> bool) -> usize {
-        self.out.iter().filter(|o| dest_of(o.endpoint)).count()
+    /// Returns the number of attempts in flight to the matching endpoints.
+    pub fn in_flight_to(&self, matches: impl Fn(u32) -> bool) -> usize {
+        self.in_flight.iter().filter(|o| matches(o.endpoint)).count()
     }
 }
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -1,33 +1,34 @@
-//! The numbered points of the design, and the failures it is known for.
+//! Tests of the mechanisms of the dispatcher, and of failures that occurred with them.
 
 mod common;
 use common::*;
 use heronroute::*;
 
-fn fill(w: &mut World, first: u64, n: u64, class: usize, dest: i64) -> Vec<Out> {
+fn fill(sender: &mut TestSender, first: u64, n: u64, class: usize, dest: i64) -> Vec<Attempt> {
     let events: Vec<Event> = (0..n).map(|i| message(first + i, class, dest)).collect();
-    w.round(&events)
+    sender.round(&events)
 }
 
 #[test]
 fn a_permit_is_held_until_the_outcome_and_a_new_pool_is_small() {
-    // One borrower takes what is free; with the slots short, a new destination gets its starting permit only.
-    let mut w = World::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
-    let first = fill(&mut w, 0, 20, UNSAFE, 1);
+    // One destination borrows the free slots. Once they are short, a new destination gets only its first
+    // permit.
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
+    let first = fill(&mut sender, 0, 20, UNSAFE, 1);
     assert!(first.len() < 9, "below three quarters of 12 slots: {}", first.len());
-    let second = fill(&mut w, 100, 20, UNSAFE, 2);
+    let second = fill(&mut sender, 100, 20, UNSAFE, 2);
     assert!(!second.is_empty() && first.len() + second.len() <= 12);
-    assert!(fill(&mut w, 200, 5, UNSAFE, 1).is_empty(), "no permit is free before an outcome");
-    w.now += 50 * MS;
-    assert_eq!(w.finish(&first[0], Outcome::Done).len(), 1);
+    assert!(fill(&mut sender, 200, 5, UNSAFE, 1).is_empty(), "no permit becomes free before an outcome");
+    sender.now += 50 * MS;
+    assert_eq!(sender.finish_attempt(&first[0], Outcome::Done).len(), 1);
 }
 
 #[test]
-fn the_hold_gives_out_the_oldest_first() {
-    let mut w = World::new(settings(), vec![]);
-    fill(&mut w, 0, 5, UNSAFE, 1);
-    w.now += 10 * MS;
-    let sent = w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+fn pending_messages_are_sent_oldest_first() {
+    let mut sender = TestSender::new(settings(), vec![]);
+    fill(&mut sender, 0, 5, UNSAFE, 1);
+    sender.now += 10 * MS;
+    let sent = sender.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
     let ids: Vec<u64> = sent.iter().map(|o| o.id).collect();
     let mut sorted = ids.clone();
     sorted.sort_unstable();
@@ -35,92 +36,97 @@
 }
 
 #[test]
-fn a_sick_destination_holds_at_most_half_of_the_slots() {
-    let mut w = World::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0)]);
-    w.healthy(1000, 30, UNSAFE, 1, 100 * MS);
+fn a_silent_destination_uses_at_most_half_of_the_slots() {
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0)]);
+    sender.serve_steadily(1000, 30, UNSAFE, 1, 100 * MS);
     for i in 0..100u64 {
-        w.round(&[message(i, UNSAFE, 1)]);
-        w.pass(50 * MS);
+        sender.round(&[message(i, UNSAFE, 1)]);
+        sender.advance(50 * MS);
     }
-    assert!(w.open(|e| e == 1) <= 6, "{} of 12 slots are held", w.open(|e| e == 1));
-    let other = fill(&mut w, 500, 3, UNSAFE, 2);
+    assert!(sender.in_flight_to(|e| e == 1) <= 6, "{} of 12 slots are held", sender.in_flight_to(|e| e == 1));
+    let other = fill(&mut sender, 500, 3, UNSAFE, 2);
     assert_eq!(other.len(), 3, "the healthy destination is served at once");
 }
 
 #[test]
-fn many_silent_destinations_do_not_fill_the_slots_for_good() {
-    // Seen on a simulated day: unsafe calls at silent destinations held all slots until their deadline.
+fn many_silent_destinations_do_not_fill_the_slots_permanently() {
+    // Unsafe calls to silent destinations once held all slots until their deadline.
     let entries = (1..=13).map(|d| entry(d as u32, d, 0)).collect();
-    let mut w = World::new(settings(), entries);
+    let mut sender = TestSender::new(settings(), entries);
     for d in 1..=13 {
-        w.healthy(1000 * d as u64, 10, UNSAFE, d, 100 * MS);
+        sender.serve_steadily(1000 * d as u64, 10, UNSAFE, d, 100 * MS);
     }
     for i in 0..60u64 {
         let events: Vec<Event> = (1..=12).map(|d| message(100_000 + i * 20 + d as u64, UNSAFE, d)).collect();
-        w.round(&events);
-        w.pass(50 * MS);
+        sender.round(&events);
+        sender.advance(50 * MS);
     }
-    w.pass(4 * S);
-    w.round(&[message(999_999, UNSAFE, 13)]);
+    sender.advance(4 * S);
+    sender.round(&[message(999_999, UNSAFE, 13)]);
     for _ in 0..100 {
-        w.cancel_answered();
-        w.pass(10 * MS);
+        sender.confirm_cancellations();
+        sender.advance(10 * MS);
     }
-    assert!(w.attempts.contains_key(&999_999), "a healthy destination gets a slot within a second");
+    assert!(sender.attempts.contains_key(&999_999), "a healthy destination gets a slot within a second");
 }
 
 #[test]
-fn connections_that_fall_silent_do_not_close_a_destination_that_answers() {
-    // Seen on a day of the platform: one call in twenty got no answer, the endpoints answered all others, and the
-    // unsafe ones among the silent kept the pool full until their deadline.
-    let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
-    w.healthy(1000, 30, UNSAFE, 1, 100 * MS);
+fn silent_connections_do_not_block_a_destination_that_answers() {
+    // With one call in twenty unanswered and all others answered, the unsafe ones among the unanswered calls
+    // once kept the pool full until their deadline.
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
+    sender.serve_steadily(1000, 30, UNSAFE, 1, 100 * MS);
     for i in 0..120u64 {
-        w.round(&[message(i, UNSAFE, 1)]);
-        w.pass(50 * MS);
-        w.cancel_answered();
-        let due: Vec<Out> = w.out.iter().filter(|o| o.id % 8 != 0 || o.id >= 1000).cloned().collect();
-        due.iter().for_each(|o| _ = w.finish(o, Outcome::Done));
+        sender.round(&[message(i, UNSAFE, 1)]);
+        sender.advance(50 * MS);
+        sender.confirm_cancellations();
+        let due: Vec<Attempt> =
+            sender.in_flight.iter().filter(|o| o.id % 8 != 0 || o.id >= 1000).cloned().collect();
+        due.iter().for_each(|o| _ = sender.finish_attempt(o, Outcome::Done));
     }
-    let late = (80..120).filter(|id| w.attempts.contains_key(id)).count();
+    let late = (80..120).filter(|id| sender.attempts.contains_key(id)).count();
     assert!(late >= 38, "{late} of the last 40 were sent");
 }
 
 #[test]
-fn short_of_slots_a_silent_repeatable_call_goes_sooner_where_others_are_answered() {
-    // Seen on a recorded day: two fifths of the slots' time went to calls on connections that had fallen silent.
-    let gone_after = |class: usize| {
-        let mut w = World::new(settings(), (1..=13).map(|d| entry(d as u32, d, 0)).collect());
+fn a_silent_repeatable_call_is_cancelled_earlier_if_others_are_answered() {
+    // Calls on connections that had fallen silent once took two fifths of the slots' time.
+    let cancelled_after = |class: usize| {
+        let mut sender = TestSender::new(settings(), (1..=13).map(|d| entry(d as u32, d, 0)).collect());
         for d in 1..=13 {
-            w.healthy(1000 * d as u64, 30, class, d, 100 * MS);
+            sender.serve_steadily(1000 * d as u64, 30, class, d, 100 * MS);
         }
-        let silent = w.round(&[message(1, class, 1)]).remove(0);
+        let silent = sender.round(&[message(1, class, 1)]).remove(0);
         for i in 0..400u64 {
             let all = (1..=13).map(|d| message(100_000 + i * 20 + d as u64, class, d)).collect::<Vec<_>>();
-            w.round(&all);
-            w.pass(10 * MS);
-            let due: Vec<Out> =
-                w.out.iter().filter(|o| o.id != 1 && w.now - o.sent >= 100 * MS).cloned().collect();
-            due.iter().for_each(|o| _ = w.finish(o, Outcome::Done));
-            if w.cancels.contains(&(1, 0)) {
-                return w.now - silent.sent;
+            sender.round(&all);
+            sender.advance(10 * MS);
+            let due: Vec<Attempt> = sender
+                .in_flight
+                .iter()
+                .filter(|o| o.id != 1 && sender.now - o.sent >= 100 * MS)
+                .cloned()
+                .collect();
+            due.iter().for_each(|o| _ = sender.finish_attempt(o, Outcome::Done));
+            if sender.cancels.contains(&(1, 0)) {
+                return sender.now - silent.sent;
             }
         }
         Micros::MAX
     };
-    let (free, once) = (gone_after(FREE), gone_after(UNSAFE));
-    assert!(free < 800 * MS && once > 1_100 * MS, "{free} and {once}");
+    let (free, single_shot) = (cancelled_after(FREE), cancelled_after(UNSAFE));
+    assert!(free < 800 * MS && single_shot > 1_100 * MS, "{free} and {single_shot}");
 }
 
 #[test]
-fn a_message_with_little_time_of_its_own_goes_before_those_that_can_wait() {
-    // Seen on a day of the platform: a fifth of the messages had half a second; they were taken for old ones that
-    // had lost their worth, and were sent last.
-    let mut w = World::new(settings(), vec![]);
-    fill(&mut w, 0, 5, FREE, 1);
-    w.now += 10 * MS;
+fn a_message_with_a_short_deadline_is_sent_first() {
+    // A fifth of the messages once came with half a second left. They were taken for old ones that had lost
+    // their worth, and were sent last.
+    let mut sender = TestSender::new(settings(), vec![]);
+    fill(&mut sender, 0, 5, FREE, 1);
+    sender.now += 10 * MS;
     let (id, dest) = (MsgId(50), DestId(1));
-    w.round(&[Event::Message {
+    sender.round(&[Event::Message {
         id,
         class: FREE,
         tenant: 0,
@@ -129,117 +135,120 @@
         time_left: 600 * MS,
         again: false,
     }]);
-    let sent = w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    let sent = sender.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sent.first().map(|o| o.id), Some(50));
 }
 
 #[test]
-fn a_full_buffer_sheds_what_earns_least_and_keeps_room() {
-    let mut set = settings();
-    set.max_open = 50;
-    set.classes[FREE].worth = 1.0;
-    set.classes[UNSAFE].worth = 5.0;
-    let mut w = World::new(set, vec![]);
-    fill(&mut w, 0, 30, FREE, 1);
-    fill(&mut w, 100, 19, UNSAFE, 1);
-    fill(&mut w, 200, 19, UNSAFE, 1);
-    assert!(w.refused.len() >= 18 && 68 - w.refused.len() < 50);
-    assert!(w.refused.iter().all(|id| *id < 100), "worth 1 goes before worth 5");
+fn a_full_buffer_sheds_the_least_valuable_messages() {
+    let mut settings = settings();
+    settings.max_open = 50;
+    settings.classes[FREE].worth = 1.0;
+    settings.classes[UNSAFE].worth = 5.0;
+    let mut sender = TestSender::new(settings, vec![]);
+    fill(&mut sender, 0, 30, FREE, 1);
+    fill(&mut sender, 100, 19, UNSAFE, 1);
+    fill(&mut sender, 200, 19, UNSAFE, 1);
+    assert!(sender.refused.len() >= 18 && 68 - sender.refused.len() < 50);
+    assert!(
+        sender.refused.iter().all(|id| *id < 100),
+        "messages of worth 1 are shed before those of worth 5"
+    );
 }
 
 #[test]
 fn refusals_lower_the_budget_and_it_grows_back() {
-    let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
-    w.healthy(10_000, 100, FREE, 1, 50 * MS);
-    // Twenty calls a second meet a limit of five for ten seconds.
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
+    sender.serve_steadily(10_000, 100, FREE, 1, 50 * MS);
+    // For ten seconds, twenty calls per second meet a limit of five.
     let (mut full, mut id) = (Vec::new(), 0u64);
     let mut served_in = [0u32; 200];
     for step in 0..400usize {
         id += 1;
-        w.round(&[message(id, FREE, 1)]);
-        w.pass(50 * MS);
-        for o in w.out.clone() {
+        sender.round(&[message(id, FREE, 1)]);
+        sender.advance(50 * MS);
+        for o in sender.in_flight.clone() {
             let second = step / 20;
             if step < 200 && served_in[second] >= 5 {
                 full.push(step);
-                w.finish(&o, Outcome::Busy);
+                sender.finish_attempt(&o, Outcome::Busy);
             } else {
                 served_in[second] += 1;
-                w.finish(&o, Outcome::Done);
+                sender.finish_attempt(&o, Outcome::Done);
             }
         }
     }
-    let late = full.iter().filter(|s| (100..200).contains(*s)).count();
-    assert!(late <= 30, "{late} refusals in five seconds, once learnt");
+    let late_refusals = full.iter().filter(|s| (100..200).contains(*s)).count();
+    assert!(late_refusals <= 30, "{late_refusals} refusals in five seconds, after the budget has adapted");
     let after: u32 = served_in[15..20].iter().sum();
-    assert!(after >= 75, "{after} served in the last five seconds: the budget does not stay low");
+    assert!(after >= 75, "{after} served in the last five seconds: the budget stayed low");
 }
 
 #[test]
-fn a_refused_connection_beside_a_success_is_no_outage() {
-    let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
-    w.healthy(1000, 30, FREE, 1, 100 * MS);
-    let sent = fill(&mut w, 0, 4, FREE, 1);
+fn a_refused_connection_next_to_a_success_is_not_an_outage() {
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
+    sender.serve_steadily(1000, 30, FREE, 1, 100 * MS);
+    let sent = fill(&mut sender, 0, 4, FREE, 1);
     assert!(sent.len() >= 3);
-    w.now += 50 * MS;
-    w.finish(&sent[0], Outcome::Done);
-    w.now += 10 * MS;
+    sender.now += 50 * MS;
+    sender.finish_attempt(&sent[0], Outcome::Done);
+    sender.now += 10 * MS;
     for o in &sent[1..] {
-        w.finish(o, Outcome::ConnectFailed);
+        sender.finish_attempt(o, Outcome::ConnectFailed);
     }
-    assert!(w.closes.contains(&1), "idle connections are let go");
-    for o in w.out.clone() {
-        w.finish(&o, Outcome::Done);
+    assert!(sender.closes.contains(&1), "idle connections are closed");
+    for o in sender.in_flight.clone() {
+        sender.finish_attempt(&o, Outcome::Done);
     }
-    w.pass(50 * MS);
-    assert!(w.probes.is_empty() && !w.out.is_empty() || w.attempts.len() >= 34);
+    sender.advance(50 * MS);
+    assert!(sender.probes.is_empty() && !sender.in_flight.is_empty() || sender.attempts.len() >= 34);
 }
 
 #[test]
 fn a_silent_endpoint_beside_a_healthy_one_gets_trials_only() {
-    let mut w = World::new(settings(), vec![entry(1, 1, 0), entry(2, 1, 0)]);
-    w.healthy(1000, 40, FREE, 1, 100 * MS);
-    let (mut dead, mut alive) = (0, 0);
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 1, 0)]);
+    sender.serve_steadily(1000, 40, FREE, 1, 100 * MS);
+    let (mut to_silent, mut to_healthy) = (0, 0);
     for i in 0..200u64 {
-        let mut sent = w.round(&[message(i, UNSAFE, 1)]);
-        sent.extend(w.pass(50 * MS));
-        dead += sent.iter().filter(|o| o.endpoint == 1).count();
-        for o in w.out.clone().iter().filter(|o| o.endpoint == 2) {
-            alive += 1;
-            w.finish(o, Outcome::Done);
+        let mut sent = sender.round(&[message(i, UNSAFE, 1)]);
+        sent.extend(sender.advance(50 * MS));
+        to_silent += sent.iter().filter(|o| o.endpoint == 1).count();
+        for o in sender.in_flight.clone().iter().filter(|o| o.endpoint == 2) {
+            to_healthy += 1;
+            sender.finish_attempt(o, Outcome::Done);
         }
     }
-    assert!(dead <= 12, "{dead} unsafe messages went to the silent endpoint");
-    assert!(alive >= 180, "{alive} were served by the other");
+    assert!(to_silent <= 12, "{to_silent} unsafe messages went to the silent endpoint");
+    assert!(to_healthy >= 180, "{to_healthy} were served by the other");
 }
 
 #[test]
-fn late_messages_that_lose_nothing_let_fresh_ones_pass() {
-    let mut set = settings();
-    set.slots = 1;
-    set.late = Late::Halves;
-    let mut w = World::new(set, vec![]);
-    fill(&mut w, 0, 3, UNSAFE, 1);
-    w.pass(10 * S);
-    w.round(&[message(50, UNSAFE, 1)]);
-    let sent = w.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+fn new_messages_overtake_late_ones_that_lose_nothing_by_waiting() {
+    let mut settings = settings();
+    settings.slots = 1;
+    settings.late = Late::Halves;
+    let mut sender = TestSender::new(settings, vec![]);
+    fill(&mut sender, 0, 3, UNSAFE, 1);
+    sender.advance(10 * S);
+    sender.round(&[message(50, UNSAFE, 1)]);
+    let sent = sender.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sent[0].id, 50);
 }
 
 #[test]
-fn batches_share_one_call_but_a_doubtful_endpoint_gets_one_message() {
-    let mut w = World::new(settings(), vec![entry(1, 1, 1)]);
-    let sent = fill(&mut w, 0, 10, UNSAFE, 1);
+fn a_batch_shares_one_call_but_a_trial_is_a_single_message() {
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 1)]);
+    let sent = fill(&mut sender, 0, 10, UNSAFE, 1);
     assert_eq!(sent.len(), 10, "one slot carries ten messages");
-    w.now += 100 * MS;
-    let events: Vec<Event> = sent.iter().map(|o| w.end(o, Outcome::Busy, 0)).collect();
-    w.round(&events);
-    let mut trial = w.pass(S);
+    sender.now += 100 * MS;
+    let events: Vec<Event> = sent.iter().map(|o| sender.end_attempt(o, Outcome::Busy, 0)).collect();
+    sender.round(&events);
+    let mut trial = sender.advance(S);
     for _ in 0..3 {
-        for o in w.out.clone() {
-            trial.extend(w.finish(&o, Outcome::Busy));
+        for o in sender.in_flight.clone() {
+            trial.extend(sender.finish_attempt(&o, Outcome::Busy));
         }
-        trial = w.pass(3 * S);
+        trial = sender.advance(3 * S);
         if trial.len() == 1 {
             break;
         }
@@ -248,330 +257,356 @@
 }
 
 #[test]
-fn after_any_trouble_the_ordinary_path_comes_back() {
+fn after_any_failure_normal_operation_resumes() {
     for outcome in [Outcome::Error, Outcome::Busy, Outcome::ConnectFailed, Outcome::Reset, Outcome::TimedOut]
     {
-        let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
-        w.healthy(1000, 50, FREE, 1, 100 * MS);
+        let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
+        sender.serve_steadily(1000, 50, FREE, 1, 100 * MS);
         for i in 0..100u64 {
-            w.round(&[message(i, FREE, 1)]);
-            w.pass(100 * MS);
-            for o in w.out.clone() {
-                w.finish(&o, outcome);
+            sender.round(&[message(i, FREE, 1)]);
+            sender.advance(100 * MS);
+            for o in sender.in_flight.clone() {
+                sender.finish_attempt(&o, outcome);
             }
-            for p in std::mem::take(&mut w.probes) {
-                w.round(&[Event::Probed { endpoint: EndpointId(p), outcome, report: None }]);
+            for p in std::mem::take(&mut sender.probes) {
+                sender.round(&[Event::Probed { endpoint: EndpointId(p), outcome, report: None }]);
             }
         }
-        // All is well again: within the warm-up and three seconds, each message goes at once.
+        // The failure ends: after the warm-up and three seconds, each message is sent at once.
         for i in 0..200u64 {
-            w.round(&[message(5000 + i, FREE, 1)]);
-            w.pass(100 * MS);
-            for p in std::mem::take(&mut w.probes) {
+            sender.round(&[message(5000 + i, FREE, 1)]);
+            sender.advance(100 * MS);
+            for p in std::mem::take(&mut sender.probes) {
                 let (endpoint, outcome) = (EndpointId(p), Outcome::Done);
-                w.round(&[Event::Probed { endpoint, outcome, report: None }]);
+                sender.round(&[Event::Probed { endpoint, outcome, report: None }]);
             }
-            for o in w.out.clone() {
-                w.finish(&o, Outcome::Done);
+            for o in sender.in_flight.clone() {
+                sender.finish_attempt(&o, Outcome::Done);
             }
         }
-        let before = w.attempts.len();
-        fill(&mut w, 9000, 3, FREE, 1);
-        assert!(w.attempts.len() >= before + 3, "{outcome:?} left the path narrow");
+        let before = sender.attempts.len();
+        fill(&mut sender, 9000, 3, FREE, 1);
+        assert!(sender.attempts.len() >= before + 3, "after {outcome:?}, messages are still delayed");
     }
 }
 
-/// Calls that a destination with this gap between messages gets when nothing may be borrowed.
-fn permits_after(gap: Micros) -> usize {
-    let set = Settings { slots: 20, ..settings() };
-    let mut w = World::new(set, vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
-    w.healthy(1000, 60, UNSAFE, 1, gap);
-    fill(&mut w, 100, 20, UNSAFE, 2);
-    fill(&mut w, 200, 20, UNSAFE, 3);
-    let free = 20 - w.out.len();
-    assert_eq!(free, 3, "the others borrowed all but the reserve");
-    fill(&mut w, 300, 5, UNSAFE, 1).len()
+/// Returns the number of calls that a destination with this gap between messages gets when it can't borrow.
+fn calls_without_borrowing(gap: Micros) -> usize {
+    let settings = Settings { slots: 20, ..settings() };
+    let mut sender = TestSender::new(settings, vec![entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
+    sender.serve_steadily(1000, 60, UNSAFE, 1, gap);
+    fill(&mut sender, 100, 20, UNSAFE, 2);
+    fill(&mut sender, 200, 20, UNSAFE, 3);
+    let free = 20 - sender.in_flight.len();
+    assert_eq!(free, 3, "the others borrowed all slots but the reserve");
+    fill(&mut sender, 300, 5, UNSAFE, 1).len()
 }
 
 #[test]
 fn a_pool_is_sized_by_rate_times_p99_times_one_and_a_half() {
-    // 5 a second x about 0.1 s x 1.5 is one permit; 20 a second is three.
-    assert_eq!(permits_after(200 * MS), 1);
-    assert_eq!(permits_after(50 * MS), 3);
-}
-
-/// A sender among many whose calls to one endpoint of a kind were turned away without a connection.
-fn refused_a_connection(senders: u32) -> World {
-    let mut w = World::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0), entry(2, 2, 0)]);
-    let sent = fill(&mut w, 0, 1, FREE, 1);
-    w.now += 20 * MS;
-    w.finish(&sent[0], Outcome::ConnectFailed);
-    w.pass(S);
-    for o in w.out.clone() {
-        w.finish(&o, Outcome::Done);
+    // 5 per second x about 0.1 s x 1.5 makes one permit; 20 per second make three.
+    assert_eq!(calls_without_borrowing(200 * MS), 1);
+    assert_eq!(calls_without_borrowing(50 * MS), 3);
+}
+
+/// Returns a sender that was refused a connection by one endpoint of a kind.
+fn sender_with_a_refused_connection(senders: u32) -> TestSender {
+    let mut sender =
+        TestSender::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0), entry(2, 2, 0)]);
+    let sent = fill(&mut sender, 0, 1, FREE, 1);
+    sender.now += 20 * MS;
+    sender.finish_attempt(&sent[0], Outcome::ConnectFailed);
+    sender.advance(S);
+    for o in sender.in_flight.clone() {
+        sender.finish_attempt(&o, Outcome::Done);
     }
-    w.closes.clear();
-    let sent = fill(&mut w, 10, 1, FREE, 2);
-    w.now += 100 * MS;
-    w.finish(&sent[0], Outcome::Done);
-    w
+    sender.closes.clear();
+    let sent = fill(&mut sender, 10, 1, FREE, 2);
+    sender.now += 100 * MS;
+    sender.finish_attempt(&sent[0], Outcome::Done);
+    sender
 }
 
 #[test]
-fn idle_connections_are_let_go_where_many_senders_share_few() {
-    // Seen at full size: hundreds of senders each kept one idle, and most calls found the table full.
-    assert!(refused_a_connection(200).closes.contains(&2), "none is kept at a kind that refused one");
-    assert!(refused_a_connection(2).closes.is_empty(), "two senders may keep one each");
-}
-
-/// Calls and probes that a sender makes in ten seconds of an outage, with one message held.
-fn asked_in_an_outage(senders: u32) -> usize {
-    let mut w = World::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0)]);
-    w.pass(60 * S);
-    w.round(&[message(0, FREE, 1)]);
-    let (mut asked, end) = (0, w.now + 10 * S);
-    while w.now < end {
-        for o in w.out.clone() {
+fn idle_connections_are_closed_where_many_senders_share_few() {
+    // Where hundreds of senders each kept one connection idle, most calls found the endpoint's connection
+    // table full.
+    assert!(
+        sender_with_a_refused_connection(200).closes.contains(&2),
+        "none is kept idle at a kind that refused one"
+    );
+    assert!(sender_with_a_refused_connection(2).closes.is_empty(), "two senders may keep one each");
+}
+
+/// Returns the number of calls that a sender makes in ten seconds of an outage, with one message pending.
+fn calls_in_an_outage(senders: u32) -> usize {
+    let mut sender = TestSender::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0)]);
+    sender.advance(60 * S);
+    sender.round(&[message(0, FREE, 1)]);
+    let (mut asked, end) = (0, sender.now + 10 * S);
+    while sender.now < end {
+        for o in sender.in_flight.clone() {
             asked += 1;
-            w.now += MS;
-            w.finish(&o, Outcome::ConnectFailed);
+            sender.now += MS;
+            sender.finish_attempt(&o, Outcome::ConnectFailed);
         }
-        w.pass(10 * MS);
+        sender.advance(10 * MS);
     }
     asked
 }
 
 #[test]
-fn the_more_senders_share_a_destination_the_seldomer_each_asks_it_in_an_outage() {
-    // Seen at full size: a hundred senders' trials, each two seconds apart, pushed over what came back cold.
-    let (few, many) = (asked_in_an_outage(2), asked_in_an_outage(200));
+fn with_more_senders_each_tries_a_failed_destination_less_often() {
+    // Trials of a hundred senders, each two seconds apart, once overloaded a destination that had just
+    // recovered.
+    let (few, many) = (calls_in_an_outage(2), calls_in_an_outage(200));
     assert!(few >= 5 && many <= 4, "{few} with two senders, {many} with two hundred");
 }
 
 #[test]
-fn a_quiet_sender_asks_for_few_timers_and_works_no_more_for_a_large_fleet() {
+fn an_idle_sender_requests_few_timers_however_many_endpoints_exist() {
     for endpoints in [2, 2000] {
         let entries = (1..=endpoints).map(|d| entry(d, i64::from(d), 0)).collect();
-        let mut w = World::new(settings(), entries);
-        let sent = fill(&mut w, 0, 1, UNSAFE, 1);
-        w.timers = 0;
-        let end = w.now + 18 * S;
-        // Only timers make rounds: no tick.
-        while let Some(at) = w.due.iter().copied().find(|at| *at > w.now && *at < end) {
-            w.now = at;
-            w.round(&[Event::Timer { token: 0 }]);
+        let mut sender = TestSender::new(settings(), entries);
+        let sent = fill(&mut sender, 0, 1, UNSAFE, 1);
+        sender.timer_requests = 0;
+        let end = sender.now + 18 * S;
+        // Only timers cause rounds.
+        while let Some(at) = sender.timers.iter().copied().find(|at| *at > sender.now && *at < end) {
+            sender.now = at;
+            sender.round(&[Event::Timer { token: 0 }]);
         }
-        assert!(w.timers <= 30, "{} timers in 18 quiet seconds", w.timers);
-        w.finish(&sent[0], Outcome::Done);
+        assert!(sender.timer_requests <= 30, "{} timers in 18 idle seconds", sender.timer_requests);
+        sender.finish_attempt(&sent[0], Outcome::Done);
     }
 }
 
 #[test]
-fn failures_far_apart_start_a_paced_return_from_the_first_of_them() {
-    // Seen at full size: a sender that meets a destination every few seconds saw two failures and then a
-    // success shortly after, took that for no outage, and with hundreds of others pushed it over.
-    let set = Settings { senders: 200, ..settings() };
-    let mut w = World::new(set, vec![entry(1, 1, 0)]);
-    w.healthy(1000, 10, FREE, 1, 3 * S);
-    let sent = fill(&mut w, 0, 1, FREE, 1);
-    w.now += 20 * MS;
-    w.finish(&sent[0], Outcome::Reset);
-    w.pass(2 * S);
+fn widely_spaced_failures_start_a_ramp_from_the_first_one() {
+    // A sender that calls a destination every few seconds saw two failures, then a success shortly after. It
+    // did not take that for an outage, and together with hundreds of others overloaded the destination.
+    let settings = Settings { senders: 200, ..settings() };
+    let mut sender = TestSender::new(settings, vec![entry(1, 1, 0)]);
+    sender.serve_steadily(1000, 10, FREE, 1, 3 * S);
+    let sent = fill(&mut sender, 0, 1, FREE, 1);
+    sender.now += 20 * MS;
+    sender.finish_attempt(&sent[0], Outcome::Reset);
+    sender.advance(2 * S);
     for i in 0..6 {
-        w.round(&[message(10 + i, FREE, 1)]);
+        sender.round(&[message(10 + i, FREE, 1)]);
     }
     // The first success comes two seconds after the only failure.
-    for o in w.out.clone() {
-        w.finish(&o, Outcome::Done);
+    for o in sender.in_flight.clone() {
+        sender.finish_attempt(&o, Outcome::Done);
     }
-    let before = w.sent_at.len();
+    let before = sender.sent_at.len();
     for _ in 0..20 {
-        w.pass(100 * MS);
-        for o in w.out.clone() {
-            w.finish(&o, Outcome::Done);
+        sender.advance(100 * MS);
+        for o in sender.in_flight.clone() {
+            sender.finish_attempt(&o, Outcome::Done);
         }
     }
-    assert!(w.sent_at.len() - before <= 1, "{} calls in two seconds of the return", w.sent_at.len() - before);
+    assert!(
+        sender.sent_at.len() - before <= 1,
+        "{} calls in the first two seconds of the ramp",
+        sender.sent_at.len() - before
+    );
 }
 
 #[test]
-fn equal_parts_of_a_limit_bound_what_refused_senders_keep_sending() {
-    // Seen on a simulated overload: refused calls used up the limit, and no budget could fall far enough.
+fn an_equal_share_of_the_limit_bounds_what_refused_senders_keep_sending() {
+    // In an overload, refused calls used up the limit, and no budget could fall far enough.
     let calls = |senders: u32| {
         let limited = EndpointEntry { weight: Some(10.0), ..entry(1, 1, 0) };
-        let set = Settings { senders, weights: Weights::Nominal, ..settings() };
-        let mut w = World::new(set, vec![limited]);
+        let settings = Settings { senders, weights: Weights::Nominal, ..settings() };
+        let mut sender = TestSender::new(settings, vec![limited]);
         for i in 0..400 {
-            w.round(&[message(i, FREE, 1)]);
-            w.pass(100 * MS);
-            for o in w.out.clone() {
-                w.finish(&o, Outcome::Busy);
+            sender.round(&[message(i, FREE, 1)]);
+            sender.advance(100 * MS);
+            for o in sender.in_flight.clone() {
+                sender.finish_attempt(&o, Outcome::Busy);
             }
         }
-        w.calls(20 * S, 40 * S)
+        sender.calls_between(20 * S, 40 * S)
     };
     let (few, many) = (calls(2), calls(100));
     assert!(many * 2 < few && many <= 8, "{few} calls with two senders, {many} with a hundred");
 }
 
 #[test]
-fn a_rested_connection_that_falls_silent_is_not_taken_for_an_outage() {
-    // Seen on kano-panel-later: connections dropped unseen after a second or two without use.
-    let mut w = World::new(settings(), vec![entry(1, 1, 0)]);
-    w.healthy(1000, 10, FREE, 1, 2 * S);
-    fill(&mut w, 0, 1, UNSAFE, 1);
-    w.pass(S);
-    assert!(w.closes.contains(&1), "the other idle connections are let go");
-    let next = fill(&mut w, 1, 1, UNSAFE, 1);
-    assert_eq!((next.len(), w.probes.len()), (1, 0), "the next call goes at once, on a fresh connection");
-    // That one silent too speaks of the endpoint.
-    w.pass(2 * S);
-    assert!(fill(&mut w, 2, 1, UNSAFE, 1).is_empty(), "a second silence in a row is the endpoint's");
-    assert!(!w.probes.is_empty(), "it is probed");
+fn silence_on_an_idle_connection_is_not_an_outage() {
+    // Connections may be dropped unnoticed after a second or two without use.
+    let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
+    sender.serve_steadily(1000, 10, FREE, 1, 2 * S);
+    fill(&mut sender, 0, 1, UNSAFE, 1);
+    sender.advance(S);
+    assert!(sender.closes.contains(&1), "the other idle connections are closed");
+    let next = fill(&mut sender, 1, 1, UNSAFE, 1);
+    assert_eq!(
+        (next.len(), sender.probes.len()),
+        (1, 0),
+        "the next call is sent at once, on a new connection"
+    );
+    // If that call is silent too, the endpoint is suspected.
+    sender.advance(2 * S);
+    assert!(
+        fill(&mut sender, 2, 1, UNSAFE, 1).is_empty(),
+        "a second silent call in a row makes the endpoint suspect"
+    );
+    assert!(!sender.probes.is_empty(), "it is probed");
 }
 
 #[test]
-fn what_is_no_longer_named_is_freed() {
-    let mut w = World::new(settings(), vec![]);
+fn unlisted_endpoints_are_removed_from_memory() {
+    let mut sender = TestSender::new(settings(), vec![]);
     for n in 0..300u32 {
         let entries = vec![entry(n, i64::from(n), (n % 3) as usize)];
-        w.round(&[Event::Members { whole: true, entries }]);
-        let sent = w.round(&[keyed(u64::from(n), i64::from(n), &format!("k{n}"))]);
-        w.now += S;
+        sender.round(&[Event::Members { whole: true, entries }]);
+        let sent = sender.round(&[ordered_message(u64::from(n), i64::from(n), &format!("k{n}"))]);
+        sender.now += S;
         for o in sent {
-            w.finish(&o, Outcome::Done);
+            sender.finish_attempt(&o, Outcome::Done);
         }
     }
-    w.round(&[Event::Members { whole: true, entries: vec![] }]);
-    w.pass(60 * S);
-    let kept = w.d.kept();
-    assert!(kept <= 2, "{kept} items are kept of 300 destinations gone for a minute");
+    sender.round(&[Event::Members { whole: true, entries: vec![] }]);
+    sender.advance(60 * S);
+    let items = sender.dispatcher.kept();
+    assert!(items <= 2, "{items} items remain of 300 destinations removed a minute ago");
 }
 
 #[test]
-fn a_connection_that_timed_out_is_not_tried_again_at_once_by_one_sender_of_many() {
-    // Seen on he85021: each of three hundred senders tried once more at once, and pushed over what came back.
+fn a_connection_timeout_is_not_retried_at_once_where_there_are_many_senders() {
+    // Each of three hundred senders once retried immediately, and together they overloaded the recovering
+    // destination.
     let again = |after: Micros| {
-        let mut w = World::new(Settings { senders: 300, ..settings() }, vec![entry(1, 1, 0)]);
-        w.pass(60 * S);
-        let sent = fill(&mut w, 0, 1, FREE, 1);
-        w.now += after;
-        w.finish(&sent[0], Outcome::ConnectFailed).len()
+        let mut sender = TestSender::new(Settings { senders: 300, ..settings() }, vec![entry(1, 1, 0)]);
+        sender.advance(60 * S);
+        let sent = fill(&mut sender, 0, 1, FREE, 1);
+        sender.now += after;
+        sender.finish_attempt(&sent[0], Outcome::ConnectFailed).len()
     };
-    assert_eq!(again(1100 * MS), 0, "a time-out is silence");
-    assert_eq!(again(20 * MS), 1, "a refusal at once may be a full table");
+    assert_eq!(again(1100 * MS), 0, "a timeout is silence");
+    assert_eq!(again(20 * MS), 1, "an immediate refusal may mean a full connection table");
 }
 
 #[test]
-fn senders_told_the_same_end_of_a_shut_do_not_come_back_at_the_same_time() {
-    // Seen on hc2731b: a shut destination told all the time of its opening, and all came at that moment.
-    let mut back = std::collections::BTreeSet::new();
+fn senders_given_the_same_wait_return_at_different_times() {
+    // A closed destination once gave all senders the time of its reopening, and all of them called at that
+    // moment.
+    let mut return_times = std::collections::BTreeSet::new();
     for seed in (1..=8u64).map(|n| n.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
-        let mut d =
-            Dispatcher::new(0, seed, Settings { senders: 300, ..settings() }).expect("settings are good");
-        let (mut out, mut now) = (Vec::new(), 0);
-        d.round(
+        let mut dispatcher = Dispatcher::new(0, seed, Settings { senders: 300, ..settings() })
+            .expect("the settings are valid");
+        let (mut actions, mut now) = (Vec::new(), 0);
+        dispatcher.round(
             now,
             &[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }, message(1, FREE, 1)],
-            &mut out,
+            &mut actions,
         );
         now += 20 * MS;
         let (id, endpoint, wait) = (MsgId(1), EndpointId(1), 5 * S);
         let outcome = Outcome::Busy;
         let (attempt, last, elapsed, report) = (0, false, 20 * MS, None);
-        d.round(
+        dispatcher.round(
             now,
             &[Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report }],
-            &mut out,
+            &mut actions,
         );
-        out.clear();
-        while now < 19 * S && !out.iter().any(|a| matches!(a, Action::Send { .. })) {
+        actions.clear();
+        while now < 19 * S && !actions.iter().any(|a| matches!(a, Action::Send { .. })) {
             now += 10 * MS;
-            d.round(now, &[Event::Timer { token: 0 }], &mut out);
+            dispatcher.round(now, &[Event::Timer { token: 0 }], &mut actions);
         }
-        assert!(now > 5 * S, "the wait is kept");
-        back.insert(now / (200 * MS));
+        assert!(now > 5 * S, "the wait is respected");
+        return_times.insert(now / (200 * MS));
     }
-    assert!(back.len() >= 5, "eight senders came back in {} different fifths of a second", back.len());
+    assert!(
+        return_times.len() >= 5,
+        "eight senders returned in {} different fifths of a second",
+        return_times.len()
+    );
 }
 
-/// A destination among forty senders turns away one call in two; calls in the last ten of thirty seconds.
+/// Returns the calls of one of forty senders in the last ten of thirty seconds. The destination refuses every
+/// third call if retries succeed, and otherwise all calls after the first few.
 fn calls_where_retries(succeed: bool) -> usize {
-    let set = Settings { senders: 40, weights: Weights::Rough, max_open: 400, ..settings() };
-    let mut w = World::new(set, vec![EndpointEntry { weight: Some(10.0), ..entry(1, 1, 0) }]);
-    let mut turn = 0;
+    let settings = Settings { senders: 40, weights: Weights::Rough, max_open: 400, ..settings() };
+    let mut sender = TestSender::new(settings, vec![EndpointEntry { weight: Some(10.0), ..entry(1, 1, 0) }]);
+    let mut count = 0;
     for i in 0..60u64 {
-        w.round(&[message(i, FREE, 1)]);
+        sender.round(&[message(i, FREE, 1)]);
         for _ in 0..5 {
-            w.pass(100 * MS);
-            for o in w.out.clone() {
-                turn += 1;
-                let full = if succeed { turn % 3 == 0 } else { i > 2 };
-                w.finish(&o, if full { Outcome::Busy } else { Outcome::Done });
+            sender.advance(100 * MS);
+            for o in sender.in_flight.clone() {
+                count += 1;
+                let full = if succeed { count % 3 == 0 } else { i > 2 };
+                sender.finish_attempt(&o, if full { Outcome::Busy } else { Outcome::Done });
             }
         }
     }
-    w.calls(w.now - 10 * S, w.now)
+    sender.calls_between(sender.now - 10 * S, sender.now)
 }
 
 #[test]
-fn a_full_queue_that_drains_is_asked_again_soon_and_one_that_does_not_is_left_alone() {
-    // Two messages a second; of forty senders' equal part of ten calls a second, 2.5 calls would be left in ten.
+fn retries_come_soon_if_they_succeed_and_rarely_if_they_fail() {
+    // Two messages per second. An equal share of ten calls per second among forty senders would leave 2.5
+    // calls in ten seconds.
     let soon = calls_where_retries(true);
     assert!(soon >= 20, "{soon} calls in ten seconds where retries succeed");
     let slow = calls_where_retries(false);
-    assert!(slow <= 4, "{slow} calls in ten seconds where refused calls come to nothing");
+    assert!(slow <= 4, "{slow} calls in ten seconds where retries fail");
 }
 
-/// Many senders, two destinations of one kind, a connection to each that rests.
-fn with_idle_ones(senders: u32) -> World {
-    let mut w = World::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0), entry(2, 2, 0)]);
+/// Returns one of `senders` senders, with an idle connection to each of two destinations of one kind.
+fn sender_with_idle_connections(senders: u32) -> TestSender {
+    let mut sender =
+        TestSender::new(Settings { senders, ..settings() }, vec![entry(1, 1, 0), entry(2, 2, 0)]);
     for id in 0..2 {
-        let sent = w.round(&[message(id, FREE, id as i64 + 1)]);
-        w.now += 30 * MS;
-        w.finish(&sent[0], Outcome::Done);
+        let sent = sender.round(&[message(id, FREE, id as i64 + 1)]);
+        sender.now += 30 * MS;
+        sender.finish_attempt(&sent[0], Outcome::Done);
     }
-    w.closes.clear();
-    w
+    sender.closes.clear();
+    sender
 }
 
 #[test]
-fn told_of_a_full_table_of_connections_a_sender_lets_go_of_all_its_idle_ones_there() {
-    // Seen at full size: at an endpoint that takes some ten connections the first ten senders kept theirs for good, and
-    // 300 others were turned away on 2,495 of 2,521 connections.
-    let mut w = with_idle_ones(300);
-    let sent = w.round(&[message(10, FREE, 1)]);
-    w.now += 20 * MS;
-    w.finish(&sent[0], Outcome::Crowded);
+fn a_full_connection_table_closes_all_idle_connections_of_that_kind() {
+    // At an endpoint that accepts some ten connections, the first ten senders kept theirs permanently, and
+    // 300 others were refused on 2,495 of 2,521 connections.
+    let mut sender = sender_with_idle_connections(300);
+    let sent = sender.round(&[message(10, FREE, 1)]);
+    sender.now += 20 * MS;
+    sender.finish_attempt(&sent[0], Outcome::Crowded);
     assert!(
-        w.closes.contains(&2),
-        "also at the other of that kind, where no call has ended since: {:?}",
-        w.closes
+        sender.closes.contains(&2),
+        "also at the other endpoint of that kind, where no call has ended since: {:?}",
+        sender.closes
     );
-    let mut few = with_idle_ones(2);
+    let mut few = sender_with_idle_connections(2);
     let sent = few.round(&[message(10, FREE, 1)]);
     few.now += 20 * MS;
-    few.finish(&sent[0], Outcome::Crowded);
+    few.finish_attempt(&sent[0], Outcome::Crowded);
     assert!(few.closes.is_empty(), "two senders may keep one each");
 }
 
 #[test]
-fn a_full_table_of_connections_is_neither_an_outage_nor_a_limit() {
-    let mut w = with_idle_ones(300);
-    w.round(&[message(10, FREE, 1)]);
+fn a_full_connection_table_is_neither_an_outage_nor_a_limit() {
+    let mut sender = sender_with_idle_connections(300);
+    sender.round(&[message(10, FREE, 1)]);
     let mut tries = 0;
     for _ in 0..4 {
-        let o = w.out.pop().expect("it is tried again");
-        w.now += 20 * MS;
-        let at = w.now;
-        assert!(w.finish(&o, Outcome::Crowded).is_empty(), "not at once");
-        while w.out.is_empty() && w.now < at + 400 * MS {
-            w.pass(10 * MS);
+        let o = sender.in_flight.pop().expect("the message is retried");
+        sender.now += 20 * MS;
+        let at = sender.now;
+        assert!(sender.finish_attempt(&o, Outcome::Crowded).is_empty(), "not at once");
+        while sender.in_flight.is_empty() && sender.now < at + 400 * MS {
+            sender.advance(10 * MS);
         }
-        assert!(w.now - at >= 120 * MS, "a pause before it goes again: {}", w.now - at);
+        assert!(sender.now - at >= 120 * MS, "a pause before the retry: {}", sender.now - at);
         tries += 1;
     }
-    assert_eq!(tries, 4, "each within half a second: no gap of an outage's trials, no pace of a limit's");
-    let belief = w.d.belief(EndpointId(1)).unwrap();
+    assert_eq!(tries, 4, "each within half a second: no gap between trials, no rate limit");
+    let belief = sender.dispatcher.belief(EndpointId(1)).unwrap();
     assert!(belief.budget.is_infinite() && belief.fails == 0.0 && belief.trouble.is_none(), "{belief:?}");
 }
--- a/tests/failback/trace.rs
+++ b/tests/failback/trace.rs
@@ -1,86 +1,93 @@
-//! What a cold destination got in the window in which it fell, by what made the senders call.
+//! The calls that a cold destination got in the window in which it was overloaded, by their cause.
 
-use super::world::Day;
+use super::simulation::Scenario;
 use heronroute::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Why a sender asked or called the destination.
+/// The reason for a call or probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The sender's first probe of the endpoint since it last served a call.
+    /// The sender's first probe of the endpoint since its last successful call.
     FirstProbe,
-    /// A probe behind one that failed.
+    /// A probe after a failed one.
     LaterProbe,
-    /// The call that a good probe lets through.
-    BehindProbe,
+    /// The call that a successful probe permits.
+    AfterProbe,
     /// A message's first attempt.
     FirstCall,
     /// A message's later attempt.
-    Repeat,
+    Retry,
 }
 
-/// What the sender believes of the endpoint as it calls.
+/// The state that the sender assumes for the endpoint when it calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Belief {
-    /// Nothing speaks against it.
-    Well,
-    /// It failed since its last answer.
+pub enum AssumedState {
+    /// No failure is known.
+    Healthy,
+    /// It has failed since its last success.
     Out,
-    /// It is back and loaded bit by bit.
+    /// It has recovered and its load is raised gradually.
     Cold,
 }
 
-/// One call or probe that arrived.
+/// A call or probe that arrived at the destination.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub at: Micros,
     pub sender: usize,
-    /// Whether the sender had been told of the outage.
-    pub told: bool,
-    /// Whether the sender was started anew and has had no answer since.
+    /// Whether the sender had been informed of the outage, by an outcome or a probe.
+    pub informed: bool,
+    /// Whether the sender has restarted and has had no successful call since.
     pub restarted: bool,
     pub cause: Cause,
-    pub belief: Belief,
+    pub assumed: AssumedState,
 }
 
-/// A fall that breaks the rule: over two thirds of the window came from told senders.
-pub struct Fall {
-    pub day: Day,
-    /// Counted from the return.
+/// An overload that counts as a failure: over two thirds of the calls in the window came from informed
+/// senders.
+pub struct Overload {
+    pub scenario: Scenario,
+    /// The time since the recovery.
     pub after: Micros,
-    /// What the settings let the destination bear in the window.
+    /// N: the calls that the settings allow in the window.
     pub n: f64,
-    /// What it got in the window.
+    /// The calls and probes in the window.
     pub window: Vec<Arrival>,
 }
 
-impl fmt::Debug for Fall {
+impl fmt::Debug for Overload {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let after = self.after as f64 / 1e6;
-        let (got, told) = (self.window.len(), self.window.iter().filter(|a| a.told).count());
-        write!(f, "{after:.2} s after its return: {got} calls, {told} told, N {:.1}; {:?}", self.n, self.day)
+        let (received, informed) = (self.window.len(), self.window.iter().filter(|a| a.informed).count());
+        write!(
+            f,
+            "{after:.2} s after the recovery: {received} calls, {informed} informed, N {:.1}; {:?}",
+            self.n, self.scenario
+        )
     }
 }
 
-/// The mean window of some falls, a line for each cause, belief, and whether told and restarted, largest first.
-pub fn tally(falls: &[&Fall]) -> String {
+/// Returns the mean window of these overloads as text, with a line for each combination of cause, assumed
+/// state, and whether the sender was informed and restarted, largest first.
+pub fn describe(overloads: &[&Overload]) -> String {
     let mut parts: BTreeMap<_, usize> = BTreeMap::new();
-    for a in falls.iter().flat_map(|f| &f.window) {
-        *parts.entry((a.cause, a.belief, a.told, a.restarted)).or_default() += 1;
+    for a in overloads.iter().flat_map(|f| &f.window) {
+        *parts.entry((a.cause, a.assumed, a.informed, a.restarted)).or_default() += 1;
     }
     let mut parts: Vec<_> = parts.into_iter().collect();
     parts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    let mean = |count: usize| count as f64 / falls.len().max(1) as f64;
+    let mean = |count: usize| count as f64 / overloads.len().max(1) as f64;
     let all: usize = parts.iter().map(|p| p.1).sum();
-    let of: usize =
-        falls.iter().map(|f| f.window.iter().map(|a| a.sender).collect::<BTreeSet<_>>().len()).sum();
-    let (all, of) = (mean(all), mean(of));
-    let mut text = format!("mean window of {} falls: {all:.1} calls of {of:.1} senders\n", falls.len());
-    for ((cause, belief, told, restarted), count) in parts {
-        let (told, restarted) =
-            (if told { "told" } else { "untold" }, if restarted { ", restarted" } else { "" });
-        text += &format!("{:>8.1}  {cause:?}, seems {belief:?}, {told}{restarted}\n", mean(count));
+    let senders: usize =
+        overloads.iter().map(|f| f.window.iter().map(|a| a.sender).collect::<BTreeSet<_>>().len()).sum();
+    let (all, senders) = (mean(all), mean(senders));
+    let mut text =
+        format!("mean window of {} overloads: {all:.1} calls by {senders:.1} senders\n", overloads.len());
+    for ((cause, assumed, informed, restarted), count) in parts {
+        let (informed, restarted) =
+            (if informed { "informed" } else { "uninformed" }, if restarted { ", restarted" } else { "" });
+        text += &format!("{:>8.1}  {cause:?}, assumed {assumed:?}, {informed}{restarted}\n", mean(count));
     }
     text
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,12 +1,14 @@
-//! `.ci/known_red` passes a run of the tests only where exactly the tests of the list have failed.
+//! Tests of `.ci/known_red`, which accepts a test run only if exactly the tests in a list of known failures
+//! failed.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-const LINE: &str = "heronroute-cli --test discovery half_a_list: the watch waits too long (issue 41)\n";
+const KNOWN_FAILURE: &str =
+    "heronroute-cli --test discovery half_a_list: the watch waits too long (issue 41)\n";
 
-/// What cargo prints of a run with these failed targets, each with its failed tests.
-fn log(failed: &[(&str, &str, &[&str])]) -> String {
+/// Returns the output of cargo for a run with these failed targets, each with its failed tests.
+fn cargo_output(failed: &[(&str, &str, &[&str])]) -> String {
     let mut text = String::from("     Running unittests src/lib.rs (target/debug/deps/heronroute-0a)\n\n");
     text += "running 1 test\ntest fine ... ok\n\ntest result: ok. 1 passed; 0 failed\n\n";
     for (rerun, file, tests) in failed {
@@ -24,87 +26,99 @@
     text
 }
 
-struct Folder(PathBuf);
+/// A temporary folder, removed on drop.
+struct TempFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Whether the run passes, and what is said of it.
-fn judge(name: &str, status: i32, log: &str, list: Option<&str>) -> (bool, String) {
-    let folder = Folder(std::env::temp_dir().join(format!("heronroute-red-{name}-{}", std::process::id())));
+/// Runs the script. Returns whether it accepts the run, and its output.
+fn run_script(name: &str, status: i32, cargo_output: &str, list: Option<&str>) -> (bool, String) {
+    let folder =
+        TempFolder(std::env::temp_dir().join(format!("heronroute-red-{name}-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
     let (log_file, list_file) = (folder.0.join("log"), folder.0.join("list"));
-    std::fs::write(&log_file, log).unwrap();
+    std::fs::write(&log_file, cargo_output).unwrap();
     if let Some(list) = list {
         std::fs::write(&list_file, list).unwrap();
     }
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known_red");
     let output = Command::new(script).arg(status.to_string()).args([&log_file, &list_file]).output().unwrap();
-    let said = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8_lossy(&said).into_owned())
+    let printed = [output.stdout, output.stderr].concat();
+    (output.status.success(), String::from_utf8_lossy(&printed).into_owned())
 }
 
-const HALF: (&str, &str, &[&str]) =
+const FAILED_TARGET: (&str, &str, &[&str]) =
     ("-p heronroute-cli --test discovery", "tests/discovery.rs", &["half_a_list"]);
 
 #[test]
 fn a_run_without_failures_passes_where_nothing_is_listed() {
-    assert!(judge("none", 0, &log(&[]), None).0);
-    assert!(judge("empty", 0, &log(&[]), Some("")).0);
+    assert!(run_script("none", 0, &cargo_output(&[]), None).0);
+    assert!(run_script("empty", 0, &cargo_output(&[]), Some("")).0);
 }
 
 #[test]
-fn what_fails_and_is_not_listed_fails_the_run() {
-    let (passes, said) = judge("unlisted", 101, &log(&[HALF]), None);
-    assert!(!passes && said.contains("heronroute-cli --test discovery half_a_list"), "{said}");
+fn an_unlisted_failure_fails_the_run() {
+    let (passes, printed) = run_script("unlisted", 101, &cargo_output(&[FAILED_TARGET]), None);
+    assert!(!passes && printed.contains("heronroute-cli --test discovery half_a_list"), "{printed}");
     let two = ("-p heronroute-cli --test discovery", "tests/discovery.rs", &["half_a_list", "other"][..]);
-    assert!(!judge("second", 101, &log(&[two]), Some(LINE)).0);
+    assert!(!run_script("second", 101, &cargo_output(&[two]), Some(KNOWN_FAILURE)).0);
     let elsewhere = ("-p heronroute-net --lib", "unittests src/lib.rs", &["clock::tests::late"][..]);
-    assert!(!judge("elsewhere", 101, &log(&[HALF, elsewhere]), Some(LINE)).0);
+    assert!(!run_script("elsewhere", 101, &cargo_output(&[FAILED_TARGET, elsewhere]), Some(KNOWN_FAILURE)).0);
 }
 
 #[test]
-fn exactly_what_is_listed_may_fail_and_is_printed() {
-    let (passes, said) = judge("listed", 101, &log(&[HALF]), Some(LINE));
-    assert!(passes && said.contains(LINE), "{said}");
+fn listed_failures_are_accepted_and_printed() {
+    let (passes, printed) = run_script("listed", 101, &cargo_output(&[FAILED_TARGET]), Some(KNOWN_FAILURE));
+    assert!(passes && printed.contains(KNOWN_FAILURE), "{printed}");
 }
 
 #[test]
-fn a_line_whose_test_passes_or_does_not_exist_fails_the_run() {
-    let (passes, said) = judge("passes", 0, &log(&[]), Some(LINE));
-    assert!(!passes && said.contains("passes now, or names no test"), "{said}");
+fn a_listed_test_that_passes_or_does_not_exist_fails_the_run() {
+    let (passes, printed) = run_script("passes", 0, &cargo_output(&[]), Some(KNOWN_FAILURE));
+    assert!(!passes && printed.contains("passes now, or names no test"), "{printed}");
 }
 
 #[test]
 fn a_run_that_ended_without_naming_a_test_fails() {
-    assert!(!judge("build", 101, "error: could not compile `heronroute`\n", None).0);
-    assert!(!judge("build-listed", 101, "error: could not compile `heronroute`\n", Some(LINE)).0);
-    let aborted = log(&[HALF]).replace("test result: FAILED. 1 passed; 1 failed\n", "");
-    assert!(!judge("aborted", 101, &aborted, Some(LINE)).0, "the tests behind it were not run");
+    assert!(!run_script("build", 101, "error: could not compile `heronroute`\n", None).0);
+    assert!(
+        !run_script("build-listed", 101, "error: could not compile `heronroute`\n", Some(KNOWN_FAILURE)).0
+    );
+    let aborted = cargo_output(&[FAILED_TARGET]).replace("test result: FAILED. 1 passed; 1 failed\n", "");
+    assert!(!run_script("aborted", 101, &aborted, Some(KNOWN_FAILURE)).0, "the tests after it were not run");
     let silent = ("-p heronroute-cli --test kill", "tests/kill.rs", &[][..]);
-    assert!(!judge("silent", 101, &log(&[HALF, silent]), Some(LINE)).0);
+    assert!(!run_script("silent", 101, &cargo_output(&[FAILED_TARGET, silent]), Some(KNOWN_FAILURE)).0);
 }
 
 #[test]
-fn the_list_has_three_lines_at_most_each_with_test_cause_and_issue() {
+fn the_list_has_at_most_three_lines_each_with_test_cause_and_issue() {
     assert!(
-        !judge(
+        !run_script(
             "no-issue",
             101,
-            &log(&[HALF]),
+            &cargo_output(&[FAILED_TARGET]),
             Some("heronroute-cli --test discovery half_a_list: it fails\n")
         )
         .0
     );
-    assert!(!judge("no-target", 101, &log(&[HALF]), Some("half_a_list: it fails (issue 41)\n")).0);
+    assert!(
+        !run_script(
+            "no-target",
+            101,
+            &cargo_output(&[FAILED_TARGET]),
+            Some("half_a_list: it fails (issue 41)\n")
+        )
+        .0
+    );
     let names = ["a", "b", "c", "d"];
-    let lines: String = names.iter().map(|n| LINE.replace("half_a_list", n)).collect();
-    let four = (HALF.0, HALF.1, &names[..]);
-    assert!(!judge("four", 101, &log(&[four]), Some(&lines)).0);
-    let three = (HALF.0, HALF.1, &names[..3]);
-    let lines: String = names[..3].iter().map(|n| LINE.replace("half_a_list", n)).collect();
-    assert!(judge("three", 101, &log(&[three]), Some(&lines)).0);
+    let lines: String = names.iter().map(|n| KNOWN_FAILURE.replace("half_a_list", n)).collect();
+    let four = (FAILED_TARGET.0, FAILED_TARGET.1, &names[..]);
+    assert!(!run_script("four", 101, &cargo_output(&[four]), Some(&lines)).0);
+    let three = (FAILED_TARGET.0, FAILED_TARGET.1, &names[..3]);
+    let lines: String = names[..3].iter().map(|n| KNOWN_FAILURE.replace("half_a_list", n)).collect();
+    assert!(run_script("three", 101, &cargo_output(&[three]), Some(&lines)).0);
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,68 +1,69 @@
-//! Random sequences of events from fixed seeds, with the rules checked on every action.
+//! Random sequences of events from fixed seeds. Every action is checked against the delivery rules.
 
 mod common;
 use common::*;
 use heronroute::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Rng(u64);
+struct TestRng(u64);
 
-impl Rng {
+impl TestRng {
     fn next(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (self.0 >> 33) % n
     }
 }
 
+/// What the test knows of a message.
 #[derive(Default)]
-struct Truth {
+struct ExpectedState {
     class: usize,
     dest: i64,
     key: Option<String>,
-    taken: u64,
+    accepted_as: u64,
     deadline: Micros,
     closed: bool,
     answers: u32,
     attempts: u32,
-    out: BTreeMap<u32, (u32, Micros)>,
+    in_flight: BTreeMap<u32, (u32, Micros)>,
     may_run: Option<Micros>,
-    /// Zone of the first endpoint at which it may have run.
+    /// The zone of the endpoint of the first attempt that may have been executed.
     zone: Option<usize>,
 }
 
-/// What a day is like, beside its seed.
+/// The conditions of a run, apart from its seed.
 #[derive(Clone, Copy, Default)]
-struct Day {
-    /// Repeats of guarded messages are dropped in one zone only, and nothing may be probed.
+struct Scenario {
+    /// Whether duplicates of guarded messages are dropped only within a zone, and probes are forbidden.
     zones: bool,
-    /// The directory must be asked and fails now and then; the sender itself stands still at times.
+    /// Whether the sender has to subscribe to a directory that fails at times, and itself stalls at times.
     stalls: bool,
 }
 
-fn run(seed: u64, day: Day) -> Vec<Action> {
-    let mut set = settings();
-    if day.zones {
-        set.classes[KEYED].group = Group::Zone;
-        set.probes = false;
+fn run(seed: u64, scenario: Scenario) -> Vec<Action> {
+    let mut settings = settings();
+    if scenario.zones {
+        settings.classes[GUARDED].group = Group::Zone;
+        settings.probes = false;
     }
-    if day.stalls {
-        set.discovery = Discovery::Ask;
+    if scenario.stalls {
+        settings.discovery = Discovery::Ask;
     }
-    let zone_of = |e: u32| if day.zones { (e / 4) as usize } else { 0 };
+    let zone_of = |e: u32| if scenario.zones { (e / 4) as usize } else { 0 };
     let mut stalled_until = 0;
-    let (slots, most, quantum) = (set.slots as usize, set.max_attempts, set.quantum);
-    let classes = set.classes.clone();
-    let mut d = Dispatcher::new(0, seed, set).expect("settings are good");
-    let mut rng = Rng(seed);
+    let (slots, most, quantum) = (settings.slots as usize, settings.max_attempts, settings.quantum);
+    let classes = settings.classes.clone();
+    let mut dispatcher = Dispatcher::new(0, seed, settings).expect("the settings are valid");
+    let mut rng = TestRng(seed);
     let mut now = 0;
-    let mut truth: BTreeMap<u64, Truth> = BTreeMap::new();
-    let mut gone: BTreeMap<u32, Micros> = BTreeMap::new();
+    let mut expected: BTreeMap<u64, ExpectedState> = BTreeMap::new();
+    let mut unlisted: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut waits: BTreeMap<(i64, u32), Micros> = BTreeMap::new();
-    let mut rests: BTreeMap<String, Micros> = BTreeMap::new();
+    let mut pauses: BTreeMap<String, Micros> = BTreeMap::new();
     let mut probing: Vec<u32> = Vec::new();
     let mut all = Vec::new();
     let dest_of = |e: u32| i64::from(e % 4);
-    // Destination 3 is one of routes apart, destination 1 batches.
+    // Destination 3 has separate routes; destination 1 allows batches.
     let kind_of = |dest: i64| [0usize, 1, 0, 2][dest as usize];
     let wait_key = |e: u32| (dest_of(e), if kind_of(dest_of(e)) == 2 { e } else { 0 });
     let list: Vec<EndpointEntry> = (0..8)
@@ -76,29 +77,31 @@
             let (class, dest) = (rng.next(4) as usize, rng.next(4) as i64);
             let key = (class == ORDERED).then(|| format!("k{}", rng.next(3)));
             let time_left = (1 + rng.next(20) as Micros) * S;
-            let t = Truth {
+            let t = ExpectedState {
                 class,
                 dest,
                 key: key.clone(),
-                taken: id,
+                accepted_as: id,
                 deadline: now + time_left,
-                ..Truth::default()
+                ..ExpectedState::default()
             };
-            truth.insert(id, t);
+            expected.insert(id, t);
             let (id, dest) = (MsgId(id), DestId(dest));
             events.push(Event::Message { id, class, tenant: 0, key, dest, time_left, again: false });
         }
-        let outs: Vec<(u64, u32)> =
-            truth.iter().flat_map(|(id, t)| t.out.keys().map(|a| (*id, *a)).collect::<Vec<_>>()).collect();
-        for (id, attempt) in outs {
+        let attempts: Vec<(u64, u32)> = expected
+            .iter()
+            .flat_map(|(id, t)| t.in_flight.keys().map(|a| (*id, *a)).collect::<Vec<_>>())
+            .collect();
+        for (id, attempt) in attempts {
             if rng.next(8) != 0 {
                 continue;
             }
             use Outcome::*;
             let kinds = [Done, Done, Done, Done, Error, Busy, TimedOut, ConnectFailed, Reset, Skipped];
             let outcome = kinds[rng.next(10) as usize];
-            let t = truth.get_mut(&id).expect("known");
-            let (endpoint, sent) = t.out.remove(&attempt).expect("out");
+            let t = expected.get_mut(&id).expect("known");
+            let (endpoint, sent) = t.in_flight.remove(&attempt).expect("in flight");
             let wait = if outcome == Busy && rng.next(2) == 0 { 300 * MS } else { 0 };
             if wait > 0 {
                 let until = waits.entry(wait_key(endpoint)).or_insert(0);
@@ -108,7 +111,7 @@
                 t.may_run = Some(t.may_run.map_or(sent, |m| m.min(sent)));
                 t.zone = t.zone.or(Some(zone_of(endpoint)));
                 if let (Some(k), true) = (&t.key, outcome != Error) {
-                    rests.insert(k.clone(), now + S);
+                    pauses.insert(k.clone(), now + S);
                 }
             }
             let last = t.closed || outcome == Done;
@@ -119,8 +122,8 @@
         if rng.next(40) == 0 {
             let e = rng.next(8) as u32;
             let mut line = EndpointEntry { zone: zone_of(e), ..entry(e, dest_of(e), kind_of(dest_of(e))) };
-            if gone.remove(&e).is_none() {
-                gone.insert(e, now);
+            if unlisted.remove(&e).is_none() {
+                unlisted.insert(e, now);
                 line.status = if rng.next(2) == 0 { Status::Draining } else { Status::Removed };
             }
             events.push(Event::Members { whole: false, entries: vec![line] });
@@ -129,7 +132,7 @@
             let outcome = if rng.next(2) == 0 { Outcome::Done } else { Outcome::TimedOut };
             events.push(Event::Probed { endpoint: EndpointId(e), outcome, report: None });
         }
-        // Things that make no sense must do no harm.
+        // Events that make no sense must do no harm.
         if rng.next(20) == 0 {
             let (id, endpoint, outcome) = (MsgId(1 << 40), EndpointId(99), Outcome::Busy);
             let (attempt, last, elapsed, wait) = (7, false, -5, Micros::MAX);
@@ -141,73 +144,75 @@
             events.push(Event::Probed { endpoint, outcome, report });
         }
         let mut actions = Vec::new();
-        d.round(now, &events, &mut actions);
+        dispatcher.round(now, &events, &mut actions);
         events.clear();
         let mut calls = BTreeSet::new();
         for a in &actions {
             match a {
                 Action::Send { id, endpoint, timeout } => {
-                    let turn = {
-                        let t = &truth[&id.0];
-                        let before = |o: &&Truth| {
-                            o.key == t.key && o.taken < t.taken && (!o.closed || !o.out.is_empty())
+                    let is_next = {
+                        let t = &expected[&id.0];
+                        let before = |o: &&ExpectedState| {
+                            o.key == t.key
+                                && o.accepted_as < t.accepted_as
+                                && (!o.closed || !o.in_flight.is_empty())
                         };
-                        t.key.is_none() || truth.values().find(before).is_none()
+                        t.key.is_none() || expected.values().find(before).is_none()
                     };
-                    let t = truth.get_mut(&id.0).expect("only messages that were handed in");
-                    assert!(turn, "seed {seed} step {step}: an earlier message of the key is open");
+                    let t = expected.get_mut(&id.0).expect("only submitted messages are sent");
+                    assert!(is_next, "seed {seed} step {step}: an earlier message of the key is open");
                     if let (Some(k), 0) = (&t.key, t.attempts) {
-                        assert!(rests.get(k).is_none_or(|r| now >= *r), "seed {seed}: the key rests");
+                        assert!(pauses.get(k).is_none_or(|r| now >= *r), "seed {seed}: the key is paused");
                     }
-                    assert!(!t.closed && t.out.is_empty(), "seed {seed}: closed, or a second copy");
+                    assert!(!t.closed && t.in_flight.is_empty(), "seed {seed}: closed, or a second copy");
                     assert_eq!(dest_of(endpoint.0), t.dest);
-                    assert!(!gone.contains_key(&endpoint.0), "seed {seed}: sent to what is gone");
+                    assert!(!unlisted.contains_key(&endpoint.0), "seed {seed}: sent to an unlisted endpoint");
                     assert!(waits.get(&wait_key(endpoint.0)).is_none_or(|w| now >= *w), "seed {seed}: wait");
                     match (classes[t.class].effect, t.may_run) {
                         (Effect::SingleShot, m) => assert!(m.is_none(), "seed {seed}: unsafe repeat"),
                         (Effect::Guarded, Some(m)) => {
                             assert!(now <= m + classes[t.class].window);
                             assert!(
-                                !day.zones || t.zone == Some(zone_of(endpoint.0)),
+                                !scenario.zones || t.zone == Some(zone_of(endpoint.0)),
                                 "seed {seed}: its zone"
                             );
                         }
                         _ => {}
                     }
                     assert!(t.attempts < most && *timeout > 0);
-                    t.out.insert(t.attempts, (endpoint.0, now));
+                    t.in_flight.insert(t.attempts, (endpoint.0, now));
                     t.attempts += 1;
                 }
                 Action::Refuse { id, .. } | Action::Fail { id } => {
-                    let t = truth.get_mut(&id.0).expect("known");
+                    let t = expected.get_mut(&id.0).expect("known");
                     assert!(!t.closed, "seed {seed}: a second answer");
                     t.closed = true;
                     t.answers += 1;
                     let refused = matches!(a, Action::Refuse { .. });
                     if refused && classes[t.class].effect == Effect::SingleShot {
-                        assert!(t.may_run.is_none() && t.out.is_empty(), "seed {seed}: unsafe refusal");
+                        assert!(t.may_run.is_none() && t.in_flight.is_empty(), "seed {seed}: unsafe refusal");
                     }
                 }
-                Action::Subscribe => assert!(day.stalls, "nobody asks where changes are pushed"),
+                Action::Subscribe => assert!(scenario.stalls, "no subscription where changes are pushed"),
                 Action::Probe { endpoint } => {
-                    assert!(!day.zones, "probes are forbidden");
+                    assert!(!scenario.zones, "probes are forbidden");
                     assert!(waits.get(&wait_key(endpoint.0)).is_none_or(|w| now >= *w));
-                    assert!(!gone.contains_key(&endpoint.0));
+                    assert!(!unlisted.contains_key(&endpoint.0));
                     probing.push(endpoint.0);
                 }
-                Action::Cancel { id, attempt } => assert!(truth[&id.0].attempts > *attempt),
+                Action::Cancel { id, attempt } => assert!(expected[&id.0].attempts > *attempt),
                 _ => {}
             }
         }
-        for t in truth.values() {
-            calls.extend(t.out.values().map(|(e, sent)| (*e, *sent)));
+        for t in expected.values() {
+            calls.extend(t.in_flight.values().map(|(e, sent)| (*e, *sent)));
             let late = now >= t.deadline.max(stalled_until);
             assert!(t.closed || !late, "seed {seed} step {step}: unanswered at its deadline");
         }
         assert!(calls.len() <= slots, "seed {seed}: {} calls", calls.len());
         all.extend(actions);
         now += quantum * (1 + rng.next(2) as Micros);
-        if day.stalls && rng.next(60) == 0 {
+        if scenario.stalls && rng.next(60) == 0 {
             now += (1 + rng.next(20) as Micros) * 100 * MS;
             stalled_until = now;
             events.push(Event::DirectoryFailed);
@@ -217,28 +222,28 @@
 }
 
 #[test]
-fn the_rules_hold_on_random_days() {
+fn the_rules_hold_for_random_events() {
     for seed in 1..=8 {
-        run(seed, Day::default());
+        run(seed, Scenario::default());
     }
 }
 
 #[test]
-fn the_rules_hold_where_repeats_are_dropped_in_one_zone_and_nothing_is_probed() {
+fn the_rules_hold_with_duplicates_dropped_per_zone_and_without_probes() {
     for seed in 1..=6 {
-        run(seed, Day { zones: true, ..Day::default() });
+        run(seed, Scenario { zones: true, ..Scenario::default() });
     }
 }
 
 #[test]
-fn the_rules_hold_through_own_stalls_and_a_failing_directory() {
+fn the_rules_hold_through_stalls_and_directory_failures() {
     for seed in 1..=6 {
-        run(seed, Day { stalls: true, ..Day::default() });
+        run(seed, Scenario { stalls: true, ..Scenario::default() });
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let day = Day { zones: true, stalls: true };
-    assert_eq!(run(99, day), run(99, day));
+    let scenario = Scenario { zones: true, stalls: true };
+    assert_eq!(run(99, scenario), run(99, scenario));
 }
