--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -100,9 +100,9 @@
                     pool.tokens = pool.tokens.min(random - 0.5);
                 }
             }
-            // The idle connections of a few senders could fill the endpoint's connection table for good. This
-            // is neither an outage nor a rate limit: the sender closes all its idle connections at that kind,
-            // and retries soon.
+            // The idle connections of a few senders could fill the endpoint's connection table permanently.
+            // This is neither an outage nor a rate limit: the sender closes all its idle connections at that
+            // kind, and retries soon.
             Outcome::Crowded => {
                 let (kind, pause) = (endpoint.kind, REFUSAL_PAUSE as f64 * (0.5 + random));
                 pool.wait_until = pool.wait_until.max(now + pause as Micros);
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -3,9 +3,9 @@
 use crate::{interface::*, state::*};
 use std::collections::BTreeSet;
 
-/// Safety factor of the rule by which pools are sized.
+/// Safety factor of the rule by which pools are sized, as in the original design.
 const POOL_SAFETY: f64 = 1.5;
-/// Largest share of the slots for a sized pool. More can only be borrowed.
+/// Largest share of the slots for a sized pool, as in the original design. More can only be borrowed.
 const MAX_POOL_SHARE: f64 = 0.2;
 /// First time between trials, in microseconds ...
 const FIRST_TRIAL_BACKOFF: Micros = 200_000;
@@ -22,7 +22,7 @@
 const FAIR_SHARE_GROWTH: f64 = 0.5;
 /// Largest share of a known limit that is used.
 const MAX_LIMIT_USE: f64 = 0.95;
-/// A rate in calls per second that stands for no limit.
+/// A rate in calls per second that means no limit.
 pub(super) const UNLIMITED_RATE: f64 = 1e6;
 /// Tokens that may accumulate, in seconds of the budget.
 const BURST: f64 = 0.4;
