--- a/benches/long_lists.rs
+++ b/benches/long_lists.rs
@@ -28,7 +28,7 @@
         zone: 0,
         weight: None,
     };
-    Event::Members { whole: true, entries: (0..endpoints * DESTINATIONS).map(entry).collect() }
+    Event::DirectoryUpdate { whole: true, entries: (0..endpoints * DESTINATIONS).map(entry).collect() }
 }
 
 /// Returns the time per message in microseconds with this number of endpoints per destination, and the number
@@ -62,7 +62,7 @@
                     attempt: 0,
                     endpoint: *endpoint,
                     outcome: Outcome::Done,
-                    last: true,
+                    message_closed: true,
                     elapsed: CALL_DURATION,
                     wait: 0,
                     report: None,
--- a/crates/config/src/check/clients.rs
+++ b/crates/config/src/check/clients.rs
@@ -3,7 +3,7 @@
 use super::collect::Check;
 use super::types::ClientConfig;
 use crate::raw;
-use heronroute::{ClassSettings, Effect, Group, Settings, TenantSettings};
+use heronroute::{ClassSettings, DedupScope, Effect, Settings, TenantSettings};
 use std::collections::BTreeSet;
 
 pub fn clients(c: &mut Check, clients: &[raw::Client], settings: &mut Settings) -> Vec<ClientConfig> {
@@ -52,12 +52,12 @@
             }
         };
         let group = match k.group.as_str() {
-            "" | "all" => Group::All,
-            "zone" => Group::Zone,
-            "endpoint" => Group::Endpoint,
+            "" | "all" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            "endpoint" => DedupScope::Endpoint,
             other => {
                 c.say(&path("group"), format!("\"{other}\" is no group: \"all\", \"zone\" or \"endpoint\""));
-                Group::All
+                DedupScope::All
             }
         };
         if effect == Effect::Guarded && k.window.is_empty() {
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -30,7 +30,7 @@
     service::rules(&mut c, raw.rules.clone().unwrap_or_default(), &mut settings);
     settings.discovery = match directory.mode.as_str() {
         "" | "push" => Discovery::Push,
-        "ask" => Discovery::Ask,
+        "ask" => Discovery::Subscribe,
         other => {
             c.say("directory.mode", format!("\"{other}\" is no mode: \"push\" or \"ask\""));
             Discovery::Push
@@ -40,11 +40,11 @@
         "" => None,
         text => c.address("directory.address", text),
     };
-    if settings.discovery == Discovery::Ask && directory.address.is_empty() {
+    if settings.discovery == Discovery::Subscribe && directory.address.is_empty() {
         c.say("directory.mode", "\"ask\" needs an address to ask at");
     }
     let poll = c.span("directory.poll", &directory.poll, 20_000_000, 1_000);
-    settings.ask_every = settings.ask_every.max(poll);
+    settings.subscribe_interval = settings.subscribe_interval.max(poll);
     let keep = Some(directory.keep).filter(|k| !k.is_empty());
     let journal = service::journal(&mut c, raw.journal.clone().unwrap_or_default());
     let clients = clients::clients(&mut c, &raw.client, &mut settings);
--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -196,7 +196,7 @@
         if let Some((call, part)) = m.out {
             self.cancel_or_abandon(call, part);
         }
-        self.events.push(Event::Left { id });
+        self.events.push(Event::Withdrawn { id });
         self.over(id);
     }
 
--- a/crates/engine/src/carry/known.rs
+++ b/crates/engine/src/carry/known.rs
@@ -28,9 +28,9 @@
         let day = |at: Option<Micros>| at.map_or(0, |at| (at + shift).max(1));
         for dest in dests {
             for endpoint in self.remotes.of(dest) {
-                let known = self.dispatcher.known(endpoint);
-                let (bad_since, back_since) = (day(known.bad_since), day(known.back_since));
-                let budget = known.budget.map_or(0, |b| (b * 1e3).clamp(1.0, 1e9) as u32);
+                let restart_state = self.dispatcher.restart_state(endpoint);
+                let (bad_since, back_since) = (day(restart_state.bad_since), day(restart_state.back_since));
+                let budget = restart_state.budget.map_or(0, |b| (b * 1e3).clamp(1.0, 1e9) as u32);
                 let place = &self.remotes[endpoint].place;
                 if (place.bad_since, place.back_since, place.budget) == (bad_since, back_since, budget) {
                     continue;
--- a/crates/engine/src/carry/links.rs
+++ b/crates/engine/src/carry/links.rs
@@ -108,7 +108,13 @@
     /// An endpoint announced a wait, whatever becomes of the call that it answers.
     pub(crate) fn wait_announced(&mut self, endpoint: EndpointId, wait: Micros) {
         self.cancel_for_wait(endpoint);
-        self.events.push(Event::Remembered { endpoint, wait, bad_for: None, back: None, budget: None });
+        self.events.push(Event::EndpointRestored {
+            endpoint,
+            wait,
+            failing_for: None,
+            warming_for: None,
+            budget: None,
+        });
     }
 
     /// The connection did not stand in time.
--- a/crates/engine/src/carry/outcome.rs
+++ b/crates/engine/src/carry/outcome.rs
@@ -37,14 +37,14 @@
             _ => Known::NeverWritten,
         };
         self.step(p.msg, Trailed::Ended(known));
-        let mut last = true;
+        let mut message_closed = true;
         if let Some(m) = self.messages.get_mut(&p.msg) {
             m.out = None;
             if !reply.outcome.never_ran() && reply.outcome != Outcome::Done {
                 m.ran_at = Some(m.ran_at.map_or(began, |at| at.min(began)));
             }
-            last = reply.over;
-            if !last {
+            message_closed = reply.over;
+            if !message_closed {
                 let never_ran = reply.outcome.never_ran();
                 self.ledger.write(|| What::Outcome(entry::Outcome { id: p.msg.0, never_ran }));
             }
@@ -77,7 +77,7 @@
             attempt: p.attempt,
             endpoint,
             outcome: reply.outcome,
-            last,
+            message_closed,
             elapsed: self.now - began,
             wait: reply.wait,
             report: reply.report,
--- a/crates/engine/src/carry/send.rs
+++ b/crates/engine/src/carry/send.rs
@@ -58,7 +58,7 @@
                 Action::Probe { endpoint } => self.probe(*endpoint),
                 Action::Close { endpoint } => self.close_idle(*endpoint),
                 // Senders share nothing: the settings allow no notes.
-                Action::Tell { .. } => {}
+                Action::Broadcast { .. } => {}
             }
         }
         // No octet of a call leaves before its intents are durable.
--- a/crates/engine/src/desk/query.rs
+++ b/crates/engine/src/desk/query.rs
@@ -69,7 +69,7 @@
         if gone {
             return self.refuse(conn, token, No::TooLate);
         }
-        self.events.push(Event::Left { id });
+        self.events.push(Event::Withdrawn { id });
         if let Some((front, out)) = self.front(conn) {
             front.withdrawn(token, out);
         }
--- a/crates/engine/src/link/http.rs
+++ b/crates/engine/src/link/http.rs
@@ -5,7 +5,7 @@
 use super::{Cargo, Link, LinkEvent, Reply};
 use crate::Micros;
 use crate::stream::Stream;
-use heronroute::{Outcome, Report};
+use heronroute::{LimitReport, Outcome};
 use heronroute_config::KindConfig;
 use heronroute_http::prost::Message as _;
 use heronroute_http::{BATCH_TYPE, Batch, Item, Message, Reader, Side, write_request};
@@ -98,20 +98,21 @@
 }
 
 /// `RateLimit-Limit`, `RateLimit-Remaining` and the window of `RateLimit-Policy` (`100;w=1`).
-fn report(m: &Message) -> Option<Report> {
+fn report(m: &Message) -> Option<LimitReport> {
     let figure = |name: &str| {
         let value = m.field(name)?.split([',', ';']).next()?.trim().parse::<f64>().ok()?;
         (value.is_finite() && value >= 0.0).then_some(value)
     };
     let limit = figure("ratelimit-limit").or_else(|| figure("ratelimit-policy"));
-    let left = figure("ratelimit-remaining");
+    let remaining = figure("ratelimit-remaining");
     let window = m.field("ratelimit-policy").and_then(|p| {
         let w = p.split(';').find_map(|part| part.trim().strip_prefix("w="))?;
         w.trim().parse::<f64>().ok().filter(|w| *w > 0.0)
     });
-    let share = left.zip(limit).filter(|(_, limit)| *limit > 0.0).map(|(left, limit)| left / limit);
+    let share =
+        remaining.zip(limit).filter(|(_, limit)| *limit > 0.0).map(|(remaining, limit)| remaining / limit);
     let rate = limit.zip(window).map(|(limit, window)| limit / window);
-    (share.is_some() || rate.is_some()).then_some(Report { left: share, limit: rate })
+    (share.is_some() || rate.is_some()).then_some(LimitReport { remaining: share, limit: rate })
 }
 
 impl Link for HttpLink {
--- a/crates/engine/src/link/mod.rs
+++ b/crates/engine/src/link/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::Micros;
 use crate::stream::Stream;
-use heronroute::{Outcome, Report};
+use heronroute::{LimitReport, Outcome};
 use heronroute_config::{KindConfig, Protocol};
 use heronroute_smpp::server::Limits;
 use heronroute_smpp::submission::Submission;
@@ -43,7 +43,7 @@
     /// The message is over: no answer is owed.
     pub over: bool,
     /// What it told of its limit.
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
 }
 
 /// What a link hands on.
--- a/crates/engine/src/link/smpp.rs
+++ b/crates/engine/src/link/smpp.rs
@@ -5,7 +5,7 @@
 use super::{Cargo, Link, LinkEvent, Reply};
 use crate::Micros;
 use crate::stream::Stream;
-use heronroute::{Outcome, Report};
+use heronroute::{LimitReport, Outcome};
 use heronroute_config::KindConfig;
 use heronroute_smpp::client::{Event, Session};
 use heronroute_smpp::server::{Limits, Mode};
@@ -80,8 +80,8 @@
         Some(TlvValue::CongestionState(c)) => Some(u8::from(*c)),
         _ => None,
     });
-    let left = load.map(|l| 1.0 - f64::from(l.min(100)) / 100.0);
-    let report = left.map(|left| Report { left: Some(left), limit: None });
+    let remaining = load.map(|l| 1.0 - f64::from(l.min(100)) / 100.0);
+    let report = remaining.map(|remaining| LimitReport { remaining: Some(remaining), limit: None });
     Reply {
         outcome,
         wait: if outcome == Outcome::Busy { wait } else { 0 },
--- a/crates/engine/src/node/leave.rs
+++ b/crates/engine/src/node/leave.rs
@@ -87,7 +87,7 @@
         let goes_on = self.messages.iter().filter(|(_, m)| m.still == Still::No);
         let open: Vec<MsgId> = goes_on.map(|(id, _)| *id).collect();
         for id in open {
-            self.events.push(Event::Left { id });
+            self.events.push(Event::Withdrawn { id });
             self.answer(id, End::Leaving);
         }
         self.unbind_all();
--- a/crates/engine/src/node/members.rs
+++ b/crates/engine/src/node/members.rs
@@ -77,7 +77,7 @@
             down.extend(gone);
         }
         tracing::debug!(now = self.now, whole = listing.whole, changes = entries.len(), ?down, "a list");
-        self.events.push(Event::Members { whole: listing.whole, entries });
+        self.events.push(Event::DirectoryUpdate { whole: listing.whole, entries });
         down.into_iter().for_each(|e| self.cancel_unsent_calls(e));
     }
 }
--- a/crates/engine/src/region/lapse.rs
+++ b/crates/engine/src/region/lapse.rs
@@ -37,7 +37,7 @@
             if let Some(m) = self.messages.get_mut(&id) {
                 m.still = Still::Yes;
                 self.region.iter_mut().for_each(|r| _ = r.still.insert(id));
-                self.events.push(Event::Left { id });
+                self.events.push(Event::Withdrawn { id });
             }
         }
         half.into_iter().for_each(|conn| self.link_gone_and_dropped(conn));
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -39,10 +39,16 @@
             self.remotes[endpoint].place = p.clone();
             let wait = (p.wait_until - wall).max(0);
             let ago = |at: Micros| (at > 0).then(|| (wall - at).max(0));
-            let (bad_for, back) = (ago(p.bad_since), ago(p.back_since));
+            let (failing_for, warming_for) = (ago(p.bad_since), ago(p.back_since));
             let budget = (p.budget > 0).then(|| f64::from(p.budget) / 1e3);
-            if wait > 0 || bad_for.is_some() || back.is_some() || budget.is_some() {
-                self.events.push(Event::Remembered { endpoint, wait, bad_for, back, budget });
+            if wait > 0 || failing_for.is_some() || warming_for.is_some() || budget.is_some() {
+                self.events.push(Event::EndpointRestored {
+                    endpoint,
+                    wait,
+                    failing_for,
+                    warming_for,
+                    budget,
+                });
             }
         }
         let mut done = Restarted::default();
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -2,7 +2,8 @@
 //! one parser, so that they can't diverge.
 
 use heronroute::{
-    ClassSettings, Discovery, Effect, Group, KindSettings, Late, Micros, Settings, TenantSettings, Weights,
+    ClassSettings, DedupScope, Discovery, Effect, KindSettings, LateDecay, Micros, Settings, TenantSettings,
+    Weights,
 };
 use serde::Deserialize;
 
@@ -48,9 +49,9 @@
                 _ => Effect::SingleShot,
             },
             group: match self.group.as_str() {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                _ => Group::Endpoint,
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                _ => DedupScope::Endpoint,
             },
             window: self.window_us,
             ordered: self.serial_by_key,
@@ -187,20 +188,20 @@
             idle_close: self.limits.idle_close_us.unwrap_or(d.idle_close),
             streams: self.limits.streams_per_conn.unwrap_or(d.streams),
             quantum: self.quantum_us,
-            discovery: if self.discovery == "ask" { Discovery::Ask } else { Discovery::Push },
-            ask_every: self.rules.ask_every_us.unwrap_or(d.ask_every),
+            discovery: if self.discovery == "ask" { Discovery::Subscribe } else { Discovery::Push },
+            subscribe_interval: self.rules.ask_every_us.unwrap_or(d.subscribe_interval),
             drain_grace: self.rules.drain_grace_us,
             fall_multiple: self.rules.fall_multiple.unwrap_or(d.fall_multiple),
             fall_window: self.rules.fall_us.unwrap_or(d.fall_window),
             cold_from: self.rules.cold_from.unwrap_or(d.cold_from),
             warm_up: self.rules.warm_up_us.unwrap_or(d.warm_up),
             order_settle: self.rules.order_settle_us,
-            late: if f.late == "halves" { Late::Halves } else { Late::Line },
+            late: if f.late == "halves" { LateDecay::Halving } else { LateDecay::Linear },
             over_share_worth: self.over_share_worth.unwrap_or(d.over_share_worth),
             weights: match self.weights.as_str() {
                 "nominal" => Weights::Nominal,
                 "rough" => Weights::Rough,
-                _ => Weights::Silent,
+                _ => Weights::Ignored,
             },
             cross_zone_price: self.prices.cross_zone,
             handshake_price: self.prices.handshake,
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -5,7 +5,7 @@
 //! that isn't running. Any other input that can't be parsed is an error that names its position.
 
 use heronroute::{
-    Action, DestId, Dispatcher, EndpointEntry, EndpointId, Event, Micros, MsgId, Outcome, Report, Status,
+    Action, DestId, Dispatcher, EndpointEntry, EndpointId, Event, LimitReport, Micros, MsgId, Outcome, Status,
 };
 use heronroute_platform::settings;
 use serde::Deserialize;
@@ -126,11 +126,11 @@
         })
     }
 
-    fn report(&self, index: usize) -> Result<Option<Report>, String> {
+    fn report(&self, index: usize) -> Result<Option<LimitReport>, String> {
         let Some(v) = self.optional(index) else { return Ok(None) };
         let object: &Map<String, Value> = v.as_object().ok_or_else(|| self.error(index, "a load report"))?;
         let number = |name: &str| object.get(name).and_then(Value::as_f64);
-        Ok(Some(Report { left: number("x0"), limit: number("x1") }))
+        Ok(Some(LimitReport { remaining: number("x0"), limit: number("x1") }))
     }
 }
 
@@ -274,7 +274,7 @@
             let rows = tables.get(&number).ok_or_else(|| format!("Announce: no Table {number}"))?;
             let to_entry =
                 |r: &TableRow| EndpointEntry { endpoint: instance.endpoint_id(&r.name), ..r.entry.clone() };
-            Event::Members { whole, entries: rows.iter().map(to_entry).collect() }
+            Event::DirectoryUpdate { whole, entries: rows.iter().map(to_entry).collect() }
         }
         "Inbound" => Event::Message {
             id: fields.message_id(1)?,
@@ -293,13 +293,13 @@
                 attempt: fields.index_or(4, 0)? as u32,
                 endpoint: instance.endpoint_id(fields.text(7)?),
                 outcome,
-                last: fields.flag(3)?,
+                message_closed: fields.flag(3)?,
                 elapsed: fields.int_or(5, 0)?,
                 wait: if outcome == Outcome::Busy { wait_ms.saturating_mul(1000) } else { 0 },
                 report: fields.report(8)?,
             }
         }
-        "Left" => Event::Left { id: fields.message_id(1)? },
+        "Left" => Event::Withdrawn { id: fields.message_id(1)? },
         "Elapsed" => {
             let token = u64::try_from(fields.int(1)?).map_err(|_| fields.error(1, "a token"))?;
             Event::Timer { token }
@@ -331,6 +331,6 @@
         Action::Subscribe => json!(["StreamChanges", sender, true]),
         Action::Probe { endpoint } => json!(["HealthCheck", sender, name(endpoint)]),
         Action::Close { endpoint } => json!(["LetGo", sender, name(endpoint)]),
-        Action::Tell { text } => json!(["BroadcastTo", sender, null, text]),
+        Action::Broadcast { text } => json!(["BroadcastTo", sender, null, text]),
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -32,7 +32,7 @@
 
 /// The endpoints of a destination that share the memory by which duplicates of a guarded message are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Group {
+pub enum DedupScope {
     /// All endpoints of the destination.
     #[default]
     All,
@@ -44,12 +44,12 @@
 
 /// How the worth of a message falls once its age exceeds the aim of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Late {
+pub enum LateDecay {
     /// Linearly, down to the late share at the deadline.
     #[default]
-    Line,
+    Linear,
     /// By half for each further aim that passes, down to the late share.
-    Halves,
+    Halving,
 }
 
 /// The settings of a class of messages.
@@ -62,7 +62,7 @@
     /// The effect of a duplicate delivery.
     pub effect: Effect,
     /// For guarded classes: the endpoints that share the memory of deliveries.
-    pub group: Group,
+    pub group: DedupScope,
     /// For guarded classes: how long duplicates are dropped, from the first attempt that may have been
     /// executed.
     pub window: Micros,
@@ -80,7 +80,7 @@
             aim: 1_000_000,
             deadline: 10_000_000,
             effect: Effect::SingleShot,
-            group: Group::All,
+            group: DedupScope::All,
             window: 0,
             ordered: false,
             worth: 1.0,
@@ -112,7 +112,7 @@
     #[default]
     Push,
     /// The directory sends changes only to senders that subscribed with [`Action::Subscribe`].
-    Ask,
+    Subscribe,
 }
 
 /// The meaning of the weights in the directory.
@@ -120,7 +120,7 @@
 pub enum Weights {
     /// Weights have no meaning.
     #[default]
-    Silent,
+    Ignored,
     /// The calls per second that the destination (or route) accepts from all senders together.
     Nominal,
     /// The same, but up to half too high or too low.
@@ -160,7 +160,7 @@
     pub discovery: Discovery,
     /// Where the sender has to subscribe: without a subscription, it counts as informed of everything that
     /// was listed this long before its last request.
-    pub ask_every: Micros,
+    pub subscribe_interval: Micros,
     /// The grace period within which calls to a draining or removed endpoint must end.
     pub drain_grace: Micros,
     /// The multiple of its current capacity at which a cold destination fails from overload.
@@ -174,7 +174,7 @@
     /// For ordered classes: how long a key is paused after an attempt that may still be executed.
     pub order_settle: Micros,
     /// How the worth of a message falls once its age exceeds the aim.
-    pub late: Late,
+    pub late: LateDecay,
     /// The share of its worth that a message beyond its tenant's quota keeps.
     pub over_share_worth: f64,
     /// The meaning of the weights in the directory.
@@ -210,16 +210,16 @@
             streams: 1,
             quantum: 0,
             discovery: Discovery::Push,
-            ask_every: 10_000_000,
+            subscribe_interval: 10_000_000,
             drain_grace: 0,
             fall_multiple: 2.0,
             fall_window: 2_000_000,
             cold_from: 0.2,
             warm_up: 10_000_000,
             order_settle: 0,
-            late: Late::Line,
+            late: LateDecay::Linear,
             over_share_worth: 1.0,
-            weights: Weights::Silent,
+            weights: Weights::Ignored,
             cross_zone_price: 0.0,
             handshake_price: 0.0,
             zone_fees: Vec::new(),
@@ -252,7 +252,8 @@
         if self.slots == 0 || self.max_open == 0 || self.max_attempts == 0 || self.senders == 0 {
             return invalid("slots, max_open, max_attempts and senders must be at least 1");
         }
-        let rules = [self.drain_grace, self.fall_window, self.warm_up, self.order_settle, self.ask_every];
+        let rules =
+            [self.drain_grace, self.fall_window, self.warm_up, self.order_settle, self.subscribe_interval];
         let durations = rules.into_iter().chain([self.quantum, self.max_retry_after, self.idle_close]);
         if durations.into_iter().any(|duration| !(0..=MAX_DURATION).contains(&duration)) {
             return invalid("a span of time is negative or over a year");
@@ -337,9 +338,9 @@
 
 /// What an endpoint reports of its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct LimitReport {
     /// The share of the allowance that remains.
-    pub left: Option<f64>,
+    pub remaining: Option<f64>,
     /// The calls per second that the limit allows; 0 where there is none.
     pub limit: Option<f64>,
 }
@@ -348,7 +349,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The content of the directory, or changes to it.
-    Members {
+    DirectoryUpdate {
         /// Whether `entries` is the whole directory: endpoints that it doesn't name are removed.
         whole: bool,
         /// The entries.
@@ -383,15 +384,15 @@
         may_run: Option<(EndpointId, Micros)>,
     },
     /// After a restart: what was known of a listed endpoint before.
-    Remembered {
+    EndpointRestored {
         /// The endpoint.
         endpoint: EndpointId,
         /// The remaining time of a wait that the endpoint asked for, 0 if none.
         wait: Micros,
         /// How long calls to the endpoint had been failing, if they were.
-        bad_for: Option<Micros>,
+        failing_for: Option<Micros>,
         /// How long ago the endpoint recovered from an outage, if it was still warming up.
-        back: Option<Micros>,
+        warming_for: Option<Micros>,
         /// The budget of the endpoint in calls per second, if its last call was refused.
         budget: Option<f64>,
     },
@@ -406,16 +407,16 @@
         /// How it ended.
         outcome: Outcome,
         /// Whether the message is closed, so that no answer is owed any more.
-        last: bool,
+        message_closed: bool,
         /// The time since the attempt was sent.
         elapsed: Micros,
         /// For [`Outcome::Busy`]: the wait that the endpoint asked for, 0 if none.
         wait: Micros,
         /// What the endpoint reported of its limit.
-        report: Option<Report>,
+        report: Option<LimitReport>,
     },
     /// The client withdrew the message.
-    Left {
+    Withdrawn {
         /// The message.
         id: MsgId,
     },
@@ -431,7 +432,7 @@
         /// How it ended.
         outcome: Outcome,
         /// What the endpoint reported of its limit.
-        report: Option<Report>,
+        report: Option<LimitReport>,
     },
     /// A message from another sender.
     PeerMessage {
@@ -495,7 +496,7 @@
         endpoint: EndpointId,
     },
     /// Send a message to all other senders.
-    Tell {
+    Broadcast {
         /// Its text, 256 bytes at most.
         text: String,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -102,7 +102,7 @@
 
     /// Returns the state of an endpoint that must survive a restart. It is passed back with
     /// [`Event::Remembered`].
-    pub fn known(&self, endpoint: EndpointId) -> RestartState {
+    pub fn restart_state(&self, endpoint: EndpointId) -> RestartState {
         let Some(e) = self.endpoints.get(&endpoint) else { return RestartState::default() };
         let pool = self.pools.get(&e.pool).filter(|pool| pool.refused);
         let back_since = e.ramp.as_ref().map(|ramp| ramp.since);
--- a/src/policy/choose.rs
+++ b/src/policy/choose.rs
@@ -238,8 +238,8 @@
             _ if self.now as f64 + ahead >= message.deadline as f64 => 0.0,
             _ if age <= aim => 1.0,
             _ if age >= deadline => 0.0,
-            Late::Line => 1.0 - (1.0 - class.late_share) * (age - aim) / (deadline - aim).max(1.0),
-            Late::Halves => 0.5_f64.powf((age - aim) / aim).max(class.late_share),
+            LateDecay::Linear => 1.0 - (1.0 - class.late_share) * (age - aim) / (deadline - aim).max(1.0),
+            LateDecay::Halving => 0.5_f64.powf((age - aim) / aim).max(class.late_share),
         };
         class.worth * share
     }
--- a/src/policy/directory.rs
+++ b/src/policy/directory.rs
@@ -19,7 +19,7 @@
     /// entries are used. The longest backoff is half the time after which a sender that doesn't ask counts as
     /// informed.
     pub(super) fn retry_subscription(&mut self) {
-        let longest = (self.settings.ask_every / 2).max(1);
+        let longest = (self.settings.subscribe_interval / 2).max(1);
         let backoff = (self.directory.backoff * 2).clamp((longest / 4).max(1), longest);
         let next_request = self.now + (backoff as f64 * (0.5 + 0.5 * self.random())) as Micros;
         self.directory = Directory { next_request, backoff, ..Directory::default() };
@@ -31,7 +31,7 @@
     pub(super) fn subscribe(&mut self, out: &mut Vec<Action>) {
         if !self.directory.subscribed && self.now >= self.directory.next_request {
             self.directory.requested = true;
-            self.directory.next_request = self.now + self.settings.ask_every.max(1);
+            self.directory.next_request = self.now + self.settings.subscribe_interval.max(1);
             self.schedule.insert((self.directory.next_request, Task::Subscribe));
             out.push(Action::Subscribe);
         }
@@ -69,7 +69,7 @@
             self.ready.insert(entry.dest);
             let factor = if self.settings.weights == Weights::Rough { ROUGH_WEIGHT_FACTOR } else { 1.0 };
             let weight = entry.weight.filter(|w| w.is_finite() && *w > 0.0).map(|w| w * factor);
-            let limit = weight.filter(|_| self.settings.weights != Weights::Silent);
+            let limit = weight.filter(|_| self.settings.weights != Weights::Ignored);
             let (dest, kind, zone) = (entry.dest, entry.kind, entry.zone);
             let (budget, tokens, accepted) =
                 (f64::INFINITY, UNLIMITED_RATE, Rate::new(now, ARRIVAL_TIME_CONSTANT));
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -8,13 +8,15 @@
 impl Dispatcher {
     pub(super) fn handle_event(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { whole, entries } => {
+            Event::DirectoryUpdate { whole, entries } => {
                 // The saved entries with which a restart begins don't answer a request.
                 let requested = self.directory.requested;
                 self.directory = Directory { subscribed: requested, requested, ..Directory::default() };
                 self.update_endpoints(*whole, entries);
             }
-            Event::DirectoryFailed if self.settings.discovery == Discovery::Ask => self.retry_subscription(),
+            Event::DirectoryFailed if self.settings.discovery == Discovery::Subscribe => {
+                self.retry_subscription()
+            }
             Event::Message { id, .. } if self.messages.contains_key(id) => {}
             Event::Message { id, class, tenant, key, dest, time_left, again } => {
                 self.sequence += 1;
@@ -52,14 +54,14 @@
                 self.open_messages += 1;
                 self.messages.insert(*id, message);
             }
-            Event::Outcome { id, attempt, outcome, last, elapsed, wait, report, .. } => {
+            Event::Outcome { id, attempt, outcome, message_closed, elapsed, wait, report, .. } => {
                 let wait = (*wait).clamp(0, MAX_DURATION);
                 let result = AttemptResult { outcome: *outcome, elapsed: *elapsed, wait, report: *report };
-                self.attempt_ended(*id, *attempt, *last, result, out);
+                self.attempt_ended(*id, *attempt, *message_closed, result, out);
             }
             Event::Resumed { id, attempts, may_run } => self.resume_message(*id, *attempts, *may_run),
-            Event::Remembered { endpoint, .. } => self.restore_endpoint(*endpoint, event),
-            Event::Left { id } => self.close(*id),
+            Event::EndpointRestored { endpoint, .. } => self.restore_endpoint(*endpoint, event),
+            Event::Withdrawn { id } => self.close(*id),
             Event::Probed { endpoint, outcome, report } => {
                 let (now, gap) = (self.now, self.random_trial_gap(*endpoint));
                 self.apply_report(*endpoint, *report);
@@ -80,7 +82,7 @@
         &mut self,
         id: MsgId,
         attempt: u32,
-        last: bool,
+        message_closed: bool,
         result: AttemptResult,
         out: &mut Vec<Action>,
     ) {
@@ -107,7 +109,7 @@
             }
         }
         message.avoid = Some(endpoint);
-        let closed = last || outcome == Outcome::Done || message.closed;
+        let closed = message_closed || outcome == Outcome::Done || message.closed;
         if let Some(e) = self.endpoints.get_mut(&endpoint).filter(|_| call_ended) {
             (e.in_flight, e.last_used) = (e.in_flight - 1, now);
             self.pools.entry(e.pool).and_modify(|pool| pool.in_flight -= 1);
@@ -132,7 +134,7 @@
         }
     }
 
-    fn apply_report(&mut self, endpoint: EndpointId, report: Option<Report>) {
+    fn apply_report(&mut self, endpoint: EndpointId, report: Option<LimitReport>) {
         let limit = report.and_then(|r| r.limit).filter(|l| l.is_finite() && *l > 0.0);
         self.pool_of(endpoint).into_iter().for_each(|pool| pool.limit = limit.or(pool.limit));
     }
@@ -161,7 +163,7 @@
     /// wait, or overload a destination that it knew to be down, refusing or still cold. The ramp continues
     /// where it was.
     fn restore_endpoint(&mut self, id: EndpointId, event: &Event) {
-        let Event::Remembered { wait, bad_for, back, budget, .. } = event else { return };
+        let Event::EndpointRestored { wait, failing_for, warming_for, budget, .. } = event else { return };
         let (now, gap, warm_up) = (self.now, self.random_trial_gap(id), self.settings.warm_up);
         let (wait_until, random) = (now + (*wait).clamp(0, MAX_DURATION), self.random());
         if let Some(pool) = self.pool_of(id) {
@@ -172,11 +174,12 @@
             }
         }
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
-        if let Some(ago) = bad_for {
+        if let Some(ago) = failing_for {
             endpoint.failing_since = Some(now - (*ago).clamp(0, MAX_DURATION));
             endpoint.suspicion = Some(Suspicion::new(now, false, gap));
         }
-        let since = back.map(|ago| now - ago.clamp(0, MAX_DURATION)).filter(|since| now - since < warm_up);
+        let since =
+            warming_for.map(|ago| now - ago.clamp(0, MAX_DURATION)).filter(|since| now - since < warm_up);
         endpoint.ramp = since
             .map(|since| Ramp { since, tokens: 0.0, refill_rate: 0.0, refilled_at: now })
             .or(endpoint.ramp.take());
--- a/src/policy/message.rs
+++ b/src/policy/message.rs
@@ -42,7 +42,8 @@
             (Effect::Guarded, Some((first, at))) => {
                 let any =
                     |d: &Destination| d.endpoints.iter().any(|e| self.drops_duplicates(class.group, at, *e));
-                let any = class.group == Group::All || self.destinations.get(&message.dest).is_some_and(any);
+                let any =
+                    class.group == DedupScope::All || self.destinations.get(&message.dest).is_some_and(any);
                 self.now < first + class.window && any
             }
             (Effect::SingleShot, Some(_)) => false,
@@ -51,12 +52,12 @@
 
     /// Returns whether `other` is listed and drops duplicates of a message that may have been executed at
     /// `first`, another endpoint of its destination.
-    pub(super) fn drops_duplicates(&self, group: Group, first: EndpointId, other: EndpointId) -> bool {
+    pub(super) fn drops_duplicates(&self, group: DedupScope, first: EndpointId, other: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&other).filter(|e| e.listed) else { return false };
         match group {
-            Group::All => true,
-            Group::Zone => self.endpoints.get(&first).is_some_and(|f| f.zone == endpoint.zone),
-            Group::Endpoint => first == other,
+            DedupScope::All => true,
+            DedupScope::Zone => self.endpoints.get(&first).is_some_and(|f| f.zone == endpoint.zone),
+            DedupScope::Endpoint => first == other,
         }
     }
 
@@ -65,7 +66,7 @@
         let class = self.class_of(message);
         class.effect == Effect::Free
             || (message.in_flight.is_empty() && message.may_run.is_none())
-            || (class.effect == Effect::Guarded && class.group == Group::All)
+            || (class.effect == Effect::Guarded && class.group == DedupScope::All)
     }
 
     /// Gives the final answer. The retry-after of a refusal is the time until the destination can take a
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -28,7 +28,7 @@
         settings.validate()?;
         let (random_state, timer_at) = (seed | 1, Micros::MIN);
         let mut d = Dispatcher { now, random_state, timer_at, settings, ..Dispatcher::default() };
-        if d.settings.discovery == Discovery::Ask {
+        if d.settings.discovery == Discovery::Subscribe {
             d.schedule.insert((now, Task::Subscribe));
         }
         Ok(d)
--- a/src/state.rs
+++ b/src/state.rs
@@ -218,7 +218,7 @@
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: Micros,
     pub(crate) wait: Micros,
-    pub(crate) report: Option<Report>,
+    pub(crate) report: Option<LimitReport>,
 }
 
 /// The state of the subscription to a directory that has to be asked.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -104,7 +104,7 @@
             timer_requests: 0,
             timers: Default::default(),
         };
-        sender.round(&[Event::Members { whole: true, entries }]);
+        sender.round(&[Event::DirectoryUpdate { whole: true, entries }]);
         sender
     }
 
@@ -157,8 +157,9 @@
     pub fn end_attempt(&mut self, attempt: &Attempt, outcome: Outcome, wait: Micros) -> Event {
         self.in_flight.retain(|other| other != attempt);
         let (id, endpoint) = (MsgId(attempt.id), EndpointId(attempt.endpoint));
-        let (attempt, last, elapsed) = (attempt.attempt, outcome == Outcome::Done, self.now - attempt.sent);
-        Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None }
+        let (attempt, message_closed, elapsed) =
+            (attempt.attempt, outcome == Outcome::Done, self.now - attempt.sent);
+        Event::Outcome { id, attempt, endpoint, outcome, message_closed, elapsed, wait, report: None }
     }
 
     pub fn finish_attempt(&mut self, attempt: &Attempt, outcome: Outcome) -> Vec<Attempt> {
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -28,7 +28,7 @@
     let mut sender = TestSender::new(settings(), vec![]);
     fill(&mut sender, 0, 5, UNSAFE, 1);
     sender.now += 10 * MS;
-    let sent = sender.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    let sent = sender.round(&[Event::DirectoryUpdate { whole: true, entries: vec![entry(1, 1, 0)] }]);
     let ids: Vec<u64> = sent.iter().map(|o| o.id).collect();
     let mut sorted = ids.clone();
     sorted.sort_unstable();
@@ -135,7 +135,7 @@
         time_left: 600 * MS,
         again: false,
     }]);
-    let sent = sender.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    let sent = sender.round(&[Event::DirectoryUpdate { whole: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sent.first().map(|o| o.id), Some(50));
 }
 
@@ -226,12 +226,12 @@
 fn new_messages_overtake_late_ones_that_lose_nothing_by_waiting() {
     let mut settings = settings();
     settings.slots = 1;
-    settings.late = Late::Halves;
+    settings.late = LateDecay::Halving;
     let mut sender = TestSender::new(settings, vec![]);
     fill(&mut sender, 0, 3, UNSAFE, 1);
     sender.advance(10 * S);
     sender.round(&[message(50, UNSAFE, 1)]);
-    let sent = sender.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    let sent = sender.round(&[Event::DirectoryUpdate { whole: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sent[0].id, 50);
 }
 
@@ -461,14 +461,14 @@
     let mut sender = TestSender::new(settings(), vec![]);
     for n in 0..300u32 {
         let entries = vec![entry(n, i64::from(n), (n % 3) as usize)];
-        sender.round(&[Event::Members { whole: true, entries }]);
+        sender.round(&[Event::DirectoryUpdate { whole: true, entries }]);
         let sent = sender.round(&[ordered_message(u64::from(n), i64::from(n), &format!("k{n}"))]);
         sender.now += S;
         for o in sent {
             sender.finish_attempt(&o, Outcome::Done);
         }
     }
-    sender.round(&[Event::Members { whole: true, entries: vec![] }]);
+    sender.round(&[Event::DirectoryUpdate { whole: true, entries: vec![] }]);
     sender.advance(60 * S);
     let items = sender.dispatcher.kept();
     assert!(items <= 2, "{items} items remain of 300 destinations removed a minute ago");
@@ -500,16 +500,16 @@
         let (mut actions, mut now) = (Vec::new(), 0);
         dispatcher.round(
             now,
-            &[Event::Members { whole: true, entries: vec![entry(1, 1, 0)] }, message(1, FREE, 1)],
+            &[Event::DirectoryUpdate { whole: true, entries: vec![entry(1, 1, 0)] }, message(1, FREE, 1)],
             &mut actions,
         );
         now += 20 * MS;
         let (id, endpoint, wait) = (MsgId(1), EndpointId(1), 5 * S);
         let outcome = Outcome::Busy;
-        let (attempt, last, elapsed, report) = (0, false, 20 * MS, None);
+        let (attempt, message_closed, elapsed, report) = (0, false, 20 * MS, None);
         dispatcher.round(
             now,
-            &[Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report }],
+            &[Event::Outcome { id, attempt, endpoint, outcome, message_closed, elapsed, wait, report }],
             &mut actions,
         );
         actions.clear();
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -5,7 +5,7 @@
 use heronroute::*;
 
 fn subscribing_dispatcher() -> Dispatcher {
-    let settings = Settings { discovery: Discovery::Ask, ask_every: 10 * S, ..settings() };
+    let settings = Settings { discovery: Discovery::Subscribe, subscribe_interval: 10 * S, ..settings() };
     Dispatcher::new(0, 11, settings).expect("the settings are valid")
 }
 
@@ -21,7 +21,7 @@
 }
 
 fn list(entries: Vec<EndpointEntry>) -> Event {
-    Event::Members { whole: true, entries }
+    Event::DirectoryUpdate { whole: true, entries }
 }
 
 /// Returns the times of all subscription requests until `end`. Each is answered by a failure 50 ms later.
@@ -81,7 +81,7 @@
     let mut dispatcher = subscribing_dispatcher();
     round(&mut dispatcher, 0, &[list(vec![entry(1, 1, 0), entry(2, 1, 0)])]);
     let gone = EndpointEntry { status: Status::Draining, ..entry(1, 1, 0) };
-    round(&mut dispatcher, 200 * MS, &[Event::Members { whole: false, entries: vec![gone] }]);
+    round(&mut dispatcher, 200 * MS, &[Event::DirectoryUpdate { whole: false, entries: vec![gone] }]);
     for i in 0..20 {
         let now = S + i * S;
         let (_, sent) = round(&mut dispatcher, now, &[message(i as u64, FREE, 1)]);
--- a/tests/failback/simulation.rs
+++ b/tests/failback/simulation.rs
@@ -208,7 +208,7 @@
             zone: 0,
             weight: Some(self.limit),
         };
-        Event::Members { whole: true, entries: (0..self.scenario.endpoints).map(entry).collect() }
+        Event::DirectoryUpdate { whole: true, entries: (0..self.scenario.endpoints).map(entry).collect() }
     }
 
     fn dispatcher(&mut self, i: u64) -> Dispatcher {
@@ -258,8 +258,8 @@
     /// Records the arrival of a call or probe, and the first overload that counts as a failure.
     fn record_arrival(&mut self, i: usize, endpoint: EndpointId, cause: Cause) {
         let sender = &self.senders[i];
-        let known = sender.dispatcher.known(endpoint);
-        let assumed = match (known.bad_since, known.back_since) {
+        let restart_state = sender.dispatcher.restart_state(endpoint);
+        let assumed = match (restart_state.bad_since, restart_state.back_since) {
             (Some(_), _) => AssumedState::Out,
             (None, Some(_)) => AssumedState::Cold,
             (None, None) => AssumedState::Healthy,
@@ -423,7 +423,7 @@
                     attempt,
                     endpoint: EndpointId(endpoint),
                     outcome,
-                    last: kind == 0,
+                    message_closed: kind == 0,
                     elapsed: self.now - sent,
                     wait,
                     report: None,
@@ -441,7 +441,7 @@
                     attempt,
                     endpoint: EndpointId(0),
                     outcome: Outcome::Cancelled,
-                    last: false,
+                    message_closed: false,
                     elapsed: 0,
                     wait: 0,
                     report: None,
@@ -472,9 +472,17 @@
                     (std::mem::replace(&mut sender.dispatcher, new), self.now - sender.started_at);
                 let ago = |at: Option<Micros>| at.map(|at| old_now - at);
                 let mut events = vec![];
-                for (endpoint, k) in (0..self.scenario.endpoints).map(EndpointId).map(|e| (e, old.known(e))) {
-                    let (bad_for, back, budget) = (ago(k.bad_since), ago(k.back_since), k.budget);
-                    events.push(Event::Remembered { endpoint, wait: 0, bad_for, back, budget });
+                for (endpoint, k) in
+                    (0..self.scenario.endpoints).map(EndpointId).map(|e| (e, old.restart_state(e)))
+                {
+                    let (failing_for, warming_for, budget) = (ago(k.bad_since), ago(k.back_since), k.budget);
+                    events.push(Event::EndpointRestored {
+                        endpoint,
+                        wait: 0,
+                        failing_for,
+                        warming_for,
+                        budget,
+                    });
                 }
                 (sender.started_at, sender.alive, sender.run) = (self.now, true, sender.run + 1);
                 (sender.restarted, sender.probes) = (true, BTreeMap::new());
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -43,11 +43,11 @@
 fn run(seed: u64, scenario: Scenario) -> Vec<Action> {
     let mut settings = settings();
     if scenario.zones {
-        settings.classes[GUARDED].group = Group::Zone;
+        settings.classes[GUARDED].group = DedupScope::Zone;
         settings.probes = false;
     }
     if scenario.stalls {
-        settings.discovery = Discovery::Ask;
+        settings.discovery = Discovery::Subscribe;
     }
     let zone_of = |e: u32| if scenario.zones { (e / 4) as usize } else { 0 };
     let mut stalled_until = 0;
@@ -69,7 +69,7 @@
     let list: Vec<EndpointEntry> = (0..8)
         .map(|e| EndpointEntry { zone: zone_of(e), ..entry(e, dest_of(e), kind_of(dest_of(e))) })
         .collect();
-    let mut events = vec![Event::Members { whole: true, entries: list }];
+    let mut events = vec![Event::DirectoryUpdate { whole: true, entries: list }];
     let mut id = 0;
     for step in 0..1500 {
         for _ in 0..rng.next(3) {
@@ -114,10 +114,19 @@
                     pauses.insert(k.clone(), now + S);
                 }
             }
-            let last = t.closed || outcome == Done;
-            t.closed |= last;
+            let message_closed = t.closed || outcome == Done;
+            t.closed |= message_closed;
             let (id, endpoint, elapsed) = (MsgId(id), EndpointId(endpoint), now - sent);
-            events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None });
+            events.push(Event::Outcome {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                message_closed,
+                elapsed,
+                wait,
+                report: None,
+            });
         }
         if rng.next(40) == 0 {
             let e = rng.next(8) as u32;
@@ -126,7 +135,7 @@
                 unlisted.insert(e, now);
                 line.status = if rng.next(2) == 0 { Status::Draining } else { Status::Removed };
             }
-            events.push(Event::Members { whole: false, entries: vec![line] });
+            events.push(Event::DirectoryUpdate { whole: false, entries: vec![line] });
         }
         for e in std::mem::take(&mut probing) {
             let outcome = if rng.next(2) == 0 { Outcome::Done } else { Outcome::TimedOut };
@@ -135,12 +144,21 @@
         // Events that make no sense must do no harm.
         if rng.next(20) == 0 {
             let (id, endpoint, outcome) = (MsgId(1 << 40), EndpointId(99), Outcome::Busy);
-            let (attempt, last, elapsed, wait) = (7, false, -5, Micros::MAX);
-            events.push(Event::Outcome { id, attempt, endpoint, outcome, last, elapsed, wait, report: None });
-            events.push(Event::Left { id });
+            let (attempt, message_closed, elapsed, wait) = (7, false, -5, Micros::MAX);
+            events.push(Event::Outcome {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                message_closed,
+                elapsed,
+                wait,
+                report: None,
+            });
+            events.push(Event::Withdrawn { id });
             events.push(Event::Timer { token: u64::MAX });
             events.push(Event::PeerMessage { from: 9, text: "?".into() });
-            let report = Some(Report { left: Some(f64::NAN), limit: Some(f64::NAN) });
+            let report = Some(LimitReport { remaining: Some(f64::NAN), limit: Some(f64::NAN) });
             events.push(Event::Probed { endpoint, outcome, report });
         }
         let mut actions = Vec::new();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -44,9 +44,9 @@
     let mut draining = entry(1, 1, 0);
     draining.status = Status::Draining;
     let e = sender.end_attempt(&sent[0], Outcome::Reset, 0);
-    sender.round(&[Event::Members { whole: false, entries: vec![draining] }, e]);
+    sender.round(&[Event::DirectoryUpdate { whole: false, entries: vec![draining] }, e]);
     sender.advance(50 * MS);
-    let more = sender.round(&[Event::Members { whole: false, entries: vec![entry(2, 1, 0)] }]);
+    let more = sender.round(&[Event::DirectoryUpdate { whole: false, entries: vec![entry(2, 1, 0)] }]);
     assert!(more.is_empty() && sender.advance(S).is_empty());
     assert_eq!(sender.refused.len() + sender.failed.len(), 1);
 }
@@ -66,12 +66,13 @@
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0)]);
     let mut draining = entry(1, 1, 0);
     draining.status = Status::Draining;
-    sender.round(&[Event::Members { whole: false, entries: vec![draining] }]);
+    sender.round(&[Event::DirectoryUpdate { whole: false, entries: vec![draining] }]);
     assert!(sender.round(&[message(1, FREE, 1)]).is_empty());
-    sender.round(&[Event::Members { whole: true, entries: vec![] }]);
+    sender.round(&[Event::DirectoryUpdate { whole: true, entries: vec![] }]);
     assert!(sender.round(&[message(2, FREE, 2)]).is_empty() && sender.advance(S).is_empty());
     // An endpoint that is listed again is used as before.
-    let sent = sender.round(&[Event::Members { whole: true, entries: vec![entry(1, 1, 0), entry(2, 2, 0)] }]);
+    let sent = sender
+        .round(&[Event::DirectoryUpdate { whole: true, entries: vec![entry(1, 1, 0), entry(2, 2, 0)] }]);
     assert_eq!(sent.len(), 2);
 }
 
@@ -126,7 +127,7 @@
     assert_eq!(next.iter().map(|o| o.id).collect::<Vec<_>>(), [2]);
     sender.round(&[ordered_message(4, 1, "a")]);
     let reset = sender.end_attempt(&next[0], Outcome::Reset, 0);
-    sender.round(&[Event::Left { id: MsgId(2) }, reset]);
+    sender.round(&[Event::Withdrawn { id: MsgId(2) }, reset]);
     assert!(sender.advance(980 * MS).iter().all(|o| o.id != 4), "the key is paused for the settling time");
     assert!(sender.advance(500 * MS).iter().any(|o| o.id == 4));
 }
@@ -188,7 +189,7 @@
 /// endpoint 1 in zone 0. Endpoint 2 is in zone 1, and endpoint 3, if `third` is set, in zone 0.
 fn bound_to_one_zone(third: bool) -> (TestSender, Attempt) {
     let mut settings = settings();
-    settings.classes[GUARDED].group = Group::Zone;
+    settings.classes[GUARDED].group = DedupScope::Zone;
     let second = EndpointEntry { zone: 1, ..entry(2, 1, 0) };
     let mut list = vec![entry(1, 1, 0)];
     list.extend(third.then(|| entry(3, 1, 0)));
@@ -196,7 +197,7 @@
     let sent = sender.round(&[message(1, GUARDED, 1)]);
     list.push(second);
     sender.now += 50 * MS;
-    sender.round(&[Event::Members { whole: true, entries: list }]);
+    sender.round(&[Event::DirectoryUpdate { whole: true, entries: list }]);
     (sender, sent[0].clone())
 }
 
@@ -213,7 +214,7 @@
     // The last endpoint of its zone drains while the message is in flight: it is answered with the outcome.
     let (mut sender, attempt) = bound_to_one_zone(false);
     let draining = EndpointEntry { status: Status::Draining, ..entry(1, 1, 0) };
-    sender.round(&[Event::Members { whole: false, entries: vec![draining.clone()] }]);
+    sender.round(&[Event::DirectoryUpdate { whole: false, entries: vec![draining.clone()] }]);
     sender.finish_attempt(&attempt, Outcome::Reset);
     assert_eq!((sender.failed.as_slice(), sender.refused.len()), (&[1][..], 0));
     // The endpoint drains while the message is pending: it is answered with the directory update.
@@ -223,7 +224,7 @@
         sender.finish_attempt(&o, Outcome::Busy);
     }
     assert!(sender.failed.is_empty());
-    sender.round(&[Event::Members { whole: false, entries: vec![draining] }]);
+    sender.round(&[Event::DirectoryUpdate { whole: false, entries: vec![draining] }]);
     assert_eq!(sender.failed, [1]);
 }
 
@@ -310,9 +311,9 @@
 #[test]
 fn after_a_restart_waits_are_respected_and_a_failing_destination_is_tested_first() {
     let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0), entry(2, 2, 0)]);
-    let remembered = |endpoint, wait, bad_for| {
+    let remembered = |endpoint, wait, failing_for| {
         let endpoint = EndpointId(endpoint);
-        Event::Remembered { endpoint, wait, bad_for, back: None, budget: None }
+        Event::EndpointRestored { endpoint, wait, failing_for, warming_for: None, budget: None }
     };
     let mut events = vec![remembered(1, 2 * S, None), remembered(2, 0, Some(5 * S))];
     events.extend((0..10).map(|i| message(i, FREE, 1 + (i % 2) as i64)));
@@ -324,10 +325,11 @@
 
 #[test]
 fn after_a_restart_the_ramp_continues_and_a_refusal_still_limits_the_rate() {
-    let at_once = |back, budget| {
+    let at_once = |warming_for, budget| {
         let mut sender = TestSender::new(settings(), vec![entry(1, 1, 0)]);
         let endpoint = EndpointId(1);
-        let mut events = vec![Event::Remembered { endpoint, wait: 0, bad_for: None, back, budget }];
+        let mut events =
+            vec![Event::EndpointRestored { endpoint, wait: 0, failing_for: None, warming_for, budget }];
         events.extend((0..10).map(|i| message(i, FREE, 1)));
         sender.round(&events);
         sender.advance(100 * MS);
