--- a/src/interface.rs
+++ b/src/interface.rs
@@ -483,7 +483,7 @@
         token: u64,
     },
     /// Ask the directory for all changes missed so far and for those to come. The answer is
-    /// [`Event::Members`] or [`Event::DirectoryFailed`].
+    /// [`Event::DirectoryUpdate`] or [`Event::DirectoryFailed`].
     Subscribe,
     /// Probe an endpoint.
     Probe {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,14 +25,16 @@
 //!     id: MsgId(1), class: 0, tenant: 0, key: None, dest: DestId(7), time_left: 5_000_000, again: false,
 //! };
 //! let mut actions = Vec::new();
-//! dispatcher.round(0, &[Event::Members { whole: true, entries: vec![endpoint] }, message], &mut actions);
-//! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), .. }));
+//! let directory = Event::DirectoryUpdate { whole: true, entries: vec![endpoint] };
+//! dispatcher.round(0, &[directory, message], &mut actions);
+//! let is_send = |a: &Action| matches!(a, Action::Send { id: MsgId(1), endpoint: EndpointId(1), .. });
+//! let sent = actions.iter().any(is_send);
 //! assert!(sent);
 //!
 //! // Later, the sender reports how the call ended. A delivered message needs no further answer.
 //! actions.clear();
 //! let outcome = Event::Outcome {
-//!     id: MsgId(1), attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Done, last: true,
+//!     id: MsgId(1), attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Done, message_closed: true,
 //!     elapsed: 80_000, wait: 0, report: None,
 //! };
 //! dispatcher.round(80_000, &[outcome], &mut actions);
@@ -101,7 +103,7 @@
     }
 
     /// Returns the state of an endpoint that must survive a restart. It is passed back with
-    /// [`Event::Remembered`].
+    /// [`Event::EndpointRestored`].
     pub fn restart_state(&self, endpoint: EndpointId) -> RestartState {
         let Some(e) = self.endpoints.get(&endpoint) else { return RestartState::default() };
         let pool = self.pools.get(&e.pool).filter(|pool| pool.refused);
