--- a/crates/engine/src/answers/tests.rs
+++ b/crates/engine/src/answers/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 #[test]
-fn what_may_have_run_is_never_called_unsent() {
+fn a_message_that_may_have_run_gets_an_unknown_state() {
     for end in [End::Refused(5), End::Failed, End::Leaving, End::Withdrawn] {
-        for late in [false, true] {
-            assert!(matches!(answer(end, true, late), Answer::Unknown { .. }));
-            assert!(!matches!(answer(end, false, late), Answer::Unknown { .. } | Answer::Delivered));
+        for time_up in [false, true] {
+            assert!(matches!(answer(end, true, time_up), Answer::Unknown { .. }));
+            assert!(!matches!(answer(end, false, time_up), Answer::Unknown { .. } | Answer::Delivered));
         }
     }
     assert_eq!(answer(End::Refused(5), false, true), Answer::Expired);
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -30,16 +30,16 @@
 
 /// One message of a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
+pub struct CallPart {
     /// The message.
-    pub msg: MsgId,
+    pub message: MsgId,
     /// The number of the attempt, from 0.
     pub attempt: u32,
     /// The time until which its answer is waited for.
-    pub until: Micros,
+    pub deadline: Micros,
     /// The time before which sending must begin. After that, the receiver no longer drops repeats of the
     /// message.
-    pub leave_by: Micros,
+    pub send_by: Micros,
     /// The start and end position of its bytes in the stream of the call's connection.
     pub range: (u64, u64),
     /// Whether it has no outcome yet.
@@ -59,7 +59,7 @@
     /// The time at which the call was decided.
     pub began: Micros,
     /// The messages of the call.
-    pub parts: Vec<Part>,
+    pub parts: Vec<CallPart>,
 }
 
 /// All open calls.
@@ -67,13 +67,13 @@
 pub struct Calls {
     calls: BTreeMap<u64, Call>,
     /// The calls on each connection, in the order in which they were written.
-    on_conn: BTreeMap<u64, Vec<u64>>,
+    by_connection: BTreeMap<u64, Vec<u64>>,
     next: u64,
 }
 
 impl Calls {
     /// Creates a call without messages and returns its number.
-    pub fn begin(&mut self, now: Micros, endpoint: EndpointId) -> u64 {
+    pub fn create(&mut self, now: Micros, endpoint: EndpointId) -> u64 {
         self.next += 1;
         self.calls.insert(self.next, Call { endpoint, conn: None, began: now, parts: Vec::new() });
         self.next
@@ -99,40 +99,55 @@
     }
 
     /// Adds a message to a call that has not been sent. Returns the message's index in the call.
-    pub fn add(&mut self, id: u64, msg: MsgId, attempt: u32, until: Micros, leave_by: Micros) -> usize {
+    pub fn add_part(
+        &mut self,
+        id: u64,
+        message: MsgId,
+        attempt: u32,
+        deadline: Micros,
+        send_by: Micros,
+    ) -> usize {
         let Some(call) = self.calls.get_mut(&id) else { return 0 };
-        call.parts.push(Part { msg, attempt, until, leave_by, range: (0, 0), open: true, abandoned: None });
+        call.parts.push(CallPart {
+            message,
+            attempt,
+            deadline,
+            send_by,
+            range: (0, 0),
+            open: true,
+            abandoned: None,
+        });
         call.parts.len() - 1
     }
 
     /// Returns the indices of a call's open messages whose time to begin sending is over.
-    pub fn late(&self, id: u64, now: Micros) -> Vec<usize> {
+    pub fn expired_parts(&self, id: u64, now: Micros) -> Vec<usize> {
         let parts = self.calls.get(&id).into_iter().flat_map(|c| c.parts.iter().enumerate());
-        parts.filter(|(_, p)| p.open && p.leave_by <= now).map(|(part, _)| part).collect()
+        parts.filter(|(_, p)| p.open && p.send_by <= now).map(|(part, _)| part).collect()
     }
 
     /// Returns the number of the latest call.
-    pub fn last(&self) -> u64 {
+    pub fn last_id(&self) -> u64 {
         self.next
     }
 
     /// Records that a call was written to a connection. `ranges` are the positions of its open messages.
-    pub fn written(&mut self, id: u64, conn: u64, ranges: &[(u64, u64)]) {
+    pub fn record_written(&mut self, id: u64, conn: u64, ranges: &[(u64, u64)]) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.conn = Some(conn);
         let open = call.parts.iter_mut().filter(|p| p.open);
         open.zip(ranges).for_each(|(part, range)| part.range = *range);
-        self.on_conn.entry(conn).or_default().push(id);
+        self.by_connection.entry(conn).or_default().push(id);
     }
 
     /// Returns the calls on a connection.
-    pub fn of(&self, conn: u64) -> Vec<u64> {
-        self.on_conn.get(&conn).cloned().unwrap_or_default()
+    pub fn on_connection(&self, conn: u64) -> Vec<u64> {
+        self.by_connection.get(&conn).cloned().unwrap_or_default()
     }
 
     /// Moves the positions of messages after `by` bytes at `from` were withdrawn from a connection's stream.
-    pub fn shift(&mut self, conn: u64, from: u64, by: u64) {
-        for id in self.on_conn.get(&conn).into_iter().flatten() {
+    pub fn shift_ranges(&mut self, conn: u64, from: u64, by: u64) {
+        for id in self.by_connection.get(&conn).into_iter().flatten() {
             for part in self.calls.get_mut(id).into_iter().flat_map(|c| &mut c.parts) {
                 if part.range.0 >= from + by {
                     part.range = (part.range.0 - by, part.range.1 - by);
@@ -143,7 +158,7 @@
 
     /// Records that a message of a call has an outcome. Returns the part as it was and whether the call has
     /// ended with it, or nothing if the message already had an outcome.
-    pub fn close(&mut self, id: u64, part: usize) -> Option<(Part, bool)> {
+    pub fn close_part(&mut self, id: u64, part: usize) -> Option<(CallPart, bool)> {
         let call = self.calls.get_mut(&id)?;
         let p = call.parts.get_mut(part).filter(|p| p.open)?;
         p.open = false;
@@ -152,10 +167,10 @@
         if over {
             let conn = call.conn;
             self.calls.remove(&id);
-            if let Some(list) = conn.and_then(|c| self.on_conn.get_mut(&c)) {
+            if let Some(list) = conn.and_then(|c| self.by_connection.get_mut(&c)) {
                 list.retain(|c| *c != id);
                 if list.is_empty() {
-                    self.on_conn.remove(&conn.unwrap_or_default());
+                    self.by_connection.remove(&conn.unwrap_or_default());
                 }
             }
         }
--- a/crates/engine/src/carry/links.rs
+++ b/crates/engine/src/carry/connections.rs
@@ -1,8 +1,8 @@
 //! Connections to receivers: open, receive, idle, close.
 
-use super::plain;
+use super::{CallEnd, reply_of};
 use crate::Micros;
-use crate::calls::{End as CallEnd, outcome_of};
+use crate::calls::outcome_of;
 use crate::ids::ConnId;
 use crate::link::{Link, LinkEvent};
 use crate::node::{Conn, Gone, Key, LinkEvents, Node, Use};
@@ -10,19 +10,21 @@
 use heronroute::{EndpointId, Event, Outcome};
 
 impl Node {
+    /// Closes the connections to an endpoint that carry no calls and no probe.
     pub(crate) fn close_idle(&mut self, endpoint: EndpointId) {
         let Some(remote) = self.remotes.get(endpoint) else { return };
         let probe = remote.probe;
-        for conn in remote.pool.idle().into_iter().filter(|c| Some(*c) != probe) {
+        for conn in remote.pool.idle_connections().into_iter().filter(|c| Some(*c) != probe) {
             self.close_link(conn);
-            self.report_unproven_of(conn);
+            self.report_unconfirmed_deliveries(conn);
         }
     }
 
+    /// Closes a connection whose idle timeout has expired, if it carries no calls.
     pub(crate) fn link_idle(&mut self, conn: ConnId) {
         let Some(Use::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
         let pool = &self.remotes[*endpoint].pool;
-        if pool.calls(conn) == 0 {
+        if pool.call_count(conn) == 0 {
             self.close_link(conn);
         }
     }
@@ -34,7 +36,7 @@
         if let Use::Receiver { link, .. } = &mut entry.what {
             link.close(now, &mut entry.stream);
         }
-        self.link_gone(conn, Gone::Ended);
+        self.remove_link(conn, Gone::Ended);
         self.finish(conn);
     }
 
@@ -44,83 +46,87 @@
         let Some(entry) = self.conns.get_mut(&conn) else { return };
         let Use::Receiver { link, .. } = &mut entry.what else { return };
         work(link.as_mut(), &mut entry.stream, &mut events);
-        self.link_events(conn, events);
+        self.handle_link_events(conn, events);
     }
 
+    /// Handles an established connection to a receiver.
     pub(crate) fn link_opened(&mut self, conn: ConnId) {
         let now = self.now;
         self.with_link(conn, |link, stream, events| link.open(now, stream, events));
     }
 
-    pub(crate) fn link_received(&mut self, conn: ConnId, octets: &[u8]) {
+    /// Handles bytes received from a receiver.
+    pub(crate) fn link_received(&mut self, conn: ConnId, bytes: &[u8]) {
         let now = self.now;
-        self.with_link(conn, |link, stream, events| link.receive(now, octets, stream, events));
+        self.with_link(conn, |link, stream, events| link.receive(now, bytes, stream, events));
     }
 
+    /// Runs the timers of a link.
     pub(crate) fn link_tick(&mut self, conn: ConnId) {
         let now = self.now;
         self.with_link(conn, |link, stream, events| link.tick(now, stream, events));
     }
 
-    pub(crate) fn link_wake(&mut self, conn: ConnId) {
+    /// Sets the timer for the next tick of a link.
+    pub(crate) fn schedule_link_tick(&mut self, conn: ConnId) {
         if let Some(Use::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.what) {
             let wake = link.wake();
             self.timers.set(Key::Conn(conn), wake);
         }
     }
 
-    fn link_events(&mut self, conn: ConnId, events: LinkEvents) {
+    fn handle_link_events(&mut self, conn: ConnId, events: LinkEvents) {
         let Some(Use::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
         let endpoint = *endpoint;
         for event in events {
             match event {
                 LinkEvent::Ready => {
                     self.timers.clear(Key::Connect(conn));
-                    self.rests(conn);
+                    self.start_idle_timer(conn);
                     let pool = &mut self.remotes[endpoint].pool;
-                    pool.ready(conn);
-                    if pool.probe_waits {
+                    pool.mark_ready(conn);
+                    if pool.probe_waiting {
                         self.write_probe(endpoint, conn);
                     }
-                    self.place(endpoint);
+                    self.assign_calls(endpoint);
                 }
-                LinkEvent::Answered { call, part, reply } => self.outcome(call, part, reply),
+                LinkEvent::Answered { call, part, reply } => self.record_outcome(call, part, reply),
                 LinkEvent::AnsweredDoubtfully { call, part, reply } => {
-                    self.doubtful_outcome(conn, call, part, reply);
+                    self.handle_unconfirmed_answer(conn, call, part, reply);
                 }
-                LinkEvent::Contradicted => self.contradicted(conn),
-                LinkEvent::Waits(wait) => self.wait_announced(endpoint, wait),
-                LinkEvent::Rests => self.rest_unsettled(endpoint, conn),
-                LinkEvent::Spent => self.remotes[endpoint].pool.suspect(conn),
-                LinkEvent::Probed(reply) => self.probed(endpoint, reply),
+                LinkEvent::Contradicted => self.handle_contradiction(conn),
+                LinkEvent::WaitAnnounced(wait) => self.handle_announced_wait(endpoint, wait),
+                LinkEvent::PauseUntilConfirmed => self.pause_until_confirmed(endpoint, conn),
+                LinkEvent::Spent => self.remotes[endpoint].pool.retire(conn),
+                LinkEvent::Probed(reply) => self.finish_probe(endpoint, reply),
                 LinkEvent::Over(why) => {
-                    tracing::debug!(conn, why, "a connection to a receiver is over");
-                    self.link_gone(conn, Gone::Ended);
+                    tracing::debug!(conn, why, "closing a connection to a receiver");
+                    self.remove_link(conn, Gone::Ended);
                     self.finish(conn);
                     return;
                 }
             }
         }
         self.flush(conn);
-        self.link_wake(conn);
+        self.schedule_link_tick(conn);
     }
 
     /// Handles a wait that an endpoint announced, independently of the outcome of the call that it answers.
-    pub(crate) fn wait_announced(&mut self, endpoint: EndpointId, wait: Micros) {
-        self.cancel_for_wait(endpoint);
+    pub(crate) fn handle_announced_wait(&mut self, endpoint: EndpointId, wait: Micros) {
+        self.cancel_for_announced_wait(endpoint);
         self.events.push(Event::Remembered { endpoint, wait, bad_for: None, back: None, budget: None });
     }
 
     /// Handles a connection that was not established in time.
     pub(crate) fn link_gone_and_dropped(&mut self, conn: ConnId) {
-        self.link_gone(conn, Gone::Broken);
+        self.remove_link(conn, Gone::Broken);
         self.drop_conn(conn);
     }
 
     /// Ends the use of a connection to a receiver. Each message on it gets an outcome according to how much
     /// of it had been sent.
-    pub(crate) fn link_gone(&mut self, conn: ConnId, gone: Gone) {
-        tracing::debug!(now = self.now, conn, ?gone, "a connection is gone");
+    pub(crate) fn remove_link(&mut self, conn: ConnId, gone: Gone) {
+        tracing::debug!(now = self.now, conn, ?gone, "a connection to a receiver ended");
         let Some(entry) = self.conns.get_mut(&conn) else { return };
         let Use::Receiver { endpoint, link, .. } = &mut entry.what else { return };
         let endpoint = *endpoint;
@@ -130,15 +136,15 @@
             link.ended(self.now, &mut events);
             for event in events {
                 match event {
-                    LinkEvent::Answered { call, part, reply } => self.outcome(call, part, reply),
+                    LinkEvent::Answered { call, part, reply } => self.record_outcome(call, part, reply),
                     LinkEvent::AnsweredDoubtfully { call, part, reply } => {
-                        self.doubtful_outcome(conn, call, part, reply);
+                        self.handle_unconfirmed_answer(conn, call, part, reply);
                     }
-                    LinkEvent::Contradicted => self.contradicted(conn),
-                    LinkEvent::Probed(reply) => self.probed(endpoint, reply),
+                    LinkEvent::Contradicted => self.handle_contradiction(conn),
+                    LinkEvent::Probed(reply) => self.finish_probe(endpoint, reply),
                     LinkEvent::Ready
-                    | LinkEvent::Waits(_)
-                    | LinkEvent::Rests
+                    | LinkEvent::WaitAnnounced(_)
+                    | LinkEvent::PauseUntilConfirmed
                     | LinkEvent::Spent
                     | LinkEvent::Over(_) => {}
                 }
@@ -147,19 +153,19 @@
         let window = self.cfg.kinds[self.remotes[endpoint].kind].window;
         // The connection is removed from the pool first, so that calls which its end releases go to other
         // connections.
-        let waiting = self.remotes[endpoint].pool.gone(conn, window);
-        let calls = self.calls.of(conn);
+        let waiting = self.remotes[endpoint].pool.remove(conn, window);
+        let calls = self.calls.on_connection(conn);
         let mut begun = Vec::new();
         for call in calls.iter().rev() {
-            let parts = self.calls.get(*call).map_or(0, |c| c.parts.len());
+            let parts = self.calls.get(*call).map_or(0, |open_call| open_call.parts.len());
             for part in (0..parts).rev() {
-                begun.push((*call, part, self.begun(*call, part)));
+                begun.push((*call, part, self.has_begun(*call, part)));
             }
         }
         // What is reported as unsent must not be sent with the rest of the stream before the connection
         // closes. Otherwise a message could take effect after the answer that denies it.
         for (call, part, _) in begun.iter().filter(|b| !b.2) {
-            let range = self.calls.get(*call).map_or((0, 0), |c| c.parts[*part].range);
+            let range = self.calls.get(*call).map_or((0, 0), |open_call| open_call.parts[*part].range);
             if let Some(entry) = self.conns.get_mut(&conn) {
                 entry.stream.withdraw(range.0, range.1);
             }
@@ -168,19 +174,19 @@
             link.discard_unsent(stream);
         }
         for (call, part, begun) in begun.into_iter().rev() {
-            self.outcome(call, part, plain(outcome_of(CallEnd::Closed, begun)));
+            self.record_outcome(call, part, reply_of(outcome_of(CallEnd::Closed, begun)));
         }
         for call in waiting {
-            let parts = self.calls.get(call).map_or(0, |c| c.parts.len());
+            let parts = self.calls.get(call).map_or(0, |open_call| open_call.parts.len());
             for part in 0..parts {
-                self.outcome(call, part, plain(Outcome::ConnectFailed));
+                self.record_outcome(call, part, reply_of(Outcome::ConnectFailed));
             }
         }
         let remote = &self.remotes[endpoint];
-        if remote.probe == Some(conn) || (remote.pool.probe_waits && remote.pool.all().is_empty()) {
+        if remote.probe == Some(conn) || (remote.pool.probe_waiting && remote.pool.connections().is_empty()) {
             let outcome = if remote.probe.is_some() { Outcome::Reset } else { Outcome::ConnectFailed };
-            self.probed(endpoint, plain(outcome));
+            self.finish_probe(endpoint, reply_of(outcome));
         }
-        self.place(endpoint);
+        self.assign_calls(endpoint);
     }
 }
--- a/crates/engine/src/carry/known.rs
+++ b/crates/engine/src/carry/endpoint_state.rs
@@ -9,14 +9,17 @@
 
 impl Node {
     /// Journals a wait that an endpoint announced.
-    pub(super) fn note_wait(&mut self, endpoint: EndpointId, reply: Reply) {
+    pub(super) fn journal_wait(&mut self, endpoint: EndpointId, reply: Reply) {
         // The waits that the platform's endpoints announced end with a restart.
         if self.cfg.platform.is_some() || reply.wait <= 0 {
             return;
         }
         let until = self.wall() + reply.wait;
         let place = &self.remotes[endpoint].place;
-        self.note_place(endpoint, entry::Place { wait_until: place.wait_until.max(until), ..place.clone() });
+        self.journal_endpoint_state(
+            endpoint,
+            entry::Place { wait_until: place.wait_until.max(until), ..place.clone() },
+        );
     }
 
     /// Journals what the decision library knows of destinations where calls have just ended. Without it,
@@ -24,24 +27,24 @@
     /// and the first calls and retries of all of them would overload it.
     pub(crate) fn note_known(&mut self, ended: impl Iterator<Item = EndpointId>) {
         let dests: BTreeSet<DestId> = ended.filter_map(|e| self.remotes.get(e)).map(|r| r.dest).collect();
-        let shift = self.wall;
-        let day = |at: Option<Micros>| at.map_or(0, |at| (at + shift).max(1));
+        let clock_offset = self.wall;
+        let wall_time = |at: Option<Micros>| at.map_or(0, |at| (at + clock_offset).max(1));
         for dest in dests {
             for endpoint in self.remotes.of(dest) {
                 let known = self.dispatcher.known(endpoint);
-                let (bad_since, back_since) = (day(known.bad_since), day(known.back_since));
+                let (bad_since, back_since) = (wall_time(known.bad_since), wall_time(known.back_since));
                 let budget = known.budget.map_or(0, |b| (b * 1e3).clamp(1.0, 1e9) as u32);
                 let place = &self.remotes[endpoint].place;
                 if (place.bad_since, place.back_since, place.budget) == (bad_since, back_since, budget) {
                     continue;
                 }
                 let place = entry::Place { bad_since, back_since, budget, ..place.clone() };
-                self.note_place(endpoint, place);
+                self.journal_endpoint_state(endpoint, place);
             }
         }
     }
 
-    fn note_place(&mut self, endpoint: EndpointId, place: entry::Place) {
+    fn journal_endpoint_state(&mut self, endpoint: EndpointId, place: entry::Place) {
         let remote = &mut self.remotes[endpoint];
         if place != remote.place {
             remote.place = place.clone();
--- a/crates/engine/src/carry/mod.rs
+++ b/crates/engine/src/carry/mod.rs
@@ -2,16 +2,18 @@
 //! to receivers, the calls on them, and the probes.
 
 mod cancel;
-mod doubt;
-mod known;
-mod links;
+mod connections;
+mod endpoint_state;
 mod outcome;
 mod probe;
 mod send;
+mod unconfirmed;
 
+use crate::calls::End as CallEnd;
 use crate::link::Reply;
 use heronroute::Outcome;
 
-fn plain(outcome: Outcome) -> Reply {
+/// Returns a reply that consists of an outcome only.
+fn reply_of(outcome: Outcome) -> Reply {
     Reply { outcome, wait: 0, over: outcome == Outcome::Done, report: None }
 }
--- a/crates/engine/src/carry/outcome.rs
+++ b/crates/engine/src/carry/outcome.rs
@@ -1,24 +1,24 @@
 //! Outcomes of calls, and what they reveal about endpoints.
 
-use super::plain;
+use super::{CallEnd, reply_of};
 use crate::answers::End;
-use crate::calls::{End as CallEnd, outcome_of};
+use crate::calls::outcome_of;
 use crate::ids::ConnId;
 use crate::link::Reply;
 use crate::node::{Key, Node, Use};
 use heronroute::{Event, Outcome};
-use heronroute_held::{Known, What as Trailed};
+use heronroute_held::{Known, What as TrailStep};
 use heronroute_journal::entry::{self, What};
 
 impl Node {
     /// Reports the outcome of one message of a call to the decision library. If the message is finished with
     /// it, its client gets its final answer.
-    pub(crate) fn outcome(&mut self, call: u64, part: usize, reply: Reply) {
-        let Some(c) = self.calls.get(call) else { return };
-        let (endpoint, began, conn) = (c.endpoint, c.began, c.conn);
-        let Some((p, over)) = self.calls.close(call, part) else { return };
+    pub(crate) fn record_outcome(&mut self, call: u64, part: usize, reply: Reply) {
+        let Some(open_call) = self.calls.get(call) else { return };
+        let (endpoint, began, conn) = (open_call.endpoint, open_call.began, open_call.conn);
+        let Some((closed, call_ended)) = self.calls.close_part(call, part) else { return };
         self.timers.clear(Key::Part(call, part));
-        let at = match reply.outcome {
+        let attempts_index = match reply.outcome {
             Outcome::Done => 0,
             Outcome::Error => 1,
             Outcome::Busy => 2,
@@ -29,29 +29,29 @@
             Outcome::Skipped => 7,
             Outcome::Crowded => 8,
         };
-        self.stats.attempts[at] += 1;
+        self.stats.attempts[attempts_index] += 1;
         let known = match reply.outcome {
             Outcome::Done => Known::Took,
             o if !o.never_ran() => Known::Written,
             Outcome::Busy | Outcome::Crowded | Outcome::Error => Known::Refused,
             _ => Known::NeverWritten,
         };
-        self.step(p.msg, Trailed::Ended(known));
+        self.step(closed.message, TrailStep::Ended(known));
         let mut last = true;
-        if let Some(m) = self.messages.get_mut(&p.msg) {
-            m.out = None;
+        if let Some(message) = self.messages.get_mut(&closed.message) {
+            message.out = None;
             if !reply.outcome.never_ran() && reply.outcome != Outcome::Done {
-                m.ran_at = Some(m.ran_at.map_or(began, |at| at.min(began)));
+                message.ran_at = Some(message.ran_at.map_or(began, |at| at.min(began)));
             }
             last = reply.over;
             if !last {
                 let never_ran = reply.outcome.never_ran();
-                self.ledger.write(|| What::Outcome(entry::Outcome { id: p.msg.0, never_ran }));
+                self.ledger.write(|| What::Outcome(entry::Outcome { id: closed.message.0, never_ran }));
             }
         }
-        self.note_wait(endpoint, reply);
+        self.journal_wait(endpoint, reply);
         if reply.wait > 0 {
-            self.cancel_for_wait(endpoint);
+            self.cancel_for_announced_wait(endpoint);
         }
         // Logs the decision library's view of the endpoint before it processes this outcome, for comparison
         // with what happened.
@@ -60,8 +60,12 @@
             let sent = conn.and_then(|c| self.conns.get(&c)).map_or(0, |c| c.stream.sent);
             tracing::debug!(
                 now = self.now,
-                id = %self.messages.get(&p.msg).and_then(|m| m.submission.identity.as_deref()).unwrap_or("-"),
-                attempt = p.attempt,
+                id = %self
+                    .messages
+                    .get(&closed.message)
+                    .and_then(|message| message.submission.identity.as_deref())
+                    .unwrap_or("-"),
+                attempt = closed.attempt,
                 endpoint = remote.name,
                 conn,
                 sent,
@@ -74,8 +78,8 @@
             );
         }
         self.events.push(Event::Outcome {
-            id: p.msg,
-            attempt: p.attempt,
+            id: closed.message,
+            attempt: closed.attempt,
             endpoint,
             outcome: reply.outcome,
             last,
@@ -84,26 +88,26 @@
             report: reply.report,
         });
         if reply.outcome == Outcome::Done {
-            if !self.awaits_confirmation(p.msg) {
-                self.answer(p.msg, End::Delivered);
+            if !self.awaits_confirmation(closed.message) {
+                self.answer(closed.message, End::Delivered);
             }
         } else if reply.over {
             // The platform considers the message finished because its client is gone. The client may have
             // been notified of the acceptance just before and then expects an end, so one is reported; a
             // superfluous notice does no harm.
-            self.answer(p.msg, End::Failed);
+            self.answer(closed.message, End::Failed);
         }
-        if !over {
+        if !call_ended {
             return;
         }
         match conn {
             Some(conn) => {
-                if self.remotes[endpoint].pool.finished(conn) {
-                    self.close_once_settled(conn);
-                } else if self.remotes[endpoint].pool.calls(conn) == 0 {
-                    self.rests(conn);
+                if self.remotes[endpoint].pool.finish_call(conn) {
+                    self.close_when_confirmed(conn);
+                } else if self.remotes[endpoint].pool.call_count(conn) == 0 {
+                    self.start_idle_timer(conn);
                 }
-                self.place(endpoint);
+                self.assign_calls(endpoint);
             }
             None => _ = self.remotes[endpoint].pool.remove_waiting(call),
         }
@@ -111,7 +115,7 @@
 
     /// Starts the idle timeout of a connection that carries no calls. The platform's endpoints use the same
     /// timeout, and a call that crosses their close may have run, so this side closes earlier.
-    pub(crate) fn rests(&mut self, conn: ConnId) {
+    pub(crate) fn start_idle_timer(&mut self, conn: ConnId) {
         let idle = self.cfg.settings.idle_close;
         let idle = if self.cfg.platform.is_some() { idle * 4 / 5 } else { idle };
         self.timers.set(Key::Idle(conn), self.now + idle);
@@ -119,9 +123,9 @@
 
     /// Handles a message that was not sent in time, or not answered in time.
     pub(crate) fn part_timed_out(&mut self, call: u64, part: usize) {
-        let Some(p) = self.calls.get(call).and_then(|c| c.parts.get(part)).copied() else { return };
-        if self.now < p.until {
-            self.timers.set(Key::Part(call, part), p.until);
+        let Some(call_part) = self.calls.get(call).and_then(|c| c.parts.get(part)).copied() else { return };
+        if self.now < call_part.deadline {
+            self.timers.set(Key::Part(call, part), call_part.deadline);
             self.withdraw_unsent(call, part, CallEnd::Cancelled, true);
             return;
         }
@@ -131,15 +135,15 @@
     /// Stops waiting for an answer. The connection takes no more calls, because it may have been dropped
     /// unnoticed or may be blocked by this call.
     pub(crate) fn abandon(&mut self, call: u64, part: usize, end: CallEnd) {
-        let Some(c) = self.calls.get(call) else { return };
-        let (conn, endpoint) = (c.conn, c.endpoint);
-        if self.cfg.platform.is_some() && c.parts.len() > 1 {
-            return self.abandon_shared(call, part, end);
+        let Some(open_call) = self.calls.get(call) else { return };
+        let (conn, endpoint) = (open_call.conn, open_call.endpoint);
+        if self.cfg.platform.is_some() && open_call.parts.len() > 1 {
+            return self.abandon_shared_call(call, part, end);
         }
         if let Some(conn) = conn {
-            self.remotes[endpoint].pool.suspect(conn);
+            self.remotes[endpoint].pool.retire(conn);
         }
-        if !self.begun(call, part) && self.withdraw_unsent(call, part, end, false) {
+        if !self.has_begun(call, part) && self.withdraw_unsent(call, part, end, false) {
             return;
         }
         if let Some(Use::Receiver { link, .. }) =
@@ -148,29 +152,29 @@
             link.forget(call, part, false);
         }
         // Bytes that were written, or that can't be withdrawn, may run.
-        self.outcome(call, part, plain(outcome_of(end, true)));
+        self.record_outcome(call, part, reply_of(outcome_of(end, true)));
     }
 
     /// Stops waiting for the answer to a message that shares its call with others. Such a call is abandoned
     /// only as a whole, together with its connection: an abandoned message that is still on an open
     /// connection, next to others that are waited for, must not be sent again before all of them have ended.
     /// Otherwise it could run twice.
-    fn abandon_shared(&mut self, call: u64, part: usize, end: CallEnd) {
+    fn abandon_shared_call(&mut self, call: u64, part: usize, end: CallEnd) {
         if !self.calls.stop_waiting(call, part, end) {
             return;
         }
-        let Some(c) = self.calls.get(call) else { return };
-        let (conn, endpoint, parts) = (c.conn, c.endpoint, c.parts.clone());
-        let begun = self.begun(call, part);
+        let Some(open_call) = self.calls.get(call) else { return };
+        let (conn, endpoint, parts) = (open_call.conn, open_call.endpoint, open_call.parts.clone());
+        let begun = self.has_begun(call, part);
         if let Some(conn) = conn {
-            self.remotes[endpoint].pool.suspect(conn);
+            self.remotes[endpoint].pool.retire(conn);
             if let (false, Some(entry)) = (begun, self.conns.get_mut(&conn)) {
                 let (from, to) = parts[part].range;
                 entry.stream.withdraw(from, to);
             }
         }
         for (part, p) in parts.iter().enumerate().filter(|(_, p)| p.open) {
-            self.outcome(call, part, plain(outcome_of(p.abandoned.unwrap_or(end), begun)));
+            self.record_outcome(call, part, reply_of(outcome_of(p.abandoned.unwrap_or(end), begun)));
         }
     }
 }
--- a/crates/engine/src/carry/probe.rs
+++ b/crates/engine/src/carry/probe.rs
@@ -1,6 +1,6 @@
 //! Probes of endpoints.
 
-use super::plain;
+use super::reply_of;
 use crate::ids::ConnId;
 use crate::link::Reply;
 use crate::node::{Key, Node, Use};
@@ -17,21 +17,22 @@
         self.stats.probes += 1;
         self.timers.set(Key::Probe(endpoint.0), self.now + 2 * self.cfg.service.connect_timeout);
         let remote = &self.remotes[endpoint];
-        match remote.pool.for_probe(self.cfg.kinds[remote.kind].window) {
+        match remote.pool.probe_connection(self.cfg.kinds[remote.kind].window) {
             Some(conn) => self.write_probe(endpoint, conn),
             None => {
-                self.remotes[endpoint].pool.probe_waits = true;
-                self.place(endpoint);
+                self.remotes[endpoint].pool.probe_waiting = true;
+                self.assign_calls(endpoint);
             }
         }
     }
 
+    /// Writes a probe to a connection.
     pub(crate) fn write_probe(&mut self, endpoint: EndpointId, conn: ConnId) {
         let remote = &mut self.remotes[endpoint];
-        (remote.pool.probe_waits, remote.probe) = (false, Some(conn));
+        (remote.pool.probe_waiting, remote.probe) = (false, Some(conn));
         // Where a connection carries one call at a time, a probe counts as that call.
         if self.cfg.kinds[remote.kind].window == 1 {
-            remote.pool.occupy(conn);
+            remote.pool.count_probe(conn);
             self.timers.clear(Key::Idle(conn));
         }
         let Some(entry) = self.conns.get_mut(&conn) else { return };
@@ -39,38 +40,40 @@
             link.probe(self.now, &mut entry.stream);
         }
         self.flush(conn);
-        self.link_wake(conn);
+        self.schedule_link_tick(conn);
     }
 
-    pub(crate) fn probed(&mut self, endpoint: EndpointId, reply: Reply) {
+    /// Ends the open probe of an endpoint and reports its result to the decision library.
+    pub(crate) fn finish_probe(&mut self, endpoint: EndpointId, reply: Reply) {
         let remote = &mut self.remotes[endpoint];
         if !remote.probing {
             return;
         }
         let window = self.cfg.kinds[remote.kind].window;
         let conn = remote.probe.filter(|_| window == 1);
-        (remote.probing, remote.probe, remote.pool.probe_waits) = (false, None, false);
+        (remote.probing, remote.probe, remote.pool.probe_waiting) = (false, None, false);
         if let Some(conn) = conn {
-            if remote.pool.finished(conn) {
+            if remote.pool.finish_call(conn) {
                 self.close_link(conn);
             } else {
-                self.rests(conn);
+                self.start_idle_timer(conn);
             }
-            self.place(endpoint);
+            self.assign_calls(endpoint);
         }
         self.timers.clear(Key::Probe(endpoint.0));
         self.events.push(Event::Probed { endpoint, outcome: reply.outcome, report: reply.report });
     }
 
+    /// Handles a probe that was not answered in time.
     pub(crate) fn probe_timed_out(&mut self, endpoint: EndpointId) {
         let remote = &mut self.remotes[endpoint];
         let conn = remote.probe;
         // This comes first, so that no call is put on this connection and then takes a late answer to the
         // probe for its own. A late 503 would say that the call never ran, and the message would be sent
         // twice.
-        conn.into_iter().for_each(|conn| remote.pool.suspect(conn));
-        self.probed(endpoint, plain(Outcome::TimedOut));
-        if let Some(conn) = conn.filter(|conn| self.remotes[endpoint].pool.calls(*conn) == 0) {
+        conn.into_iter().for_each(|conn| remote.pool.retire(conn));
+        self.finish_probe(endpoint, reply_of(Outcome::TimedOut));
+        if let Some(conn) = conn.filter(|conn| self.remotes[endpoint].pool.call_count(*conn) == 0) {
             self.close_link(conn);
         }
     }
--- a/crates/engine/src/carry/send.rs
+++ b/crates/engine/src/carry/send.rs
@@ -5,9 +5,9 @@
 use crate::front::Speaks;
 use crate::ids::{ConnId, show_id};
 use crate::link::{self, Cargo};
-use crate::node::{Effect as Durably, Key, Node, Output, Use};
+use crate::node::{Effect as Deferred, Key, Node, Output, Use};
 use heronroute::{Action, Effect, EndpointId, MsgId};
-use heronroute_held::What as Trailed;
+use heronroute_held::What as TrailStep;
 use heronroute_journal::entry::{self, What};
 use std::collections::BTreeMap;
 
@@ -15,40 +15,42 @@
     /// Executes a round's actions in order. Messages of the round for one endpoint share a call up to the
     /// batch limit of the endpoint's kind.
     pub(crate) fn carry_out(&mut self, actions: &[Action]) {
-        let mut open: BTreeMap<EndpointId, (u64, usize, usize)> = BTreeMap::new();
-        let mut made: Vec<(u64, EndpointId)> = Vec::new();
+        let mut open_batches: BTreeMap<EndpointId, (u64, usize, usize)> = BTreeMap::new();
+        let mut new_calls: Vec<(u64, EndpointId)> = Vec::new();
         for action in actions {
             match action {
                 Action::Send { id, endpoint, timeout } => {
                     let Some(remote) = self.remotes.get(*endpoint) else { continue };
-                    let Some(m) = self.messages.get(id) else { continue };
+                    let Some(message) = self.messages.get(id) else { continue };
                     let kind = &self.cfg.kinds[remote.kind];
-                    let size = link::size(kind, &m.submission);
-                    let call = match open.get_mut(endpoint) {
-                        Some((call, n, octets)) if *n < kind.batch && *octets + size <= link::MOST_OCTETS => {
-                            (*n, *octets) = (*n + 1, *octets + size);
+                    let size = link::size_in_call(kind, &message.submission);
+                    let call = match open_batches.get_mut(endpoint) {
+                        Some((call, n, bytes))
+                            if *n < kind.batch && *bytes + size <= link::MAX_CALL_BYTES =>
+                        {
+                            (*n, *bytes) = (*n + 1, *bytes + size);
                             *call
                         }
                         _ => {
-                            let call = self.calls.begin(self.now, *endpoint);
-                            made.push((call, *endpoint));
-                            open.insert(*endpoint, (call, 1, size));
+                            let call = self.calls.create(self.now, *endpoint);
+                            new_calls.push((call, *endpoint));
+                            open_batches.insert(*endpoint, (call, 1, size));
                             call
                         }
                     };
-                    let Some(m) = self.messages.get_mut(id) else { continue };
-                    let until = self.now + (*timeout).max(1);
+                    let Some(message) = self.messages.get_mut(id) else { continue };
+                    let deadline = self.now + (*timeout).max(1);
                     // A repeat that was decided in time must not wait for its connection until the receiver
                     // has forgotten its idempotency key.
-                    let class = &self.cfg.settings.classes[m.class];
-                    let leave_by = match m.ran_at.filter(|_| class.effect == Effect::Guarded) {
+                    let class = &self.cfg.settings.classes[message.class];
+                    let send_by = match message.ran_at.filter(|_| class.effect == Effect::Guarded) {
                         Some(ran_at) => ran_at + class.window,
                         None => Micros::MAX,
                     };
-                    let part = self.calls.add(call, *id, m.attempts, until, leave_by);
-                    m.attempts += 1;
-                    m.out = Some((call, part));
-                    self.timers.set(Key::Part(call, part), until.min(leave_by));
+                    let part = self.calls.add_part(call, *id, message.attempts, deadline, send_by);
+                    message.attempts += 1;
+                    message.out = Some((call, part));
+                    self.timers.set(Key::Part(call, part), deadline.min(send_by));
                 }
                 Action::Cancel { id, attempt } => self.cancel_attempt(*id, *attempt),
                 Action::Refuse { id, retry_after } => self.answer(*id, End::Refused(*retry_after)),
@@ -62,20 +64,21 @@
             }
         }
         // No byte of a call is sent before its intents are durable.
-        for (call, endpoint) in made {
-            let Some(c) = self.calls.get(call) else { continue };
+        for (call, endpoint) in new_calls {
+            let Some(open_call) = self.calls.get(call) else { continue };
             let (name, at) = (&self.remotes[endpoint].name, self.wall());
-            for p in c.parts.iter().filter(|p| p.open) {
-                let intent = || entry::Intent { id: p.msg.0, endpoint: name.clone(), at };
+            for p in open_call.parts.iter().filter(|p| p.open) {
+                let intent = || entry::Intent { id: p.message.0, endpoint: name.clone(), at };
                 self.ledger.write(|| What::Intent(intent()));
             }
             if self.held.is_some() {
                 let number = self.remotes[endpoint].number;
-                let parts: Vec<MsgId> = c.parts.iter().filter(|p| p.open).map(|p| p.msg).collect();
-                parts.into_iter().for_each(|id| self.step(id, Trailed::Began(number)));
+                let parts: Vec<MsgId> =
+                    open_call.parts.iter().filter(|p| p.open).map(|p| p.message).collect();
+                parts.into_iter().for_each(|id| self.step(id, TrailStep::Began(number)));
             }
             self.stats.calls += 1;
-            self.once_durable(Durably::Place { call, endpoint });
+            self.once_durable(Deferred::Place { call, endpoint });
         }
     }
 
@@ -88,24 +91,24 @@
         if call <= remote.cancelled_up_to {
             return self.cancel_unsent_call(call);
         }
-        remote.pool.queue(call);
-        self.place(endpoint);
+        remote.pool.enqueue(call);
+        self.assign_calls(endpoint);
     }
 
     /// Assigns waiting calls to connections, and opens further connections if needed.
-    pub(crate) fn place(&mut self, endpoint: EndpointId) {
+    pub(crate) fn assign_calls(&mut self, endpoint: EndpointId) {
         let window = self.cfg.kinds[self.remotes[endpoint].kind].window;
         self.cancel_expired(endpoint);
-        while let Some((call, conn)) = self.remotes[endpoint].pool.place(window) {
+        while let Some((call, conn)) = self.remotes[endpoint].pool.assign_next(window) {
             self.write_call(call, conn);
         }
-        for _ in 0..self.remotes[endpoint].pool.wanted(window) {
+        for _ in 0..self.remotes[endpoint].pool.missing_connections(window) {
             let remote = &mut self.remotes[endpoint];
             let kind = &self.cfg.kinds[remote.kind];
             let address = remote.address;
             let link = link::new(kind, self.session_limits, address.to_string(), self.index);
             let conn = self.add_conn(Use::Receiver { endpoint, link });
-            self.remotes[endpoint].pool.opening(conn);
+            self.remotes[endpoint].pool.add_connecting(conn);
             self.stats.connections += 1;
             self.timers.set(Key::Connect(conn), self.now + self.cfg.service.connect_timeout);
             self.outputs.push(Output::Connect { conn, address });
@@ -114,30 +117,30 @@
 
     fn write_call(&mut self, call: u64, conn: ConnId) {
         let cfg = self.cfg.clone();
-        let Some(c) = self.calls.get(call) else { return };
-        let mut cargo = Vec::with_capacity(c.parts.len());
-        for (part, p) in c.parts.iter().enumerate().filter(|(_, p)| p.open) {
-            let Some(m) = self.messages.get(&p.msg) else { continue };
-            cargo.push(Cargo {
+        let Some(open_call) = self.calls.get(call) else { return };
+        let mut messages = Vec::with_capacity(open_call.parts.len());
+        for (part, p) in open_call.parts.iter().enumerate().filter(|(_, p)| p.open) {
+            let Some(message) = self.messages.get(&p.message) else { continue };
+            messages.push(Cargo {
                 part,
                 // The platform's messages keep the identity that they were submitted with.
-                id: if m.speaks == Speaks::Resp {
-                    m.submission.identity.clone().unwrap_or_default()
+                id: if message.speaks == Speaks::Resp {
+                    message.submission.identity.clone().unwrap_or_default()
                 } else {
-                    show_id(p.msg)
+                    show_id(p.message)
                 },
-                class: &cfg.class_names[m.class],
-                guarded: cfg.settings.classes[m.class].effect == Effect::Guarded,
-                wait: p.until - self.now,
-                submission: &m.submission,
+                class: &cfg.class_names[message.class],
+                guarded: cfg.settings.classes[message.class].effect == Effect::Guarded,
+                wait: p.deadline - self.now,
+                submission: &message.submission,
             });
         }
         let Some(entry) = self.conns.get_mut(&conn) else { return };
         let Use::Receiver { link, .. } = &mut entry.what else { return };
-        let ranges = link.send(self.now, call, &cargo, &mut entry.stream);
-        self.calls.written(call, conn, &ranges);
+        let ranges = link.send(self.now, call, &messages, &mut entry.stream);
+        self.calls.record_written(call, conn, &ranges);
         self.timers.clear(Key::Idle(conn));
         self.flush(conn);
-        self.link_wake(conn);
+        self.schedule_link_tick(conn);
     }
 }
--- /dev/null
+++ b/crates/engine/src/carry/unconfirmed.rs
@@ -0,0 +1,186 @@
+//! Outcomes of unconfirmed answers. Such an answer may be a second copy of an earlier answer on its
+//! connection (see `link/attribution.rs`) and is confirmed once nothing has followed it there for a while.
+//!
+//! A refusal releases a message that must not simply be repeated only after the confirmation. A delivery is
+//! reported to the decision library at once, but its message is kept until the confirmation, and continues if
+//! the delivery is contradicted.
+
+use super::reply_of;
+use crate::Micros;
+use crate::answers::End;
+use crate::doubts::UnconfirmedOutcome;
+use crate::ids::ConnId;
+use crate::link::{CONFIRMATION_DELAY, Reply};
+use crate::node::{Gone, Key, Node, Use};
+use heronroute::{DestId, Effect, EndpointId, Event, MsgId, Outcome};
+
+/// An unconfirmed delivery that is still unconfirmed this long after its message's deadline is reported as
+/// one that may have run. It is less than the time within which an end has to be reported.
+const UNCONFIRMED_GRACE: Micros = 100_000;
+
+impl Node {
+    /// Handles an answer to a message of a call that may be a copy of an earlier answer.
+    pub(crate) fn handle_unconfirmed_answer(&mut self, conn: ConnId, call: u64, part: usize, reply: Reply) {
+        let Some(open_call) = self.calls.get(call) else { return };
+        let (endpoint, began, message) = (open_call.endpoint, open_call.began, open_call.parts[part].message);
+        let Some(entry) = self.messages.get(&message) else { return self.record_outcome(call, part, reply) };
+        let effect = self.cfg.settings.classes[entry.class].effect;
+        let deadline = entry.deadline;
+        self.stats.doubtful += 1;
+        if reply.outcome == Outcome::Done {
+            let latest = deadline.max(self.now) + UNCONFIRMED_GRACE;
+            let due = latest.min(self.now + CONFIRMATION_DELAY);
+            let dest = self.remotes[endpoint].dest;
+            self.add_unconfirmed(
+                conn,
+                due,
+                UnconfirmedOutcome::Delivered { message, dest, endpoint, began, latest },
+            );
+        } else if reply.outcome.never_ran() && !reply.over && effect != Effect::Free {
+            // The wait applies from the time of the answer.
+            if reply.wait > 0 {
+                self.handle_announced_wait(endpoint, reply.wait);
+            }
+            let reply = Reply { wait: (reply.wait - CONFIRMATION_DELAY).max(reply.wait.min(1)), ..reply };
+            return self.add_unconfirmed(
+                conn,
+                self.now + CONFIRMATION_DELAY,
+                UnconfirmedOutcome::Refused { call, part, reply },
+            );
+        }
+        self.record_outcome(call, part, reply);
+    }
+
+    fn add_unconfirmed(&mut self, conn: ConnId, due: Micros, outcome: UnconfirmedOutcome) {
+        self.doubts.add(conn, due, outcome);
+        let next = self.doubts.next(conn).unwrap_or(due);
+        self.timers.set(Key::Confirm(conn), next);
+    }
+
+    /// Returns whether the delivery of a message is still unconfirmed.
+    pub(crate) fn awaits_confirmation(&self, message: MsgId) -> bool {
+        self.doubts.is_unconfirmed_delivery(message)
+    }
+
+    /// Assigns no calls to a connection until its unconfirmed answers are confirmed.
+    pub(crate) fn pause_until_confirmed(&mut self, endpoint: EndpointId, conn: ConnId) {
+        self.remotes[endpoint].pool.pause(conn);
+        self.doubts.extend(conn, self.now + CONFIRMATION_DELAY);
+        self.timers.set(Key::Confirm(conn), self.now + CONFIRMATION_DELAY);
+    }
+
+    /// Accepts the unconfirmed answers of a connection that nothing has followed in time.
+    pub(crate) fn confirm_due(&mut self, conn: ConnId) {
+        for outcome in self.doubts.take_due(conn, self.now) {
+            match outcome {
+                UnconfirmedOutcome::Refused { call, part, reply } => self.record_outcome(call, part, reply),
+                UnconfirmedOutcome::Delivered { message, began, latest, .. } if self.now >= latest => {
+                    self.report_possibly_run(message, began);
+                }
+                UnconfirmedOutcome::Delivered { message, .. } => self.answer(message, End::Delivered),
+            }
+        }
+        let receiver = self.conns.get(&conn).and_then(|c| match &c.what {
+            Use::Receiver { endpoint, link } => Some((*endpoint, link.unconfirmed_until())),
+            _ => None,
+        });
+        let unconfirmed_until = receiver.and_then(|(_, until)| until).filter(|until| *until > self.now);
+        if let Some(next) = [self.doubts.next(conn), unconfirmed_until].into_iter().flatten().min() {
+            self.timers.set(Key::Confirm(conn), next);
+        }
+        let Some((endpoint, _)) = receiver.filter(|_| unconfirmed_until.is_none()) else { return };
+        let pool = &mut self.remotes[endpoint].pool;
+        pool.resume(conn);
+        if pool.is_closable(conn) {
+            self.close_link(conn);
+        }
+        self.assign_calls(endpoint);
+    }
+
+    /// Handles the case that later bytes on a connection show that its unconfirmed answers may belong to
+    /// other calls.
+    pub(crate) fn handle_contradiction(&mut self, conn: ConnId) {
+        self.timers.clear(Key::Confirm(conn));
+        for outcome in self.doubts.take_due(conn, Micros::MAX) {
+            self.stats.contradicted += 1;
+            match outcome {
+                UnconfirmedOutcome::Refused { call, part, .. } => {
+                    let message = self.calls.get(call).map(|open_call| open_call.parts[part].message);
+                    self.log_contradiction(conn, message, "refused");
+                    self.record_outcome(call, part, reply_of(Outcome::Error));
+                }
+                UnconfirmedOutcome::Delivered { message, dest, endpoint, began, .. } => {
+                    self.log_contradiction(conn, Some(message), "delivered");
+                    self.resume_message(message, dest, endpoint, began);
+                }
+            }
+        }
+    }
+
+    /// Reports a delivery that can no longer be confirmed as one that may have run. Reporting a delivered
+    /// message this way does no harm.
+    fn report_possibly_run(&mut self, message: MsgId, began: Micros) {
+        if let Some(entry) = self.messages.get_mut(&message) {
+            entry.ran_at = Some(entry.ran_at.map_or(began, |at| at.min(began)));
+        }
+        self.answer(message, End::Failed);
+    }
+
+    /// Reports the unconfirmed deliveries of a connection that this sender closed and that carries no call.
+    /// Nothing can contradict or confirm them any more.
+    pub(crate) fn report_unconfirmed_deliveries(&mut self, conn: ConnId) {
+        self.timers.clear(Key::Confirm(conn));
+        for outcome in self.doubts.take_due(conn, Micros::MAX) {
+            if let UnconfirmedOutcome::Delivered { message, began, .. } = outcome {
+                self.report_possibly_run(message, began);
+            }
+        }
+    }
+
+    /// Handles a connection that the endpoint ended. Its unconfirmed answers count as contradicted, because
+    /// one of them may be a copy that was taken for the answer of a call which gets none of its own.
+    pub(crate) fn link_closed(&mut self, conn: ConnId, gone: Gone) {
+        self.remove_link(conn, gone);
+        self.handle_contradiction(conn);
+    }
+
+    fn log_contradiction(&self, conn: ConnId, message: Option<MsgId>, answer: &str) {
+        let id = message.and_then(|id| self.messages.get(&id)?.submission.identity.as_deref());
+        tracing::info!(now = self.now, conn, id, answer, "an unconfirmed answer was contradicted");
+    }
+
+    /// Resumes a message that counted as delivered but may have been rejected, or may have run, in the same
+    /// way as after a restart.
+    fn resume_message(&mut self, id: MsgId, dest: DestId, endpoint: EndpointId, began: Micros) {
+        let Some(entry) = self.messages.get_mut(&id) else { return };
+        entry.ran_at = Some(entry.ran_at.map_or(began, |at| at.min(began)));
+        let class = &self.cfg.settings.classes[entry.class];
+        let time_left = entry.deadline - self.now;
+        if class.effect == Effect::SingleShot || time_left <= 0 {
+            return self.answer(id, End::Failed);
+        }
+        let key = entry.submission.key.clone().filter(|_| class.ordered);
+        self.events.push(Event::Message {
+            id,
+            class: entry.class,
+            tenant: entry.client,
+            key,
+            dest,
+            time_left,
+            again: true,
+        });
+        let may_run = Some((endpoint, self.now - began));
+        self.events.push(Event::Resumed { id, attempts: entry.attempts, may_run });
+    }
+
+    /// Closes a connection that takes no more calls and carries none, as soon as nothing that arrives on it
+    /// can contradict an answer any more.
+    pub(crate) fn close_when_confirmed(&mut self, conn: ConnId) {
+        let Some(Use::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
+        let Some(until) = link.unconfirmed_until().filter(|until| *until > self.now) else {
+            return self.close_link(conn);
+        };
+        let next = self.doubts.next(conn).map_or(until, |next| next.min(until));
+        self.timers.set(Key::Confirm(conn), next);
+    }
+}
--- a/crates/engine/src/directory/mod.rs
+++ b/crates/engine/src/directory/mod.rs
@@ -48,11 +48,11 @@
     /// Returns the time at which [`Directory::tick`] must be called next.
     fn wake(&self) -> Micros;
     /// Handles timers. Returns what is needed from the sockets.
-    fn tick(&mut self, now: Micros, heard: &mut Vec<Heard>) -> Want;
+    fn tick(&mut self, now: Micros, events: &mut Vec<Heard>) -> Want;
     /// Handles an established connection.
     fn connected(&mut self, now: Micros, stream: &mut Stream);
     /// Handles received bytes. Returns false if the connection can't be used any more.
-    fn receive(&mut self, now: Micros, octets: &[u8], stream: &mut Stream, heard: &mut Vec<Heard>) -> bool;
+    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<Heard>) -> bool;
     /// Handles the end of the connection, or a failure to establish it.
-    fn ended(&mut self, now: Micros, heard: &mut Vec<Heard>);
+    fn ended(&mut self, now: Micros, events: &mut Vec<Heard>);
 }
--- a/crates/engine/src/directory/polled.rs
+++ b/crates/engine/src/directory/polled.rs
@@ -14,12 +14,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-const MOST_LIST: usize = 16 << 20;
+const MAX_LIST_BYTES: usize = 16 << 20;
 /// The first delay after a failure. It doubles up to the maximum.
-const RETRY_FIRST: Micros = 250_000;
-const RETRY_MOST: Micros = 8_000_000;
+const FIRST_RETRY_DELAY: Micros = 250_000;
+const MAX_RETRY_DELAY: Micros = 8_000_000;
 /// How long after its own wait time an unanswered poll counts as failed.
-const SLACK: Micros = 5_000_000;
+const RESPONSE_TIMEOUT: Micros = 5_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -39,58 +39,58 @@
 #[derive(Debug)]
 pub struct Polled {
     address: Option<SocketAddr>,
-    poll: Micros,
+    poll_wait: Micros,
     follow: bool,
     state: State,
     reader: Reader,
     backoff: Micros,
     version: u64,
     /// The current list, stored for the next start.
-    list: BTreeMap<String, EndpointConfig>,
+    endpoints: BTreeMap<String, EndpointConfig>,
 }
 
 impl Polled {
     /// Creates a client. If `follow` is set, it polls from the start and again after each response and
     /// failure.
-    pub fn new(now: Micros, address: Option<SocketAddr>, poll: Micros, follow: bool) -> Self {
+    pub fn new(now: Micros, address: Option<SocketAddr>, poll_wait: Micros, follow: bool) -> Self {
         Polled {
             address,
-            poll,
+            poll_wait,
             follow,
             state: if follow && address.is_some() { State::Due(now) } else { State::Idle },
-            reader: Reader::new(Side::Responses, MOST_LIST),
-            backoff: RETRY_FIRST,
+            reader: Reader::new(Side::Responses, MAX_LIST_BYTES),
+            backoff: FIRST_RETRY_DELAY,
             version: 0,
-            list: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
         }
     }
 
     fn merge(&mut self, listing: &Listing) {
         if listing.whole {
-            self.list.clear();
+            self.endpoints.clear();
         }
         for e in &listing.endpoints {
             if e.status == heronroute::Status::Removed {
-                self.list.remove(&e.name);
+                self.endpoints.remove(&e.name);
             } else {
-                self.list.insert(e.name.clone(), e.clone());
+                self.endpoints.insert(e.name.clone(), e.clone());
             }
         }
         self.version = listing.version;
     }
 
-    fn ask(&mut self, now: Micros, stream: &mut Stream) {
-        let target = format!("/endpoints?since={}&wait={}", self.version, self.poll / 1_000);
+    fn send_poll(&mut self, now: Micros, stream: &mut Stream) {
+        let target = format!("/endpoints?since={}&wait={}", self.version, self.poll_wait / 1_000);
         write_request("GET", &target, "directory", &[], b"", &mut stream.out);
-        self.state = State::Polling(now + self.poll + SLACK);
+        self.state = State::Polling(now + self.poll_wait + RESPONSE_TIMEOUT);
     }
 
     /// Reports a failure. A client that follows the directory retries after a delay that doubles, so that its
     /// requests do not keep an overloaded directory down.
-    fn failed(&mut self, now: Micros, why: &str, heard: &mut Vec<Heard>) {
+    fn handle_failure(&mut self, now: Micros, why: &str, events: &mut Vec<Heard>) {
         self.state = if self.follow { State::Due(now + self.backoff) } else { State::Idle };
-        self.backoff = (self.backoff * 2).min(RETRY_MOST);
-        heard.push(Heard::Failed(why.to_string()));
+        self.backoff = (self.backoff * 2).min(MAX_RETRY_DELAY);
+        events.push(Heard::Failed(why.to_string()));
     }
 }
 
@@ -125,7 +125,7 @@
             weight: e.weight.unwrap_or(0.0),
             status: status(e.status).to_string(),
         };
-        let endpoint = self.list.values().map(row).collect();
+        let endpoint = self.endpoints.values().map(row).collect();
         Some(write_listing(&raw::Listing { version: self.version, whole: true, endpoint }))
     }
 
@@ -138,14 +138,14 @@
 
     /// Connects when a request is due, and gives up requests that took too long; their connection must then
     /// be dropped.
-    fn tick(&mut self, now: Micros, heard: &mut Vec<Heard>) -> Want {
+    fn tick(&mut self, now: Micros, events: &mut Vec<Heard>) -> Want {
         match (self.state, self.address) {
             (State::Due(at), Some(address)) if at <= now => {
-                self.state = State::Connecting(now + SLACK);
+                self.state = State::Connecting(now + RESPONSE_TIMEOUT);
                 Want::Connect(address)
             }
             (State::Connecting(at) | State::Polling(at), _) if at <= now => {
-                self.failed(now, "no answer in time", heard);
+                self.handle_failure(now, "no response in time", events);
                 Want::Drop
             }
             _ => Want::Nothing,
@@ -153,18 +153,18 @@
     }
 
     fn connected(&mut self, now: Micros, stream: &mut Stream) {
-        self.reader = Reader::new(Side::Responses, MOST_LIST);
-        self.ask(now, stream);
+        self.reader = Reader::new(Side::Responses, MAX_LIST_BYTES);
+        self.send_poll(now, stream);
     }
 
-    fn receive(&mut self, now: Micros, octets: &[u8], stream: &mut Stream, heard: &mut Vec<Heard>) -> bool {
-        self.reader.push(octets);
+    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<Heard>) -> bool {
+        self.reader.push(bytes);
         loop {
             let message = match self.reader.next_message() {
                 Ok(Some(message)) => message,
                 Ok(None) => return true,
                 Err(e) => {
-                    self.failed(now, e.0, heard);
+                    self.handle_failure(now, e.0, events);
                     return false;
                 }
             };
@@ -174,33 +174,33 @@
                     match parse_listing("directory", &text) {
                         Ok(listing) => {
                             self.merge(&listing);
-                            heard.push(Heard::List(listing));
+                            events.push(Heard::List(listing));
                         }
                         Err(e) => {
-                            self.failed(now, &e.to_string(), heard);
+                            self.handle_failure(now, &e.to_string(), events);
                             return false;
                         }
                     }
                 }
                 204 => {}
                 status => {
-                    self.failed(now, &format!("status {status}"), heard);
+                    self.handle_failure(now, &format!("status {status}"), events);
                     return false;
                 }
             }
-            self.backoff = RETRY_FIRST;
+            self.backoff = FIRST_RETRY_DELAY;
             if message.last {
                 self.state = State::Due(now);
                 return false;
             }
             self.state = State::Connected;
-            self.ask(now, stream);
+            self.send_poll(now, stream);
         }
     }
 
-    fn ended(&mut self, now: Micros, heard: &mut Vec<Heard>) {
+    fn ended(&mut self, now: Micros, events: &mut Vec<Heard>) {
         if !matches!(self.state, State::Idle | State::Due(_)) {
-            self.failed(now, "no connection", heard);
+            self.handle_failure(now, "the connection failed", events);
         }
     }
 
--- a/crates/engine/src/directory/watched.rs
+++ b/crates/engine/src/directory/watched.rs
@@ -1,15 +1,13 @@
 //! A client of the platform's discovery: a long-lived watch that receives changes.
 //!
-//! The discovery agent responds at once. What it has and can't deliver counts as reported after 6 s all the
-//! same. Therefore a watch without a sign of life is dropped and opened again, whatever the failure, and the
-//! longest sequence of waits stays below 6 s: [`SILENCE`], then one attempt with each timeout ([`QUICK`] and
-//! [`PATIENT`]), with the delays between them. While discovery is down, the agent sends nothing; that is no
-//! failure of the current list, which stays in use.
-//!
-//! A sign of life is a complete line, which may be empty, or a complete list; other bytes are not.
+//! The discovery agent responds at once. Changes count as reported after 6 s even if it can't deliver them.
+//! So a watch without a sign of life (a complete line, which may be empty, or a complete list, but no other
+//! bytes) is dropped and opened again, whatever the cause, and the waits in a row stay below 6 s:
+//! [`SILENCE_TIMEOUT`], then an attempt with each timeout ([`SHORT_TIMEOUT`], [`LONG_TIMEOUT`]), with the
+//! delays between them. While discovery is down, the agent sends nothing, and the last list stays in use.
 
 use super::listing::listing;
-use super::versions::{Ask, Versions};
+use super::versions::{ListRequest, Versions};
 use super::{Directory, Heard, Want};
 use crate::Micros;
 use crate::stream::Stream;
@@ -20,27 +18,25 @@
 use std::net::SocketAddr;
 
 /// The delay before the next attempt after a first failure. It doubles up to the maximum.
-const RETRY_FIRST: Micros = 60_000;
+const FIRST_RETRY_DELAY: Micros = 60_000;
 /// The maximum delay. With longer delays, attempts would be too late for changes that discovery reports.
 /// While discovery refuses connections there are 2.5 attempts a second, and five in the first second.
-const RETRY_MOST: Micros = 400_000;
-/// The minimum duration of a stable watch. After shorter watches the delay grows up to twice the first one.
-/// This limits the load from an agent that repeatedly sends its list and closes to nine attempts a second.
-const LASTS: Micros = 1_000_000;
+const MAX_RETRY_DELAY: Micros = 400_000;
+/// The minimum duration of a stable watch. After shorter watches the delay grows up to twice the first one,
+/// so that an agent that repeatedly sends its list and closes gets at most nine attempts a second.
+const STABLE_AFTER: Micros = 1_000_000;
 /// The timeout of an attempt, from the connect to the first sign of life: the agent responds at once.
-const QUICK: Micros = 600_000;
-/// The timeout of an attempt after one that received a response head but nothing complete in time. Without
-/// it, some watches would be abandoned forever: an agent that starts with the empty line it owes every 2 s,
-/// or a list that takes longer.
-const PATIENT: Micros = 2_200_000;
+const SHORT_TIMEOUT: Micros = 600_000;
+/// The timeout of an attempt after one that received a response head but nothing complete in time. An agent
+/// that starts with the empty line it owes every 2 s, or a slow list, would otherwise never get through.
+const LONG_TIMEOUT: Micros = 2_200_000;
 /// The maximum time without a sign of life. An empty line arrives every 2 s while nothing changes. On a watch
 /// that has gone silent for good, a drain would be noticed too late.
-const SILENCE: Micros = 2_600_000;
-/// The maximum time for a list on an established watch from its first to its last byte, against a list that
-/// trickles in.
-const WHOLE: Micros = 1_000_000;
+const SILENCE_TIMEOUT: Micros = 2_600_000;
+/// The maximum time from the first to the last byte of a list, against a list that trickles in.
+const LIST_TIMEOUT: Micros = 1_000_000;
 /// The maximum size in bytes of a whole list that is requested separately.
-const MOST_WHOLE: usize = 4 << 20;
+const MAX_WHOLE_LIST_BYTES: usize = 4 << 20;
 
 #[derive(Clone, Copy, Debug)]
 enum State {
@@ -62,9 +58,8 @@
     },
 }
 
-/// The open request on the connection.
 #[derive(Debug)]
-enum Question {
+enum Request {
     /// A request for the whole list. A watch follows it on the same connection.
     Whole(Reader),
     Watch(Watch),
@@ -77,74 +72,73 @@
     state: State,
     backoff: Micros,
     /// Whether the next attempt gets the longer timeout.
-    patient: bool,
+    use_long_timeout: bool,
     versions: Versions,
-    question: Question,
+    request: Request,
 }
 
 impl Watched {
-    /// Creates a client that starts at once.
+    /// Creates a client that connects at once.
     pub fn new(now: Micros, address: SocketAddr) -> Self {
         Watched {
             address,
             state: State::Due(now),
-            backoff: RETRY_FIRST,
-            patient: false,
+            backoff: FIRST_RETRY_DELAY,
+            use_long_timeout: false,
             versions: Versions::default(),
-            question: Question::Watch(Watch::default()),
+            request: Request::Watch(Watch::default()),
         }
     }
 
-    fn take(&mut self, now: Micros, list: &List, heard: &mut Vec<Heard>) {
-        if self.versions.take(now, list) {
-            heard.push(Heard::List(listing(list)));
+    fn apply_list(&mut self, now: Micros, list: &List, events: &mut Vec<Heard>) {
+        if self.versions.accept(now, list) {
+            events.push(Heard::List(listing(list)));
         }
     }
 
-    /// Handles a sign of life.
-    fn lives(&mut self, now: Micros) {
+    fn record_sign_of_life(&mut self, now: Micros) {
         let since = match self.state {
             State::Asked { since, .. } | State::Open { since, .. } => since,
             State::Due(_) | State::Connecting { .. } => now,
         };
         self.state = State::Open { since, sign: now, begun: None };
-        self.patient = false;
-        let most = if now - since >= LASTS { RETRY_FIRST } else { 2 * RETRY_FIRST };
-        self.backoff = self.backoff.min(most);
+        self.use_long_timeout = false;
+        let max_backoff = if now - since >= STABLE_AFTER { FIRST_RETRY_DELAY } else { 2 * FIRST_RETRY_DELAY };
+        self.backoff = self.backoff.min(max_backoff);
     }
 
-    fn hear(&mut self, now: Micros, said: Said, heard: &mut Vec<Heard>) {
-        match said {
+    fn handle_watch_event(&mut self, now: Micros, event: Said, events: &mut Vec<Heard>) {
+        match event {
             Said::Head => {
                 if let State::Asked { answered, .. } = &mut self.state {
                     *answered = true;
                 }
             }
-            Said::EndOfLine => self.lives(now),
+            Said::EndOfLine => self.record_sign_of_life(now),
             Said::List(list) => {
-                self.lives(now);
-                self.take(now, &list, heard);
+                self.record_sign_of_life(now);
+                self.apply_list(now, &list, events);
             }
         }
     }
 
-    fn ask_watch(&mut self, now: Micros, version: u64, stream: &mut Stream) {
-        tracing::debug!(now, version, "the watch begins");
-        self.question = Question::Watch(Watch::default());
+    fn start_watch(&mut self, now: Micros, version: u64, stream: &mut Stream) {
+        tracing::debug!(now, version, "starting a watch on the list");
+        self.request = Request::Watch(Watch::default());
         watch::ask(version, &self.address.to_string(), &mut stream.out);
     }
 
-    /// Handles received bytes of a watch. Returns false if the watch has ended.
-    fn hear_watch(&mut self, now: Micros, octets: &[u8], heard: &mut Vec<Heard>) -> bool {
-        let Question::Watch(watch) = &mut self.question else { return true };
-        let mut said = Vec::new();
-        let result = watch.receive(octets, &mut said);
+    /// Returns false if the watch has ended.
+    fn receive_watch(&mut self, now: Micros, bytes: &[u8], events: &mut Vec<Heard>) -> bool {
+        let Request::Watch(watch) = &mut self.request else { return true };
+        let mut watch_events = Vec::new();
+        let result = watch.receive(bytes, &mut watch_events);
         let has_begun_list = watch.has_begun_list();
-        said.into_iter().for_each(|said| self.hear(now, said, heard));
+        watch_events.into_iter().for_each(|event| self.handle_watch_event(now, event, events));
         if let Err(over) = result {
-            tracing::warn!(%over, "the watch on the list is over");
+            tracing::warn!(%over, "the watch on the list ended");
             if matches!(over, Over::Unreadable(_)) {
-                self.versions.unreadable(now);
+                self.versions.record_unreadable(now);
             }
             return false;
         }
@@ -155,15 +149,15 @@
     }
 
     /// Handles received bytes of a whole list. Returns false if it can't be read.
-    fn hear_whole(
+    fn receive_whole_list(
         &mut self,
         now: Micros,
-        octets: &[u8],
+        bytes: &[u8],
         stream: &mut Stream,
-        heard: &mut Vec<Heard>,
+        events: &mut Vec<Heard>,
     ) -> bool {
-        let Question::Whole(reader) = &mut self.question else { return true };
-        reader.push(octets);
+        let Request::Whole(reader) = &mut self.request else { return true };
+        reader.push(bytes);
         let message = match reader.next_message() {
             Ok(None) => return true,
             Ok(Some(message)) => message,
@@ -175,7 +169,7 @@
         let list = match List::read(&message.body) {
             Ok(list) if message.status() == 200 => list,
             Ok(_) => {
-                tracing::warn!(status = message.status(), "the whole list is not told");
+                tracing::warn!(status = message.status(), "discovery did not return the whole list");
                 return false;
             }
             Err(why) => {
@@ -183,34 +177,33 @@
                 return false;
             }
         };
-        self.versions.whole_told();
-        self.take(now, &list, heard);
-        self.ask_watch(now, self.versions.since(), stream);
+        self.versions.whole_list_received();
+        self.apply_list(now, &list, events);
+        self.start_watch(now, self.versions.current(), stream);
         !message.last
     }
 
     /// Handles a missing sign of life, or another request that has become due.
-    fn out_of_time(&mut self, now: Micros) {
+    fn handle_timeout(&mut self, now: Micros) {
         if let State::Asked { answered, .. } = self.state {
-            self.patient = answered && !self.patient;
+            self.use_long_timeout = answered && !self.use_long_timeout;
         }
         // The attempt has already taken its time, so the delay does not grow. When a silent discovery
         // returns, an attempt is then nearly always under way, at 1.5 a second.
-        self.retry_after(now, RETRY_FIRST);
+        self.schedule_retry(now, FIRST_RETRY_DELAY);
     }
 
-    /// Schedules a retry, with a delay that doubles each time.
-    fn retry(&mut self, now: Micros) {
+    fn retry_with_backoff(&mut self, now: Micros) {
         if !matches!(self.state, State::Due(_)) {
-            self.retry_after(now, self.backoff);
-            self.backoff = (self.backoff * 2).min(RETRY_MOST);
+            self.schedule_retry(now, self.backoff);
+            self.backoff = (self.backoff * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    fn retry_after(&mut self, now: Micros, wait: Micros) {
+    fn schedule_retry(&mut self, now: Micros, wait: Micros) {
         if !matches!(self.state, State::Due(_)) {
-            if matches!(self.question, Question::Whole(_)) {
-                self.versions.whole_failed(now);
+            if matches!(self.request, Request::Whole(_)) {
+                self.versions.whole_list_failed(now);
             }
             self.state = State::Due(now + wait);
         }
@@ -219,7 +212,7 @@
 
 impl Directory for Watched {
     fn known(&mut self, listing: &Listing) {
-        self.versions.known(listing.version);
+        self.versions.restore(listing.version);
     }
 
     fn subscribe(&mut self, _: Micros) -> bool {
@@ -231,8 +224,8 @@
     }
 
     fn moved(&mut self, now: Micros, address: SocketAddr) {
-        (self.address, self.state, self.backoff) = (address, State::Due(now), RETRY_FIRST);
-        self.patient = false;
+        (self.address, self.state, self.backoff) = (address, State::Due(now), FIRST_RETRY_DELAY);
+        self.use_long_timeout = false;
     }
 
     fn wake(&self) -> Micros {
@@ -240,8 +233,8 @@
             State::Due(at) => at,
             State::Connecting { until } | State::Asked { until, .. } => until,
             State::Open { sign, begun, .. } => {
-                let whole = begun.map_or(Micros::MAX, |at| at + WHOLE);
-                (sign + SILENCE).min(whole).min(self.versions.due())
+                let list_deadline = begun.map_or(Micros::MAX, |at| at + LIST_TIMEOUT);
+                (sign + SILENCE_TIMEOUT).min(list_deadline).min(self.versions.next_request_at())
             }
         }
     }
@@ -252,13 +245,13 @@
         }
         match self.state {
             State::Due(_) => {
-                let patience = if self.patient { PATIENT } else { QUICK };
-                self.state = State::Connecting { until: now + patience };
+                let timeout = if self.use_long_timeout { LONG_TIMEOUT } else { SHORT_TIMEOUT };
+                self.state = State::Connecting { until: now + timeout };
                 Want::Connect(self.address)
             }
             State::Connecting { .. } | State::Asked { .. } | State::Open { .. } => {
-                tracing::debug!(now, state = ?self.state, "the watch is given up");
-                self.out_of_time(now);
+                tracing::debug!(now, state = ?self.state, "giving up the watch on the list");
+                self.handle_timeout(now);
                 Want::Drop
             }
         }
@@ -268,31 +261,31 @@
         // If no attempt is under way, the timeout of a new one applies.
         let until = match self.state {
             State::Connecting { until } => until,
-            _ => now + QUICK,
+            _ => now + SHORT_TIMEOUT,
         };
         self.state = State::Asked { until, since: now, answered: false };
-        match self.versions.ask(now) {
-            Ask::Whole => {
-                self.question = Question::Whole(Reader::new(Side::Responses, MOST_WHOLE));
+        match self.versions.next_request(now) {
+            ListRequest::Whole => {
+                self.request = Request::Whole(Reader::new(Side::Responses, MAX_WHOLE_LIST_BYTES));
                 watch::ask_whole(&self.address.to_string(), &mut stream.out);
             }
-            Ask::Since(version) => self.ask_watch(now, version, stream),
+            ListRequest::ChangesSince(version) => self.start_watch(now, version, stream),
         }
     }
 
-    fn receive(&mut self, now: Micros, octets: &[u8], stream: &mut Stream, heard: &mut Vec<Heard>) -> bool {
-        tracing::debug!(now, octets = octets.len(), "discovery says something");
-        let goes_on = match self.question {
-            Question::Whole(_) => self.hear_whole(now, octets, stream, heard),
-            Question::Watch(_) => self.hear_watch(now, octets, heard),
+    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<Heard>) -> bool {
+        tracing::debug!(now, octets = bytes.len(), "received bytes from discovery");
+        let usable = match self.request {
+            Request::Whole(_) => self.receive_whole_list(now, bytes, stream, events),
+            Request::Watch(_) => self.receive_watch(now, bytes, events),
         };
-        if !goes_on {
-            self.retry(now);
+        if !usable {
+            self.retry_with_backoff(now);
         }
-        goes_on
+        usable
     }
 
     fn ended(&mut self, now: Micros, _: &mut Vec<Heard>) {
-        self.retry(now);
+        self.retry_with_backoff(now);
     }
 }
--- a/crates/engine/src/doubts.rs
+++ b/crates/engine/src/doubts.rs
@@ -1,4 +1,4 @@
-//! Unconfirmed outcomes, by connection. Performs no I/O.
+//! Unconfirmed (doubtful) outcomes, by connection. Performs no I/O.
 
 use crate::Micros;
 use crate::ids::ConnId;
@@ -8,7 +8,7 @@
 
 /// An outcome that is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
-pub enum Doubt {
+pub enum UnconfirmedOutcome {
     /// A message of a call was refused, so that it never ran.
     Refused {
         /// The call's number.
@@ -36,24 +36,28 @@
 /// The unconfirmed outcomes of each connection, with the time at which each is confirmed.
 #[derive(Debug, Default)]
 pub struct Doubts {
-    by_connection: BTreeMap<ConnId, Vec<(Micros, Doubt)>>,
-    delivered: BTreeSet<MsgId>,
+    by_connection: BTreeMap<ConnId, Vec<(Micros, UnconfirmedOutcome)>>,
+    deliveries: BTreeSet<MsgId>,
 }
 
 impl Doubts {
     /// Adds an outcome that is confirmed at `due`.
-    pub fn add(&mut self, conn: ConnId, due: Micros, doubt: Doubt) {
-        if let Doubt::Delivered { message, .. } = doubt {
-            self.delivered.insert(message);
+    pub fn add(&mut self, conn: ConnId, due: Micros, outcome: UnconfirmedOutcome) {
+        if let UnconfirmedOutcome::Delivered { message, .. } = outcome {
+            self.deliveries.insert(message);
         }
-        self.by_connection.entry(conn).or_default().push((due, doubt));
+        self.by_connection.entry(conn).or_default().push((due, outcome));
     }
 
     /// Delays the confirmation of a connection's outcomes until at least `until`, but not beyond a delivery's
     /// `latest`.
-    pub fn prolong(&mut self, conn: ConnId, until: Micros) {
-        for (due, doubt) in self.by_connection.get_mut(&conn).into_iter().flatten() {
-            let latest = if let Doubt::Delivered { latest, .. } = doubt { *latest } else { Micros::MAX };
+    pub fn extend(&mut self, conn: ConnId, until: Micros) {
+        for (due, outcome) in self.by_connection.get_mut(&conn).into_iter().flatten() {
+            let latest = if let UnconfirmedOutcome::Delivered { latest, .. } = outcome {
+                *latest
+            } else {
+                Micros::MAX
+            };
             *due = until.min(latest).max(*due);
         }
     }
@@ -64,23 +68,23 @@
     }
 
     /// Removes and returns the outcomes of a connection that are due.
-    pub fn take_due(&mut self, conn: ConnId, now: Micros) -> Vec<Doubt> {
+    pub fn take_due(&mut self, conn: ConnId, now: Micros) -> Vec<UnconfirmedOutcome> {
         let waiting = self.by_connection.remove(&conn).unwrap_or_default();
         let (due, later): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(due, _)| *due <= now);
         if !later.is_empty() {
             self.by_connection.insert(conn, later);
         }
-        let due: Vec<Doubt> = due.into_iter().map(|(_, doubt)| doubt).collect();
-        for doubt in &due {
-            if let Doubt::Delivered { message, .. } = doubt {
-                self.delivered.remove(message);
+        let due: Vec<UnconfirmedOutcome> = due.into_iter().map(|(_, outcome)| outcome).collect();
+        for outcome in &due {
+            if let UnconfirmedOutcome::Delivered { message, .. } = outcome {
+                self.deliveries.remove(message);
             }
         }
         due
     }
 
     /// Returns whether a message's delivery is unconfirmed.
-    pub fn is_delivered(&self, message: MsgId) -> bool {
-        self.delivered.contains(&message)
+    pub fn is_unconfirmed_delivery(&self, message: MsgId) -> bool {
+        self.deliveries.contains(&message)
     }
 }
--- a/crates/engine/src/ids.rs
+++ b/crates/engine/src/ids.rs
@@ -22,6 +22,6 @@
 
 /// Parses a message number given by a client.
 pub(crate) fn read_id(text: &str) -> Option<MsgId> {
-    let plain = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    plain.then(|| u64::from_str_radix(text, 16).ok().map(MsgId)).flatten()
+    let well_formed = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    well_formed.then(|| u64::from_str_radix(text, 16).ok().map(MsgId)).flatten()
 }
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -22,13 +22,13 @@
 
 /// A token bucket: tokens grow with time up to the burst, and each submission takes one.
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     weight: f64,
     shedding: bool,
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled: Micros,
+    refilled_at: Micros,
 }
 
 /// The current usage of a sender, seen from one submission.
@@ -63,7 +63,7 @@
 /// The admission limits of one sender.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    buckets: Vec<Bucket>,
+    buckets: Vec<TokenBucket>,
     /// The weight of each front, and whether its last submission was rejected for its share.
     fronts: Vec<(f64, bool)>,
     room: usize,
@@ -75,19 +75,25 @@
     /// Creates limits with a rate and burst for each client, and a weight for each front (none if there is
     /// only one).
     pub fn new(now: Micros, rates: &[Part], fronts: &[f64], room: usize, room_of_client: usize) -> Self {
-        let full = |p: &Part| Bucket {
-            weight: p.weight,
+        let full_bucket = |part: &Part| TokenBucket {
+            weight: part.weight,
             shedding: false,
-            rate: p.rate,
-            burst: p.burst.max(1.0),
-            tokens: p.burst.max(1.0),
-            filled: now,
+            rate: part.rate,
+            burst: part.burst.max(1.0),
+            tokens: part.burst.max(1.0),
+            refilled_at: now,
         };
         let fronts = fronts.iter().map(|w| (*w, false)).collect();
-        Limits { buckets: rates.iter().map(full).collect(), fronts, room, room_of_client, leaving: false }
+        Limits {
+            buckets: rates.iter().map(full_bucket).collect(),
+            fronts,
+            room,
+            room_of_client,
+            leaving: false,
+        }
     }
 
-    /// Applies new rates. Clients that stay keep their saved or used tokens.
+    /// Applies new rates. Clients that stay keep their tokens, up to the new burst.
     pub fn reload(&mut self, now: Micros, rates: &[Part]) {
         let old = std::mem::take(&mut self.buckets);
         let fronts = std::mem::take(&mut self.fronts);
@@ -95,7 +101,7 @@
         *self = Limits { leaving: self.leaving, fronts, ..new };
         for (new, old) in self.buckets.iter_mut().zip(old) {
             new.tokens = old.tokens.min(new.burst);
-            new.filled = old.filled;
+            new.refilled_at = old.refilled_at;
         }
     }
 
@@ -113,7 +119,7 @@
         &mut self,
         now: Micros,
         client: usize,
-        held: Held,
+        usage: Held,
         session_shedding: &mut bool,
     ) -> Result<(), Refusal> {
         if self.leaving {
@@ -121,49 +127,52 @@
         }
         // Space is checked before the rate, so that a rejection for lack of space does not use up the
         // client's rate as well.
-        if held.open >= self.room || held.of_client >= self.room_of_client {
+        if usage.open >= self.room || usage.of_client >= self.room_of_client {
             return Err(Refusal::Room);
         }
         let alone = self.buckets.len() < 2;
-        let Some(b) = self.buckets.get_mut(client) else { return Ok(()) };
+        let Some(bucket) = self.buckets.get_mut(client) else { return Ok(()) };
         // A single client may use all the space. Several clients share it by weight and worth (see
         // `heronroute_fair`).
-        let party = Holding { held: held.of_client, weight: b.weight, shedding: b.shedding };
-        b.shedding = !alone && !Share::new(self.room).admits(held.open, party, held.worth);
-        if b.shedding {
+        let party = Holding { held: usage.of_client, weight: bucket.weight, shedding: bucket.shedding };
+        bucket.shedding = !alone && !Share::new(self.room).admits(usage.open, party, usage.worth);
+        if bucket.shedding {
             return Err(Refusal::Share);
         }
         // The fronts share the space in the same way. The tightest of all shares applies.
-        if let Some((front, of_front)) = held.front
+        if let Some((front, of_front)) = usage.front
             && let Some((weight, shedding)) = self.fronts.get_mut(front)
         {
             let party = Holding { held: of_front, weight: *weight, shedding: *shedding };
-            *shedding = !Share::new(self.room).admits(held.open, party, held.worth);
+            *shedding = !Share::new(self.room).admits(usage.open, party, usage.worth);
             if *shedding {
                 return Err(Refusal::Share);
             }
         }
         // The connections of one client share what that client may hold.
-        if held.sessions > 1 {
-            let part =
-                Share::new(self.room).threshold(held.open, if alone { 1.0 } else { b.weight }, held.worth);
-            let part = Share::new((part as usize).min(self.room).min(self.room_of_client));
-            let party = Holding { held: held.of_session, weight: 1.0, shedding: *session_shedding };
-            *session_shedding = !part.admits(held.of_client, party, 1.0);
+        if usage.sessions > 1 {
+            let client_share = Share::new(self.room).threshold(
+                usage.open,
+                if alone { 1.0 } else { bucket.weight },
+                usage.worth,
+            );
+            let client_share = Share::new((client_share as usize).min(self.room).min(self.room_of_client));
+            let party = Holding { held: usage.of_session, weight: 1.0, shedding: *session_shedding };
+            *session_shedding = !client_share.admits(usage.of_client, party, 1.0);
             if *session_shedding {
                 return Err(Refusal::Share);
             }
         }
-        if b.rate.is_infinite() {
+        if bucket.rate.is_infinite() {
             return Ok(());
         }
-        let grown = (now - b.filled).max(0) as f64 / 1e6 * b.rate;
-        b.tokens = (b.tokens + grown).min(b.burst);
-        b.filled = now;
-        if b.tokens < 1.0 {
+        let refill = (now - bucket.refilled_at).max(0) as f64 / 1e6 * bucket.rate;
+        bucket.tokens = (bucket.tokens + refill).min(bucket.burst);
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
             return Err(Refusal::Rate);
         }
-        b.tokens -= 1.0;
+        bucket.tokens -= 1.0;
         Ok(())
     }
 }
--- a/crates/engine/src/limits/tests.rs
+++ b/crates/engine/src/limits/tests.rs
@@ -3,43 +3,59 @@
 use super::*;
 
 #[test]
-fn rate_burst_and_room() {
+fn enforces_rate_burst_and_room() {
     let part = |rate, burst| Part { rate, burst, weight: 1.0 };
-    let mut l = Limits::new(0, &[part(10.0, 5.0), part(f64::INFINITY, 1.0)], &[], 100, 50);
-    let held = |open, of_client| Held { open, of_client, worth: 1.0, ..Held::default() };
-    let s = &mut false;
-    let none = held(0, 0);
-    let taken = (0..20).filter(|_| l.admit(0, 0, none, s).is_ok()).count();
-    assert_eq!(taken, 5, "the burst");
-    assert_eq!(l.admit(0, 0, none, s), Err(Refusal::Rate));
-    assert_eq!(l.admit(0, 1, none, s), Ok(()), "another client is untouched");
-    let taken = (0..1000).filter(|i| l.admit(i * 10_000, 0, none, s).is_ok()).count();
-    assert!((98..=105).contains(&taken), "ten a second for ten seconds: {taken}");
-    assert_eq!(l.admit(0, 1, held(100, 0), s), Err(Refusal::Room));
-    assert_eq!(l.admit(0, 1, held(0, 50), s), Err(Refusal::Room));
-    assert_eq!(l.admit(0, 1, held(80, 45), s), Err(Refusal::Share), "20 are free, it may hold 40");
-    assert_eq!(l.admit(0, 0, held(80, 10), s).err(), Some(Refusal::Rate), "another is within its part");
-    l.leave();
-    assert_eq!(l.admit(0, 1, none, s), Err(Refusal::Leaving));
+    let mut limits = Limits::new(0, &[part(10.0, 5.0), part(f64::INFINITY, 1.0)], &[], 100, 50);
+    let usage = |open, of_client| Held { open, of_client, worth: 1.0, ..Held::default() };
+    let shedding = &mut false;
+    let empty = usage(0, 0);
+    let accepted = (0..20).filter(|_| limits.admit(0, 0, empty, shedding).is_ok()).count();
+    assert_eq!(accepted, 5, "the burst");
+    assert_eq!(limits.admit(0, 0, empty, shedding), Err(Refusal::Rate));
+    assert_eq!(limits.admit(0, 1, empty, shedding), Ok(()), "another client is not limited");
+    let accepted = (0..1000).filter(|i| limits.admit(i * 10_000, 0, empty, shedding).is_ok()).count();
+    assert!((98..=105).contains(&accepted), "ten a second for ten seconds: {accepted}");
+    assert_eq!(limits.admit(0, 1, usage(100, 0), shedding), Err(Refusal::Room));
+    assert_eq!(limits.admit(0, 1, usage(0, 50), shedding), Err(Refusal::Room));
+    assert_eq!(
+        limits.admit(0, 1, usage(80, 45), shedding),
+        Err(Refusal::Share),
+        "with 20 free it may hold 40"
+    );
+    assert_eq!(
+        limits.admit(0, 0, usage(80, 10), shedding).err(),
+        Some(Refusal::Rate),
+        "another client is within its share"
+    );
+    limits.leave();
+    assert_eq!(limits.admit(0, 1, empty, shedding), Err(Refusal::Leaving));
 }
 
 #[test]
-fn fronts_and_connections_share_too() {
+fn fronts_and_connections_share_the_room() {
     let part = Part { rate: f64::INFINITY, burst: 1.0, weight: 1.0 };
-    let mut l = Limits::new(0, &[part, part, part], &[1.0, 1.0], 300, 300);
-    let by = |front, open, of_front| Held {
+    let mut limits = Limits::new(0, &[part, part, part], &[1.0, 1.0], 300, 300);
+    let on_front = |front, open, of_front| Held {
         open,
         of_client: 10,
         worth: 1.0,
         front: Some((front, of_front)),
         ..Held::default()
     };
-    assert_eq!(l.admit(0, 0, by(1, 200, 199), &mut false), Ok(()));
-    assert_eq!(l.admit(0, 1, by(1, 201, 200), &mut false), Err(Refusal::Share), "one front has two thirds");
-    assert_eq!(l.admit(0, 1, by(1, 201, 170), &mut false), Err(Refusal::Share), "it has to fall well below");
-    assert_eq!(l.admit(0, 1, by(0, 201, 2), &mut false), Ok(()), "the other has room");
-    assert_eq!(l.admit(0, 1, by(1, 201, 150), &mut false), Ok(()));
-    let among = |of_session, of_client| Held {
+    assert_eq!(limits.admit(0, 0, on_front(1, 200, 199), &mut false), Ok(()));
+    assert_eq!(
+        limits.admit(0, 1, on_front(1, 201, 200), &mut false),
+        Err(Refusal::Share),
+        "one front holds two thirds"
+    );
+    assert_eq!(
+        limits.admit(0, 1, on_front(1, 201, 170), &mut false),
+        Err(Refusal::Share),
+        "its usage must first fall well below"
+    );
+    assert_eq!(limits.admit(0, 1, on_front(0, 201, 2), &mut false), Ok(()), "the other front has room");
+    assert_eq!(limits.admit(0, 1, on_front(1, 201, 150), &mut false), Ok(()));
+    let on_session = |of_session, of_client| Held {
         open: 150,
         of_client,
         worth: 1.0,
@@ -48,8 +64,16 @@
         ..Held::default()
     };
     let shedding = &mut false;
-    assert_eq!(l.admit(0, 0, among(150, 150), shedding), Ok(()));
-    assert_eq!(l.admit(0, 0, among(240, 240), shedding), Err(Refusal::Share), "one connection has its part");
+    assert_eq!(limits.admit(0, 0, on_session(150, 150), shedding), Ok(()));
+    assert_eq!(
+        limits.admit(0, 0, on_session(240, 240), shedding),
+        Err(Refusal::Share),
+        "one connection exceeds its share"
+    );
     assert!(*shedding);
-    assert_eq!(l.admit(0, 0, among(0, 240), &mut false), Ok(()), "the other is let in");
+    assert_eq!(
+        limits.admit(0, 0, on_session(0, 240), &mut false),
+        Ok(()),
+        "the other connection is admitted"
+    );
 }
--- a/crates/engine/src/link/attribution.rs
+++ b/crates/engine/src/link/attribution.rs
@@ -10,17 +10,17 @@
 use std::collections::VecDeque;
 
 /// The time without further bytes after which an unconfirmed answer is confirmed.
-pub const CONFIRMATION: Micros = 400_000;
+pub const CONFIRMATION_DELAY: Micros = 400_000;
 /// The maximum number of different answers remembered for each connection.
-const REMEMBERED: usize = 16;
+const MAX_DIGESTS: usize = 16;
 
 /// How certain it is that an answer belongs to the open call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Attributed {
+pub enum Certainty {
     /// The answer belongs to the open call.
-    Surely,
+    Certain,
     /// The answer may be a copy of an earlier one.
-    Doubtfully,
+    Unconfirmed,
     /// This answer differs from the unconfirmed one before it, so that it may be the answer to the previous
     /// call.
     Shifted,
@@ -28,66 +28,66 @@
 
 /// The history of answers on one connection.
 #[derive(Debug, Default)]
-pub struct Attribution {
+pub struct AnswerHistory {
     /// Digests of the answers that name no call, with the latest at the end.
-    earlier: VecDeque<u64>,
+    recent_digests: VecDeque<u64>,
     /// The time until which a further answer may turn out to be the own answer of the call that got an
     /// unconfirmed one.
-    doubtful_until: Option<Micros>,
+    unconfirmed_until: Option<Micros>,
     /// Whether the unconfirmed answers differ from one another.
-    is_shifted: bool,
+    answers_differ: bool,
 }
 
-impl Attribution {
+impl AnswerHistory {
     /// Attributes an answer that has arrived.
-    pub fn attribute(&mut self, now: Micros, identity: Identity) -> Attributed {
-        let unsettled = self.is_unsettled(now);
+    pub fn attribute(&mut self, now: Micros, identity: Identity) -> Certainty {
+        let pending = self.has_unconfirmed(now);
         let digest = match identity {
-            Identity::Named => return Attributed::Surely,
-            Identity::Closing if unsettled => return Attributed::Shifted,
-            Identity::Closing => return Attributed::Surely,
+            Identity::Named => return Certainty::Certain,
+            Identity::Closing if pending => return Certainty::Shifted,
+            Identity::Closing => return Certainty::Certain,
             Identity::Plain(digest) => digest,
         };
-        let shifted = unsettled && !self.repeats_the_last(digest);
-        let doubtful = unsettled || self.earlier.contains(&digest);
-        self.earlier.retain(|earlier| *earlier != digest);
-        self.earlier.push_back(digest);
-        if self.earlier.len() > REMEMBERED {
-            self.earlier.pop_front();
+        let differs = pending && !self.equals_last(digest);
+        let unconfirmed = pending || self.recent_digests.contains(&digest);
+        self.recent_digests.retain(|known| *known != digest);
+        self.recent_digests.push_back(digest);
+        if self.recent_digests.len() > MAX_DIGESTS {
+            self.recent_digests.pop_front();
         }
-        if doubtful {
-            self.doubtful_until = Some(now + CONFIRMATION);
-            self.is_shifted = shifted || (unsettled && self.is_shifted);
+        if unconfirmed {
+            self.unconfirmed_until = Some(now + CONFIRMATION_DELAY);
+            self.answers_differ = differs || (pending && self.answers_differ);
         }
-        match (doubtful, shifted) {
-            (false, _) => Attributed::Surely,
-            (true, false) => Attributed::Doubtfully,
-            (true, true) => Attributed::Shifted,
+        match (unconfirmed, differs) {
+            (false, _) => Certainty::Certain,
+            (true, false) => Certainty::Unconfirmed,
+            (true, true) => Certainty::Shifted,
         }
     }
 
     /// Returns the time until which the last unconfirmed answer may be contradicted, if there was one.
-    pub fn unsettled_until(&self) -> Option<Micros> {
-        self.doubtful_until
+    pub fn unconfirmed_until(&self) -> Option<Micros> {
+        self.unconfirmed_until
     }
 
     /// Returns whether the last unconfirmed answer may still be contradicted.
-    pub fn is_unsettled(&self, now: Micros) -> bool {
-        self.doubtful_until.is_some_and(|until| now < until)
+    pub fn has_unconfirmed(&self, now: Micros) -> bool {
+        self.unconfirmed_until.is_some_and(|until| now < until)
     }
 
     /// Returns whether a surplus answer, received with no call in flight, has no effect. It has none if it
     /// equals all unconfirmed answers, because then it does not matter which of them is the copy.
-    pub fn changes_nothing(&self, digest: u64) -> bool {
-        !self.is_shifted && self.repeats_the_last(digest)
+    pub fn is_harmless_surplus(&self, digest: u64) -> bool {
+        !self.answers_differ && self.equals_last(digest)
     }
 
-    fn repeats_the_last(&self, digest: u64) -> bool {
-        self.earlier.back() == Some(&digest)
+    fn equals_last(&self, digest: u64) -> bool {
+        self.recent_digests.back() == Some(&digest)
     }
 
     /// Returns whether an answer arrived of which a copy may still follow.
     pub fn expects_copies(&self) -> bool {
-        !self.earlier.is_empty()
+        !self.recent_digests.is_empty()
     }
 }
--- a/crates/engine/src/link/http.rs
+++ b/crates/engine/src/link/http.rs
@@ -12,105 +12,109 @@
 use heronroute_http::{BATCH_TYPE, Batch, Item, Message, Reader, Side, write_request};
 use std::collections::VecDeque;
 
-const MOST_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
+/// An open request on the connection.
 #[derive(Debug)]
-enum Asked {
+enum Request {
     Call { call: u64, parts: Vec<usize> },
     Probe,
 }
 
+/// A connection to a receiver that speaks HTTP/1.1.
 #[derive(Debug)]
 pub struct HttpLink {
     reader: Reader,
     host: String,
-    agent: String,
+    user_agent: String,
     path: String,
     probe_path: String,
+    /// Whether calls have a protobuf body that can contain several messages.
     batches: bool,
     /// Requests without a response, in the order in which they were sent. Responses arrive in the same order.
-    asked: VecDeque<Asked>,
-    over: bool,
+    open_requests: VecDeque<Request>,
+    closed: bool,
 }
 
 impl HttpLink {
     pub fn new(kind: &KindConfig, host: String, sender: usize) -> Self {
         HttpLink {
-            reader: Reader::new(Side::Responses, MOST_BODY),
+            reader: Reader::new(Side::Responses, MAX_BODY_BYTES),
             host,
-            agent: format!("heronroute (sender-{sender})"),
+            user_agent: format!("heronroute (sender-{sender})"),
             path: kind.path.clone(),
             probe_path: kind.probe_path.clone(),
             batches: kind.batch > 1,
-            asked: VecDeque::new(),
-            over: false,
+            open_requests: VecDeque::new(),
+            closed: false,
         }
     }
 
-    fn pass_on(&mut self, events: &mut Vec<LinkEvent>) {
-        while !self.over {
+    fn handle_responses(&mut self, events: &mut Vec<LinkEvent>) {
+        while !self.closed {
             match self.reader.next_message() {
-                Ok(Some(m)) if (100..200).contains(&m.status()) => {}
-                Ok(Some(m)) => self.take(&m, events),
+                Ok(Some(response)) if (100..200).contains(&response.status()) => {}
+                Ok(Some(response)) => self.handle_response(&response, events),
                 Ok(None) => break,
                 Err(e) => {
-                    self.over = true;
+                    self.closed = true;
                     events.push(LinkEvent::Over(e.0));
                 }
             }
         }
     }
 
-    fn take(&mut self, m: &Message, events: &mut Vec<LinkEvent>) {
-        let reply = reply(m);
-        match self.asked.pop_front() {
-            Some(Asked::Call { call, parts }) => {
+    fn handle_response(&mut self, response: &Message, events: &mut Vec<LinkEvent>) {
+        let reply = reply(response);
+        match self.open_requests.pop_front() {
+            Some(Request::Call { call, parts }) => {
                 for part in parts {
                     events.push(LinkEvent::Answered { call, part, reply });
                 }
             }
-            Some(Asked::Probe) => events.push(LinkEvent::Probed(reply)),
+            Some(Request::Probe) => events.push(LinkEvent::Probed(reply)),
             None => {
                 // There is no open request, so it is unknown which request the next response would belong to.
-                self.over = true;
-                return events.push(LinkEvent::Over("a response that nobody asked for"));
+                self.closed = true;
+                return events.push(LinkEvent::Over("received a response without an open request"));
             }
         }
-        if m.last {
-            self.over = true;
-            events.push(LinkEvent::Over("the receiver closes"));
+        if response.last {
+            self.closed = true;
+            events.push(LinkEvent::Over("the receiver closes the connection"));
         }
     }
 }
 
-fn reply(m: &Message) -> Reply {
-    let outcome = match m.status() {
+fn reply(response: &Message) -> Reply {
+    let outcome = match response.status() {
         200..300 => Outcome::Done,
         429 | 503 => Outcome::Busy,
         _ => Outcome::Error,
     };
-    let wait = m.retry_after().map_or(0, |s| (s * 1e6) as Micros);
+    let wait = response.retry_after().map_or(0, |s| (s * 1e6) as Micros);
     Reply {
         outcome,
         wait: if outcome == Outcome::Busy { wait } else { 0 },
         over: outcome == Outcome::Done,
-        report: report(m),
+        report: report(response),
     }
 }
 
 /// Reads `RateLimit-Limit`, `RateLimit-Remaining` and the window of `RateLimit-Policy` (`100;w=1`).
-fn report(m: &Message) -> Option<Report> {
-    let figure = |name: &str| {
-        let value = m.field(name)?.split([',', ';']).next()?.trim().parse::<f64>().ok()?;
+fn report(response: &Message) -> Option<Report> {
+    let number = |name: &str| {
+        let value = response.field(name)?.split([',', ';']).next()?.trim().parse::<f64>().ok()?;
         (value.is_finite() && value >= 0.0).then_some(value)
     };
-    let limit = figure("ratelimit-limit").or_else(|| figure("ratelimit-policy"));
-    let left = figure("ratelimit-remaining");
-    let window = m.field("ratelimit-policy").and_then(|p| {
+    let limit = number("ratelimit-limit").or_else(|| number("ratelimit-policy"));
+    let remaining = number("ratelimit-remaining");
+    let window = response.field("ratelimit-policy").and_then(|p| {
         let w = p.split(';').find_map(|part| part.trim().strip_prefix("w="))?;
         w.trim().parse::<f64>().ok().filter(|w| *w > 0.0)
     });
-    let share = left.zip(limit).filter(|(_, limit)| *limit > 0.0).map(|(left, limit)| left / limit);
+    let share =
+        remaining.zip(limit).filter(|(_, limit)| *limit > 0.0).map(|(remaining, limit)| remaining / limit);
     let rate = limit.zip(window).map(|(limit, window)| limit / window);
     (share.is_some() || rate.is_some()).then_some(Report { left: share, limit: rate })
 }
@@ -120,9 +124,9 @@
         events.push(LinkEvent::Ready);
     }
 
-    fn send(&mut self, _: Micros, call: u64, cargo: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
-        let from = stream.position();
-        if self.batches || cargo.len() != 1 {
+    fn send(&mut self, _: Micros, call: u64, messages: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
+        let start = stream.position();
+        if self.batches || messages.len() != 1 {
             let item = |c: &Cargo<'_>| Item {
                 id: c.id.clone(),
                 class: c.class.to_string(),
@@ -131,30 +135,31 @@
                 key: c.submission.key.clone().unwrap_or_default(),
                 body: c.submission.body.clone(),
             };
-            let body = Batch { message: cargo.iter().map(item).collect() }.encode_to_vec();
-            let fields = [("content-type", BATCH_TYPE), ("user-agent", &self.agent)];
+            let body = Batch { message: messages.iter().map(item).collect() }.encode_to_vec();
+            let fields = [("content-type", BATCH_TYPE), ("user-agent", &self.user_agent)];
             write_request("POST", &self.path, &self.host, &fields, &body, &mut stream.out);
         } else {
-            let c = &cargo[0];
-            let s = c.submission;
+            let message = &messages[0];
+            let submission = message.submission;
             let mut fields = vec![
-                ("user-agent", self.agent.as_str()),
+                ("user-agent", self.user_agent.as_str()),
                 ("content-type", "application/octet-stream"),
-                ("message-id", &c.id),
-                ("message-class", c.class),
-                ("source-address", &s.source),
-                ("destination-address", &s.destination),
+                ("message-id", &message.id),
+                ("message-class", message.class),
+                ("source-address", &submission.source),
+                ("destination-address", &submission.destination),
             ];
-            if let Some(key) = &s.key {
+            if let Some(key) = &submission.key {
                 fields.push(("message-key", key));
             }
-            if c.guarded {
-                fields.push(("idempotency-key", &c.id));
+            if message.guarded {
+                fields.push(("idempotency-key", &message.id));
             }
-            write_request("POST", &self.path, &self.host, &fields, &s.body, &mut stream.out);
+            write_request("POST", &self.path, &self.host, &fields, &submission.body, &mut stream.out);
         }
-        self.asked.push_back(Asked::Call { call, parts: cargo.iter().map(|c| c.part).collect() });
-        vec![(from, stream.position()); cargo.len()]
+        self.open_requests
+            .push_back(Request::Call { call, parts: messages.iter().map(|c| c.part).collect() });
+        vec![(start, stream.position()); messages.len()]
     }
 
     fn probe(&mut self, _: Micros, stream: &mut Stream) {
@@ -162,38 +167,40 @@
             "GET",
             &self.probe_path,
             &self.host,
-            &[("user-agent", &self.agent)],
+            &[("user-agent", &self.user_agent)],
             b"",
             &mut stream.out,
         );
-        self.asked.push_back(Asked::Probe);
+        self.open_requests.push_back(Request::Probe);
     }
 
-    fn receive(&mut self, _: Micros, octets: &[u8], _: &mut Stream, events: &mut Vec<LinkEvent>) {
-        self.reader.push(octets);
-        self.pass_on(events);
+    fn receive(&mut self, _: Micros, bytes: &[u8], _: &mut Stream, events: &mut Vec<LinkEvent>) {
+        self.reader.push(bytes);
+        self.handle_responses(events);
         // The beginning of a second copy would be taken, together with its rest, for the answer to the next
         // call.
-        if !self.over && self.asked.is_empty() && self.reader.begun() {
-            self.over = true;
-            events.push(LinkEvent::Over("octets that nobody asked for"));
+        if !self.closed && self.open_requests.is_empty() && self.reader.begun() {
+            self.closed = true;
+            events.push(LinkEvent::Over("received bytes without an open request"));
         }
     }
 
     fn ended(&mut self, _: Micros, events: &mut Vec<LinkEvent>) {
         self.reader.end();
-        self.pass_on(events);
-        if !self.over {
-            self.over = true;
+        self.handle_responses(events);
+        if !self.closed {
+            self.closed = true;
             events.push(LinkEvent::Over("closed by the receiver"));
         }
     }
 
     fn forget(&mut self, call: u64, part: usize, unsent: bool) {
-        let mine = |a: &Asked| matches!(a, Asked::Call { call: c, .. } if *c == call);
+        let is_call = |request: &Request| matches!(request, Request::Call { call: c, .. } if *c == call);
         if unsent {
-            self.asked.retain(|a| !mine(a));
-        } else if let Some(Asked::Call { parts, .. }) = self.asked.iter_mut().find(|a| mine(a)) {
+            self.open_requests.retain(|request| !is_call(request));
+        } else if let Some(Request::Call { parts, .. }) =
+            self.open_requests.iter_mut().find(|request| is_call(request))
+        {
             parts.retain(|p| *p != part);
         }
     }
--- a/crates/engine/src/link/http/tests.rs
+++ b/crates/engine/src/link/http/tests.rs
@@ -4,7 +4,7 @@
 use heronroute_config::Protocol;
 
 #[test]
-fn what_comes_while_nothing_is_asked_ends_the_connection_from_its_first_octet_on() {
+fn unrequested_bytes_close_the_connection() {
     let (name, path) = ("k".to_string(), "/m".to_string());
     let kind = KindConfig {
         name,
--- a/crates/engine/src/link/mod.rs
+++ b/crates/engine/src/link/mod.rs
@@ -9,7 +9,7 @@
 mod platform;
 mod smpp;
 
-pub use attribution::CONFIRMATION;
+pub use attribution::CONFIRMATION_DELAY;
 
 use crate::Micros;
 use crate::stream::Stream;
@@ -77,9 +77,9 @@
     Contradicted,
     /// Each unconfirmed answer, including the one whose event follows, may belong to the call before its own.
     /// The connection takes no calls until they are confirmed.
-    Rests,
+    PauseUntilConfirmed,
     /// An answer that has not arrived completely announces a wait.
-    Waits(Micros),
+    WaitAnnounced(Micros),
     /// The connection takes no more calls. Answers to the calls on it are still accepted.
     Spent,
     /// A probe was answered.
@@ -93,11 +93,17 @@
     /// Handles an established connection: writes the protocol's opening messages, if any.
     fn open(&mut self, now: Micros, stream: &mut Stream, events: &mut Vec<LinkEvent>);
     /// Writes a call. Returns the start and end position of each message in the stream.
-    fn send(&mut self, now: Micros, call: u64, cargo: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)>;
+    fn send(
+        &mut self,
+        now: Micros,
+        call: u64,
+        messages: &[Cargo<'_>],
+        stream: &mut Stream,
+    ) -> Vec<(u64, u64)>;
     /// Writes a probe.
     fn probe(&mut self, now: Micros, stream: &mut Stream);
     /// Handles received bytes.
-    fn receive(&mut self, now: Micros, octets: &[u8], stream: &mut Stream, events: &mut Vec<LinkEvent>);
+    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<LinkEvent>);
     /// Handles the end of the connection by the receiver.
     fn ended(&mut self, now: Micros, events: &mut Vec<LinkEvent>);
     /// Stops waiting for the answer to a message; if it arrives, it is ignored. `unsent` says that the
@@ -109,7 +115,7 @@
         false
     }
     /// Returns the time until which unconfirmed answers may be contradicted, if there are any.
-    fn unsettled_until(&self) -> Option<Micros> {
+    fn unconfirmed_until(&self) -> Option<Micros> {
         None
     }
     /// Writes the protocol's closing messages, if any, before an orderly close.
@@ -125,16 +131,16 @@
 
 /// The maximum total size of messages that share a call, in bytes: the body limit of a call to the platform's
 /// endpoints.
-pub const MOST_OCTETS: usize = 64 * 1024;
+pub const MAX_CALL_BYTES: usize = 64 * 1024;
 
-/// Returns how much of [`MOST_OCTETS`] a message uses, or 0 if its protocol has no such limit.
-pub fn size(kind: &KindConfig, submission: &Submission) -> usize {
+/// Returns how much of [`MAX_CALL_BYTES`] a message uses, or 0 if its protocol has no such limit.
+pub fn size_in_call(kind: &KindConfig, submission: &Submission) -> usize {
     match kind.protocol {
         Protocol::Platform => {
-            let name = |n: &Option<String>| n.as_ref().map_or(0, String::len);
+            let length = |n: &Option<String>| n.as_ref().map_or(0, String::len);
             heronroute_platform::call::max_batch_entry_size(
-                name(&submission.identity),
-                name(&submission.key),
+                length(&submission.identity),
+                length(&submission.key),
                 submission.body.len(),
             )
         }
--- a/crates/engine/src/link/platform.rs
+++ b/crates/engine/src/link/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's endpoints: one call at a time on each connection. `heronroute_platform::call` defines what
 //! an answer proves.
 
-use super::attribution::{Attributed, Attribution, CONFIRMATION};
+use super::attribution::{AnswerHistory, CONFIRMATION_DELAY, Certainty};
 use super::{Cargo, Link, LinkEvent, Reply};
 use crate::Micros;
 use crate::stream::Stream;
@@ -13,71 +13,71 @@
 #[derive(Debug)]
 pub struct PlatformLink {
     host: String,
-    answers: AnswerReader,
+    answer_reader: AnswerReader,
     /// Recognizes answers that may be copies of earlier ones.
-    attribution: Attribution,
+    answer_history: AnswerHistory,
     /// How long to wait for the end of an answer with status 200 that has begun where a copy may arrive.
-    end_awaited_until: Option<Micros>,
+    answer_end_deadline: Option<Micros>,
     /// The number of the open call and the indices of its messages. None for a probe.
-    out: Option<(u64, Vec<usize>)>,
+    open_call: Option<(u64, Vec<usize>)>,
     /// The start position of the last request in the stream.
-    from: u64,
+    request_start: u64,
 }
 
 impl PlatformLink {
     pub fn new(host: String) -> Self {
         PlatformLink {
             host,
-            answers: AnswerReader::default(),
-            attribution: Attribution::default(),
-            end_awaited_until: None,
-            out: None,
-            from: 0,
+            answer_reader: AnswerReader::default(),
+            answer_history: AnswerHistory::default(),
+            answer_end_deadline: None,
+            open_call: None,
+            request_start: 0,
         }
     }
 
     /// Turns an event of the answer reader into link events.
-    fn pass_on(&mut self, now: Micros, event: Option<AnswerEvent>, events: &mut Vec<LinkEvent>) {
+    fn handle_answer_event(&mut self, now: Micros, event: Option<AnswerEvent>, events: &mut Vec<LinkEvent>) {
         match event {
             Some(AnswerEvent::Answered { outcomes, unusable }) => {
-                self.end_awaited_until = None;
+                self.answer_end_deadline = None;
                 if unusable {
                     events.push(LinkEvent::Spent);
                 }
-                let identity = self.answers.take_identity();
-                let attributed = identity.map(|i| self.attribution.attribute(now, i));
-                let attributed = attributed.unwrap_or(Attributed::Surely);
-                if attributed == Attributed::Shifted {
-                    events.push(LinkEvent::Rests);
+                let identity = self.answer_reader.take_identity();
+                let certainty = identity.map(|i| self.answer_history.attribute(now, i));
+                let certainty = certainty.unwrap_or(Certainty::Certain);
+                if certainty == Certainty::Shifted {
+                    events.push(LinkEvent::PauseUntilConfirmed);
                 }
-                let doubtful = attributed != Attributed::Surely;
-                self.pass_on_outcomes(&outcomes, doubtful, events);
-                if doubtful && self.answers.has_begun() {
+                let unconfirmed = certainty != Certainty::Certain;
+                self.push_replies(&outcomes, unconfirmed, events);
+                if unconfirmed && self.answer_reader.has_begun() {
                     self.receive_surplus(now, b"", events);
                 }
             }
-            Some(AnswerEvent::RetryAfter(wait)) => events.push(LinkEvent::Waits(wait)),
+            Some(AnswerEvent::RetryAfter(wait)) => events.push(LinkEvent::WaitAnnounced(wait)),
             Some(AnswerEvent::Unusable(why)) => events.push(LinkEvent::Over(why)),
-            None if self.answers.has_begun_200() => {
-                self.end_awaited_until.get_or_insert(now + CONFIRMATION);
+            None if self.answer_reader.has_begun_200() => {
+                self.answer_end_deadline.get_or_insert(now + CONFIRMATION_DELAY);
             }
             None => {}
         }
     }
 
-    fn pass_on_outcomes(&mut self, outcomes: &[MessageOutcome], doubtful: bool, events: &mut Vec<LinkEvent>) {
+    fn push_replies(&mut self, outcomes: &[MessageOutcome], unconfirmed: bool, events: &mut Vec<LinkEvent>) {
         let reply = |message: &MessageOutcome| Reply {
             outcome: message.outcome,
             wait: message.retry_after,
             over: message.is_final,
             report: None,
         };
-        let Some((call, parts)) = self.out.take() else {
+        let Some((call, parts)) = self.open_call.take() else {
             return events.extend(outcomes.first().map(|message| LinkEvent::Probed(reply(message))));
         };
         for (part, message) in parts.into_iter().zip(outcomes) {
             let reply = reply(message);
-            events.push(if doubtful {
+            events.push(if unconfirmed {
                 LinkEvent::AnsweredDoubtfully { call, part, reply }
             } else {
                 LinkEvent::Answered { call, part, reply }
@@ -87,30 +87,30 @@
 
     /// Handles bytes that belong to no open call. After an unconfirmed answer they show which call it
     /// belonged to: a repeat of the same answer has no effect, and any other answer is the call's own.
-    fn receive_surplus(&mut self, now: Micros, octets: &[u8], events: &mut Vec<LinkEvent>) {
-        tracing::debug!(now, octets = octets.len(), "octets behind a doubtful answer");
-        if !self.attribution.is_unsettled(now) {
-            return events.push(LinkEvent::Over("octets that nobody asked for"));
+    fn receive_surplus(&mut self, now: Micros, bytes: &[u8], events: &mut Vec<LinkEvent>) {
+        tracing::debug!(now, octets = bytes.len(), "received bytes after an unconfirmed answer");
+        if !self.answer_history.has_unconfirmed(now) {
+            return events.push(LinkEvent::Over("received bytes without an open request"));
         }
-        match self.answers.receive_surplus(octets) {
-            Ok(digests) if digests.iter().all(|d| self.attribution.changes_nothing(*d)) => {
+        match self.answer_reader.receive_surplus(bytes) {
+            Ok(digests) if digests.iter().all(|d| self.answer_history.is_harmless_surplus(*d)) => {
                 events.push(LinkEvent::Spent);
             }
-            _ => self.end_contradicted(now, events),
+            _ => self.close_contradicted(now, events),
         }
     }
 
     /// Ends the use of the connection, because an answer to an earlier call arrived.
-    fn end_contradicted(&mut self, now: Micros, events: &mut Vec<LinkEvent>) {
-        if self.attribution.is_unsettled(now) {
+    fn close_contradicted(&mut self, now: Micros, events: &mut Vec<LinkEvent>) {
+        if self.answer_history.has_unconfirmed(now) {
             events.push(LinkEvent::Contradicted);
         }
-        events.push(LinkEvent::Over("an answer to an earlier call"));
+        events.push(LinkEvent::Over("received an answer to an earlier call"));
     }
 
     /// Returns whether part of the request is unsent, so that nothing can have answered it.
     fn is_partly_written(&self, stream: &Stream) -> bool {
-        self.answers.awaits_answer() && !stream.out.is_empty()
+        self.answer_reader.awaits_answer() && !stream.out.is_empty()
     }
 }
 
@@ -119,16 +119,16 @@
         events.push(LinkEvent::Ready);
     }
 
-    fn send(&mut self, _: Micros, call: u64, cargo: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
-        let from = stream.position();
-        self.from = from;
-        let mut cargo: Vec<&Cargo<'_>> = cargo.iter().collect();
+    fn send(&mut self, _: Micros, call: u64, messages: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
+        let start = stream.position();
+        self.request_start = start;
+        let mut messages: Vec<&Cargo<'_>> = messages.iter().collect();
         // The message that is waited for longest comes first, and its wait is the call's. An endpoint may
         // measure the time of a late answer by the message that is named first, and the answer would then
         // count for none of the call's messages.
-        cargo.sort_by_key(|c| Reverse(c.wait));
+        messages.sort_by_key(|c| Reverse(c.wait));
         // Any key is sent; only guarded classes have one.
-        let items: Vec<OutgoingMessage<'_>> = cargo
+        let items: Vec<OutgoingMessage<'_>> = messages
             .iter()
             .map(|c| OutgoingMessage {
                 id: &c.id,
@@ -136,49 +136,50 @@
                 body: &c.submission.body,
             })
             .collect();
-        let wait = cargo.first().map_or(0, |c| c.wait);
+        let wait = messages.first().map_or(0, |c| c.wait);
         write_call(&items, wait, &self.host, &mut stream.out);
-        self.answers.request_sent(cargo.iter().map(|c| c.id.clone()).collect());
-        self.out = Some((call, cargo.iter().map(|c| c.part).collect()));
-        vec![(from, stream.position()); cargo.len()]
+        self.answer_reader.request_sent(messages.iter().map(|c| c.id.clone()).collect());
+        self.open_call = Some((call, messages.iter().map(|c| c.part).collect()));
+        vec![(start, stream.position()); messages.len()]
     }
 
     fn probe(&mut self, _: Micros, stream: &mut Stream) {
-        self.from = stream.position();
+        self.request_start = stream.position();
         write_request("GET", "/ping", &self.host, &[], b"", &mut stream.out);
-        self.answers.request_sent(Vec::new());
-        self.out = None;
+        self.answer_reader.request_sent(Vec::new());
+        self.open_call = None;
     }
 
-    fn receive(&mut self, now: Micros, octets: &[u8], stream: &mut Stream, events: &mut Vec<LinkEvent>) {
+    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<LinkEvent>) {
         // A second copy of an earlier answer would be taken for the answer to this call, of which not
         // everything has been sent.
-        let early = self.unbegun(stream) || (self.is_partly_written(stream) && !self.answers.is_new());
-        if early {
-            return self.end_contradicted(now, events);
+        let premature =
+            self.unbegun(stream) || (self.is_partly_written(stream) && !self.answer_reader.is_new());
+        if premature {
+            return self.close_contradicted(now, events);
         }
-        if !self.answers.awaits_answer() && self.attribution.is_unsettled(now) {
-            return self.receive_surplus(now, octets, events);
+        if !self.answer_reader.awaits_answer() && self.answer_history.has_unconfirmed(now) {
+            return self.receive_surplus(now, bytes, events);
         }
-        self.answers.wait_for_the_end(self.attribution.expects_copies());
-        let event = self.answers.receive(octets, false);
-        self.pass_on(now, event, events);
+        self.answer_reader.wait_for_the_end(self.answer_history.expects_copies());
+        let event = self.answer_reader.receive(bytes, false);
+        self.handle_answer_event(now, event, events);
     }
 
     fn ended(&mut self, now: Micros, events: &mut Vec<LinkEvent>) {
-        let event = self.answers.receive(b"", true);
-        self.pass_on(now, event, events);
+        let event = self.answer_reader.receive(b"", true);
+        self.handle_answer_event(now, event, events);
     }
 
     fn forget(&mut self, _: u64, _: usize, unsent: bool) {
         if unsent {
-            self.out = None;
-            self.answers.request_withdrawn();
+            self.open_call = None;
+            self.answer_reader.request_withdrawn();
         }
     }
 
     fn unbegun(&self, stream: &Stream) -> bool {
-        stream.sent <= self.from && stream.position() > self.from
+        stream.sent <= self.request_start && stream.position() > self.request_start
     }
 
     fn close(&mut self, _: Micros, _: &mut Stream) {}
@@ -188,19 +189,19 @@
         stream.out.clear();
     }
 
-    fn unsettled_until(&self) -> Option<Micros> {
-        self.attribution.unsettled_until()
+    fn unconfirmed_until(&self) -> Option<Micros> {
+        self.answer_history.unconfirmed_until()
     }
 
     fn wake(&self) -> Micros {
-        self.end_awaited_until.unwrap_or(Micros::MAX)
+        self.answer_end_deadline.unwrap_or(Micros::MAX)
     }
 
     fn tick(&mut self, now: Micros, _: &mut Stream, events: &mut Vec<LinkEvent>) {
-        if self.end_awaited_until.is_some_and(|until| until <= now) {
-            self.end_awaited_until = None;
-            let event = self.answers.give_up_the_end();
-            self.pass_on(now, event, events);
+        if self.answer_end_deadline.is_some_and(|until| until <= now) {
+            self.answer_end_deadline = None;
+            let event = self.answer_reader.give_up_the_end();
+            self.handle_answer_event(now, event, events);
         }
     }
 }
--- a/crates/engine/src/link/smpp.rs
+++ b/crates/engine/src/link/smpp.rs
@@ -15,6 +15,7 @@
 use rusmpp_core::tlvs::owned::{Tlv, TlvValue};
 use std::collections::BTreeMap;
 
+/// A connection to a receiver that speaks SMPP.
 #[derive(Debug)]
 pub struct SmppLink {
     session: Session,
@@ -22,8 +23,9 @@
     password: String,
     system_type: String,
     /// The message of each open request, by sequence number.
-    out: BTreeMap<u32, (u64, usize)>,
-    by_part: BTreeMap<(u64, usize), u32>,
+    open_requests: BTreeMap<u32, (u64, usize)>,
+    sequence_by_part: BTreeMap<(u64, usize), u32>,
+    /// The sequence number of the open probe.
     probe: Option<u32>,
     events: Vec<Event>,
 }
@@ -36,21 +38,21 @@
             password: kind.password.clone(),
             // Receivers can tell the senders apart by the system_type.
             system_type: format!("sender-{sender}"),
-            out: BTreeMap::new(),
-            by_part: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
+            sequence_by_part: BTreeMap::new(),
             probe: None,
             events: Vec::new(),
         }
     }
 
-    fn pass_on(&mut self, events: &mut Vec<LinkEvent>) {
+    fn handle_session_events(&mut self, events: &mut Vec<LinkEvent>) {
         for event in self.events.drain(..) {
             match event {
                 Event::Bound => events.push(LinkEvent::Ready),
                 Event::BindRefused(_) => events.push(LinkEvent::Over("bind refused")),
                 Event::Response { sequence, status, tlvs, .. } => {
-                    if let Some((call, part)) = self.out.remove(&sequence) {
-                        self.by_part.remove(&(call, part));
+                    if let Some((call, part)) = self.open_requests.remove(&sequence) {
+                        self.sequence_by_part.remove(&(call, part));
                         events.push(LinkEvent::Answered { call, part, reply: reply(status, &tlvs) });
                     }
                 }
@@ -60,7 +62,7 @@
                         events.push(LinkEvent::Probed(reply(status, &[])));
                     }
                 }
-                // Nothing asked for it, so it says nothing about any of the sender's messages.
+                // They answer no request, so they say nothing about the sender's messages.
                 Event::Stray(_) | Event::Delivered(_) => {}
                 Event::Unbound => events.push(LinkEvent::Over("unbound by the receiver")),
                 Event::Ended(why) => events.push(LinkEvent::Over(why)),
@@ -77,11 +79,11 @@
         _ => Outcome::Error,
     };
     let wait = tags::find_u32(tlvs, tags::WAIT).map_or(0, |ms| Micros::from(ms) * 1_000);
-    let load = tlvs.iter().find_map(|t| match t.value() {
+    let congestion = tlvs.iter().find_map(|t| match t.value() {
         Some(TlvValue::CongestionState(c)) => Some(u8::from(*c)),
         _ => None,
     });
-    let left = load.map(|l| 1.0 - f64::from(l.min(100)) / 100.0);
+    let left = congestion.map(|load| 1.0 - f64::from(load.min(100)) / 100.0);
     let report = left.map(|left| Report { left: Some(left), limit: None });
     Reply {
         outcome,
@@ -93,21 +95,27 @@
 
 impl Link for SmppLink {
     fn open(&mut self, now: Micros, stream: &mut Stream, _: &mut Vec<LinkEvent>) {
-        let (id, proof, kind) = (&self.system_id, &self.password, &self.system_type);
-        self.session.send_bind(now, Mode::Transceiver, id, proof, kind, &mut stream.out);
+        let (system_id, password, system_type) = (&self.system_id, &self.password, &self.system_type);
+        self.session.send_bind(now, Mode::Transceiver, system_id, password, system_type, &mut stream.out);
     }
 
-    fn send(&mut self, now: Micros, call: u64, cargo: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
-        let mut ranges = Vec::with_capacity(cargo.len());
-        for c in cargo {
-            let from = stream.position();
-            let mut sm = c.submission.submit(Some(&c.id));
+    fn send(
+        &mut self,
+        now: Micros,
+        call: u64,
+        messages: &[Cargo<'_>],
+        stream: &mut Stream,
+    ) -> Vec<(u64, u64)> {
+        let mut ranges = Vec::with_capacity(messages.len());
+        for message in messages {
+            let start = stream.position();
+            let mut request = message.submission.submit(Some(&message.id));
             // The receiver's own receipts and modes are not requested, because its response is the outcome.
-            sm.registered_delivery = Default::default();
-            let sequence = self.session.request(now, sm, &mut stream.out);
-            self.out.insert(sequence, (call, c.part));
-            self.by_part.insert((call, c.part), sequence);
-            ranges.push((from, stream.position()));
+            request.registered_delivery = Default::default();
+            let sequence = self.session.request(now, request, &mut stream.out);
+            self.open_requests.insert(sequence, (call, message.part));
+            self.sequence_by_part.insert((call, message.part), sequence);
+            ranges.push((start, stream.position()));
         }
         ranges
     }
@@ -116,9 +124,9 @@
         self.probe = Some(self.session.enquire(now, &mut stream.out));
     }
 
-    fn receive(&mut self, now: Micros, octets: &[u8], stream: &mut Stream, events: &mut Vec<LinkEvent>) {
-        self.session.receive(now, octets, &mut stream.out, &mut self.events);
-        self.pass_on(events);
+    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<LinkEvent>) {
+        self.session.receive(now, bytes, &mut stream.out, &mut self.events);
+        self.handle_session_events(events);
     }
 
     fn ended(&mut self, _: Micros, events: &mut Vec<LinkEvent>) {
@@ -126,8 +134,8 @@
     }
 
     fn forget(&mut self, call: u64, part: usize, _: bool) {
-        if let Some(sequence) = self.by_part.remove(&(call, part)) {
-            self.out.remove(&sequence);
+        if let Some(sequence) = self.sequence_by_part.remove(&(call, part)) {
+            self.open_requests.remove(&sequence);
             self.session.forget(sequence);
         }
     }
@@ -144,6 +152,6 @@
 
     fn tick(&mut self, now: Micros, stream: &mut Stream, events: &mut Vec<LinkEvent>) {
         self.session.tick(now, &mut stream.out, &mut self.events);
-        self.pass_on(events);
+        self.handle_session_events(events);
     }
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -11,34 +11,34 @@
 pub type ConnNumber = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Member {
+struct PooledConnection {
     conn: ConnNumber,
     ready: bool,
     /// Whether it takes no more calls. One of its calls got no answer, so that it may be dead or blocked.
-    suspect: bool,
+    retired: bool,
     /// Whether it takes no calls for a while.
-    rests: bool,
+    paused: bool,
     calls: usize,
 }
 
 /// The connections to one endpoint.
 #[derive(Debug, Default)]
 pub struct Pool {
-    members: Vec<Member>,
+    connections: Vec<PooledConnection>,
     /// Calls that wait for a connection.
     waiting: VecDeque<u64>,
     /// Whether a probe waits for a connection.
-    pub probe_waits: bool,
+    pub probe_waiting: bool,
 }
 
 impl Pool {
     /// Adds a call to those that wait for a connection.
-    pub fn queue(&mut self, call: u64) {
+    pub fn enqueue(&mut self, call: u64) {
         self.waiting.push_back(call);
     }
 
     /// Returns the calls that wait for a connection.
-    pub fn waiting(&self) -> Vec<u64> {
+    pub fn waiting_calls(&self) -> Vec<u64> {
         self.waiting.iter().copied().collect()
     }
 
@@ -51,70 +51,77 @@
 
     /// Assigns the next waiting call to the ready connection with the fewest calls. Returns both, or nothing
     /// if no connection has room.
-    pub fn place(&mut self, window: usize) -> Option<(u64, ConnNumber)> {
+    pub fn assign_next(&mut self, window: usize) -> Option<(u64, ConnNumber)> {
         self.waiting.front()?;
-        let open = self.members.iter_mut().filter(|m| m.ready && !m.suspect && !m.rests && m.calls < window);
-        let best = open.min_by_key(|m| m.calls)?;
+        let open =
+            self.connections.iter_mut().filter(|c| c.ready && !c.retired && !c.paused && c.calls < window);
+        let best = open.min_by_key(|c| c.calls)?;
         best.calls += 1;
         let conn = best.conn;
         self.waiting.pop_front().map(|call| (call, conn))
     }
 
     /// Returns how many further connections must be opened.
-    pub fn wanted(&self, window: usize) -> usize {
-        let coming = self.members.iter().filter(|m| !m.ready && !m.suspect).count();
-        let need = self.waiting.len().div_ceil(window.max(1)).max(usize::from(self.probe_waits));
-        need.saturating_sub(coming)
+    pub fn missing_connections(&self, window: usize) -> usize {
+        let connecting = self.connections.iter().filter(|c| !c.ready && !c.retired).count();
+        let needed = self.waiting.len().div_ceil(window.max(1)).max(usize::from(self.probe_waiting));
+        needed.saturating_sub(connecting)
     }
 
     /// Adds a connection that is being opened.
-    pub fn opening(&mut self, conn: ConnNumber) {
-        self.members.push(Member { conn, ready: false, suspect: false, rests: false, calls: 0 });
+    pub fn add_connecting(&mut self, conn: ConnNumber) {
+        self.connections.push(PooledConnection {
+            conn,
+            ready: false,
+            retired: false,
+            paused: false,
+            calls: 0,
+        });
     }
 
     /// Marks a connection as ready for calls.
-    pub fn ready(&mut self, conn: ConnNumber) {
-        self.members.iter_mut().filter(|m| m.conn == conn).for_each(|m| m.ready = true);
+    pub fn mark_ready(&mut self, conn: ConnNumber) {
+        self.connections.iter_mut().filter(|c| c.conn == conn).for_each(|c| c.ready = true);
     }
 
     /// Assigns no more calls to a connection.
-    pub fn suspect(&mut self, conn: ConnNumber) {
-        self.members.iter_mut().filter(|m| m.conn == conn).for_each(|m| m.suspect = true);
+    pub fn retire(&mut self, conn: ConnNumber) {
+        self.connections.iter_mut().filter(|c| c.conn == conn).for_each(|c| c.retired = true);
     }
 
-    /// Assigns no calls to a connection until [`Pool::rested`] is called.
-    pub fn rest(&mut self, conn: ConnNumber) {
-        self.members.iter_mut().filter(|m| m.conn == conn).for_each(|m| m.rests = true);
+    /// Assigns no calls to a connection until [`Pool::resume`] is called.
+    pub fn pause(&mut self, conn: ConnNumber) {
+        self.connections.iter_mut().filter(|c| c.conn == conn).for_each(|c| c.paused = true);
     }
 
     /// Lets a paused connection take calls again.
-    pub fn rested(&mut self, conn: ConnNumber) {
-        self.members.iter_mut().filter(|m| m.conn == conn).for_each(|m| m.rests = false);
+    pub fn resume(&mut self, conn: ConnNumber) {
+        self.connections.iter_mut().filter(|c| c.conn == conn).for_each(|c| c.paused = false);
     }
 
     /// Records that a call on a connection has ended. Returns whether the connection must be closed, because
     /// it takes no more calls and carries none.
-    pub fn finished(&mut self, conn: ConnNumber) -> bool {
-        let Some(m) = self.members.iter_mut().find(|m| m.conn == conn) else { return false };
-        m.calls = m.calls.saturating_sub(1);
-        m.suspect && m.calls == 0
+    pub fn finish_call(&mut self, conn: ConnNumber) -> bool {
+        let Some(connection) = self.connections.iter_mut().find(|c| c.conn == conn) else { return false };
+        connection.calls = connection.calls.saturating_sub(1);
+        connection.retired && connection.calls == 0
     }
 
     /// Returns whether a connection takes no more calls and carries none.
-    pub fn is_spent(&self, conn: ConnNumber) -> bool {
-        self.members.iter().any(|m| m.conn == conn && m.suspect && m.calls == 0)
+    pub fn is_closable(&self, conn: ConnNumber) -> bool {
+        self.connections.iter().any(|c| c.conn == conn && c.retired && c.calls == 0)
     }
 
     /// Returns the number of calls on a connection.
-    pub fn calls(&self, conn: ConnNumber) -> usize {
-        self.members.iter().find(|m| m.conn == conn).map_or(0, |m| m.calls)
+    pub fn call_count(&self, conn: ConnNumber) -> usize {
+        self.connections.iter().find(|c| c.conn == conn).map_or(0, |c| c.calls)
     }
 
     /// Removes a connection. If it never became ready, returns the waiting calls that it was opened for,
     /// which certainly did not run.
-    pub fn gone(&mut self, conn: ConnNumber, window: usize) -> Vec<u64> {
-        let Some(at) = self.members.iter().position(|m| m.conn == conn) else { return Vec::new() };
-        let was_ready = self.members.swap_remove(at).ready;
+    pub fn remove(&mut self, conn: ConnNumber, window: usize) -> Vec<u64> {
+        let Some(index) = self.connections.iter().position(|c| c.conn == conn) else { return Vec::new() };
+        let was_ready = self.connections.swap_remove(index).ready;
         if was_ready {
             return Vec::new();
         }
@@ -123,29 +130,30 @@
     }
 
     /// Returns the ready connections without a call.
-    pub fn idle(&self) -> Vec<ConnNumber> {
-        self.members.iter().filter(|m| m.ready && m.calls == 0).map(|m| m.conn).collect()
+    pub fn idle_connections(&self) -> Vec<ConnNumber> {
+        self.connections.iter().filter(|c| c.ready && c.calls == 0).map(|c| c.conn).collect()
     }
 
     /// Returns a connection that can carry a probe.
-    pub fn for_probe(&self, window: usize) -> Option<ConnNumber> {
-        let free = |m: &&Member| m.ready && !m.suspect && !m.rests && (window > 1 || m.calls == 0);
-        self.members.iter().filter(free).min_by_key(|m| m.calls).map(|m| m.conn)
+    pub fn probe_connection(&self, window: usize) -> Option<ConnNumber> {
+        let usable =
+            |c: &&PooledConnection| c.ready && !c.retired && !c.paused && (window > 1 || c.calls == 0);
+        self.connections.iter().filter(usable).min_by_key(|c| c.calls).map(|c| c.conn)
     }
 
     /// Counts a probe on a connection as a call.
-    pub fn occupy(&mut self, conn: ConnNumber) {
-        self.members.iter_mut().filter(|m| m.conn == conn).for_each(|m| m.calls += 1);
+    pub fn count_probe(&mut self, conn: ConnNumber) {
+        self.connections.iter_mut().filter(|c| c.conn == conn).for_each(|c| c.calls += 1);
     }
 
     /// Returns whether there are no connections and nothing waits for one.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty() && self.waiting.is_empty() && !self.probe_waits
+        self.connections.is_empty() && self.waiting.is_empty() && !self.probe_waiting
     }
 
     /// Returns all connections.
-    pub fn all(&self) -> Vec<ConnNumber> {
-        self.members.iter().map(|m| m.conn).collect()
+    pub fn connections(&self) -> Vec<ConnNumber> {
+        self.connections.iter().map(|c| c.conn).collect()
     }
 }
 
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -3,24 +3,28 @@
 use super::*;
 
 #[test]
-fn connections_follow_calls() {
-    let mut p = Pool::default();
-    (0..5).for_each(|c| p.queue(c));
-    assert_eq!((p.wanted(2), p.place(2)), (3, None));
+fn opens_and_assigns_connections_for_waiting_calls() {
+    let mut pool = Pool::default();
+    (0..5).for_each(|c| pool.enqueue(c));
+    assert_eq!((pool.missing_connections(2), pool.assign_next(2)), (3, None));
     for conn in 10..13 {
-        p.opening(conn);
+        pool.add_connecting(conn);
     }
-    assert_eq!(p.wanted(2), 0, "those on their way count");
-    p.ready(10);
-    p.ready(11);
-    let placed: Vec<_> = std::iter::from_fn(|| p.place(2)).collect();
-    assert_eq!(placed, [(0, 10), (1, 11), (2, 10), (3, 11)]);
-    assert_eq!(p.gone(12, 2), [4], "what waited for a connection that failed never ran");
-    p.suspect(10);
-    p.queue(5);
-    assert_eq!((p.place(2), p.wanted(2)), (None, 1), "full, and suspect");
-    assert!(!p.finished(11));
-    assert_eq!(p.place(2), Some((5, 11)));
-    assert!(!p.finished(10));
-    assert!(p.finished(10), "a suspect one without calls is closed");
+    assert_eq!(pool.missing_connections(2), 0, "connections being opened count");
+    pool.mark_ready(10);
+    pool.mark_ready(11);
+    let assigned: Vec<_> = std::iter::from_fn(|| pool.assign_next(2)).collect();
+    assert_eq!(assigned, [(0, 10), (1, 11), (2, 10), (3, 11)]);
+    assert_eq!(pool.remove(12, 2), [4], "the call that waited for the failed connection never ran");
+    pool.retire(10);
+    pool.enqueue(5);
+    assert_eq!(
+        (pool.assign_next(2), pool.missing_connections(2)),
+        (None, 1),
+        "one connection is full, the other retired"
+    );
+    assert!(!pool.finish_call(11));
+    assert_eq!(pool.assign_next(2), Some((5, 11)));
+    assert!(!pool.finish_call(10));
+    assert!(pool.finish_call(10), "a retired connection without calls is closed");
 }
--- a/crates/engine/src/read_budget.rs
+++ b/crates/engine/src/read_budget.rs
@@ -61,16 +61,16 @@
             // Clients with at least a hundredth of the traffic are active. A single active client is not
             // limited.
             let active = self.sketch.heavy(0.01);
-            let share = |h: &Heavy<usize>| weight(h.party).max(1e-9);
-            let weights: f64 = active.iter().map(share).sum();
+            let weight_of = |h: &Heavy<usize>| weight(h.party).max(1e-9);
+            let weights: f64 = active.iter().map(weight_of).sum();
             let requests: f64 = active.iter().map(|h| h.most as f64).sum();
             for h in active.iter().filter(|_| active.len() > 1) {
-                let others = (requests - h.most as f64).max(1.0) / (weights - share(h)).max(1e-9);
-                let over = h.least as f64 / share(h) / others;
-                if over > FLOOD_RATIO {
+                let others = (requests - h.most as f64).max(1.0) / (weights - weight_of(h)).max(1e-9);
+                let ratio = h.least as f64 / weight_of(h) / others;
+                if ratio > FLOOD_RATIO {
                     // The square, because the others' turns come no more often than this client's turn ends.
-                    let octets = (MAX_READ as f64 / (over * over)) as usize;
-                    self.limited.insert(h.party, octets.clamp(MIN_READ, MAX_READ));
+                    let bytes = (MAX_READ as f64 / (ratio * ratio)) as usize;
+                    self.limited.insert(h.party, bytes.clamp(MIN_READ, MAX_READ));
                 }
             }
         }
--- a/crates/engine/src/read_budget/tests.rs
+++ b/crates/engine/src/read_budget/tests.rs
@@ -3,28 +3,32 @@
 use super::*;
 
 #[test]
-fn a_flood_is_read_in_small_pieces_while_others_are_there() {
-    let mut t = ReadBudgets::new(0);
+fn limits_a_flooding_client_while_others_are_active() {
+    let mut budgets = ReadBudgets::new(0);
     for i in 0..4_000 {
-        t.count(i * 100, if i % 3 == 0 { 1 } else { 0 }, |_| 1.0);
+        budgets.count(i * 100, if i % 3 == 0 { 1 } else { 0 }, |_| 1.0);
     }
-    assert_eq!((t.octets(0), t.octets(1)), (MAX_READ, MAX_READ), "twice the other's is no flood");
-    let mut t = ReadBudgets::new(0);
+    assert_eq!(
+        (budgets.octets(0), budgets.octets(1)),
+        (MAX_READ, MAX_READ),
+        "twice the other client's traffic is no flood"
+    );
+    let mut budgets = ReadBudgets::new(0);
     for i in 0..40_000 {
-        let who = if i % 20 < 14 { 0 } else { 1 + (i % 20 - 14) as usize };
-        t.count(i * 100, who, |_| 1.0);
+        let client = if i % 20 < 14 { 0 } else { 1 + (i % 20 - 14) as usize };
+        budgets.count(i * 100, client, |_| 1.0);
     }
-    assert_eq!(t.octets(0), MIN_READ, "70 % beside six with 5 % each");
-    assert!((1..7).all(|c| t.octets(c) == MAX_READ));
+    assert_eq!(budgets.octets(0), MIN_READ, "70 % of the traffic, next to six clients with 5 % each");
+    assert!((1..7).all(|client| budgets.octets(client) == MAX_READ));
     // The same load, with a weight that entitles the client to it.
-    let mut t = ReadBudgets::new(0);
+    let mut budgets = ReadBudgets::new(0);
     (0..40_000).for_each(|i| {
-        let who = if i % 20 < 14 { 0 } else { 1 + (i % 20 - 14) as usize };
-        t.count(i * 100, who, |c| if c == 0 { 14.0 } else { 1.0 });
+        let client = if i % 20 < 14 { 0 } else { 1 + (i % 20 - 14) as usize };
+        budgets.count(i * 100, client, |client| if client == 0 { 14.0 } else { 1.0 });
     });
-    assert_eq!(t.limited(), 0);
+    assert_eq!(budgets.limited(), 0);
     // A single client.
-    let mut t = ReadBudgets::new(0);
-    (0..40_000).for_each(|i| t.count(i * 100, 0, |_| 1.0));
-    assert_eq!(t.limited(), 0);
+    let mut budgets = ReadBudgets::new(0);
+    (0..40_000).for_each(|i| budgets.count(i * 100, 0, |_| 1.0));
+    assert_eq!(budgets.limited(), 0);
 }
--- a/crates/engine/src/routes.rs
+++ b/crates/engine/src/routes.rs
@@ -25,27 +25,27 @@
 impl<V: Copy> Trie<V> {
     /// Adds a prefix. It replaces the value of an equal prefix.
     pub fn insert(&mut self, prefix: &str, value: V) {
-        let mut at = 0usize;
-        for octet in prefix.bytes() {
-            at = match self.nodes[at].next.binary_search_by_key(&octet, |n| n.0) {
-                Ok(i) => self.nodes[at].next[i].1 as usize,
+        let mut node = 0usize;
+        for byte in prefix.bytes() {
+            node = match self.nodes[node].next.binary_search_by_key(&byte, |n| n.0) {
+                Ok(i) => self.nodes[node].next[i].1 as usize,
                 Err(i) => {
                     let new = self.nodes.len();
                     self.nodes.push(Node { value: None, next: Vec::new() });
-                    self.nodes[at].next.insert(i, (octet, new as u32));
+                    self.nodes[node].next.insert(i, (byte, new as u32));
                     new
                 }
             };
         }
-        self.nodes[at].value = Some(value);
+        self.nodes[node].value = Some(value);
     }
 
     /// Returns the value of the longest prefix of an address.
     pub fn find(&self, address: &str) -> Option<V> {
         let mut node = &self.nodes[0];
         let mut best = node.value;
-        for octet in address.bytes() {
-            let Some((_, next)) = node.next.iter().find(|n| n.0 == octet) else { break };
+        for byte in address.bytes() {
+            let Some((_, next)) = node.next.iter().find(|n| n.0 == byte) else { break };
             node = &self.nodes[*next as usize];
             best = node.value.or(best);
         }
--- a/crates/engine/src/uptime.rs
+++ b/crates/engine/src/uptime.rs
@@ -31,8 +31,8 @@
         self.total
     }
 
-    /// Returns the time of the next update at which no uptime is lost: half a step later, because a call may
-    /// be late by as much.
+    /// Returns the time by which the clock must be updated again so that no uptime is lost. This is half a
+    /// step after the last update, because a call may be late by as much.
     pub fn next_update(&self) -> Micros {
         self.updated_at.saturating_add(self.max_step / 2)
     }
