--- a/crates/contracts/src/directory/clauses.rs
+++ b/crates/contracts/src/directory/clauses.rs
@@ -7,7 +7,7 @@
 use crate::suite::{Clause, done};
 use heronroute::Status;
 use heronroute_config::parse_listing;
-use heronroute_engine::directory::Want;
+use heronroute_engine::directory::ConnectionAction;
 
 /// The clauses.
 pub const CLAUSES: &[Clause<dyn Catalog>] = &[
@@ -28,7 +28,7 @@
 fn connects(c: &dyn Catalog) -> Result<(), String> {
     let mut f = Follower::new(c);
     let want = f.directory.tick(f.now, &mut f.heard);
-    ensure!(want == Want::Connect(HERE), "{want:?}");
+    ensure!(want == ConnectionAction::Connect(HERE), "{want:?}");
     ensure!(f.stream.out.is_empty(), "it speaks before it is connected");
     f.directory.connected(f.now, &mut f.stream);
     ensure!(f.said().starts_with("GET "), "it says {:?}", f.said());
@@ -118,7 +118,7 @@
     let mut f = Follower::told(c, &c.list(5, true, &[("a", Status::Up)]))?;
     f.directory.moved(f.now, THERE);
     let want = f.directory.tick(f.now, &mut f.heard);
-    ensure!(want == Want::Connect(THERE), "{want:?}");
+    ensure!(want == ConnectionAction::Connect(THERE), "{want:?}");
     Ok(())
 }
 
--- a/crates/contracts/src/directory/follower.rs
+++ b/crates/contracts/src/directory/follower.rs
@@ -2,7 +2,7 @@
 
 use super::Catalog;
 use heronroute_config::Listing;
-use heronroute_engine::directory::{Directory, Heard, Want};
+use heronroute_engine::directory::{ConnectionAction, Directory, DirectoryEvent};
 use heronroute_engine::{Micros, Stream};
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     /// What it says on its connection.
     pub stream: Stream,
     /// All that it heard.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<DirectoryEvent>,
     /// The time.
     pub now: Micros,
 }
@@ -43,7 +43,7 @@
     }
 
     /// Time passes up to its next act.
-    pub fn act(&mut self) -> Want {
+    pub fn act(&mut self) -> ConnectionAction {
         self.now = self.now.max(self.directory.wake().min(self.now + 3_600_000_000));
         self.directory.tick(self.now, &mut self.heard)
     }
@@ -58,7 +58,7 @@
             if self.now > end {
                 break;
             }
-            if let Want::Connect(address) = self.act() {
+            if let ConnectionAction::Connect(address) = self.act() {
                 self.stream = Stream::default();
                 self.directory.connected(self.now, &mut self.stream);
                 let head = self.catalog.head();
@@ -94,7 +94,7 @@
     pub fn lists(&self) -> Vec<&Listing> {
         let mut lists = Vec::new();
         for heard in &self.heard {
-            if let Heard::List(list) = heard {
+            if let DirectoryEvent::List(list) = heard {
                 lists.push(list);
             }
         }
--- a/crates/contracts/src/directory/times.rs
+++ b/crates/contracts/src/directory/times.rs
@@ -5,11 +5,11 @@
 use crate::ensure;
 use heronroute::Status;
 use heronroute_engine::Micros;
-use heronroute_engine::directory::Want;
+use heronroute_engine::directory::ConnectionAction;
 
 /// The wait after a connection that could not be made.
 fn fails(f: &mut Follower<'_>) -> Result<Micros, String> {
-    let connects = (0..MOST_ACTS).any(|_| matches!(f.act(), Want::Connect(_)));
+    let connects = (0..MOST_ACTS).any(|_| matches!(f.act(), ConnectionAction::Connect(_)));
     ensure!(connects, "it does not connect: {:?}", f.directory);
     f.end();
     Ok(f.directory.wake() - f.now)
@@ -44,13 +44,17 @@
 
 pub fn silence(c: &dyn Catalog) -> Result<(), String> {
     let mut stands = Follower::new(c);
-    ensure!(matches!(stands.act(), Want::Connect(_)), "it does not connect: {:?}", stands.directory);
+    ensure!(
+        matches!(stands.act(), ConnectionAction::Connect(_)),
+        "it does not connect: {:?}",
+        stands.directory
+    );
     let mut asked = Follower::new(c);
     asked.connect()?;
     let told = Follower::told(c, &c.list(1, true, &[("a", Status::Up)]))?;
     for (state, mut f) in [("it connects", stands), ("it has asked", asked), ("it was told a list", told)] {
         let since = f.now;
-        let noticed = (0..MOST_ACTS).any(|_| f.act() == Want::Drop);
+        let noticed = (0..MOST_ACTS).any(|_| f.act() == ConnectionAction::Drop);
         ensure!(noticed && f.now < since + 600_000_000, "{state}: silence is not noticed in 10 minutes");
         // Whoever drops the connection says so, as after any end.
         f.end();
@@ -67,10 +71,10 @@
             let wake = f.directory.wake();
             if wake - 1 > f.now {
                 let want = f.directory.tick(wake - 1, &mut f.heard);
-                ensure!(want == Want::Nothing, "{state}: {want:?} before its time");
+                ensure!(want == ConnectionAction::Nothing, "{state}: {want:?} before its time");
                 ensure!(f.directory.wake() == wake, "{state}: its time is another now");
             }
-            if f.act() == Want::Drop {
+            if f.act() == ConnectionAction::Drop {
                 f.end();
             }
             ensure!(f.directory.wake() > f.now, "{state}: its time was over and still is");
--- a/crates/contracts/src/directory/wrong.rs
+++ b/crates/contracts/src/directory/wrong.rs
@@ -3,7 +3,7 @@
 use super::{Catalog, HERE, THERE};
 use heronroute::Status;
 use heronroute_config::Listing;
-use heronroute_engine::directory::{Directory, Heard, Want};
+use heronroute_engine::directory::{ConnectionAction, Directory, DirectoryEvent};
 use heronroute_engine::{Micros, Stream};
 use std::net::SocketAddr;
 
@@ -81,25 +81,27 @@
             _ => wake,
         }
     }
-    fn tick(&mut self, now: Micros, heard: &mut Vec<Heard>) -> Want {
+    fn tick(&mut self, now: Micros, heard: &mut Vec<DirectoryEvent>) -> ConnectionAction {
         if self.is(Fault::Hasty) && self.stands && now < self.inner.wake() {
-            return Want::Drop;
+            return ConnectionAction::Drop;
         }
         if now < self.wake() {
-            return Want::Nothing;
+            return ConnectionAction::Nothing;
         }
         let now = if self.is(Fault::Hurries) { now.max(self.inner.wake()) } else { now };
         let want = self.inner.tick(now, heard);
         match want {
-            Want::Connect(_) => {
+            ConnectionAction::Connect(_) => {
                 self.stands = true;
                 self.connections += 1;
             }
-            Want::Drop => self.stands = false,
-            Want::Nothing => {}
+            ConnectionAction::Drop => self.stands = false,
+            ConnectionAction::Nothing => {}
         }
         match want {
-            Want::Connect(_) if self.is(Fault::Strays) && self.connections == 1 => Want::Connect(THERE),
+            ConnectionAction::Connect(_) if self.is(Fault::Strays) && self.connections == 1 => {
+                ConnectionAction::Connect(THERE)
+            }
             _ => want,
         }
     }
@@ -112,22 +114,31 @@
             stream.out.extend_from_slice(said.as_bytes());
         }
     }
-    fn receive(&mut self, now: Micros, octets: &[u8], stream: &mut Stream, heard: &mut Vec<Heard>) -> bool {
+    fn receive(
+        &mut self,
+        now: Micros,
+        octets: &[u8],
+        stream: &mut Stream,
+        heard: &mut Vec<DirectoryEvent>,
+    ) -> bool {
         assert!(!(self.is(Fault::Panics) && octets.contains(&0xFD)), "an octet that nobody thought of");
         if self.is(Fault::LosesSmallPieces) && octets.len() == 1 {
             return true;
         }
         let from = heard.len();
         let goes_on = self.inner.receive(now, octets, stream, heard);
-        self.told |= heard[from..].iter().any(|h| matches!(h, Heard::List(_)));
+        self.told |= heard[from..].iter().any(|h| matches!(h, DirectoryEvent::List(_)));
         if self.is(Fault::TakesBroken) && !goes_on {
-            heard.push(Heard::List(Listing { version: 0, whole: true, endpoints: Vec::new() }));
+            heard.push(DirectoryEvent::List(Listing { version: 0, whole: true, endpoints: Vec::new() }));
         }
         if self.is(Fault::WholeOnly) {
-            heard.retain(|h| !matches!(h, Heard::List(l) if !l.whole));
+            heard.retain(|h| !matches!(h, DirectoryEvent::List(l) if !l.whole));
         }
         if self.is(Fault::Twice) {
-            let last = heard[from..].iter().rfind(|h| matches!(h, Heard::List(l) if l.version == 4)).cloned();
+            let last = heard[from..]
+                .iter()
+                .rfind(|h| matches!(h, DirectoryEvent::List(l) if l.version == 4))
+                .cloned();
             heard.extend(last);
         }
         if self.kept.is_none() && self.told {
@@ -135,7 +146,7 @@
         }
         goes_on
     }
-    fn ended(&mut self, now: Micros, heard: &mut Vec<Heard>) {
+    fn ended(&mut self, now: Micros, heard: &mut Vec<DirectoryEvent>) {
         self.stands = false;
         self.inner.ended(now, heard);
     }
--- a/crates/contracts/src/link/calls.rs
+++ b/crates/contracts/src/link/calls.rs
@@ -4,7 +4,7 @@
 use super::{How, Receiver};
 use crate::ensure;
 use heronroute::Outcome;
-use heronroute_engine::calls::{End, outcome_of};
+use heronroute_engine::calls::{CallEnd, outcome_without_answer};
 use heronroute_engine::link::LinkEvent;
 
 pub fn as_itself(r: &dyn Receiver) -> Result<(), String> {
@@ -79,7 +79,7 @@
         ensure!(ranges.len() == 1 && !w.stream.out.is_empty(), "a message without a place: {ranges:?}");
         w.stream.wrote(k);
         let begun = ranges[0].0 < w.stream.sent;
-        let unsent = outcome_of(End::Closed, begun).never_ran();
+        let unsent = outcome_without_answer(CallEnd::Closed, begun).never_ran();
         ensure!(unsent == (k == 0), "{k} octets of it left, and it is called unsent: {unsent}");
         ensure!(
             ranges[0].1 == w.stream.position(),
@@ -116,7 +116,7 @@
     w.link.forget(2, 0, true);
     w.hear(&r.stray());
     let spoke = w.events.iter().any(|e| {
-        matches!(e, LinkEvent::Answered { .. } | LinkEvent::AnsweredDoubtfully { .. } | LinkEvent::Probed(_))
+        matches!(e, LinkEvent::Answered { .. } | LinkEvent::AnsweredUnconfirmed { .. } | LinkEvent::Probed(_))
     });
     ensure!(!spoke, "{:?}", w.events);
     Ok(())
--- a/crates/contracts/src/link/clauses.rs
+++ b/crates/contracts/src/link/clauses.rs
@@ -61,7 +61,7 @@
             // A connection may be spent by an answer that is known before its end.
             if !w.usable() {
                 w.events.retain(|e| {
-                    matches!(e, LinkEvent::Answered { .. } | LinkEvent::AnsweredDoubtfully { .. })
+                    matches!(e, LinkEvent::Answered { .. } | LinkEvent::AnsweredUnconfirmed { .. })
                 });
                 let mut next = Wire::ready(r)?;
                 next.events = w.events;
@@ -84,7 +84,7 @@
     let mut w = Wire::ready(r)?;
     w.hear(&r.stray());
     let spoke = w.events.iter().any(|e| {
-        matches!(e, LinkEvent::Answered { .. } | LinkEvent::AnsweredDoubtfully { .. } | LinkEvent::Probed(_))
+        matches!(e, LinkEvent::Answered { .. } | LinkEvent::AnsweredUnconfirmed { .. } | LinkEvent::Probed(_))
     });
     ensure!(!spoke, "{:?}", w.events);
     if w.usable() {
--- a/crates/contracts/src/link/wire.rs
+++ b/crates/contracts/src/link/wire.rs
@@ -2,7 +2,7 @@
 
 use super::{How, Receiver};
 use heronroute::Outcome;
-use heronroute_engine::link::{Cargo, Link, LinkEvent, Reply};
+use heronroute_engine::link::{Link, LinkEvent, OutboundMessage, Reply};
 use heronroute_engine::{Micros, Stream};
 use heronroute_smpp::submission::Submission;
 
@@ -62,7 +62,7 @@
             ..Submission::default()
         };
         let submissions: Vec<Submission> = (0..messages).map(submission).collect();
-        let cargo = |(part, submission)| Cargo {
+        let cargo = |(part, submission)| OutboundMessage {
             part,
             id: format!("{call:08}-{part}"),
             class: "PAY",
@@ -70,7 +70,7 @@
             wait: 1_000_000,
             submission,
         };
-        let cargo: Vec<Cargo<'_>> = submissions.iter().enumerate().map(cargo).collect();
+        let cargo: Vec<OutboundMessage<'_>> = submissions.iter().enumerate().map(cargo).collect();
         self.link.send(self.now, call, &cargo, &mut self.stream)
     }
 
@@ -98,7 +98,7 @@
     pub fn answered(&self) -> Vec<(u64, usize, Reply)> {
         let answered = |e: &LinkEvent| match e {
             LinkEvent::Answered { call, part, reply }
-            | LinkEvent::AnsweredDoubtfully { call, part, reply } => Some((*call, *part, *reply)),
+            | LinkEvent::AnsweredUnconfirmed { call, part, reply } => Some((*call, *part, *reply)),
             _ => None,
         };
         self.events.iter().filter_map(answered).collect()
@@ -114,11 +114,11 @@
 
     /// Whether the connection is of no more use.
     pub fn over(&self) -> bool {
-        self.events.iter().any(|e| matches!(e, LinkEvent::Over(_)))
+        self.events.iter().any(|e| matches!(e, LinkEvent::Unusable(_)))
     }
 
     /// Whether it takes further calls.
     pub fn usable(&self) -> bool {
-        !self.over() && !self.events.contains(&LinkEvent::Spent)
+        !self.over() && !self.events.contains(&LinkEvent::NoMoreCalls)
     }
 }
--- a/crates/contracts/src/link/wrong.rs
+++ b/crates/contracts/src/link/wrong.rs
@@ -2,7 +2,7 @@
 
 use super::{How, Receiver};
 use heronroute::Outcome;
-use heronroute_engine::link::{Cargo, Link, LinkEvent, Reply};
+use heronroute_engine::link::{Link, LinkEvent, OutboundMessage, Reply};
 use heronroute_engine::{Micros, Stream};
 
 /// What is wrong.
@@ -80,7 +80,7 @@
                 LinkEvent::Probed(reply) if self.is(Fault::ProbeAsCall) => {
                     *event = LinkEvent::Answered { call: 0, part: 0, reply: *reply };
                 }
-                LinkEvent::Over(_) if self.is(Fault::TakesStrays) && self.calls.is_empty() => {
+                LinkEvent::Unusable(_) if self.is(Fault::TakesStrays) && self.calls.is_empty() => {
                     *event = LinkEvent::Answered { call: 0, part: 0, reply: DONE };
                 }
                 _ => {}
@@ -102,7 +102,7 @@
         if let Some(answered) = events[from..].iter().rfind(|e| matches!(e, LinkEvent::Answered { .. })) {
             self.last = Some(answered.clone());
         }
-        self.over |= events.iter().any(|e| matches!(e, LinkEvent::Over(_)));
+        self.over |= events.iter().any(|e| matches!(e, LinkEvent::Unusable(_)));
     }
 }
 
@@ -113,7 +113,13 @@
             events.push(LinkEvent::Ready);
         }
     }
-    fn send(&mut self, now: Micros, call: u64, cargo: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
+    fn send(
+        &mut self,
+        now: Micros,
+        call: u64,
+        cargo: &[OutboundMessage<'_>],
+        stream: &mut Stream,
+    ) -> Vec<(u64, u64)> {
         self.calls.push(call);
         let mut ranges = self.inner.send(now, call, cargo, stream);
         if self.is(Fault::Relative) {
@@ -159,7 +165,7 @@
     }
     fn tick(&mut self, now: Micros, stream: &mut Stream, events: &mut Vec<LinkEvent>) {
         if self.is(Fault::Hasty) {
-            events.push(LinkEvent::Over("before its time"));
+            events.push(LinkEvent::Unusable("before its time"));
         }
         self.inner.tick(now, stream, events);
     }
--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -7,7 +7,7 @@
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum MessageEnd {
     /// A receiver accepted it.
     Delivered,
     /// The decision library refused it, with the time after which the client may retry.
@@ -22,18 +22,18 @@
 
 /// Returns the true answer for an end. `may_run` says that some attempt has begun to be sent and was not
 /// proven to have had no effect. `time_up` says that the message's deadline has passed.
-pub fn answer(end: End, may_run: bool, time_up: bool) -> Answer {
+pub fn answer(end: MessageEnd, may_run: bool, time_up: bool) -> Answer {
     match (end, may_run) {
-        (End::Delivered, _) => Answer::Delivered,
+        (MessageEnd::Delivered, _) => Answer::Delivered,
         // A refusal means that a retry does no harm. That does not say that the message certainly did not
         // run, so the client gets both: the state is unknown, with a time to retry after.
-        (End::Refused(wait), true) => Answer::Unknown { retry_after: Some(wait) },
+        (MessageEnd::Refused(wait), true) => Answer::Unknown { retry_after: Some(wait) },
         (_, true) => Answer::Unknown { retry_after: None },
-        (End::Refused(_) | End::Failed, false) if time_up => Answer::Expired,
-        (End::Refused(retry_after), false) => Answer::Rejected { retry_after },
-        (End::Failed, false) => Answer::Undeliverable,
-        (End::Leaving, false) => Answer::Rejected { retry_after: 0 },
-        (End::Withdrawn, false) => Answer::Deleted,
+        (MessageEnd::Refused(_) | MessageEnd::Failed, false) if time_up => Answer::Expired,
+        (MessageEnd::Refused(retry_after), false) => Answer::Rejected { retry_after },
+        (MessageEnd::Failed, false) => Answer::Undeliverable,
+        (MessageEnd::Leaving, false) => Answer::Rejected { retry_after: 0 },
+        (MessageEnd::Withdrawn, false) => Answer::Deleted,
     }
 }
 
--- a/crates/engine/src/applying/again.rs
+++ b/crates/engine/src/applying/again.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::desk::From;
-use crate::ids::show_id;
+use crate::ids::format_id;
 use crate::keeping::answers::Kept;
 use crate::mailboxes::BoxId;
 use crate::node::{Message, Node};
@@ -90,7 +90,7 @@
         }
         kept.owed = Some(mailbox);
         let receipt = Receipt {
-            id: show_id(id),
+            id: format_id(id),
             answer: kept.answer,
             taken: kept.taken,
             done: kept.done,
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -6,7 +6,7 @@
 
 /// How an attempt ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallEnd {
     /// Its time ran out.
     TimedOut,
     /// The connection ended, or was never established.
@@ -18,13 +18,13 @@
 /// Returns the outcome of a message whose attempt ended without an answer. `begun` says that a byte of it has
 /// been handed to the operating system. Only if none has been is it certain that nothing ran, because bytes
 /// in a buffer may still be sent.
-pub fn outcome_of(end: End, begun: bool) -> Outcome {
+pub fn outcome_without_answer(end: CallEnd, begun: bool) -> Outcome {
     match (end, begun) {
-        (End::TimedOut, true) => Outcome::TimedOut,
-        (End::Closed, true) => Outcome::Reset,
-        (End::Cancelled, true) => Outcome::Cancelled,
-        (End::TimedOut | End::Closed, false) => Outcome::ConnectFailed,
-        (End::Cancelled, false) => Outcome::Skipped,
+        (CallEnd::TimedOut, true) => Outcome::TimedOut,
+        (CallEnd::Closed, true) => Outcome::Reset,
+        (CallEnd::Cancelled, true) => Outcome::Cancelled,
+        (CallEnd::TimedOut | CallEnd::Closed, false) => Outcome::ConnectFailed,
+        (CallEnd::Cancelled, false) => Outcome::Skipped,
     }
 }
 
@@ -46,7 +46,7 @@
     pub open: bool,
     /// How it was abandoned, if its answer is no longer waited for. Its outcome follows at the end of the
     /// call.
-    pub abandoned: Option<End>,
+    pub abandoned: Option<CallEnd>,
 }
 
 /// A call: one or more messages that are sent together to one endpoint.
@@ -80,7 +80,7 @@
     }
 
     /// Abandons a message of a call. Returns whether no message of the call is waited for any more.
-    pub fn stop_waiting(&mut self, id: u64, part: usize, end: End) -> bool {
+    pub fn stop_waiting(&mut self, id: u64, part: usize, end: CallEnd) -> bool {
         let Some(call) = self.calls.get_mut(&id) else { return false };
         if let Some(p) = call.parts.get_mut(part) {
             p.abandoned = p.abandoned.or(Some(end));
--- a/crates/engine/src/calls/tests.rs
+++ b/crates/engine/src/calls/tests.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn only_unsent_attempts_are_known_not_to_have_run() {
-    for end in [End::TimedOut, End::Closed, End::Cancelled] {
-        assert!(outcome_of(end, false).never_ran());
-        assert!(!outcome_of(end, true).never_ran());
+    for end in [CallEnd::TimedOut, CallEnd::Closed, CallEnd::Cancelled] {
+        assert!(outcome_without_answer(end, false).never_ran());
+        assert!(!outcome_without_answer(end, true).never_ran());
     }
 }
 
--- a/crates/engine/src/carry/cancel.rs
+++ b/crates/engine/src/carry/cancel.rs
@@ -1,7 +1,7 @@
 //! Cancellation of calls and messages of which no byte has been sent.
 
 use super::{CallEnd, reply_of};
-use crate::calls::outcome_of;
+use crate::calls::outcome_without_answer;
 use crate::node::{Node, Use};
 use heronroute::{EndpointId, MsgId};
 
@@ -84,7 +84,7 @@
         }
         withdrawn
             .into_iter()
-            .for_each(|part| self.record_outcome(call, part, reply_of(outcome_of(end, false))));
+            .for_each(|part| self.record_outcome(call, part, reply_of(outcome_without_answer(end, false))));
         true
     }
 
--- a/crates/engine/src/carry/connections.rs
+++ b/crates/engine/src/carry/connections.rs
@@ -2,7 +2,7 @@
 
 use super::{CallEnd, reply_of};
 use crate::Micros;
-use crate::calls::outcome_of;
+use crate::calls::outcome_without_answer;
 use crate::ids::ConnId;
 use crate::link::{Link, LinkEvent};
 use crate::node::{Conn, Gone, Key, LinkEvents, Node, Use};
@@ -11,7 +11,7 @@
 
 impl Node {
     /// Closes the connections to an endpoint that carry no calls and no probe.
-    pub(crate) fn close_idle(&mut self, endpoint: EndpointId) {
+    pub(crate) fn close_idle_connections(&mut self, endpoint: EndpointId) {
         let Some(remote) = self.remotes.get(endpoint) else { return };
         let probe = remote.probe;
         for conn in remote.pool.idle_connections().into_iter().filter(|c| Some(*c) != probe) {
@@ -21,7 +21,7 @@
     }
 
     /// Closes a connection whose idle timeout has expired, if it carries no calls.
-    pub(crate) fn link_idle(&mut self, conn: ConnId) {
+    pub(crate) fn close_if_idle(&mut self, conn: ConnId) {
         let Some(Use::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
         let pool = &self.remotes[*endpoint].pool;
         if pool.call_count(conn) == 0 {
@@ -91,15 +91,15 @@
                     self.assign_calls(endpoint);
                 }
                 LinkEvent::Answered { call, part, reply } => self.record_outcome(call, part, reply),
-                LinkEvent::AnsweredDoubtfully { call, part, reply } => {
+                LinkEvent::AnsweredUnconfirmed { call, part, reply } => {
                     self.handle_unconfirmed_answer(conn, call, part, reply);
                 }
                 LinkEvent::Contradicted => self.handle_contradiction(conn),
                 LinkEvent::WaitAnnounced(wait) => self.handle_announced_wait(endpoint, wait),
                 LinkEvent::PauseUntilConfirmed => self.pause_until_confirmed(endpoint, conn),
-                LinkEvent::Spent => self.remotes[endpoint].pool.retire(conn),
+                LinkEvent::NoMoreCalls => self.remotes[endpoint].pool.retire(conn),
                 LinkEvent::Probed(reply) => self.finish_probe(endpoint, reply),
-                LinkEvent::Over(why) => {
+                LinkEvent::Unusable(why) => {
                     tracing::debug!(conn, why, "closing a connection to a receiver");
                     self.remove_link(conn, Gone::Ended);
                     self.finish(conn);
@@ -118,7 +118,7 @@
     }
 
     /// Handles a connection that was not established in time.
-    pub(crate) fn link_gone_and_dropped(&mut self, conn: ConnId) {
+    pub(crate) fn drop_link(&mut self, conn: ConnId) {
         self.remove_link(conn, Gone::Broken);
         self.drop_conn(conn);
     }
@@ -137,7 +137,7 @@
             for event in events {
                 match event {
                     LinkEvent::Answered { call, part, reply } => self.record_outcome(call, part, reply),
-                    LinkEvent::AnsweredDoubtfully { call, part, reply } => {
+                    LinkEvent::AnsweredUnconfirmed { call, part, reply } => {
                         self.handle_unconfirmed_answer(conn, call, part, reply);
                     }
                     LinkEvent::Contradicted => self.handle_contradiction(conn),
@@ -145,8 +145,8 @@
                     LinkEvent::Ready
                     | LinkEvent::WaitAnnounced(_)
                     | LinkEvent::PauseUntilConfirmed
-                    | LinkEvent::Spent
-                    | LinkEvent::Over(_) => {}
+                    | LinkEvent::NoMoreCalls
+                    | LinkEvent::Unusable(_) => {}
                 }
             }
         }
@@ -174,7 +174,7 @@
             link.discard_unsent(stream);
         }
         for (call, part, begun) in begun.into_iter().rev() {
-            self.record_outcome(call, part, reply_of(outcome_of(CallEnd::Closed, begun)));
+            self.record_outcome(call, part, reply_of(outcome_without_answer(CallEnd::Closed, begun)));
         }
         for call in waiting {
             let parts = self.calls.get(call).map_or(0, |open_call| open_call.parts.len());
--- a/crates/engine/src/carry/endpoint_state.rs
+++ b/crates/engine/src/carry/endpoint_state.rs
@@ -25,7 +25,7 @@
     /// Journals what the decision library knows of destinations where calls have just ended. Without it,
     /// hundreds of senders that restart at once would forget that a destination was down, cold or refusing,
     /// and the first calls and retries of all of them would overload it.
-    pub(crate) fn note_known(&mut self, ended: impl Iterator<Item = EndpointId>) {
+    pub(crate) fn journal_destination_state(&mut self, ended: impl Iterator<Item = EndpointId>) {
         let dests: BTreeSet<DestId> = ended.filter_map(|e| self.remotes.get(e)).map(|r| r.dest).collect();
         let clock_offset = self.wall;
         let wall_time = |at: Option<Micros>| at.map_or(0, |at| (at + clock_offset).max(1));
--- a/crates/engine/src/carry/mod.rs
+++ b/crates/engine/src/carry/mod.rs
@@ -9,7 +9,7 @@
 mod send;
 mod unconfirmed;
 
-use crate::calls::End as CallEnd;
+use crate::calls::CallEnd;
 use crate::link::Reply;
 use heronroute::Outcome;
 
--- a/crates/engine/src/carry/outcome.rs
+++ b/crates/engine/src/carry/outcome.rs
@@ -1,8 +1,8 @@
 //! Outcomes of calls, and what they reveal about endpoints.
 
 use super::{CallEnd, reply_of};
-use crate::answers::End;
-use crate::calls::outcome_of;
+use crate::answers::MessageEnd;
+use crate::calls::outcome_without_answer;
 use crate::ids::ConnId;
 use crate::link::Reply;
 use crate::node::{Key, Node, Use};
@@ -89,13 +89,13 @@
         });
         if reply.outcome == Outcome::Done {
             if !self.awaits_confirmation(closed.message) {
-                self.answer(closed.message, End::Delivered);
+                self.answer(closed.message, MessageEnd::Delivered);
             }
         } else if reply.over {
             // The platform considers the message finished because its client is gone. The client may have
             // been notified of the acceptance just before and then expects an end, so one is reported; a
             // superfluous notice does no harm.
-            self.answer(closed.message, End::Failed);
+            self.answer(closed.message, MessageEnd::Failed);
         }
         if !call_ended {
             return;
@@ -152,7 +152,7 @@
             link.forget(call, part, false);
         }
         // Bytes that were written, or that can't be withdrawn, may run.
-        self.record_outcome(call, part, reply_of(outcome_of(end, true)));
+        self.record_outcome(call, part, reply_of(outcome_without_answer(end, true)));
     }
 
     /// Stops waiting for the answer to a message that shares its call with others. Such a call is abandoned
@@ -174,7 +174,11 @@
             }
         }
         for (part, p) in parts.iter().enumerate().filter(|(_, p)| p.open) {
-            self.record_outcome(call, part, reply_of(outcome_of(p.abandoned.unwrap_or(end), begun)));
+            self.record_outcome(
+                call,
+                part,
+                reply_of(outcome_without_answer(p.abandoned.unwrap_or(end), begun)),
+            );
         }
     }
 }
--- a/crates/engine/src/carry/send.rs
+++ b/crates/engine/src/carry/send.rs
@@ -1,10 +1,10 @@
 //! Execution of a round's actions, and assignment of calls to connections.
 
 use crate::Micros;
-use crate::answers::End;
+use crate::answers::MessageEnd;
 use crate::front::Speaks;
-use crate::ids::{ConnId, show_id};
-use crate::link::{self, Cargo};
+use crate::ids::{ConnId, format_id};
+use crate::link::{self, OutboundMessage};
 use crate::node::{Effect as Deferred, Key, Node, Output, Use};
 use heronroute::{Action, Effect, EndpointId, MsgId};
 use heronroute_held::What as TrailStep;
@@ -14,7 +14,7 @@
 impl Node {
     /// Executes a round's actions in order. Messages of the round for one endpoint share a call up to the
     /// batch limit of the endpoint's kind.
-    pub(crate) fn carry_out(&mut self, actions: &[Action]) {
+    pub(crate) fn execute_actions(&mut self, actions: &[Action]) {
         let mut open_batches: BTreeMap<EndpointId, (u64, usize, usize)> = BTreeMap::new();
         let mut new_calls: Vec<(u64, EndpointId)> = Vec::new();
         for action in actions {
@@ -53,12 +53,12 @@
                     self.timers.set(Key::Part(call, part), deadline.min(send_by));
                 }
                 Action::Cancel { id, attempt } => self.cancel_attempt(*id, *attempt),
-                Action::Refuse { id, retry_after } => self.answer(*id, End::Refused(*retry_after)),
-                Action::Fail { id } => self.answer(*id, End::Failed),
+                Action::Refuse { id, retry_after } => self.answer(*id, MessageEnd::Refused(*retry_after)),
+                Action::Fail { id } => self.answer(*id, MessageEnd::Failed),
                 Action::Timer { at, .. } => self.timers.set(Key::Module, *at),
                 Action::Subscribe => self.subscribe(),
                 Action::Probe { endpoint } => self.probe(*endpoint),
-                Action::Close { endpoint } => self.close_idle(*endpoint),
+                Action::Close { endpoint } => self.close_idle_connections(*endpoint),
                 // Senders share no state, and the settings allow no notes between them.
                 Action::Tell { .. } => {}
             }
@@ -121,13 +121,13 @@
         let mut messages = Vec::with_capacity(open_call.parts.len());
         for (part, p) in open_call.parts.iter().enumerate().filter(|(_, p)| p.open) {
             let Some(message) = self.messages.get(&p.message) else { continue };
-            messages.push(Cargo {
+            messages.push(OutboundMessage {
                 part,
                 // The platform's messages keep the identity that they were submitted with.
                 id: if message.speaks == Speaks::Resp {
                     message.submission.identity.clone().unwrap_or_default()
                 } else {
-                    show_id(p.message)
+                    format_id(p.message)
                 },
                 class: &cfg.class_names[message.class],
                 guarded: cfg.settings.classes[message.class].effect == Effect::Guarded,
--- a/crates/engine/src/carry/unconfirmed.rs
+++ b/crates/engine/src/carry/unconfirmed.rs
@@ -7,7 +7,7 @@
 
 use super::reply_of;
 use crate::Micros;
-use crate::answers::End;
+use crate::answers::MessageEnd;
 use crate::doubts::UnconfirmedOutcome;
 use crate::ids::ConnId;
 use crate::link::{CONFIRMATION_DELAY, Reply};
@@ -77,7 +77,7 @@
                 UnconfirmedOutcome::Delivered { message, began, latest, .. } if self.now >= latest => {
                     self.report_possibly_run(message, began);
                 }
-                UnconfirmedOutcome::Delivered { message, .. } => self.answer(message, End::Delivered),
+                UnconfirmedOutcome::Delivered { message, .. } => self.answer(message, MessageEnd::Delivered),
             }
         }
         let receiver = self.conns.get(&conn).and_then(|c| match &c.what {
@@ -123,7 +123,7 @@
         if let Some(entry) = self.messages.get_mut(&message) {
             entry.ran_at = Some(entry.ran_at.map_or(began, |at| at.min(began)));
         }
-        self.answer(message, End::Failed);
+        self.answer(message, MessageEnd::Failed);
     }
 
     /// Reports the unconfirmed deliveries of a connection that this sender closed and that carries no call.
@@ -157,7 +157,7 @@
         let class = &self.cfg.settings.classes[entry.class];
         let time_left = entry.deadline - self.now;
         if class.effect == Effect::SingleShot || time_left <= 0 {
-            return self.answer(id, End::Failed);
+            return self.answer(id, MessageEnd::Failed);
         }
         let key = entry.submission.key.clone().filter(|_| class.ordered);
         self.events.push(Event::Message {
--- a/crates/engine/src/desk/admit.rs
+++ b/crates/engine/src/desk/admit.rs
@@ -2,7 +2,7 @@
 
 use super::{From, Terms};
 use crate::front::{Handing, No};
-use crate::ids::key_of;
+use crate::ids::scoped_key;
 use crate::limits::Refusal;
 use crate::node::{Effect, Node, Use};
 use heronroute::Event;
@@ -44,7 +44,7 @@
         let id = self.new_id();
         let ordered = self.cfg.settings.classes[class].ordered;
         submission.key = submission.key.filter(|_| ordered);
-        let key = submission.key.as_ref().map(|k| key_of(from.client, k));
+        let key = submission.key.as_ref().map(|k| scoped_key(from.client, k));
         self.stats.accepted += 1;
         self.events.push(Event::Message {
             id,
--- a/crates/engine/src/desk/pump.rs
+++ b/crates/engine/src/desk/pump.rs
@@ -1,14 +1,14 @@
 //! What is owed to a mailbox goes out, and is over once it was taken.
 
 use crate::front::Delivery;
-use crate::ids::{ConnId, read_id};
+use crate::ids::{ConnId, parse_id};
 use crate::mailboxes::BoxId;
 use crate::node::{Key, Node, Use};
 
 impl Node {
     /// An answer was taken.
     pub(crate) fn heard_of(&mut self, mailbox: BoxId, id: &str) {
-        if let Some(id) = read_id(id) {
+        if let Some(id) = parse_id(id) {
             self.taken(id);
         }
         if let Some(m) = self.mailboxes.get(mailbox) {
@@ -35,7 +35,7 @@
             }
             full = 0;
             let Some(owed) = m.outbox.take() else { break };
-            if read_id(&owed.receipt.id).is_some_and(|id| still.is_some_and(|below| id.0 < below)) {
+            if parse_id(&owed.receipt.id).is_some_and(|id| still.is_some_and(|below| id.0 < below)) {
                 self.owe_later(mailbox, owed);
                 continue;
             }
--- a/crates/engine/src/desk/query.rs
+++ b/crates/engine/src/desk/query.rs
@@ -1,8 +1,8 @@
 //! Answers to requests: acceptances, forward mode, what became of a message, withdrawals.
 
-use crate::answers::End;
+use crate::answers::MessageEnd;
 use crate::front::{No, Speaks};
-use crate::ids::{ConnId, read_id, show_id};
+use crate::ids::{ConnId, format_id, parse_id};
 use crate::node::Node;
 use crate::standing::Still;
 use heronroute::{Event, MsgId};
@@ -13,7 +13,7 @@
     /// The acceptance is told. A session that is gone by now will hear of its message by the receipt alone.
     pub(crate) fn tell_accepted(&mut self, conn: ConnId, token: u32, id: MsgId) {
         if let Some((front, out)) = self.front(conn) {
-            front.accepted(token, &show_id(id), out);
+            front.accepted(token, &format_id(id), out);
         } else if self.messages.get(&id).is_some_and(|m| m.speaks == Speaks::Resp) {
             self.abandon_message(id);
         }
@@ -23,14 +23,14 @@
     /// The response that is the final answer, in forward mode. False where its session is gone.
     pub(crate) fn respond(&mut self, conn: ConnId, token: u32, id: MsgId, answer: Answer) -> bool {
         let Some((front, out)) = self.front(conn) else { return false };
-        let told = front.answered(token, &show_id(id), answer, out);
+        let told = front.answered(token, &format_id(id), answer, out);
         self.front_wake(conn);
         told
     }
 
     pub(crate) fn query(&mut self, conn: ConnId, token: u32, text: &str, source: &str) {
         let Some((client, _)) = self.place_of(conn) else { return self.refuse(conn, token, No::NotEntered) };
-        let id = read_id(text);
+        let id = parse_id(text);
         let open = id.and_then(|id| self.messages.get(&id));
         let open =
             open.filter(|m| m.client == client && (source.is_empty() || m.submission.source == source));
@@ -52,7 +52,7 @@
     /// Withdraws a message that has surely not run and is not on its way.
     pub(crate) fn withdraw(&mut self, conn: ConnId, token: u32, text: &str, source: &str) {
         let Some((client, _)) = self.place_of(conn) else { return self.refuse(conn, token, No::NotEntered) };
-        let id = read_id(text);
+        let id = parse_id(text);
         let found = id.and_then(|id| self.messages.get(&id));
         let mine =
             found.filter(|m| m.client == client && (source.is_empty() || m.submission.source == source));
@@ -73,6 +73,6 @@
         if let Some((front, out)) = self.front(conn) {
             front.withdrawn(token, out);
         }
-        self.answer(id, End::Withdrawn);
+        self.answer(id, MessageEnd::Withdrawn);
     }
 }
--- a/crates/engine/src/directory/mod.rs
+++ b/crates/engine/src/directory/mod.rs
@@ -17,7 +17,7 @@
 
 /// An event from the directory.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum DirectoryEvent {
     /// The whole list, or changes to it.
     List(Listing),
     /// A request failed. Contains the reason.
@@ -26,7 +26,7 @@
 
 /// What the directory client needs from the sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum ConnectionAction {
     /// Nothing.
     Nothing,
     /// Open a connection to this address.
@@ -48,11 +48,17 @@
     /// Returns the time at which [`Directory::tick`] must be called next.
     fn wake(&self) -> Micros;
     /// Handles timers. Returns what is needed from the sockets.
-    fn tick(&mut self, now: Micros, events: &mut Vec<Heard>) -> Want;
+    fn tick(&mut self, now: Micros, events: &mut Vec<DirectoryEvent>) -> ConnectionAction;
     /// Handles an established connection.
     fn connected(&mut self, now: Micros, stream: &mut Stream);
     /// Handles received bytes. Returns false if the connection can't be used any more.
-    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<Heard>) -> bool;
+    fn receive(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        stream: &mut Stream,
+        events: &mut Vec<DirectoryEvent>,
+    ) -> bool;
     /// Handles the end of the connection, or a failure to establish it.
-    fn ended(&mut self, now: Micros, events: &mut Vec<Heard>);
+    fn ended(&mut self, now: Micros, events: &mut Vec<DirectoryEvent>);
 }
--- a/crates/engine/src/directory/polled.rs
+++ b/crates/engine/src/directory/polled.rs
@@ -6,7 +6,7 @@
 //! must be polled, it is polled only when the decision library asks. If a directory fails, nothing else
 //! changes: the last list stays in use.
 
-use super::{Directory, Heard, Want};
+use super::{ConnectionAction, Directory, DirectoryEvent};
 use crate::Micros;
 use crate::stream::Stream;
 use heronroute_config::{EndpointConfig, Listing, parse_listing, raw, write_listing};
@@ -87,10 +87,10 @@
 
     /// Reports a failure. A client that follows the directory retries after a delay that doubles, so that its
     /// requests do not keep an overloaded directory down.
-    fn handle_failure(&mut self, now: Micros, why: &str, events: &mut Vec<Heard>) {
+    fn handle_failure(&mut self, now: Micros, why: &str, events: &mut Vec<DirectoryEvent>) {
         self.state = if self.follow { State::Due(now + self.backoff) } else { State::Idle };
         self.backoff = (self.backoff * 2).min(MAX_RETRY_DELAY);
-        events.push(Heard::Failed(why.to_string()));
+        events.push(DirectoryEvent::Failed(why.to_string()));
     }
 }
 
@@ -138,17 +138,17 @@
 
     /// Connects when a request is due, and gives up requests that took too long; their connection must then
     /// be dropped.
-    fn tick(&mut self, now: Micros, events: &mut Vec<Heard>) -> Want {
+    fn tick(&mut self, now: Micros, events: &mut Vec<DirectoryEvent>) -> ConnectionAction {
         match (self.state, self.address) {
             (State::Due(at), Some(address)) if at <= now => {
                 self.state = State::Connecting(now + RESPONSE_TIMEOUT);
-                Want::Connect(address)
+                ConnectionAction::Connect(address)
             }
             (State::Connecting(at) | State::Polling(at), _) if at <= now => {
                 self.handle_failure(now, "no response in time", events);
-                Want::Drop
+                ConnectionAction::Drop
             }
-            _ => Want::Nothing,
+            _ => ConnectionAction::Nothing,
         }
     }
 
@@ -157,7 +157,13 @@
         self.send_poll(now, stream);
     }
 
-    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<Heard>) -> bool {
+    fn receive(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        stream: &mut Stream,
+        events: &mut Vec<DirectoryEvent>,
+    ) -> bool {
         self.reader.push(bytes);
         loop {
             let message = match self.reader.next_message() {
@@ -174,7 +180,7 @@
                     match parse_listing("directory", &text) {
                         Ok(listing) => {
                             self.merge(&listing);
-                            events.push(Heard::List(listing));
+                            events.push(DirectoryEvent::List(listing));
                         }
                         Err(e) => {
                             self.handle_failure(now, &e.to_string(), events);
@@ -198,7 +204,7 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, events: &mut Vec<Heard>) {
+    fn ended(&mut self, now: Micros, events: &mut Vec<DirectoryEvent>) {
         if !matches!(self.state, State::Idle | State::Due(_)) {
             self.handle_failure(now, "the connection failed", events);
         }
--- a/crates/engine/src/directory/watched.rs
+++ b/crates/engine/src/directory/watched.rs
@@ -8,7 +8,7 @@
 
 use super::listing::listing;
 use super::versions::{ListRequest, Versions};
-use super::{Directory, Heard, Want};
+use super::{ConnectionAction, Directory, DirectoryEvent};
 use crate::Micros;
 use crate::stream::Stream;
 use heronroute_config::Listing;
@@ -90,9 +90,9 @@
         }
     }
 
-    fn apply_list(&mut self, now: Micros, list: &List, events: &mut Vec<Heard>) {
+    fn apply_list(&mut self, now: Micros, list: &List, events: &mut Vec<DirectoryEvent>) {
         if self.versions.accept(now, list) {
-            events.push(Heard::List(listing(list)));
+            events.push(DirectoryEvent::List(listing(list)));
         }
     }
 
@@ -107,7 +107,7 @@
         self.backoff = self.backoff.min(max_backoff);
     }
 
-    fn handle_watch_event(&mut self, now: Micros, event: Said, events: &mut Vec<Heard>) {
+    fn handle_watch_event(&mut self, now: Micros, event: Said, events: &mut Vec<DirectoryEvent>) {
         match event {
             Said::Head => {
                 if let State::Asked { answered, .. } = &mut self.state {
@@ -129,7 +129,7 @@
     }
 
     /// Returns false if the watch has ended.
-    fn receive_watch(&mut self, now: Micros, bytes: &[u8], events: &mut Vec<Heard>) -> bool {
+    fn receive_watch(&mut self, now: Micros, bytes: &[u8], events: &mut Vec<DirectoryEvent>) -> bool {
         let Request::Watch(watch) = &mut self.request else { return true };
         let mut watch_events = Vec::new();
         let result = watch.receive(bytes, &mut watch_events);
@@ -154,7 +154,7 @@
         now: Micros,
         bytes: &[u8],
         stream: &mut Stream,
-        events: &mut Vec<Heard>,
+        events: &mut Vec<DirectoryEvent>,
     ) -> bool {
         let Request::Whole(reader) = &mut self.request else { return true };
         reader.push(bytes);
@@ -239,20 +239,20 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, _: &mut Vec<Heard>) -> Want {
+    fn tick(&mut self, now: Micros, _: &mut Vec<DirectoryEvent>) -> ConnectionAction {
         if now < self.wake() {
-            return Want::Nothing;
+            return ConnectionAction::Nothing;
         }
         match self.state {
             State::Due(_) => {
                 let timeout = if self.use_long_timeout { LONG_TIMEOUT } else { SHORT_TIMEOUT };
                 self.state = State::Connecting { until: now + timeout };
-                Want::Connect(self.address)
+                ConnectionAction::Connect(self.address)
             }
             State::Connecting { .. } | State::Asked { .. } | State::Open { .. } => {
                 tracing::debug!(now, state = ?self.state, "giving up the watch on the list");
                 self.handle_timeout(now);
-                Want::Drop
+                ConnectionAction::Drop
             }
         }
     }
@@ -273,7 +273,13 @@
         }
     }
 
-    fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<Heard>) -> bool {
+    fn receive(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        stream: &mut Stream,
+        events: &mut Vec<DirectoryEvent>,
+    ) -> bool {
         tracing::debug!(now, octets = bytes.len(), "received bytes from discovery");
         let usable = match self.request {
             Request::Whole(_) => self.receive_whole_list(now, bytes, stream, events),
@@ -285,7 +291,7 @@
         usable
     }
 
-    fn ended(&mut self, now: Micros, _: &mut Vec<Heard>) {
+    fn ended(&mut self, now: Micros, _: &mut Vec<DirectoryEvent>) {
         self.retry_with_backoff(now);
     }
 }
--- a/crates/engine/src/doubts.rs
+++ b/crates/engine/src/doubts.rs
@@ -35,12 +35,12 @@
 
 /// The unconfirmed outcomes of each connection, with the time at which each is confirmed.
 #[derive(Debug, Default)]
-pub struct Doubts {
+pub struct UnconfirmedOutcomes {
     by_connection: BTreeMap<ConnId, Vec<(Micros, UnconfirmedOutcome)>>,
     deliveries: BTreeSet<MsgId>,
 }
 
-impl Doubts {
+impl UnconfirmedOutcomes {
     /// Adds an outcome that is confirmed at `due`.
     pub fn add(&mut self, conn: ConnId, due: Micros, outcome: UnconfirmedOutcome) {
         if let UnconfirmedOutcome::Delivered { message, .. } = outcome {
--- a/crates/engine/src/hold/again.rs
+++ b/crates/engine/src/hold/again.rs
@@ -4,7 +4,7 @@
 use crate::desk::From;
 use crate::entry_codec;
 use crate::front::Handing;
-use crate::ids::{key_of, show_id};
+use crate::ids::{format_id, scoped_key};
 use crate::node::Node;
 use crate::outbox::Reply;
 use heronroute::{DestId, Event, MsgId};
@@ -15,7 +15,7 @@
 impl Node {
     /// Hands a held message of this client in again, or says why not.
     pub(crate) fn again(&mut self, client: usize, id: u64, new_effect: bool) -> (String, &'static str) {
-        let said = |state: &'static str| (format!("id:{} stat:{state}", show_id(MsgId(id))), state);
+        let said = |state: &'static str| (format!("id:{} stat:{state}", format_id(MsgId(id))), state);
         let now = self.wall();
         let filed = self.held.as_ref().and_then(|s| s.get(id)).cloned();
         let Some(filed) = filed else { return said("NOTFOUND") };
@@ -83,7 +83,7 @@
             ..Handing::default()
         };
         let submission = entry_codec::to_submission(&a);
-        let key = submission.key.as_ref().filter(|_| ordered).map(|k| key_of(client, k));
+        let key = submission.key.as_ref().filter(|_| ordered).map(|k| scoped_key(client, k));
         self.events.push(Event::Message {
             id: own,
             class,
@@ -137,6 +137,6 @@
             self.trail_by(own);
         }
         self.stats.accepted += 1;
-        (format!("id:{} stat:ENROUTE", show_id(own)), "ENROUTE")
+        (format!("id:{} stat:ENROUTE", format_id(own)), "ENROUTE")
     }
 }
--- a/crates/engine/src/hold/asked.rs
+++ b/crates/engine/src/hold/asked.rs
@@ -1,6 +1,6 @@
 //! A client asks about what is held for it.
 
-use crate::ids::{ConnId, read_id, show_id};
+use crate::ids::{ConnId, format_id, parse_id};
 use crate::node::Node;
 use crate::stats::ANSWERS;
 use heronroute::MsgId;
@@ -19,7 +19,7 @@
         let nowhere = || ("stat:NOTFOUND".to_string(), "NOTFOUND");
         let (text, state) = match words[..] {
             ["list"] => (self.list_held(client, None), "HELD"),
-            ["list", after] => (self.list_held(client, read_id(after).map(|i| i.0)), "HELD"),
+            ["list", after] => (self.list_held(client, parse_id(after).map(|i| i.0)), "HELD"),
             ["show", id] => with(Deed::See, id).map_or_else(nowhere, |id| (self.show_trail(id), "HELD")),
             ["drop", id] => with(Deed::GiveUp, id).map_or_else(nowhere, |id| self.drop_held(id)),
             ["release"] => self.release(client, None),
@@ -43,7 +43,7 @@
 
     /// The message of a name, where this client may do this with it.
     fn mine(&self, client: usize, id: &str, deed: Deed) -> Option<u64> {
-        let id = read_id(id)?.0;
+        let id = parse_id(id)?.0;
         let filed = self.held.as_ref()?.get(id)?;
         let party = Party::Client(client as u32);
         Grants::default().allows(&party, deed, filed.client, filed.destination).then_some(id)
@@ -59,7 +59,7 @@
             dropped.age, dropped.count, dropped.octets
         );
         for id in page.ids {
-            text = format!("{text}\n{}", show_id(MsgId(id)));
+            text = format!("{text}\n{}", format_id(MsgId(id)));
         }
         if let Some(r) = self.releasing.get(&client) {
             text = format!(
@@ -70,7 +70,7 @@
             );
         }
         match page.next {
-            Some(next) => format!("{text}\nmore:{}", show_id(MsgId(next))),
+            Some(next) => format!("{text}\nmore:{}", format_id(MsgId(next))),
             None => text,
         }
     }
@@ -82,7 +82,7 @@
             return "stat:NOTFOUND".to_string();
         };
         let name = |n: u32| self.trail_names.get(n as usize).map_or("?", String::as_str);
-        let mut text = format!("id:{} taken:{} by:{}", show_id(MsgId(id)), trail.taken, name(trail.by));
+        let mut text = format!("id:{} taken:{} by:{}", format_id(MsgId(id)), trail.taken, name(trail.by));
         for (at, what) in trail.steps() {
             let line = match what {
                 What::Began(e) => format!("attempt at {}", name(e)),
--- a/crates/engine/src/hold/file.rs
+++ b/crates/engine/src/hold/file.rs
@@ -2,7 +2,7 @@
 
 use super::{STEPS, filed};
 use crate::entry_codec::to_entry;
-use crate::ids::show_id;
+use crate::ids::format_id;
 use crate::node::{Message, Node};
 use crate::stats::place;
 use heronroute::MsgId;
@@ -72,6 +72,6 @@
         }
         store.take(id);
         self.write_released(&[id]);
-        (format!("id:{} stat:DROPPED", show_id(MsgId(id))), "DROPPED")
+        (format!("id:{} stat:DROPPED", format_id(MsgId(id))), "DROPPED")
     }
 }
--- a/crates/engine/src/ids.rs
+++ b/crates/engine/src/ids.rs
@@ -11,17 +11,17 @@
 
 /// Returns a client's key in the form that the decision library uses. Each client has its own key space, so
 /// that clients with equal keys do not wait for each other.
-pub(crate) fn key_of(client: usize, key: &str) -> String {
+pub(crate) fn scoped_key(client: usize, key: &str) -> String {
     format!("{client}/{key}")
 }
 
 /// Formats a message's number for clients.
-pub(crate) fn show_id(id: MsgId) -> String {
+pub(crate) fn format_id(id: MsgId) -> String {
     format!("{:016x}", id.0)
 }
 
 /// Parses a message number given by a client.
-pub(crate) fn read_id(text: &str) -> Option<MsgId> {
+pub(crate) fn parse_id(text: &str) -> Option<MsgId> {
     let well_formed = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     well_formed.then(|| u64::from_str_radix(text, 16).ok().map(MsgId)).flatten()
 }
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -33,7 +33,7 @@
 
 /// The current usage of a sender, seen from one submission.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Held {
+pub struct Usage {
     /// The number of all messages without a final answer.
     pub open: usize,
     /// The number of this client's messages without a final answer and of its answers not yet collected.
@@ -51,7 +51,7 @@
 
 /// The limits of one client.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
+pub struct ClientLimits {
     /// The accepted rate in messages per second; infinite if unlimited.
     pub rate: f64,
     /// The number of messages accepted at once above the rate.
@@ -74,8 +74,14 @@
 impl Limits {
     /// Creates limits with a rate and burst for each client, and a weight for each front (none if there is
     /// only one).
-    pub fn new(now: Micros, rates: &[Part], fronts: &[f64], room: usize, room_of_client: usize) -> Self {
-        let full_bucket = |part: &Part| TokenBucket {
+    pub fn new(
+        now: Micros,
+        rates: &[ClientLimits],
+        fronts: &[f64],
+        room: usize,
+        room_of_client: usize,
+    ) -> Self {
+        let full_bucket = |part: &ClientLimits| TokenBucket {
             weight: part.weight,
             shedding: false,
             rate: part.rate,
@@ -94,7 +100,7 @@
     }
 
     /// Applies new rates. Clients that stay keep their tokens, up to the new burst.
-    pub fn reload(&mut self, now: Micros, rates: &[Part]) {
+    pub fn reload(&mut self, now: Micros, rates: &[ClientLimits]) {
         let old = std::mem::take(&mut self.buckets);
         let fronts = std::mem::take(&mut self.fronts);
         let new = Limits::new(now, rates, &[], self.room, self.room_of_client);
@@ -119,7 +125,7 @@
         &mut self,
         now: Micros,
         client: usize,
-        usage: Held,
+        usage: Usage,
         session_shedding: &mut bool,
     ) -> Result<(), Refusal> {
         if self.leaving {
--- a/crates/engine/src/limits/tests.rs
+++ b/crates/engine/src/limits/tests.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn enforces_rate_burst_and_room() {
-    let part = |rate, burst| Part { rate, burst, weight: 1.0 };
+    let part = |rate, burst| ClientLimits { rate, burst, weight: 1.0 };
     let mut limits = Limits::new(0, &[part(10.0, 5.0), part(f64::INFINITY, 1.0)], &[], 100, 50);
-    let usage = |open, of_client| Held { open, of_client, worth: 1.0, ..Held::default() };
+    let usage = |open, of_client| Usage { open, of_client, worth: 1.0, ..Usage::default() };
     let shedding = &mut false;
     let empty = usage(0, 0);
     let accepted = (0..20).filter(|_| limits.admit(0, 0, empty, shedding).is_ok()).count();
@@ -33,14 +33,14 @@
 
 #[test]
 fn fronts_and_connections_share_the_room() {
-    let part = Part { rate: f64::INFINITY, burst: 1.0, weight: 1.0 };
+    let part = ClientLimits { rate: f64::INFINITY, burst: 1.0, weight: 1.0 };
     let mut limits = Limits::new(0, &[part, part, part], &[1.0, 1.0], 300, 300);
-    let on_front = |front, open, of_front| Held {
+    let on_front = |front, open, of_front| Usage {
         open,
         of_client: 10,
         worth: 1.0,
         front: Some((front, of_front)),
-        ..Held::default()
+        ..Usage::default()
     };
     assert_eq!(limits.admit(0, 0, on_front(1, 200, 199), &mut false), Ok(()));
     assert_eq!(
@@ -55,13 +55,13 @@
     );
     assert_eq!(limits.admit(0, 1, on_front(0, 201, 2), &mut false), Ok(()), "the other front has room");
     assert_eq!(limits.admit(0, 1, on_front(1, 201, 150), &mut false), Ok(()));
-    let on_session = |of_session, of_client| Held {
+    let on_session = |of_session, of_client| Usage {
         open: 150,
         of_client,
         worth: 1.0,
         of_session,
         sessions: 2,
-        ..Held::default()
+        ..Usage::default()
     };
     let shedding = &mut false;
     assert_eq!(limits.admit(0, 0, on_session(150, 150), shedding), Ok(()));
--- a/crates/engine/src/link/http.rs
+++ b/crates/engine/src/link/http.rs
@@ -3,7 +3,7 @@
 //! RateLimit fields are the limit report, and a GET of the probe path is the probe. Guarded messages carry an
 //! Idempotency-Key. A call of several messages has a protobuf body (`heronroute_http::Batch`).
 
-use super::{Cargo, Link, LinkEvent, Reply};
+use super::{Link, LinkEvent, OutboundMessage, Reply};
 use crate::Micros;
 use crate::stream::Stream;
 use heronroute::{Outcome, Report};
@@ -58,7 +58,7 @@
                 Ok(None) => break,
                 Err(e) => {
                     self.closed = true;
-                    events.push(LinkEvent::Over(e.0));
+                    events.push(LinkEvent::Unusable(e.0));
                 }
             }
         }
@@ -76,12 +76,12 @@
             None => {
                 // There is no open request, so it is unknown which request the next response would belong to.
                 self.closed = true;
-                return events.push(LinkEvent::Over("received a response without an open request"));
+                return events.push(LinkEvent::Unusable("received a response without an open request"));
             }
         }
         if response.last {
             self.closed = true;
-            events.push(LinkEvent::Over("the receiver closes the connection"));
+            events.push(LinkEvent::Unusable("the receiver closes the connection"));
         }
     }
 }
@@ -124,10 +124,16 @@
         events.push(LinkEvent::Ready);
     }
 
-    fn send(&mut self, _: Micros, call: u64, messages: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
+    fn send(
+        &mut self,
+        _: Micros,
+        call: u64,
+        messages: &[OutboundMessage<'_>],
+        stream: &mut Stream,
+    ) -> Vec<(u64, u64)> {
         let start = stream.position();
         if self.batches || messages.len() != 1 {
-            let item = |c: &Cargo<'_>| Item {
+            let item = |c: &OutboundMessage<'_>| Item {
                 id: c.id.clone(),
                 class: c.class.to_string(),
                 source: c.submission.source.clone(),
@@ -181,7 +187,7 @@
         // call.
         if !self.closed && self.open_requests.is_empty() && self.reader.begun() {
             self.closed = true;
-            events.push(LinkEvent::Over("received bytes without an open request"));
+            events.push(LinkEvent::Unusable("received bytes without an open request"));
         }
     }
 
@@ -190,7 +196,7 @@
         self.handle_responses(events);
         if !self.closed {
             self.closed = true;
-            events.push(LinkEvent::Over("closed by the receiver"));
+            events.push(LinkEvent::Unusable("closed by the receiver"));
         }
     }
 
--- a/crates/engine/src/link/http/tests.rs
+++ b/crates/engine/src/link/http/tests.rs
@@ -23,6 +23,9 @@
         link.receive(0, b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", &mut stream, &mut events);
         assert!(matches!(events[..], [LinkEvent::Probed(_)]), "{events:?}");
         link.receive(0, stray.as_bytes(), &mut stream, &mut events);
-        assert!(matches!(events[..], [LinkEvent::Probed(_), LinkEvent::Over(_)]), "{stray:?}: {events:?}");
+        assert!(
+            matches!(events[..], [LinkEvent::Probed(_), LinkEvent::Unusable(_)]),
+            "{stray:?}: {events:?}"
+        );
     }
 }
--- a/crates/engine/src/link/mod.rs
+++ b/crates/engine/src/link/mod.rs
@@ -19,7 +19,7 @@
 use heronroute_smpp::submission::Submission;
 
 /// A message to be sent to a receiver.
-pub struct Cargo<'a> {
+pub struct OutboundMessage<'a> {
     /// The message's index in its call.
     pub part: usize,
     /// The message's identity, which is the same for each attempt.
@@ -64,7 +64,7 @@
     },
     /// A message of a call was answered, but the answer may be a second copy of an earlier one on the
     /// connection.
-    AnsweredDoubtfully {
+    AnsweredUnconfirmed {
         /// The call's number.
         call: u64,
         /// The message's index in the call.
@@ -81,11 +81,11 @@
     /// An answer that has not arrived completely announces a wait.
     WaitAnnounced(Micros),
     /// The connection takes no more calls. Answers to the calls on it are still accepted.
-    Spent,
+    NoMoreCalls,
     /// A probe was answered.
     Probed(Reply),
     /// The connection can't be used any more and must be closed. Contains the reason.
-    Over(&'static str),
+    Unusable(&'static str),
 }
 
 /// The protocol of one connection to a receiver.
@@ -97,7 +97,7 @@
         &mut self,
         now: Micros,
         call: u64,
-        messages: &[Cargo<'_>],
+        messages: &[OutboundMessage<'_>],
         stream: &mut Stream,
     ) -> Vec<(u64, u64)>;
     /// Writes a probe.
@@ -111,7 +111,7 @@
     fn forget(&mut self, call: u64, part: usize, unsent: bool);
     /// Returns whether nothing of the last request has been sent and no other request is open. Bytes received
     /// in this state answer nothing.
-    fn unbegun(&self, _: &Stream) -> bool {
+    fn is_request_unsent(&self, _: &Stream) -> bool {
         false
     }
     /// Returns the time until which unconfirmed answers may be contradicted, if there are any.
--- a/crates/engine/src/link/platform.rs
+++ b/crates/engine/src/link/platform.rs
@@ -2,7 +2,7 @@
 //! an answer proves.
 
 use super::attribution::{AnswerHistory, CONFIRMATION_DELAY, Certainty};
-use super::{Cargo, Link, LinkEvent, Reply};
+use super::{Link, LinkEvent, OutboundMessage, Reply};
 use crate::Micros;
 use crate::stream::Stream;
 use heronroute_http::write_request;
@@ -42,7 +42,7 @@
             Some(AnswerEvent::Answered { outcomes, unusable }) => {
                 self.answer_end_deadline = None;
                 if unusable {
-                    events.push(LinkEvent::Spent);
+                    events.push(LinkEvent::NoMoreCalls);
                 }
                 let identity = self.answer_reader.take_identity();
                 let certainty = identity.map(|i| self.answer_history.attribute(now, i));
@@ -57,7 +57,7 @@
                 }
             }
             Some(AnswerEvent::RetryAfter(wait)) => events.push(LinkEvent::WaitAnnounced(wait)),
-            Some(AnswerEvent::Unusable(why)) => events.push(LinkEvent::Over(why)),
+            Some(AnswerEvent::Unusable(why)) => events.push(LinkEvent::Unusable(why)),
             None if self.answer_reader.has_begun_200() => {
                 self.answer_end_deadline.get_or_insert(now + CONFIRMATION_DELAY);
             }
@@ -78,7 +78,7 @@
         for (part, message) in parts.into_iter().zip(outcomes) {
             let reply = reply(message);
             events.push(if unconfirmed {
-                LinkEvent::AnsweredDoubtfully { call, part, reply }
+                LinkEvent::AnsweredUnconfirmed { call, part, reply }
             } else {
                 LinkEvent::Answered { call, part, reply }
             });
@@ -90,11 +90,11 @@
     fn receive_surplus(&mut self, now: Micros, bytes: &[u8], events: &mut Vec<LinkEvent>) {
         tracing::debug!(now, octets = bytes.len(), "received bytes after an unconfirmed answer");
         if !self.answer_history.has_unconfirmed(now) {
-            return events.push(LinkEvent::Over("received bytes without an open request"));
+            return events.push(LinkEvent::Unusable("received bytes without an open request"));
         }
         match self.answer_reader.receive_surplus(bytes) {
             Ok(digests) if digests.iter().all(|d| self.answer_history.is_harmless_surplus(*d)) => {
-                events.push(LinkEvent::Spent);
+                events.push(LinkEvent::NoMoreCalls);
             }
             _ => self.close_contradicted(now, events),
         }
@@ -105,7 +105,7 @@
         if self.answer_history.has_unconfirmed(now) {
             events.push(LinkEvent::Contradicted);
         }
-        events.push(LinkEvent::Over("received an answer to an earlier call"));
+        events.push(LinkEvent::Unusable("received an answer to an earlier call"));
     }
 
     /// Returns whether part of the request is unsent, so that nothing can have answered it.
@@ -119,10 +119,16 @@
         events.push(LinkEvent::Ready);
     }
 
-    fn send(&mut self, _: Micros, call: u64, messages: &[Cargo<'_>], stream: &mut Stream) -> Vec<(u64, u64)> {
+    fn send(
+        &mut self,
+        _: Micros,
+        call: u64,
+        messages: &[OutboundMessage<'_>],
+        stream: &mut Stream,
+    ) -> Vec<(u64, u64)> {
         let start = stream.position();
         self.request_start = start;
-        let mut messages: Vec<&Cargo<'_>> = messages.iter().collect();
+        let mut messages: Vec<&OutboundMessage<'_>> = messages.iter().collect();
         // The message that is waited for longest comes first, and its wait is the call's. An endpoint may
         // measure the time of a late answer by the message that is named first, and the answer would then
         // count for none of the call's messages.
@@ -153,8 +159,8 @@
     fn receive(&mut self, now: Micros, bytes: &[u8], stream: &mut Stream, events: &mut Vec<LinkEvent>) {
         // A second copy of an earlier answer would be taken for the answer to this call, of which not
         // everything has been sent.
-        let premature =
-            self.unbegun(stream) || (self.is_partly_written(stream) && !self.answer_reader.is_new());
+        let premature = self.is_request_unsent(stream)
+            || (self.is_partly_written(stream) && !self.answer_reader.is_new());
         if premature {
             return self.close_contradicted(now, events);
         }
@@ -178,7 +184,7 @@
         }
     }
 
-    fn unbegun(&self, stream: &Stream) -> bool {
+    fn is_request_unsent(&self, stream: &Stream) -> bool {
         stream.sent <= self.request_start && stream.position() > self.request_start
     }
 
--- a/crates/engine/src/link/smpp.rs
+++ b/crates/engine/src/link/smpp.rs
@@ -3,7 +3,7 @@
 //! the limit report, and enquire_link is the probe. The messages of a batch are submit_sm PDUs in one write.
 //! A vendor TLV may announce a wait (`docs/smpp.md`).
 
-use super::{Cargo, Link, LinkEvent, Reply};
+use super::{Link, LinkEvent, OutboundMessage, Reply};
 use crate::Micros;
 use crate::stream::Stream;
 use heronroute::{Outcome, Report};
@@ -49,7 +49,7 @@
         for event in self.events.drain(..) {
             match event {
                 Event::Bound => events.push(LinkEvent::Ready),
-                Event::BindRefused(_) => events.push(LinkEvent::Over("bind refused")),
+                Event::BindRefused(_) => events.push(LinkEvent::Unusable("bind refused")),
                 Event::Response { sequence, status, tlvs, .. } => {
                     if let Some((call, part)) = self.open_requests.remove(&sequence) {
                         self.sequence_by_part.remove(&(call, part));
@@ -64,8 +64,8 @@
                 }
                 // They answer no request, so they say nothing about the sender's messages.
                 Event::Stray(_) | Event::Delivered(_) => {}
-                Event::Unbound => events.push(LinkEvent::Over("unbound by the receiver")),
-                Event::Ended(why) => events.push(LinkEvent::Over(why)),
+                Event::Unbound => events.push(LinkEvent::Unusable("unbound by the receiver")),
+                Event::Ended(why) => events.push(LinkEvent::Unusable(why)),
             }
         }
     }
@@ -103,7 +103,7 @@
         &mut self,
         now: Micros,
         call: u64,
-        messages: &[Cargo<'_>],
+        messages: &[OutboundMessage<'_>],
         stream: &mut Stream,
     ) -> Vec<(u64, u64)> {
         let mut ranges = Vec::with_capacity(messages.len());
@@ -130,7 +130,7 @@
     }
 
     fn ended(&mut self, _: Micros, events: &mut Vec<LinkEvent>) {
-        events.push(LinkEvent::Over("closed by the receiver"));
+        events.push(LinkEvent::Unusable("closed by the receiver"));
     }
 
     fn forget(&mut self, call: u64, part: usize, _: bool) {
--- a/crates/engine/src/node/answer.rs
+++ b/crates/engine/src/node/answer.rs
@@ -3,10 +3,10 @@
 use super::Node;
 use super::state::{Effect, Ended, Message};
 use crate::Micros;
-use crate::answers::{self, End};
+use crate::answers::{self, MessageEnd};
 use crate::front::Speaks;
-use crate::ids::show_id;
-use crate::limits::Held;
+use crate::ids::format_id;
+use crate::limits::Usage;
 use crate::mailboxes::BoxId;
 use crate::outbox::Reply;
 use crate::standing::Still;
@@ -17,17 +17,17 @@
 
 impl Node {
     /// What is held of one client and in all.
-    pub(crate) fn held(&self, client: usize, class: usize) -> Held {
+    pub(crate) fn held(&self, client: usize, class: usize) -> Usage {
         let c = &self.clients[client];
         let classes = &self.cfg.settings.classes;
         let mean = classes.iter().map(|c| c.worth).sum::<f64>() / classes.len().max(1) as f64;
         let worth = classes.get(class).map_or(1.0, |c| c.worth / mean.max(1e-9));
         let (open, of_client) = (self.messages.len(), c.open + c.owed);
-        Held { open, of_client, worth, ..Held::default() }
+        Usage { open, of_client, worth, ..Usage::default() }
     }
 
     /// The final answer to a message: it is told once, here, and the message is over.
-    pub(crate) fn answer(&mut self, id: MsgId, end: End) {
+    pub(crate) fn answer(&mut self, id: MsgId, end: MessageEnd) {
         // An attempt that has not begun to leave is taken back first: it can't be sent after the answer, and the
         // answer may then say that nothing ran.
         if let Some((call, part)) = self.messages.get(&id).and_then(|m| m.out) {
@@ -96,7 +96,7 @@
             return;
         }
         let receipt = Receipt {
-            id: show_id(id),
+            id: format_id(id),
             answer,
             taken: m.taken,
             done,
--- a/crates/engine/src/node/conns.rs
+++ b/crates/engine/src/node/conns.rs
@@ -30,7 +30,7 @@
     /// leave on it.
     pub fn reads_first(&self, conn: ConnId) -> bool {
         self.conns.get(&conn).is_some_and(|c| match &c.what {
-            Use::Receiver { link, .. } => link.unbegun(&c.stream),
+            Use::Receiver { link, .. } => link.is_request_unsent(&c.stream),
             _ => false,
         })
     }
@@ -38,7 +38,7 @@
     /// Octets to be read from a connection in one turn.
     pub fn turn(&self, conn: ConnId) -> usize {
         match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { place: Some((client, _)), .. }) => self.read_budgets.octets(*client),
+            Some(Use::Client { place: Some((client, _)), .. }) => self.read_budgets.bytes_per_turn(*client),
             _ => read_budget::MAX_READ,
         }
     }
--- a/crates/engine/src/node/leave.rs
+++ b/crates/engine/src/node/leave.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use super::state::{Conn, Key, Use};
 use crate::Micros;
-use crate::answers::End;
+use crate::answers::MessageEnd;
 use crate::front::{FRONTS, Speaks};
 use crate::ids::ConnId;
 use crate::standing::Still;
@@ -62,7 +62,7 @@
         let retry_after = self.cfg.settings.max_retry_after;
         for (id, _) in std::mem::take(&mut self.fresh) {
             self.stats.refused_room += 1;
-            self.answer(id, End::Refused(retry_after));
+            self.answer(id, MessageEnd::Refused(retry_after));
         }
     }
 
@@ -88,7 +88,7 @@
         let open: Vec<MsgId> = goes_on.map(|(id, _)| *id).collect();
         for id in open {
             self.events.push(Event::Left { id });
-            self.answer(id, End::Leaving);
+            self.answer(id, MessageEnd::Leaving);
         }
         self.unbind_all();
         self.left = true;
--- a/crates/engine/src/node/members.rs
+++ b/crates/engine/src/node/members.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use super::api::Output;
 use super::state::Key;
-use crate::directory::Heard;
+use crate::directory::DirectoryEvent;
 use heronroute::{DestId, EndpointEntry, EndpointId, Event, Status};
 use heronroute_config::Listing;
 use std::collections::BTreeSet;
@@ -20,15 +20,15 @@
         self.timers.set(Key::Directory, self.directory.wake());
     }
 
-    pub(crate) fn heard(&mut self, heard: Vec<Heard>) {
+    pub(crate) fn heard(&mut self, heard: Vec<DirectoryEvent>) {
         for h in heard {
             match h {
-                Heard::List(listing) => {
+                DirectoryEvent::List(listing) => {
                     self.stats.lists += 1;
                     self.members(&listing);
                     self.outputs.extend(self.directory.text().map(Output::Keep));
                 }
-                Heard::Failed(why) => {
+                DirectoryEvent::Failed(why) => {
                     self.stats.list_failures += 1;
                     tracing::warn!(why, "the directory failed; the last list holds");
                     self.events.push(Event::DirectoryFailed);
@@ -57,7 +57,7 @@
             }
             self.remotes.list(endpoint, status != Status::Removed);
             if moved {
-                self.close_idle(endpoint);
+                self.close_idle_connections(endpoint);
             }
             let zone = self.zones.iter().position(|z| *z == e.zone).unwrap_or_else(|| {
                 self.zones.push(e.zone.clone());
@@ -65,7 +65,7 @@
             });
             entries.push(EndpointEntry { endpoint, dest, status, kind, zone, weight: e.weight });
             if status == Status::Removed {
-                self.close_idle(endpoint);
+                self.close_idle_connections(endpoint);
             }
         }
         let mut down: Vec<EndpointId> =
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -20,7 +20,7 @@
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::Directory;
-use crate::doubts::Doubts;
+use crate::doubts::UnconfirmedOutcomes;
 use crate::front::FRONTS;
 use crate::ids::ConnId;
 use crate::keeping::Keeping;
@@ -81,7 +81,7 @@
     pub(crate) next_id: u64,
     pub(crate) calls: Calls,
     /// Outcomes by doubtful answers, which wait to be believed.
-    pub(crate) doubts: Doubts,
+    pub(crate) doubts: UnconfirmedOutcomes,
     pub(crate) remotes: Remotes,
     /// When it is looked next for endpoints that are gone.
     forget_at: Micros,
--- a/crates/engine/src/node/round.rs
+++ b/crates/engine/src/node/round.rs
@@ -4,7 +4,7 @@
 use super::api::Output;
 use super::state::{Effect, Key, Use};
 use crate::Micros;
-use crate::directory::Want;
+use crate::directory::ConnectionAction;
 use heronroute::{EndpointId, Event};
 use heronroute_journal::Usage;
 
@@ -75,8 +75,8 @@
         actions.clear();
         self.dispatcher.round(self.now, &events, &mut actions);
         self.accept_fresh(&actions);
-        self.carry_out(&actions);
-        self.note_known(events.iter().filter_map(|e| match e {
+        self.execute_actions(&actions);
+        self.journal_destination_state(events.iter().filter_map(|e| match e {
             Event::Outcome { endpoint, .. } => Some(*endpoint),
             _ => None,
         }));
@@ -93,8 +93,8 @@
                 Some(Use::Receiver { .. }) => self.link_tick(conn),
                 _ => {}
             },
-            Key::Connect(conn) => self.link_gone_and_dropped(conn),
-            Key::Idle(conn) => self.link_idle(conn),
+            Key::Connect(conn) => self.drop_link(conn),
+            Key::Idle(conn) => self.close_if_idle(conn),
             Key::Confirm(conn) => self.confirm_due(conn),
             Key::Part(call, part) => self.part_timed_out(call, part),
             Key::Probe(endpoint) => self.probe_timed_out(EndpointId(endpoint)),
@@ -106,13 +106,13 @@
                 let mut heard = Vec::new();
                 let want = self.directory.tick(self.now, &mut heard);
                 match want {
-                    Want::Nothing => {}
-                    Want::Drop => {
+                    ConnectionAction::Nothing => {}
+                    ConnectionAction::Drop => {
                         if let Some(conn) = self.directory_conn.take() {
                             self.drop_conn(conn);
                         }
                     }
-                    Want::Connect(address) => {
+                    ConnectionAction::Connect(address) => {
                         let conn = self.add_conn(Use::Directory);
                         self.directory_conn = Some(conn);
                         self.outputs.push(Output::Connect { conn, address });
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -7,12 +7,12 @@
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::{Directory, Polled, Watched};
-use crate::doubts::Doubts;
+use crate::doubts::UnconfirmedOutcomes;
 use crate::front::FRONTS;
 use crate::ids::ID_SENDER_BITS;
 use crate::keeping::Keeping;
 use crate::ledger::Ledger;
-use crate::limits::{Limits, Part};
+use crate::limits::{ClientLimits, Limits};
 use crate::mailboxes::Mailboxes;
 use crate::read_budget::ReadBudgets;
 use crate::routes::Trie;
@@ -34,8 +34,8 @@
     cfg.mqtt.as_ref().map(|m| vec![cfg.smpp.weight, m.weight]).unwrap_or_default()
 }
 
-fn rates(cfg: &Config) -> Vec<Part> {
-    cfg.clients.iter().map(|c| Part { rate: c.rate, burst: c.burst, weight: c.weight }).collect()
+fn rates(cfg: &Config) -> Vec<ClientLimits> {
+    cfg.clients.iter().map(|c| ClientLimits { rate: c.rate, burst: c.burst, weight: c.weight }).collect()
 }
 
 impl Node {
@@ -107,7 +107,7 @@
             // sender takes on a million messages a second for as long as it runs.
             next_id: ((start.wall.max(0) as u64) << ID_SENDER_BITS) | start.index as u64,
             calls: Calls::default(),
-            doubts: Doubts::default(),
+            doubts: UnconfirmedOutcomes::default(),
             remotes: Remotes::default(),
             forget_at: now,
             zones: cfg.zones.clone(),
--- a/crates/engine/src/read_budget.rs
+++ b/crates/engine/src/read_budget.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the maximum number of bytes to read from one of a client's connections in a turn.
-    pub fn octets(&self, client: usize) -> usize {
+    pub fn bytes_per_turn(&self, client: usize) -> usize {
         self.limited.get(&client).copied().unwrap_or(MAX_READ)
     }
 
--- a/crates/engine/src/region/back.rs
+++ b/crates/engine/src/region/back.rs
@@ -1,7 +1,7 @@
 //! The right is there again, or the partner took over: what stood still goes on, or is the partner's.
 
-use crate::answers::End;
-use crate::ids::read_id;
+use crate::answers::MessageEnd;
+use crate::ids::parse_id;
 use crate::node::Node;
 use crate::resume::{Resume, resume};
 use crate::standing::Still;
@@ -66,7 +66,7 @@
             Resume::GoesOn(ran) => {
                 let ordered = settings.is_some_and(|c| c.ordered);
                 let key = m.submission.key.as_ref().filter(|_| ordered);
-                let key = key.map(|k| crate::ids::key_of(m.client, k));
+                let key = key.map(|k| crate::ids::scoped_key(m.client, k));
                 let dest = self.routes.find(&m.submission.destination).unwrap_or(DestId(i64::MAX));
                 self.events.push(Event::Message {
                     id,
@@ -81,7 +81,7 @@
                 let may_run = ran.map(|i| (EndpointId(u32::MAX), wall - i.at));
                 self.events.push(Event::Resumed { id, attempts: open.attempts, may_run });
             }
-            Resume::Over { .. } | Resume::Answered => self.answer(id, End::Failed),
+            Resume::Over { .. } | Resume::Answered => self.answer(id, MessageEnd::Failed),
         }
     }
 
@@ -113,7 +113,7 @@
         theirs.iter().for_each(|open| self.taken(MsgId(open.accepted.id)));
         for (client, _, owed) in owed {
             self.clients[client].owed -= 1;
-            read_id(&owed.receipt.id).into_iter().for_each(|id| self.taken(id));
+            parse_id(&owed.receipt.id).into_iter().for_each(|id| self.taken(id));
         }
         // Those on their way as well: a restart would tell again what was not taken.
         let mailboxes: Vec<_> = self.mailboxes.all().map(|(id, _)| id).collect();
@@ -121,7 +121,7 @@
             let Some(m) = self.mailboxes.get_mut(mailbox) else { continue };
             let (client, ids) = (m.client, m.outbox.withdraw(|o| below(&o.receipt.id, upto)));
             self.clients[client].owed -= ids.len();
-            ids.iter().filter_map(|id| read_id(id)).for_each(|id| self.taken(id));
+            ids.iter().filter_map(|id| parse_id(id)).for_each(|id| self.taken(id));
             self.mailboxes.tidy(mailbox);
         }
         self.let_partner_hold(upto);
@@ -146,5 +146,5 @@
 }
 
 fn below(id: &str, upto: u64) -> bool {
-    read_id(id).is_some_and(|id| id.0 < upto)
+    parse_id(id).is_some_and(|id| id.0 < upto)
 }
--- a/crates/engine/src/region/lapse.rs
+++ b/crates/engine/src/region/lapse.rs
@@ -1,6 +1,6 @@
 //! The right ends: what the partner may have stands still.
 
-use crate::calls::End as CallEnd;
+use crate::calls::CallEnd;
 use crate::ids::ConnId;
 use crate::node::{Node, Use};
 use crate::standing::Still;
@@ -40,7 +40,7 @@
                 self.events.push(Event::Left { id });
             }
         }
-        half.into_iter().for_each(|conn| self.link_gone_and_dropped(conn));
+        half.into_iter().for_each(|conn| self.drop_link(conn));
         // Answers that lie in a connection can't be told from each other: guards against one that leaves after the partner
         // has told another.
         let queued = |c: &crate::node::Conn| matches!(c.what, Use::Client { .. }) && !c.stream.out.is_empty();
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -1,10 +1,10 @@
 //! After a restart: what the book says is taken up again. `resume.rs` decides; here it is carried out.
 
 use crate::Micros;
-use crate::answers::End;
+use crate::answers::MessageEnd;
 use crate::entry_codec::{to_reply, to_submission};
 use crate::front::Speaks;
-use crate::ids::{ID_SENDER_BITS, key_of, show_id};
+use crate::ids::{ID_SENDER_BITS, format_id, scoped_key};
 use crate::mailboxes::{BoxId, Kept};
 use crate::node::{Key, Message, Node};
 use crate::resume::{Resume, resume};
@@ -88,7 +88,7 @@
                 let id = MsgId(a.id);
                 let ran_at = may_run.then_some(self.now);
                 self.hold_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
-                self.answer(id, End::Failed);
+                self.answer(id, MessageEnd::Failed);
             }
         }
     }
@@ -196,7 +196,7 @@
             id: MsgId(a.id),
             class,
             tenant: client,
-            key: (ordered && !a.key.is_empty()).then(|| key_of(client, &a.key)),
+            key: (ordered && !a.key.is_empty()).then(|| scoped_key(client, &a.key)),
             dest: DestId(a.dest),
             time_left: a.deadline - self.wall(),
             // It counts as no new demand.
@@ -219,7 +219,7 @@
             return false;
         }
         let receipt = Receipt {
-            id: show_id(MsgId(a.id)),
+            id: format_id(MsgId(a.id)),
             answer,
             taken: a.taken,
             done: *at,
--- a/crates/engine/tests/watch_orders.rs
+++ b/crates/engine/tests/watch_orders.rs
@@ -5,7 +5,7 @@
 mod sender;
 
 use heronroute::Status;
-use heronroute_engine::directory::{Directory, Heard, Want, Watched};
+use heronroute_engine::directory::{ConnectionAction, Directory, DirectoryEvent, Watched};
 use heronroute_engine::{Micros, Stream};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -191,9 +191,9 @@
         list(self.version, since == 0, &rows)
     }
 
-    fn heard(&mut self, heard: Vec<Heard>) {
+    fn heard(&mut self, heard: Vec<DirectoryEvent>) {
         for one in heard {
-            let Heard::List(listing) = one else { continue };
+            let DirectoryEvent::List(listing) = one else { continue };
             if listing.whole {
                 self.held.clear();
             }
@@ -254,9 +254,9 @@
         let want = self.watch.tick(self.now, &mut heard);
         self.heard(heard);
         match want {
-            Want::Nothing => {}
-            Want::Drop => self.connection = Connection::None,
-            Want::Connect(_) => {
+            ConnectionAction::Nothing => {}
+            ConnectionAction::Drop => self.connection = Connection::None,
+            ConnectionAction::Connect(_) => {
                 self.connects.push(self.now);
                 match self.fates.pop_front() {
                     None => self.connection = Connection::Coming,
