--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -1,8 +1,9 @@
-//! Acceptance of messages that the platform's clients submit, and the replies to them.
+//! Acceptance of messages that platform clients submit, and the replies to them.
 //!
-//! A message is accepted once the decision library has not refused it in its first round and its acceptance is durable;
-//! then its client is notified. From then on its end is owed: by a delivery, or by a notice. A message that the library
-//! refuses in its first round is refused to the client, with the library's time to come back.
+//! A message is accepted once the decision library has not refused it in its first round and its acceptance
+//! is durable; then its client receives the reply. From then on the client is owed its end: a delivery, or a
+//! notice. A message that the library refuses in its first round is refused to the client, with the library's
+//! retry delay.
 
 use crate::Micros;
 use crate::entry_codec::to_entry;
@@ -22,23 +23,24 @@
     pub(crate) fn submit_from_platform(&mut self, conn: ConnId, token: u32, add: Add) {
         let (class, tenant) = match self.resolve_names(&add) {
             Ok(known) => known,
-            Err(no) => {
+            Err(reason) => {
                 self.stats.refused_other += 1;
-                return self.send_refusal(conn, token, no);
+                return self.send_refusal(conn, token, reason);
             }
         };
-        // What can't be accepted in time is refused, not left waiting: the library holds no more than its room, so
-        // that only a flood within one round, a full disk or a sender about to end comes to this.
+        // Refuses what can't be accepted in time instead of queueing it. The library bounds the messages that
+        // it holds, so this happens only on a flood within one round, on a full disk, or while the sender
+        // shuts down.
         let most = self.cfg.settings.max_open as usize;
-        let flooded = self.fresh.len() >= most;
-        let coming = self.fresh_octets + add.body.len();
+        let flooded = self.submitted.len() >= most;
+        let coming = self.submitted_bytes + add.body.len();
         if self.frozen || flooded || self.ledger.refuses(self.now, self.messages.len(), coming) {
             self.stats.refused_room += 1;
             let retry_after = self.cfg.settings.max_retry_after;
             self.respond(conn, token, MsgId(0), Answer::Rejected { retry_after });
             return;
         }
-        self.fresh_octets = coming;
+        self.submitted_bytes = coming;
         let id = self.new_id();
         let deadline = self.cfg.settings.classes[class].deadline;
         let span = (add.left_ms.min(i64::MAX as u64 / 1_000) as i64 * 1_000).min(deadline);
@@ -80,14 +82,14 @@
             still: Still::No,
         };
         self.hold(id, message);
-        self.fresh.push((id, add.dest));
+        self.submitted.push((id, add.dest));
     }
 
-    /// Class and tenant of a submitted message, or why it is refused.
+    /// Returns the class and tenant of a submitted message, or why it is refused.
     fn resolve_names(&self, add: &Add) -> Result<(usize, usize), No> {
         let class = self.class_names.get(&add.class).copied().ok_or(No::Class)?;
         let tenant = self.client_names.get(&add.tenant).copied().ok_or(No::NotEntered)?;
-        if !self.remotes.knows(DestId(add.dest)) {
+        if !self.remotes.is_known_destination(DestId(add.dest)) {
             return Err(No::Address);
         }
         if self.by_identity.contains_key(&add.id) {
@@ -100,17 +102,17 @@
         Ok((class, tenant))
     }
 
-    fn send_refusal(&mut self, conn: ConnId, token: u32, no: No) {
+    fn send_refusal(&mut self, conn: ConnId, token: u32, reason: No) {
         if let Some((front, out)) = self.front(conn) {
-            front.refused(token, no, out);
+            front.refused(token, reason, out);
         }
         self.flush(conn);
     }
 
-    /// After a round: accepts what was submitted since the round before and was not refused in this one. The acceptance
-    /// of a message precedes all its other entries in the journal.
-    pub(crate) fn accept_fresh(&mut self, actions: &[Action]) {
-        if self.fresh.is_empty() {
+    /// Accepts, after a round, the messages that were submitted before it and not refused in it. The
+    /// acceptance of a message precedes all its other entries in the journal.
+    pub(crate) fn accept_submitted(&mut self, actions: &[Action]) {
+        if self.submitted.is_empty() {
             return;
         }
         let over = |a: &Action| match a {
@@ -118,8 +120,8 @@
             _ => None,
         };
         let over: Vec<MsgId> = actions.iter().filter_map(over).collect();
-        self.fresh_octets = 0;
-        for (id, dest) in std::mem::take(&mut self.fresh) {
+        self.submitted_bytes = 0;
+        for (id, dest) in std::mem::take(&mut self.submitted) {
             if over.contains(&id) {
                 continue;
             }
@@ -148,15 +150,15 @@
                 class = s.service,
                 dest,
                 left = m.deadline - now,
-                "taken on"
+                "accepted a message"
             );
             self.stats.accepted += 1;
-            self.once_durable(Effect::Accept { conn, token, id });
+            self.once_durable(Effect::ReportAcceptance { conn, token, id });
         }
     }
 
-    /// The journal's storage failed. Until it works again nothing is accepted: clients that wait for a first reply are
-    /// refused now, as it would come too late.
+    /// Handles a failure of the journal's storage. Nothing is accepted until it works again: clients that
+    /// wait for their first reply are refused now, as a later acceptance would come too late.
     pub fn storage_failed(&mut self, now: Micros) {
         self.now = now.max(self.now);
         self.stats.storage_failures += 1;
@@ -165,34 +167,38 @@
             return;
         }
         let retry_after = self.cfg.settings.max_retry_after;
-        for effect in self.ledger.take_held(|e| matches!(e, Effect::Accept { .. })) {
-            let Effect::Accept { conn, token, id } = effect else { continue };
+        for effect in self.ledger.take_held(|e| matches!(e, Effect::ReportAcceptance { .. })) {
+            let Effect::ReportAcceptance { conn, token, id } = effect else { continue };
             self.stats.accepted -= 1;
             self.stats.refused_room += 1;
             self.respond(conn, token, id, Answer::Rejected { retry_after });
             self.abandon_message(id);
         }
-        self.refuse_fresh();
+        self.refuse_submitted();
     }
 
-    /// A client's connection is gone: abandons the messages it submitted whose acceptance was not acknowledged.
+    /// Abandons the messages of a closed client connection whose acceptance was not acknowledged.
     pub(crate) fn abandon_unacknowledged(&mut self, conn: ConnId) {
         let gone: Vec<MsgId> = self
-            .fresh
+            .submitted
             .iter()
             .map(|f| f.0)
             .filter(|id| self.messages.get(id).is_some_and(|m| m.conn == conn))
             .collect();
         for id in gone {
-            self.fresh.retain(|f| f.0 != id);
+            self.submitted.retain(|f| f.0 != id);
             self.abandon_message(id);
         }
     }
 
-    /// Abandons a message whose client disconnected before its acceptance was acknowledged. It is not sent any more.
+    /// Abandons a message whose client disconnected before its acceptance was acknowledged. It is not sent
+    /// any more.
     pub(crate) fn abandon_message(&mut self, id: MsgId) {
         let Some(m) = self.messages.get(&id) else { return };
-        tracing::debug!(id = m.submission.identity, "abandoned before its client heard of the acceptance");
+        tracing::debug!(
+            id = m.submission.identity,
+            "abandoned a message whose client disconnected before the acceptance was sent"
+        );
         if let Some((call, part)) = m.out {
             self.cancel_or_abandon(call, part);
         }
@@ -200,11 +206,11 @@
         self.over(id);
     }
 
-    /// A message is over and nothing is owed.
+    /// Removes a message for which no answer is owed.
     pub(crate) fn over(&mut self, id: MsgId) {
         let Some(m) = self.messages.remove(&id) else { return };
         self.forget_identity(&m);
-        self.let_go(&m);
+        self.remove_open_message(&m);
         self.taken(id);
     }
 
@@ -214,11 +220,12 @@
         }
     }
 
-    /// Reports the end of a platform's message: by a notice, or to a client that waits for its first answer.
-    pub(crate) fn tell_end(&mut self, id: MsgId, m: Message, answer: Answer) {
-        tracing::debug!(now = self.now, id = m.submission.identity, ?answer, "its end");
+    /// Reports the end of a platform's message: by a notice, or as the reply to a client that waits for its
+    /// first answer.
+    pub(crate) fn report_end(&mut self, id: MsgId, m: Message, answer: Answer) {
+        tracing::debug!(now = self.now, id = m.submission.identity, ?answer, "a message ended");
         self.forget_identity(&m);
-        self.let_go(&m);
+        self.remove_open_message(&m);
         if let Some((conn, token)) = m.reply {
             self.respond(conn, token, id, answer);
             return;
@@ -229,16 +236,16 @@
         self.owe_notice(id, m.submission.identity.as_deref().unwrap_or_default(), answer);
     }
 
-    /// Makes room for one more connection of a client, by closing the one that has rested longest; false where all
-    /// have something to wait for.
+    /// Closes the client connection that has been idle longest, to make room for another one. Returns false
+    /// if every connection waits for something.
     pub fn make_way(&mut self) -> bool {
-        let Some((_, oldest)) = self.resting().min() else { return false };
+        let Some((_, oldest)) = self.idle_clients().min() else { return false };
         self.end_session(oldest);
         true
     }
 
-    /// Clients' connections that rest, with since when.
-    pub(crate) fn resting(&self) -> impl Iterator<Item = (Micros, ConnId)> + '_ {
+    /// Returns the idle client connections, each with the time since when it is idle.
+    pub(crate) fn idle_clients(&self) -> impl Iterator<Item = (Micros, ConnId)> + '_ {
         self.conns.iter().filter_map(|(id, c)| match &c.what {
             Use::Client { front, .. } => front.rests().map(|since| (since, *id)),
             _ => None,
--- a/crates/engine/src/desk/admit.rs
+++ b/crates/engine/src/admission/admit.rs
@@ -1,7 +1,7 @@
-//! Whether a message is accepted, on which terms, and its acceptance.
+//! Admission of messages: whether a message is accepted, on which terms, and its acceptance.
 
 use super::{From, Terms};
-use crate::front::{Handing, No};
+use crate::front::{No, SubmissionContext};
 use crate::ids::key_of;
 use crate::limits::Refusal;
 use crate::node::{Effect, Node, Use};
@@ -9,12 +9,18 @@
 use heronroute_journal::entry::Accepted;
 use heronroute_smpp::submission::Submission;
 
-/// Worth of what may be lost by its own protocol, beside the same that may not.
-const LIGHT: f64 = 0.5;
+/// The worth of a message that its protocol allows to be lost (MQTT QoS 0), relative to one that it does not.
+const LOSSY_WORTH_FACTOR: f64 = 0.5;
 
 impl Node {
-    /// Whether a message is accepted, and on which terms. Nothing is counted before everything is known to be right.
-    pub(crate) fn judge(&mut self, from: &From, submission: &Submission, light: bool) -> Result<Terms, No> {
+    /// Checks whether a message is accepted, and on which terms. Rate and room are counted only once all
+    /// other checks have passed.
+    pub(crate) fn check_submission(
+        &mut self,
+        from: &From,
+        submission: &Submission,
+        light: bool,
+    ) -> Result<Terms, No> {
         let named = self.class_names.get(&submission.service).copied();
         let class = named.or(submission.service.is_empty().then_some(0)).ok_or(No::Class)?;
         let dest = self.routes.find(&submission.destination).ok_or(No::Address)?;
@@ -32,12 +38,12 @@
         Ok(Terms { class, dest, span, keep })
     }
 
-    /// Takes a message on.
-    pub(crate) fn take_on(
+    /// Accepts a message that passed [`Node::check_submission`].
+    pub(crate) fn accept_message(
         &mut self,
         from: From,
         mut submission: Submission,
-        handing: &Handing,
+        handing: &SubmissionContext,
         terms: Terms,
     ) {
         let Terms { class, dest, span, keep } = terms;
@@ -55,8 +61,8 @@
             time_left: span,
             again: submission.again,
         });
-        let named = self.remember(&from, handing, id, keep);
-        // Only a message with a name can be submitted once more.
+        let named = self.remember_submission(&from, handing, id, keep);
+        // Only a message with a client-given name can be submitted again.
         let answer_for = if named.is_some() { keep.answer_for } else { 0 };
         self.write_accepted(
             &from,
@@ -76,18 +82,18 @@
         message.answer_for = answer_for;
         let waits = message.reply.is_some();
         self.hold(id, message);
-        self.trail_by(id);
+        self.set_trail_origin(id);
         if let Some(conn) = from.conn.filter(|_| !waits) {
-            self.once_durable(Effect::Accept { conn, token: from.token, id });
+            self.once_durable(Effect::ReportAcceptance { conn, token: from.token, id });
         }
     }
 
-    /// Whether there is room for one more of this client, front and session.
+    /// Checks whether there is room for another message of this client, front and session.
     pub(crate) fn admit(&mut self, from: &From, class: usize, light: bool) -> Result<(), No> {
         let mut held = self.held(from.client, class);
         if light {
-            // What may be lost by its own protocol goes first.
-            held.worth *= LIGHT;
+            // Messages that their protocol allows to be lost are refused first.
+            held.worth *= LOSSY_WORTH_FACTOR;
         }
         let conn = from.conn.and_then(|c| self.conns.get_mut(&c)).map(|c| &mut c.what);
         let mut own = false;
@@ -96,11 +102,11 @@
             _ => (None, None),
         };
         if let Some(speaks) = front {
-            held.front = Some((speaks as usize, self.open_of[speaks as usize]));
+            held.front = Some((speaks as usize, self.open_by_front[speaks as usize]));
         }
         let (of_session, shedding) = session.unwrap_or((0, &mut own));
         held.of_session = of_session;
-        held.sessions = self.clients[from.client].conns;
+        held.sessions = self.clients[from.client].admitted_conns;
         let result = self.limits.admit(self.now, from.client, held, shedding);
         result.map_err(|refusal| match refusal {
             Refusal::Rate => No::Rate,
--- a/crates/engine/src/desk/pump.rs
+++ b/crates/engine/src/admission/delivery.rs
@@ -1,4 +1,4 @@
-//! What is owed to a mailbox goes out, and is over once it was taken.
+//! Delivery of owed answers to the sessions of a mailbox.
 
 use crate::front::Delivery;
 use crate::ids::{ConnId, read_id};
@@ -6,8 +6,8 @@
 use crate::node::{Key, Node, Use};
 
 impl Node {
-    /// An answer was taken.
-    pub(crate) fn heard_of(&mut self, mailbox: BoxId, id: &str) {
+    /// Handles the client's acknowledgement of an answer.
+    pub(crate) fn receipt_acknowledged(&mut self, mailbox: BoxId, id: &str) {
         if let Some(id) = read_id(id) {
             self.taken(id);
         }
@@ -17,13 +17,13 @@
         self.mailboxes.tidy(mailbox);
     }
 
-    /// Hands out what is owed to a mailbox, as far as the sessions there have room.
+    /// Sends the answers owed to a mailbox, as far as its sessions have room.
     pub(crate) fn pump(&mut self, mailbox: BoxId) {
         let (mut full, now) = (0, self.now);
         let still = self.still_below();
         loop {
             let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
-            let Some(conn) = m.outbox.turn(now) else { break };
+            let Some(conn) = m.outbox.next_session(now) else { break };
             let Some(c) = self.conns.get_mut(&conn) else { break };
             let Use::Client { front, .. } = &mut c.what else { break };
             if front.room() == 0 {
@@ -34,27 +34,27 @@
                 continue;
             }
             full = 0;
-            let Some(owed) = m.outbox.take() else { break };
+            let Some(owed) = m.outbox.pop() else { break };
             if read_id(&owed.receipt.id).is_some_and(|id| still.is_some_and(|below| id.0 < below)) {
                 self.owe_later(mailbox, owed);
                 continue;
             }
             match front.deliver(now, &owed, &mut c.stream.out) {
-                Delivery::Out(token) => m.outbox.went(conn, token, owed),
-                Delivery::Unwanted => m.outbox.set_aside(owed),
+                Delivery::Out(token) => m.outbox.sent(conn, token, owed),
+                Delivery::NotSubscribed => m.outbox.set_aside(owed),
                 Delivery::Done => {
                     self.stats.receipts += 1;
-                    self.heard_of(mailbox, &owed.receipt.id);
+                    self.receipt_acknowledged(mailbox, &owed.receipt.id);
                 }
             }
-            self.front_wake(conn);
+            self.schedule_front(conn);
         }
         if let Some(at) = self.mailboxes.get(mailbox).and_then(|m| m.outbox.wake()) {
             self.timers.set(Key::Outbox(mailbox), at.max(self.now + 1));
         }
     }
 
-    pub(crate) fn unbind_all(&mut self) {
+    pub(crate) fn end_all_sessions(&mut self) {
         let bound: Vec<ConnId> = self
             .conns
             .iter()
@@ -63,13 +63,13 @@
             .collect();
         for conn in bound {
             let now = self.now;
-            self.with_front(conn, |f, out, asks| f.leave(now, out, asks));
+            self.with_front(conn, |f, out, requests| f.leave(now, out, requests));
         }
-        // Those that never bound are owed nothing.
+        // Connections that were never admitted are owed nothing.
         let other: Vec<ConnId> = self
             .conns
             .iter()
-            .filter(|(_, c)| matches!(&c.what, Use::Client { place: None, .. }))
+            .filter(|(_, c)| matches!(&c.what, Use::Client { owner: None, .. }))
             .map(|(id, _)| *id)
             .collect();
         for conn in other {
--- a/crates/engine/src/desk/fronts.rs
+++ b/crates/engine/src/admission/fronts.rs
@@ -1,4 +1,4 @@
-//! Fronts of connections, and what they ask for.
+//! Client connections and the requests that their fronts raise.
 
 use crate::Micros;
 use crate::front::{Ask, Front, MqttFront, No, RespFront, SmppFront, Speaks};
@@ -6,12 +6,12 @@
 use crate::mailboxes::BoxId;
 use crate::node::{Key, Node, Use};
 
-/// After a receipt that a client could not take.
+/// The pause after a client refused a receipt, before it is sent again.
 const RECEIPT_PAUSE: Micros = 1_000_000;
 
 impl Node {
-    /// A client has connected, and sent these octets already. Gives the number for its connection, or nothing
-    /// where there is no room for a further one.
+    /// Adds a connection that a client opened, with the bytes it has sent so far. Returns the number of the
+    /// connection, or `None` if there is no room for another one.
     pub fn accepted(&mut self, now: Micros, speaks: Speaks, octets: &[u8]) -> Option<ConnId> {
         self.now = now.max(self.now);
         let most = match speaks {
@@ -37,40 +37,41 @@
             _ => Box::new(SmppFront::new(self.now, self.session_limits)),
         };
         self.sessions[speaks as usize] += 1;
-        let conn = self.add_conn(Use::Client { front, speaks, place: None, open: 0, shedding: false });
+        let conn = self.add_conn(Use::Client { front, speaks, owner: None, open: 0, shedding: false });
         self.client_received(conn, octets);
         Some(conn)
     }
 
-    /// Connections of the platform's clients that may linger while they are closed, each with one descriptor: together
-    /// with those that are open no more than clients' part and a sixteenth. Without a bound elsewhere.
+    /// Returns how many closing connections of platform clients may linger, each holding one descriptor.
+    /// Together with the open ones they take no more than the clients' session limit and a sixteenth. Without
+    /// a platform there is no bound.
     pub fn room_to_linger(&self) -> usize {
         let open = self.sessions[Speaks::Resp as usize];
         self.cfg.platform.map_or(usize::MAX, |p| (p.sessions + p.sessions / 16).saturating_sub(open))
     }
 
-    /// Runs a front's own work, then handles what it asks for.
+    /// Runs an operation of a connection's front, then handles the requests that it raised.
     pub(crate) fn with_front(
         &mut self,
         conn: ConnId,
         work: impl FnOnce(&mut dyn Front, &mut bytes::BytesMut, &mut Vec<Ask>),
     ) {
         let Some((front, out)) = self.front(conn) else { return };
-        let mut asks = Vec::new();
-        work(front, out, &mut asks);
+        let mut requests = Vec::new();
+        work(front, out, &mut requests);
         let mut entered = false;
-        for ask in asks {
+        for ask in requests {
             entered |= matches!(ask, Ask::Enter { .. });
-            self.asked(conn, ask);
+            self.handle_request(conn, ask);
         }
-        self.front_wake(conn);
+        self.schedule_front(conn);
         if entered {
-            // What came behind the request to be let in has waited for its answer.
+            // Bytes received after the request to be admitted waited for its answer.
             self.client_received(conn, &[]);
         }
     }
 
-    pub(crate) fn front_wake(&mut self, conn: ConnId) {
+    pub(crate) fn schedule_front(&mut self, conn: ConnId) {
         if let Some((front, _)) = self.front(conn) {
             let wake = front.wake();
             self.timers.set(Key::Conn(conn), wake);
@@ -80,12 +81,12 @@
 
     pub(crate) fn client_received(&mut self, conn: ConnId, octets: &[u8]) {
         let (now, wall) = (self.now, self.wall());
-        self.with_front(conn, |f, out, asks| f.receive(now, wall, octets, out, asks));
+        self.with_front(conn, |f, out, requests| f.receive(now, wall, octets, out, requests));
     }
 
     pub(crate) fn client_tick(&mut self, conn: ConnId) {
         let now = self.now;
-        self.with_front(conn, |f, out, asks| f.tick(now, out, asks));
+        self.with_front(conn, |f, out, requests| f.tick(now, out, requests));
     }
 
     pub(crate) fn front(&mut self, conn: ConnId) -> Option<(&mut dyn Front, &mut bytes::BytesMut)> {
@@ -96,15 +97,17 @@
         }
     }
 
-    pub(crate) fn refuse(&mut self, conn: ConnId, token: u32, no: No) {
+    pub(crate) fn refuse(&mut self, conn: ConnId, token: u32, reason: No) {
         if let Some((front, out)) = self.front(conn) {
-            front.refused(token, no, out);
+            front.refused(token, reason, out);
         }
     }
 
-    fn asked(&mut self, conn: ConnId, ask: Ask) {
+    fn handle_request(&mut self, conn: ConnId, ask: Ask) {
         match ask {
-            Ask::Enter { name, proof, token, session } => self.enter(conn, &name, &proof, token, session),
+            Ask::Enter { name, password, token, session } => {
+                self.admit_client(conn, &name, &password, token, session)
+            }
             Ask::Submit { token, submission, handing } => self.submit(conn, token, *submission, *handing),
             Ask::HandIn { token, add } => self.submit_from_platform(conn, token, *add),
             Ask::Query { token, id, source } => self.query(conn, token, &id, &source),
@@ -113,29 +116,29 @@
                 let Some((_, mailbox)) = self.place_of(conn) else { return };
                 let now = self.now;
                 let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
-                let owed = m.outbox.answered(now, conn, token, taken, RECEIPT_PAUSE);
+                let owed = m.outbox.acknowledge(now, conn, token, taken, RECEIPT_PAUSE);
                 if let Some(owed) = owed {
                     self.stats.receipts += 1;
-                    self.heard_of(mailbox, &owed.receipt.id);
+                    self.receipt_acknowledged(mailbox, &owed.receipt.id);
                 }
                 self.pump(mailbox);
             }
             Ask::Rules { token, words, body } => self.asked_of_fleet(conn, token, words, body),
-            Ask::Held { token, words } => self.asked_of_held(conn, token, &words),
-            Ask::Notes { notes, told } => self.noted(conn, notes, told),
+            Ask::Held { token, words } => self.handle_held_command(conn, token, &words),
+            Ask::SaveNotes { notes, reply } => self.notes_changed(conn, notes, reply),
             Ask::Over(why) => {
                 if let Some(why) = why {
-                    tracing::info!(conn, why, "a client's session ended");
+                    tracing::info!(conn, why, "a client's session ended with an error");
                 }
                 self.end_session(conn);
             }
         }
     }
 
-    /// Whose connection it is, and where its answers go.
+    /// Returns the client that a connection belongs to, and the mailbox for its answers.
     pub(crate) fn place_of(&self, conn: ConnId) -> Option<(usize, BoxId)> {
         match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { place, .. }) => *place,
+            Some(Use::Client { owner, .. }) => *owner,
             _ => None,
         }
     }
--- a/crates/engine/src/desk/mod.rs
+++ b/crates/engine/src/admission/mod.rs
@@ -1,10 +1,11 @@
-//! The clients' side, the same for all fronts: who is let in, what is accepted, which answers go where.
+//! The client side, the same for all fronts: which clients are admitted, which messages are accepted, and
+//! where answers go.
 
 mod admit;
+mod delivery;
 mod fronts;
-mod keep;
-mod pump;
-mod query;
+mod open_messages;
+mod replies;
 mod submit;
 
 use crate::Micros;
@@ -16,7 +17,7 @@
 /// Where a message comes from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct From {
-    /// The connection and request; none for a message submitted for a client that is gone.
+    /// The connection of the request; `None` for a message submitted on behalf of a disconnected client.
     pub conn: Option<ConnId>,
     pub token: u32,
     pub client: usize,
@@ -28,14 +29,15 @@
 pub(crate) struct Terms {
     pub(crate) class: usize,
     pub(crate) dest: DestId,
-    /// It expires after this.
+    /// The time after which the message expires.
     pub(crate) span: Micros,
-    /// What its client's rules say of it.
+    /// What the client's own rules say about the message.
     pub(crate) keep: Keep,
 }
 
-/// Compares without stopping at the first difference.
-pub(crate) fn same(a: &str, b: &str) -> bool {
+/// Compares two strings without stopping at the first difference, so that the time taken does not reveal
+/// where they differ.
+pub(crate) fn constant_time_eq(a: &str, b: &str) -> bool {
     let (a, b) = (a.as_bytes(), b.as_bytes());
     a.len() == b.len() && a.iter().zip(b).fold(0, |d, (x, y)| d | (x ^ y)) == 0
 }
--- a/crates/engine/src/desk/keep.rs
+++ b/crates/engine/src/admission/open_messages.rs
@@ -1,9 +1,9 @@
-//! What a message is while it is held: its number, its entry, its part of the room.
+//! Open messages: their numbers, their journal entries, and their share of the room.
 
 use super::From;
 use crate::Micros;
 use crate::entry_codec::to_entry;
-use crate::front::{Handing, Speaks};
+use crate::front::{Speaks, SubmissionContext};
 use crate::ids::ID_SENDER_BITS;
 use crate::node::{Message, Node, Use};
 use crate::standing::Still;
@@ -19,12 +19,13 @@
         id
     }
 
-    /// Writes the acceptance; `rest` has what is not the submission's own.
+    /// Writes the acceptance of a message to the journal. `rest` holds the fields that don't come from the
+    /// submission.
     pub(crate) fn write_accepted(
         &mut self,
         from: &From,
         submission: &Submission,
-        handing: &Handing,
+        handing: &SubmissionContext,
         rest: Accepted,
     ) {
         let (taken, cfg) = (self.wall(), &self.cfg);
@@ -48,7 +49,7 @@
         from: &From,
         class: usize,
         submission: Submission,
-        handing: &Handing,
+        handing: &SubmissionContext,
         deadline: Micros,
     ) -> Message {
         let reply = submission.forward.then_some(from.conn.map(|c| (c, from.token))).flatten();
@@ -69,14 +70,14 @@
             ran_at: None,
             answer_for: 0,
             still: Still::No,
-            trail: self.trails(from.client).then(|| Box::new(Trail::new(self.wall(), 0))),
+            trail: self.records_trail(from.client).then(|| Box::new(Trail::new(self.wall(), 0))),
         }
     }
 
-    /// A message is held from now on: it counts wherever room is shared.
+    /// Adds an open message, and counts it against every shared limit.
     pub(crate) fn hold(&mut self, id: MsgId, message: Message) {
         self.clients[message.client].open += 1;
-        self.open_of[message.speaks as usize] += 1;
+        self.open_by_front[message.speaks as usize] += 1;
         if let Some(m) = self.mailboxes.get_mut(message.mailbox) {
             m.open += 1;
         }
@@ -86,10 +87,10 @@
         self.messages.insert(id, message);
     }
 
-    /// It is held no more.
-    pub(crate) fn let_go(&mut self, message: &Message) {
+    /// Takes a message that is no longer open out of the counts of every shared limit.
+    pub(crate) fn remove_open_message(&mut self, message: &Message) {
         self.clients[message.client].open -= 1;
-        self.open_of[message.speaks as usize] -= 1;
+        self.open_by_front[message.speaks as usize] -= 1;
         if let Some(m) = self.mailboxes.get_mut(message.mailbox) {
             m.open -= 1;
         }
--- a/crates/engine/src/desk/query.rs
+++ b/crates/engine/src/admission/replies.rs
@@ -1,4 +1,4 @@
-//! Answers to requests: acceptances, forward mode, what became of a message, withdrawals.
+//! Replies to requests: acceptances, answers in forward mode, queries, withdrawals.
 
 use crate::answers::End;
 use crate::front::{No, Speaks};
@@ -10,21 +10,23 @@
 use rusmpp_core::values::MessageState;
 
 impl Node {
-    /// The acceptance is told. A session that is gone by now will hear of its message by the receipt alone.
-    pub(crate) fn tell_accepted(&mut self, conn: ConnId, token: u32, id: MsgId) {
+    /// Reports an acceptance to the client. If its connection has closed, the client learns the message's end
+    /// by the receipt alone.
+    pub(crate) fn report_acceptance(&mut self, conn: ConnId, token: u32, id: MsgId) {
         if let Some((front, out)) = self.front(conn) {
             front.accepted(token, &show_id(id), out);
         } else if self.messages.get(&id).is_some_and(|m| m.speaks == Speaks::Resp) {
             self.abandon_message(id);
         }
-        self.front_wake(conn);
+        self.schedule_front(conn);
     }
 
-    /// The response that is the final answer, in forward mode. False where its session is gone.
+    /// Sends the final answer as the response to a submission, in forward mode. Returns false if the
+    /// connection has closed.
     pub(crate) fn respond(&mut self, conn: ConnId, token: u32, id: MsgId, answer: Answer) -> bool {
         let Some((front, out)) = self.front(conn) else { return false };
         let told = front.answered(token, &show_id(id), answer, out);
-        self.front_wake(conn);
+        self.schedule_front(conn);
         told
     }
 
@@ -37,19 +39,20 @@
         let known = if open.is_some() {
             Some((MessageState::Enroute, None))
         } else {
-            let ended = id.and_then(|id| self.ended.get(&id));
-            let mine = ended.filter(|e| e.client == client && (source.is_empty() || e.source == source));
+            let finished = id.and_then(|id| self.finished.get(&id));
+            let mine = finished.filter(|e| e.client == client && (source.is_empty() || e.source == source));
             mine.map(|e| (e.answer.state(), Some(e.done)))
         };
         let Some((front, out)) = self.front(conn) else { return };
         match known {
             Some((state, done)) => front.queried(token, text, state, done, out),
-            // The same for what does not exist and what belongs to another client.
+            // The same reply for messages that don't exist and for those of another client, so that a client
+            // can't tell which ids exist.
             None => front.refused(token, No::Message, out),
         }
     }
 
-    /// Withdraws a message that has surely not run and is not on its way.
+    /// Withdraws a message that certainly has not run and is not on its way.
     pub(crate) fn withdraw(&mut self, conn: ConnId, token: u32, text: &str, source: &str) {
         let Some((client, _)) = self.place_of(conn) else { return self.refuse(conn, token, No::NotEntered) };
         let id = read_id(text);
--- a/crates/engine/src/desk/submit.rs
+++ b/crates/engine/src/admission/submit.rs
@@ -1,7 +1,7 @@
-//! Submission of a message: whether it was submitted before, and the reply where it is not accepted.
+//! Submission of a message: detection of duplicates, and the reply to a message that is not accepted.
 
 use super::From;
-use crate::front::{Handing, No};
+use crate::front::{No, SubmissionContext};
 use crate::ids::ConnId;
 use crate::keeping::rules::Keep;
 use crate::mailboxes::BoxId;
@@ -13,52 +13,59 @@
 use heronroute_smpp::submission::Submission;
 
 impl Node {
-    pub(crate) fn submit(&mut self, conn: ConnId, token: u32, submission: Submission, handing: Handing) {
+    pub(crate) fn submit(
+        &mut self,
+        conn: ConnId,
+        token: u32,
+        submission: Submission,
+        handing: SubmissionContext,
+    ) {
         let Some((client, mailbox)) = self.place_of(conn) else {
             return self.refuse(conn, token, No::NotEntered);
         };
         let (now, cfg) = (self.now, &self.cfg);
         self.read_budgets.count(now, client, |c| cfg.clients.get(c).map_or(1.0, |c| c.weight));
         let from = From { conn: Some(conn), token, client, mailbox };
-        let (verdict, by_name) = self.known(client, mailbox, &handing);
+        let (verdict, by_name) = self.find_duplicate(client, mailbox, &handing);
         let judged = match verdict {
             Verdict::Same(id) => {
-                // Once what was said the first time is durable, it may be said again.
+                // The acceptance is repeated once the first one is durable.
                 let id = MsgId(id);
                 self.stats.repeated += 1;
-                self.once_durable(Effect::Accept { conn, token, id });
+                self.once_durable(Effect::ReportAcceptance { conn, token, id });
                 if by_name && self.owes_again(&from, id) {
-                    self.once_durable(Effect::Again { mailbox, id, to: Box::new(handing.reply) });
+                    self.once_durable(Effect::RepeatAnswer { mailbox, id, to: Box::new(handing.reply) });
                 }
                 return;
             }
             Verdict::Unsure => Err(No::Unsure),
-            Verdict::New => self.judge(&from, &submission, handing.light),
+            Verdict::New => self.check_submission(&from, &submission, handing.light),
         };
-        let no = match judged {
-            Ok(terms) => return self.take_on(from, submission, &handing, terms),
-            Err(no) => no,
+        let reason = match judged {
+            Ok(terms) => return self.accept_message(from, submission, &handing, terms),
+            Err(reason) => reason,
         };
-        if matches!(no, No::Room | No::Share) {
-            self.crowded();
+        if matches!(reason, No::Room | No::Share) {
+            self.slow_releases();
         }
-        match no {
+        match reason {
             No::Rate | No::Share => self.stats.refused_rate += 1,
             No::Room | No::Unsure => self.stats.refused_room += 1,
             _ => self.stats.refused_other += 1,
         }
         let told = self.front(conn).is_none_or(|(front, _)| front.refuses());
         if told || handing.handle.is_none() {
-            return self.refuse(conn, token, no);
+            return self.refuse(conn, token, reason);
         }
-        if !self.answer_refusal(from, &submission, &handing, no) {
+        if !self.answer_refusal(from, &submission, &handing, reason) {
             tracing::info!(conn, "no room for the answers of a client that can't be refused");
             self.end_session(conn);
         }
     }
 
-    /// Whether a message was submitted before: in this session, or, by the second, under the client's own name for it.
-    fn known(&self, client: usize, mailbox: BoxId, handing: &Handing) -> (Verdict, bool) {
+    /// Looks for an earlier submission of the same message: in this session, or under the name that the
+    /// client gave it. The flag is true if it was looked up by name.
+    fn find_duplicate(&self, client: usize, mailbox: BoxId, handing: &SubmissionContext) -> (Verdict, bool) {
         let kept = self.mailboxes.get(mailbox).and_then(|m| m.kept.as_ref());
         if let (Some(kept), Some(handle)) = (kept, handing.handle) {
             match kept.recent.find(handle) {
@@ -67,21 +74,22 @@
             }
         }
         match (&handing.name, &self.seen) {
-            (Some(name), Some(seen)) => (seen.find(self.wall(), self.name(client, name)), true),
+            (Some(name), Some(seen)) => (seen.find(self.wall(), self.message_name(client, name)), true),
             _ => (Verdict::New, false),
         }
     }
 
-    fn name(&self, client: usize, name: &str) -> Name {
+    fn message_name(&self, client: usize, name: &str) -> Name {
         let own = self.cfg.clients.get(client).map_or("", |c| c.system_id.as_str());
         Name::new(own, name)
     }
 
-    /// What a message leaves behind so that it is known again.
-    pub(crate) fn remember(
+    /// Records a message so that a repeated submission is recognised. Returns the entry for its client-given
+    /// name, if any.
+    pub(crate) fn remember_submission(
         &mut self,
         from: &From,
-        handing: &Handing,
+        handing: &SubmissionContext,
         id: MsgId,
         keep: Keep,
     ) -> Option<Named> {
@@ -92,32 +100,39 @@
         }
         let span = keep.remember.unwrap_or(self.cfg.mqtt.as_ref().map_or(0, |m| m.remember));
         let (wall, until) = (self.wall(), self.wall().saturating_add(span));
-        let name = handing.name.as_ref().map(|n| self.name(from.client, n))?;
+        let name = handing.name.as_ref().map(|n| self.message_name(from.client, n))?;
         let seen = self.seen.as_mut()?;
         seen.add(wall, name, id.0, until);
         self.count_name(from.client, keep, name, id.0, until);
         Some(Named { high: name.high, low: name.low, id: id.0, until })
     }
 
-    /// A refusal in a protocol that has no word for it: the message is acknowledged, and answered at once. It takes
-    /// room as any answer does; false where there is none.
-    fn answer_refusal(&mut self, from: From, submission: &Submission, handing: &Handing, no: No) -> bool {
+    /// Refuses a message in a protocol that can't refuse a single message: acknowledges it and sends the
+    /// refusal as its answer. The answer takes room like any other; returns false if there is none.
+    fn answer_refusal(
+        &mut self,
+        from: From,
+        submission: &Submission,
+        handing: &SubmissionContext,
+        reason: No,
+    ) -> bool {
         let c = &self.clients[from.client];
         let full = c.open + c.owed >= self.cfg.service.owed_room;
         if full || self.leaving || self.ledger.refuses(self.now, self.messages.len(), submission.body.len()) {
             return false;
         }
         let retry_after = self.cfg.settings.max_retry_after;
-        let answer = match no {
+        let answer = match reason {
             No::Rate | No::Share | No::Room => Answer::Rejected { retry_after },
             No::Unsure => Answer::Unknown { retry_after: None },
             No::Time => Answer::Expired,
             _ => Answer::Undeliverable,
         };
         let id = self.new_id();
-        // Its place in the session is kept, so that it isn't refused twice; its name is free to be tried again.
-        let unnamed = Handing { name: None, ..handing.clone() };
-        self.remember(&from, &unnamed, id, Keep::default());
+        // The session remembers the message, so that it isn't refused twice. Its name is not recorded, so
+        // that the client may submit it again.
+        let unnamed = SubmissionContext { name: None, ..handing.clone() };
+        self.remember_submission(&from, &unnamed, id, Keep::default());
         let submission = Submission { body: Vec::new(), key: None, ..submission.clone() };
         let (taken, class) = (self.wall(), submission.service.clone());
         self.write_accepted(
@@ -127,11 +142,11 @@
             Accepted { id: id.0, class, deadline: taken, refused: true, ..Accepted::default() },
         );
         let mut message = self.message(&from, 0, submission, handing, self.now);
-        // It was never held, and leaves no trail.
+        // The message was never held for its client, and has no trail.
         message.trail = None;
         self.hold(id, message);
         if let Some(conn) = from.conn {
-            self.once_durable(Effect::Accept { conn, token: from.token, id });
+            self.once_durable(Effect::ReportAcceptance { conn, token: from.token, id });
         }
         self.answer_with(id, answer);
         true
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -1,9 +1,9 @@
-//! One client's connection, whatever it speaks.
+//! One client connection, whatever protocol it uses.
 //!
-//! A front turns octets into what a client asks for, and what the sender says into octets, in its protocol's own
-//! words. It keeps the protocol's session (states, windows, timers) and decides nothing about messages: whether one
-//! is accepted, whose it is and what it is told stands in `desk`, the same for all fronts. Adding a protocol
-//! means adding a front here and a listener in the settings.
+//! A front translates received bytes into client requests, and replies into bytes of its protocol. It keeps
+//! the protocol's session (states, windows, timers) and decides nothing about messages: `admission` decides
+//! for all fronts whether a message is accepted, which client it belongs to, and what that client is told.
+//! Adding a protocol means adding a front here and a listener in the settings.
 
 mod mqtt;
 mod resp;
@@ -29,209 +29,217 @@
     Smpp,
     /// MQTT 5.0 and 3.1.1.
     Mqtt,
-    /// RESP2, as the platform's clients speak it.
+    /// RESP2, the protocol of platform clients.
     Resp,
 }
 
-/// How many there are.
-pub const FRONTS: usize = 3;
+/// The number of client protocols.
+pub const FRONT_COUNT: usize = 3;
 
-/// A session with a name, which outlives its connection.
+/// A named session that a client requests. It outlives its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
-    /// Its name; empty where one is to be given.
+pub struct SessionRequest {
+    /// The name of the session; empty if the sender assigns one.
     pub name: String,
-    /// An earlier session of the name is over.
+    /// Whether an earlier session with this name is discarded.
     pub clean: bool,
-    /// For how long it is kept without a connection.
+    /// How long the session is kept without a connection.
     pub expiry: Micros,
 }
 
-/// What a client that is let in has there already.
+/// The session state reported to an admitted client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entered {
-    /// The name given to its session.
+    /// The name assigned to its session, if it gave none.
     pub given: Option<String>,
-    /// An earlier session goes on, with these notes of the front.
+    /// The front's stored notes, if an earlier session is resumed.
     pub notes: Option<Vec<u8>>,
 }
 
-/// What a protocol says of a message beside the submission itself.
+/// What a protocol adds to a submission.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Handing {
+pub struct SubmissionContext {
     /// Where its answer goes.
     pub reply: Reply,
-    /// What tells whether it came before in this session.
+    /// Identifies the message within its session, to detect a repeated submission.
     pub handle: Option<Handle>,
-    /// The client's own name for it: for a span there is one message of a name.
+    /// The client's own name for the message. Within the time that it is remembered, a name stands for one
+    /// message.
     pub name: Option<String>,
-    /// It may be lost: it is turned away before others.
+    /// Whether the message may be lost (MQTT QoS 0). Such messages are refused before others.
     pub light: bool,
 }
 
-/// What is left of a connection that is gone.
+/// What remains of a closed connection.
 #[derive(Debug, Default)]
 pub struct Parting {
-    /// For how long its session is kept.
+    /// How long its session is kept.
     pub expiry: Micros,
-    /// A message to be submitted for the client, after a while.
+    /// The client's will: a delay, and the message to submit after it.
     pub will: Option<(Micros, Box<Submission>, Reply)>,
 }
 
-/// What became of an answer that was given to a front.
+/// The result of handing an answer to a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It is out, and will be heard under this token.
+    /// The answer was sent, and the client acknowledges it with this token.
     Out(u32),
-    /// It was told and needs no more.
+    /// The answer was sent and needs no acknowledgement.
     Done,
-    /// The client did not ask for it.
-    Unwanted,
+    /// The client has not subscribed to the answer's topic.
+    NotSubscribed,
 }
 
-/// What a client asks for. A token is the front's own name for a request, given back with the answer.
+/// A request of a client. The token is the front's own number for the request; the reply carries it too.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
-    /// To be let in; to be answered with [`Front::admitted`].
+    /// Asks to be admitted; answered with [`Front::admitted`].
     Enter {
-        /// Who it says it is.
+        /// The client's name.
         name: String,
-        /// What it says for proof.
-        proof: String,
-        /// See above.
+        /// The client's password.
+        password: String,
+        /// The request's token.
         token: u32,
-        /// The session with a name that it wants.
-        session: Option<Wanted>,
+        /// The named session that the client requests.
+        session: Option<SessionRequest>,
     },
-    /// To take a message on; to be answered with [`Front::accepted`] or [`Front::refused`], or, in forward mode, with
+    /// Submits a message; answered with [`Front::accepted`] or [`Front::refused`], or, in forward mode, with
     /// [`Front::answered`].
     Submit {
-        /// See above.
+        /// The request's token.
         token: u32,
         /// The message.
         submission: Box<Submission>,
-        /// The rest.
-        handing: Box<Handing>,
+        /// What the protocol adds to it.
+        handing: Box<SubmissionContext>,
     },
-    /// To take a message on for the tenant that it names; to be answered with [`Front::accepted`] or
-    /// [`Front::refused`], or with [`Front::answered`] where it is refused in the first round of decisions.
+    /// Submits a message for the tenant that it names; answered with [`Front::accepted`] or
+    /// [`Front::refused`], or with [`Front::answered`] if the first round of decisions refuses it.
     HandIn {
-        /// See above.
+        /// The request's token.
         token: u32,
         /// The message.
         add: Box<Add>,
     },
-    /// What became of a message; to be answered with [`Front::queried`] or [`Front::refused`].
+    /// Queries the state of a message; answered with [`Front::queried`] or [`Front::refused`].
     Query {
-        /// See above.
+        /// The request's token.
         token: u32,
-        /// The message.
+        /// The id of the message.
         id: String,
-        /// The source address that must fit, if any.
+        /// The source address that has to match, if any.
         source: String,
     },
-    /// To withdraw a message; to be answered with [`Front::withdrawn`] or [`Front::refused`].
+    /// Withdraws a message; answered with [`Front::withdrawn`] or [`Front::refused`].
     Withdraw {
-        /// See above.
+        /// The request's token.
         token: u32,
-        /// The message.
+        /// The id of the message.
         id: String,
-        /// The source address that must fit, if any.
+        /// The source address that has to match, if any.
         source: String,
     },
-    /// About what is held for it, in words; to be answered with [`Front::told`].
+    /// A command about the messages held for the client; answered with [`Front::told`].
     Held {
-        /// See above.
+        /// The request's token.
         token: u32,
-        /// `list`, `show`, `again` or `drop`, and what about.
+        /// The command and its arguments, such as `list` or `show` and an id.
         words: Vec<String>,
     },
-    /// About its rules or the fleet; to be answered with [`Front::told`].
+    /// A request about the client's rules or the fleet; answered with [`Front::told`].
     Rules {
-        /// See above.
+        /// The request's token.
         token: u32,
         /// The levels of the topic.
         words: Vec<String>,
-        /// JSON, or nothing.
+        /// JSON, or empty.
         body: Vec<u8>,
     },
-    /// It has heard an answer that [`Front::deliver`] gave this token.
+    /// The client's reply to an answer that was sent with [`Front::deliver`].
     Heard {
-        /// See above.
+        /// The token of the answer.
         token: u32,
-        /// It took it; else it is to be told again.
+        /// Whether the client took the answer; otherwise it is sent again.
         taken: bool,
     },
-    /// What its session keeps has changed.
-    Notes {
-        /// To this.
+    /// The stored notes of the session have changed.
+    SaveNotes {
+        /// The new notes.
         notes: Vec<u8>,
-        /// To be written as it is once that is durable.
-        told: Vec<u8>,
+        /// Bytes to send to the client once the change is durable.
+        reply: Vec<u8>,
     },
-    /// The connection is over. Says why, where not in good order.
+    /// The connection is over, with the reason unless it ended in good order.
     Over(Option<&'static str>),
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum No {
-    /// It is not let in.
+    /// The client is not admitted.
     NotEntered,
-    /// Over its accepted rate.
+    /// The client exceeds its accepted rate.
     Rate,
-    /// It holds its fair part of the room.
+    /// The client already uses its fair share of the room.
     Share,
-    /// No room, or going out of service.
+    /// There is no room, or the sender is shutting down.
     Room,
-    /// Its class is unknown.
+    /// The class is unknown.
     Class,
-    /// No route leads to its address.
+    /// No route leads to the address.
     Address,
-    /// Its time is up already.
+    /// The message has expired already.
     Time,
-    /// No such message of this client's.
+    /// The client has no such message.
     Message,
-    /// It has left already.
+    /// The message was sent already.
     TooLate,
-    /// It may have been submitted before; what would tell was forgotten.
+    /// The message may have been submitted before, but the record that would show it is gone.
     Unsure,
 }
 
-/// Why a client is not let in.
+/// Why a client is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// Its name is unknown.
+    /// The client's name is unknown.
     Name,
-    /// Its proof is wrong.
+    /// The password is wrong.
     Proof,
-    /// The sender is going out of service.
+    /// The sender is shutting down.
     Leaving,
-    /// It has all the sessions that it can hold.
+    /// The limit of named sessions is reached.
     Busy,
 }
 
 /// One client's connection.
 pub trait Front: std::fmt::Debug + Send {
-    /// Octets came.
-    fn receive(&mut self, now: Micros, wall: Micros, octets: &[u8], out: &mut BytesMut, asks: &mut Vec<Ask>);
-    /// When [`Front::tick`] is next needed.
+    /// Handles received bytes.
+    fn receive(
+        &mut self,
+        now: Micros,
+        wall: Micros,
+        octets: &[u8],
+        out: &mut BytesMut,
+        requests: &mut Vec<Ask>,
+    );
+    /// Returns when [`Front::tick`] is next needed.
     fn wake(&self) -> Micros;
-    /// Acts on the protocol's own timers.
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>);
-    /// Lets a client in, or not.
+    /// Handles the protocol's own timers.
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>);
+    /// Reports whether the client is admitted.
     fn admitted(&mut self, now: Micros, token: u32, result: Result<Entered, Denied>, out: &mut BytesMut);
-    /// Whether the client is in.
+    /// Returns whether the client is admitted.
     fn entered(&self) -> bool;
-    /// Whether it takes answers.
+    /// Returns whether the client receives answers on this connection.
     fn receives(&self) -> bool;
-    /// A message was accepted, under this identity.
+    /// Reports that a message was accepted under this id.
     fn accepted(&mut self, token: u32, id: &str, out: &mut BytesMut);
-    /// A request is refused.
-    fn refused(&mut self, token: u32, no: No, out: &mut BytesMut);
-    /// The final answer, as the response to a submission. False where it can't be told so any more.
+    /// Reports that a request is refused.
+    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut);
+    /// Sends the final answer as the response to a submission. Returns false if that is no longer possible.
     fn answered(&mut self, token: u32, id: &str, answer: Answer, out: &mut BytesMut) -> bool;
-    /// What became of a message.
+    /// Reports the state of a message.
     fn queried(
         &mut self,
         token: u32,
@@ -240,32 +248,33 @@
         done: Option<Micros>,
         out: &mut BytesMut,
     );
-    /// The answer to a question in words.
+    /// Replies to a command or a request about rules.
     fn told(&mut self, _token: u32, _text: String, _state: &'static str, _out: &mut BytesMut) {}
-    /// A message was withdrawn.
+    /// Reports that a message was withdrawn.
     fn withdrawn(&mut self, token: u32, out: &mut BytesMut);
-    /// Answers that may be under way before one is heard.
+    /// Returns how many more answers may be sent before one is acknowledged.
     fn room(&self) -> usize;
-    /// Tells an answer.
+    /// Sends an answer.
     fn deliver(&mut self, now: Micros, owed: &Owed, out: &mut BytesMut) -> Delivery;
-    /// Asks the client to go.
-    fn leave(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>);
-    /// Another connection has taken its session: says so, where the protocol can.
+    /// Asks the client to disconnect.
+    fn leave(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>);
+    /// Reports, where the protocol can, that another connection has taken over the session.
     fn supplanted(&mut self, _out: &mut BytesMut) {}
-    /// Whether the protocol has a word for refusing a single message. Where it has none, a message that is refused is
-    /// acknowledged, and its refusal told as its answer.
+    /// Returns whether the protocol can refuse a single message. If it can't, a refused message is
+    /// acknowledged, and its refusal is sent as its answer.
     fn refuses(&self) -> bool {
         true
     }
-    /// Since when nothing is asked, where that is so: whose connection may be closed to make room.
+    /// Returns since when the connection has been idle, if it is. An idle connection may be closed to make
+    /// room.
     fn rests(&self) -> Option<Micros> {
         None
     }
-    /// Whether more may be read from the client.
+    /// Returns whether more may be read from the client.
     fn listens(&self) -> bool {
         true
     }
-    /// The connection is gone.
+    /// Takes what remains of the closed connection.
     fn parting(&mut self) -> Parting {
         Parting::default()
     }
--- a/crates/engine/src/front/mqtt.rs
+++ b/crates/engine/src/front/mqtt.rs
@@ -1,6 +1,6 @@
-//! Clients that speak MQTT.
+//! The front for MQTT clients.
 
-use super::{Ask, Delivery, Denied, Entered, Front, Handing, No, Parting, Wanted};
+use super::{Ask, Delivery, Denied, Entered, Front, No, Parting, SessionRequest, SubmissionContext};
 use crate::Micros;
 use crate::outbox::{Owed, Reply};
 use bytes::BytesMut;
@@ -20,39 +20,41 @@
 }
 
 impl MqttFront {
-    /// A session on a new connection.
+    /// Creates the front for a new connection.
     pub fn new(now: Micros, limits: Limits) -> Self {
         MqttFront { session: Session::new(now, limits), events: Vec::new() }
     }
 
-    /// Whether its client may ask about its rules and the fleet.
+    /// Sets whether the client may ask about its rules and the fleet.
     pub fn fleet(mut self, on: bool) -> Self {
         self.session = self.session.fleet(on);
         self
     }
 
-    fn pass_on(&mut self, asks: &mut Vec<Ask>) {
+    fn forward_events(&mut self, requests: &mut Vec<Ask>) {
         for event in std::mem::take(&mut self.events) {
-            asks.push(match event {
+            requests.push(match event {
                 Event::Connect(c) => Ask::Enter {
                     name: c.user.unwrap_or_default(),
-                    proof: String::from_utf8(c.password.unwrap_or_default()).unwrap_or_default(),
+                    password: String::from_utf8(c.password.unwrap_or_default()).unwrap_or_default(),
                     token: 0,
-                    session: Some(Wanted {
+                    session: Some(SessionRequest {
                         name: c.client_id,
                         clean: c.clean,
                         expiry: Micros::from(self.session.expiry()) * SECOND,
                     }),
                 },
                 Event::Submit(token, h) => {
-                    let (submission, handing) = message(*h);
+                    let (submission, handing) = to_submission(*h);
                     Ask::Submit { token, submission: Box::new(submission), handing: Box::new(handing) }
                 }
                 Event::Query(token, id) => Ask::Query { token, id, source: String::new() },
                 Event::Withdraw(token, id) => Ask::Withdraw { token, id, source: String::new() },
                 Event::Held(token, words) => Ask::Held { token, words },
                 Event::Rules(token, words, body) => Ask::Rules { token, words, body },
-                Event::Subscribed(told) => Ask::Notes { notes: write_filters(&self.session.filters()), told },
+                Event::Subscribed(reply) => {
+                    Ask::SaveNotes { notes: write_filters(&self.session.filters()), reply }
+                }
                 Event::Heard(packet) => Ask::Heard { token: u32::from(packet), taken: true },
                 Event::Over(why) => Ask::Over(why),
             });
@@ -60,11 +62,12 @@
     }
 }
 
-/// What a client submitted, in the words that all fronts share.
-fn message(h: Handed) -> (Submission, Handing) {
+/// Converts a published message into the form that all fronts share.
+fn to_submission(h: Handed) -> (Submission, SubmissionContext) {
     let key = h.key.as_deref().unwrap_or_default();
     let name = h.name.as_deref().unwrap_or_default();
-    // What stays the same when it is sent again: not its expiry, which may have run on.
+    // The digest covers what stays the same when the message is sent again. That excludes the expiry, which
+    // may have counted down.
     let parts = [
         h.address.as_bytes(),
         h.class.as_bytes(),
@@ -74,13 +77,13 @@
         &h.correlation,
         &h.payload,
     ];
-    // Quality 0 is never sent again.
+    // Messages with QoS 0 are never sent again.
     let handle = (h.qos > 0).then(|| Handle {
         packet: h.packet,
         digest: digest(u64::from(h.qos), &parts),
         again: h.duplicate,
     });
-    let handing = Handing {
+    let handing = SubmissionContext {
         reply: Reply { topic: h.reply, correlation: h.correlation },
         handle,
         name: h.name,
@@ -99,7 +102,7 @@
     (submission, handing)
 }
 
-/// Subscriptions as the session's notes: quality, length, filter.
+/// Encodes subscriptions as session notes: QoS, length and filter of each.
 fn write_filters(filters: &[(String, u8)]) -> Vec<u8> {
     let mut notes = Vec::new();
     for (filter, qos) in filters {
@@ -123,31 +126,38 @@
     filters
 }
 
-/// What is said of a state, as text and as properties.
-fn words(id: &str, word: &str, answer: Option<Answer>) -> (String, Vec<(&'static str, String)>) {
+/// Describes the state of a message, as text and as user properties.
+fn describe_state(id: &str, word: &str, answer: Option<Answer>) -> (String, Vec<(&'static str, String)>) {
     let mut text = format!("id:{id} stat:{word}");
-    let mut said = vec![("message", id.to_string()), ("state", word.to_string())];
+    let mut properties = vec![("message", id.to_string()), ("state", word.to_string())];
     if let Some(wait) = answer.and_then(Answer::retry_after) {
         let ms = (wait.max(0) / 1_000).to_string();
         text = format!("{text} retry:{ms}");
-        said.push(("retry-after", ms));
+        properties.push(("retry-after", ms));
     }
-    (text, said)
+    (text, properties)
 }
 
 impl Front for MqttFront {
-    fn receive(&mut self, now: Micros, _: Micros, octets: &[u8], out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        _: Micros,
+        octets: &[u8],
+        out: &mut BytesMut,
+        requests: &mut Vec<Ask>,
+    ) {
         self.session.receive(now, octets, out, &mut self.events);
-        self.pass_on(asks);
+        self.forward_events(requests);
     }
 
     fn wake(&self) -> Micros {
         self.session.wake()
     }
 
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
         self.session.tick(now, out, &mut self.events);
-        self.pass_on(asks);
+        self.forward_events(requests);
     }
 
     fn admitted(&mut self, _: Micros, _: u32, result: Result<Entered, Denied>, out: &mut BytesMut) {
@@ -174,13 +184,13 @@
         self.session.taken(token, id, out);
     }
 
-    fn refused(&mut self, token: u32, no: No, out: &mut BytesMut) {
-        let told = match no {
+    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut) {
+        let state = match reason {
             No::Message => Some("NOTFOUND"),
             No::TooLate => Some("TOOLATE"),
             _ => None,
         };
-        if let Some(state) = told {
+        if let Some(state) = state {
             return self.session.told(
                 token,
                 format!("stat:{state}"),
@@ -188,7 +198,7 @@
                 out,
             );
         }
-        let code = match no {
+        let code = match reason {
             No::NotEntered => 0x87,
             No::Rate | No::Share | No::Room | No::Unsure => 0x97,
             No::Class | No::Address => 0x90,
@@ -198,13 +208,13 @@
     }
 
     fn answered(&mut self, _: u32, _: &str, _: Answer, _: &mut BytesMut) -> bool {
-        // There is no forward mode: the acknowledgement says that a message is held, no more.
+        // MQTT has no forward mode: the acknowledgement only says that the message was accepted.
         false
     }
 
     fn queried(&mut self, token: u32, id: &str, state: MessageState, _: Option<Micros>, out: &mut BytesMut) {
-        let (text, said) = words(id, word(state), None);
-        self.session.told(token, text, said, out);
+        let (text, properties) = describe_state(id, word(state), None);
+        self.session.told(token, text, properties, out);
     }
 
     fn told(&mut self, token: u32, text: String, state: &'static str, out: &mut BytesMut) {
@@ -221,10 +231,10 @@
 
     fn deliver(&mut self, _: Micros, owed: &Owed, out: &mut BytesMut) -> Delivery {
         if self.session.wants(&owed.reply.topic).is_none() {
-            return Delivery::Unwanted;
+            return Delivery::NotSubscribed;
         }
         let answer = owed.receipt.answer;
-        let (mut text, said) = words(&owed.receipt.id, answer.word(), Some(answer));
+        let (mut text, properties) = describe_state(&owed.receipt.id, answer.word(), Some(answer));
         let plain = owed.reply.correlation.iter().all(u8::is_ascii_graphic);
         if plain && !owed.reply.correlation.is_empty() {
             text = format!("{text} ref:{}", String::from_utf8_lossy(&owed.reply.correlation));
@@ -233,7 +243,7 @@
             topic: &owed.reply.topic,
             correlation: &owed.reply.correlation,
             text,
-            said,
+            said: properties,
             before: owed.before.and_then(|n| u16::try_from(n).ok()),
         };
         match self.session.deliver(&telling, out) {
@@ -242,9 +252,9 @@
         }
     }
 
-    fn leave(&mut self, _: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn leave(&mut self, _: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
         self.session.leave(0x8B, out);
-        asks.push(Ask::Over(None));
+        requests.push(Ask::Over(None));
     }
 
     fn supplanted(&mut self, out: &mut BytesMut) {
@@ -262,7 +272,7 @@
     fn parting(&mut self) -> Parting {
         let expiry = Micros::from(self.session.expiry()) * SECOND;
         let will = self.session.will().and_then(|w| {
-            let (submission, handing) = message(handed(w.publish)?);
+            let (submission, handing) = to_submission(handed(w.publish)?);
             Some((Micros::from(w.delay) * SECOND, Box::new(submission), handing.reply))
         });
         Parting { expiry, will }
--- a/crates/engine/src/front/resp.rs
+++ b/crates/engine/src/front/resp.rs
@@ -1,10 +1,10 @@
-//! Clients of the platform: RESP2, one `OUT.ADD` a message, answered in the order of the requests.
+//! The front for platform clients: RESP2, one message per `OUT.ADD`, answered in the order of the requests.
 //!
-//! Guards against clients that send malformed commands, half a command, or nothing: each gets an error line or the end
-//! of its connection within [`REQUEST_TIMEOUT`].
+//! Guards against clients that send malformed commands, half a command, or nothing: each receives an error
+//! line or its connection is closed within [`REQUEST_TIMEOUT`].
 //!
-//! Guards also against a client that pipelines hundreds of commands: at most [`MAX_PIPELINED`] are unanswered at a
-//! time.
+//! Also guards against a client that pipelines hundreds of commands: at most [`MAX_PIPELINED`] are unanswered
+//! at a time.
 
 use super::{Ask, Delivery, Denied, Entered, Front, No};
 use crate::Micros;
@@ -17,39 +17,39 @@
 use rusmpp_core::values::MessageState;
 use std::collections::VecDeque;
 
-/// A body of 64 KiB, and what stands before it.
+/// Room for a body of 64 KiB and the arguments before it.
 const LIMITS: Limits = Limits { args: 8, octets: 66 * 1024 };
-/// Requests of a connection that are processed before the first is answered, at most.
+/// The most requests of a connection that are processed before the first is answered.
 const MAX_PIPELINED: usize = 32;
-/// A first request, and the rest of one that has begun, must come within this.
+/// The time within which a first request, or the rest of a request that has begun, has to arrive.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// A connection without a request is closed after this.
+/// The time after which a connection without requests is closed.
 const IDLE_TIMEOUT: Micros = 8_000_000;
-/// The rest of a request that has begun when the sender ends must come within this. Less than the sender waits for its
-/// last calls.
+/// The time within which the rest of a request that has begun has to arrive while the sender shuts down. It
+/// is shorter than the time that the sender waits for its last calls.
 const SHUTDOWN_TIMEOUT: Micros = 400_000;
 
-/// One client's connection.
+/// The connection of a platform client.
 #[derive(Debug)]
 pub struct RespFront {
     reader: Reader,
-    /// Requests whose reply was not written yet, in order; with the reply once there is one.
+    /// Requests whose reply was not written yet, in order, each with its reply once there is one.
     replies: VecDeque<Option<BytesMut>>,
     /// The token of the first of these requests.
     first_token: u32,
-    /// When the last request was complete, or the next one began.
+    /// When the last request was completed, or the next one began.
     last_activity: Micros,
     served: bool,
-    /// Processing stopped at [`MAX_PIPELINED`]: complete requests may stand behind them.
+    /// Processing stopped at [`MAX_PIPELINED`]: more complete requests may be buffered.
     batch_limited: bool,
-    /// Nothing more is read; the connection ends once all is answered.
+    /// Nothing more is read; the connection ends once all requests are answered.
     closing: bool,
-    /// The sender shuts down: the connection ends once it rests, or at this time.
+    /// Set while the sender shuts down: the connection ends once it is idle, or at this time.
     shutdown_deadline: Option<Micros>,
 }
 
 impl RespFront {
-    /// A new connection.
+    /// Creates the front for a new connection.
     pub fn new(now: Micros) -> Self {
         let (reader, replies) = (Reader::new(LIMITS), VecDeque::new());
         RespFront {
@@ -64,14 +64,14 @@
         }
     }
 
-    fn process_commands(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn process_commands(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
         self.batch_limited = true;
         while !self.closing && self.replies.len() < MAX_PIPELINED {
             match self.reader.next_command() {
                 Ok(Some(command)) => {
                     self.served = true;
                     self.last_activity = now;
-                    self.command(command, asks);
+                    self.command(command, requests);
                 }
                 Ok(None) => {
                     self.batch_limited = false;
@@ -87,26 +87,27 @@
             self.refuse_unfinished();
         }
         self.flush_replies(out);
-        if self.is_over() {
+        if self.is_finished() {
             self.closing = true;
-            asks.push(Ask::Over(None));
+            requests.push(Ask::Over(None));
         }
     }
 
-    /// Whether complete requests may stand behind those that were processed, and there is room for them. Guards against
-    /// a batch that waits although all requests before it are answered. Nothing is processed once the connection is
-    /// being closed, which guards against a thread that wakes again without end.
+    /// Returns whether more complete requests may be buffered and there is room to process them. Guards
+    /// against buffered requests that are never processed although all requests before them are answered.
+    /// Nothing is processed once the connection is closing, which guards against a thread that wakes up in an
+    /// endless loop.
     fn may_continue(&self) -> bool {
         self.batch_limited && !self.closing && self.replies.len() < MAX_PIPELINED
     }
 
-    /// Nothing more is owed on the connection, and nothing more is read from it.
-    fn is_over(&self) -> bool {
+    /// Returns whether no reply is owed on the connection and nothing more is read from it.
+    fn is_finished(&self) -> bool {
         self.replies.is_empty() && (self.closing || self.shutdown_deadline.is_some() && !self.reader.begun())
     }
 
-    /// Refuses the request that has begun, as the sender can't wait for the rest of it. Guards against an end without
-    /// an answer that crosses the request's last octet.
+    /// Refuses the request that has begun, as the sender can't wait for the rest of it. Guards against
+    /// closing the connection without an answer while the request's last byte is in transit.
     fn refuse_unfinished(&mut self) {
         if !self.closing && self.reader.begun() {
             self.queue_reply(|out| error("BUSY", out));
@@ -114,12 +115,12 @@
         self.closing = true;
     }
 
-    fn command(&mut self, mut command: Command, asks: &mut Vec<Ask>) {
+    fn command(&mut self, mut command: Command, requests: &mut Vec<Ask>) {
         let name = command.remove(0);
         if name.eq_ignore_ascii_case(add::NAME) {
             match Add::read(command) {
                 Ok(add) => {
-                    asks.push(Ask::HandIn {
+                    requests.push(Ask::HandIn {
                         token: self.first_token + self.replies.len() as u32,
                         add: Box::new(add),
                     });
@@ -162,20 +163,27 @@
 }
 
 impl Front for RespFront {
-    fn receive(&mut self, now: Micros, _: Micros, octets: &[u8], out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        _: Micros,
+        octets: &[u8],
+        out: &mut BytesMut,
+        requests: &mut Vec<Ask>,
+    ) {
         if !octets.is_empty() && !self.reader.begun() {
             self.last_activity = now;
         }
         self.reader.push(octets);
-        self.process_commands(now, out, asks);
+        self.process_commands(now, out, requests);
     }
 
     fn wake(&self) -> Micros {
-        if self.is_over() || self.may_continue() {
+        if self.is_finished() || self.may_continue() {
             return 0;
         }
         match (self.replies.is_empty(), self.shutdown_deadline) {
-            // An answer is awaited, for which nothing can be done now.
+            // An answer is pending, and the front can do nothing until it comes.
             (false, _) => Micros::MAX,
             (true, Some(at)) => at,
             (true, None) if self.reader.begun() || !self.served => self.last_activity + REQUEST_TIMEOUT,
@@ -183,13 +191,13 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
-        self.process_commands(now, out, asks);
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
+        self.process_commands(now, out, requests);
         if self.replies.is_empty() && !self.closing && !self.may_continue() && now >= self.wake() {
             if self.reader.begun() {
                 error("ERR a request that was not finished", out);
             }
-            asks.push(Ask::Over(None));
+            requests.push(Ask::Over(None));
         }
     }
 
@@ -207,8 +215,8 @@
         self.answer(token, |out| simple("OK", out), out);
     }
 
-    fn refused(&mut self, token: u32, no: No, out: &mut BytesMut) {
-        let text = match no {
+    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut) {
+        let text = match reason {
             No::NotEntered => "ERR unknown tenant",
             No::Class => "ERR unknown class",
             No::Address => "ERR unknown destination",
@@ -237,16 +245,17 @@
     }
 
     fn deliver(&mut self, _: Micros, _: &Owed, _: &mut BytesMut) -> Delivery {
-        Delivery::Unwanted
+        Delivery::NotSubscribed
     }
 
-    fn leave(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn leave(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
         self.shutdown_deadline.get_or_insert(now + SHUTDOWN_TIMEOUT);
-        self.process_commands(now, out, asks);
+        self.process_commands(now, out, requests);
     }
 
     fn listens(&self) -> bool {
-        // Of a sender that ends no further request is read: what has not been read is sent again elsewhere.
+        // While the sender shuts down, no further request is read: the client sends what was not read to
+        // another sender.
         let wanted = self.shutdown_deadline.is_none() || self.reader.begun();
         !self.closing
             && wanted
--- a/crates/engine/src/front/smpp.rs
+++ b/crates/engine/src/front/smpp.rs
@@ -1,6 +1,6 @@
-//! Clients that speak SMPP.
+//! The front for SMPP clients.
 
-use super::{Ask, Delivery, Denied, Entered, Front, Handing, No};
+use super::{Ask, Delivery, Denied, Entered, Front, No, SubmissionContext};
 use crate::Micros;
 use crate::answers;
 use crate::outbox::Owed;
@@ -13,7 +13,7 @@
 use rusmpp_core::types::owned::{AnyOctetString, COctetString};
 use rusmpp_core::values::MessageState;
 
-/// The name that the service gives itself in bind responses.
+/// The system id that the service gives in bind responses.
 const OWN_NAME: &str = "heronroute";
 
 /// One SMPP session.
@@ -24,20 +24,22 @@
 }
 
 impl SmppFront {
-    /// A session on a new connection.
+    /// Creates the front for a new connection.
     pub fn new(now: Micros, limits: Limits) -> Self {
         SmppFront { session: Session::new(now, limits), events: Vec::new() }
     }
 
-    fn pass_on(&mut self, asks: &mut Vec<Ask>) {
+    fn forward_events(&mut self, requests: &mut Vec<Ask>) {
         for event in self.events.drain(..) {
-            asks.push(match event {
+            requests.push(match event {
                 Event::Bind { system_id, password, sequence, .. } => {
-                    Ask::Enter { name: system_id, proof: password, token: sequence, session: None }
-                }
-                Event::Submit { sequence, submission, .. } => {
-                    Ask::Submit { token: sequence, submission, handing: Box::new(Handing::default()) }
+                    Ask::Enter { name: system_id, password, token: sequence, session: None }
                 }
+                Event::Submit { sequence, submission, .. } => Ask::Submit {
+                    token: sequence,
+                    submission,
+                    handing: Box::new(SubmissionContext::default()),
+                },
                 Event::Query { sequence, id, source } => Ask::Query { token: sequence, id, source },
                 Event::Cancel { sequence, id, source, .. } => Ask::Withdraw { token: sequence, id, source },
                 Event::Acknowledged { sequence, taken } => Ask::Heard { token: sequence, taken },
@@ -49,18 +51,25 @@
 }
 
 impl Front for SmppFront {
-    fn receive(&mut self, now: Micros, wall: Micros, octets: &[u8], out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        wall: Micros,
+        octets: &[u8],
+        out: &mut BytesMut,
+        requests: &mut Vec<Ask>,
+    ) {
         self.session.receive(now, wall, octets, out, &mut self.events);
-        self.pass_on(asks);
+        self.forward_events(requests);
     }
 
     fn wake(&self) -> Micros {
         self.session.wake()
     }
 
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
         self.session.tick(now, out, &mut self.events);
-        self.pass_on(asks);
+        self.forward_events(requests);
     }
 
     fn admitted(&mut self, now: Micros, token: u32, result: Result<Entered, Denied>, out: &mut BytesMut) {
@@ -86,8 +95,8 @@
         self.session.submitted(token, id, CommandStatus::EsmeRok, Vec::new(), out);
     }
 
-    fn refused(&mut self, token: u32, no: No, out: &mut BytesMut) {
-        let status = match no {
+    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut) {
+        let status = match reason {
             No::NotEntered => CommandStatus::EsmeRinvbndsts,
             No::Rate | No::Share => CommandStatus::EsmeRthrottled,
             No::Room | No::Unsure => CommandStatus::EsmeRmsgqful,
--- a/crates/engine/src/hold/asked.rs
+++ b/crates/engine/src/held/commands.rs
@@ -1,4 +1,4 @@
-//! A client asks about what is held for it.
+//! Commands of clients about the messages held for them.
 
 use crate::ids::{ConnId, read_id, show_id};
 use crate::node::Node;
@@ -6,32 +6,32 @@
 use heronroute::MsgId;
 use heronroute_held::{Deed, Grants, Known, Party, Query, Trail, What};
 
-/// Messages on a page.
-const PAGE: usize = 20;
+/// The number of messages on a page of a listing.
+const PAGE_SIZE: usize = 20;
 
 impl Node {
-    /// A client asks about what is held for it. What is another's is told as if it did not exist.
-    pub(crate) fn asked_of_held(&mut self, conn: ConnId, token: u32, words: &[String]) {
+    /// Handles a command about the messages held for the client.
+    pub(crate) fn handle_held_command(&mut self, conn: ConnId, token: u32, words: &[String]) {
         let Some((client, _)) = self.place_of(conn) else { return };
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        // What is another's and what does not exist are told in the same words.
-        let with = |deed, id: &str| self.mine(client, id, deed);
+        // A message of another client gets the same reply as one that doesn't exist.
+        let with = |deed, id: &str| self.own_held_message(client, id, deed);
         let nowhere = || ("stat:NOTFOUND".to_string(), "NOTFOUND");
         let (text, state) = match words[..] {
             ["list"] => (self.list_held(client, None), "HELD"),
             ["list", after] => (self.list_held(client, read_id(after).map(|i| i.0)), "HELD"),
             ["show", id] => with(Deed::See, id).map_or_else(nowhere, |id| (self.show_trail(id), "HELD")),
             ["drop", id] => with(Deed::GiveUp, id).map_or_else(nowhere, |id| self.drop_held(id)),
-            ["release"] => self.release(client, None),
-            ["release", d] if d.parse::<i64>().is_ok() => self.release(client, d.parse().ok()),
+            ["release"] => self.start_release(client, None),
+            ["release", d] if d.parse::<i64>().is_ok() => self.start_release(client, d.parse().ok()),
             ["stop"] => {
                 let (went, passed) =
-                    self.releasing.remove(&client).map_or((0, 0), |r| (r.went, r.passed_over));
+                    self.releases.remove(&client).map_or((0, 0), |r| (r.resubmitted, r.skipped));
                 (format!("stat:STOPPED went:{went} passed-over:{passed}"), "STOPPED")
             }
             ["again", id, ref new @ ..] if matches!(new, [] | ["new"]) => {
                 let new_effect = !new.is_empty();
-                with(Deed::HandIn, id).map_or_else(nowhere, |id| self.again(client, id, new_effect))
+                with(Deed::HandIn, id).map_or_else(nowhere, |id| self.resubmit_held(client, id, new_effect))
             }
             _ => ("stat:WHAT allowed: list[/AFTER], show/ID, again/ID[/new], drop/ID, release[/DESTINATION], stop".to_string(), "WHAT"),
         };
@@ -41,19 +41,19 @@
         self.flush(conn);
     }
 
-    /// The message of a name, where this client may do this with it.
-    fn mine(&self, client: usize, id: &str, deed: Deed) -> Option<u64> {
+    /// Returns the number of the message with this id, if this client may do `deed` with it.
+    fn own_held_message(&self, client: usize, id: &str, deed: Deed) -> Option<u64> {
         let id = read_id(id)?.0;
-        let filed = self.held.as_ref()?.get(id)?;
+        let stored = self.held.as_ref()?.get(id)?;
         let party = Party::Client(client as u32);
-        Grants::default().allows(&party, deed, filed.client, filed.destination).then_some(id)
+        Grants::default().allows(&party, deed, stored.client, stored.destination).then_some(id)
     }
 
     fn list_held(&self, client: usize, after: Option<u64>) -> String {
         let Some(store) = &self.held else { return "held:0".to_string() };
         let (count, octets, dropped) = store.of(client as u32);
         let query = Query { client: Some(client as u32), held: true, after, ..Query::default() };
-        let page = store.list(&query, PAGE);
+        let page = store.list(&query, PAGE_SIZE);
         let mut text = format!(
             "held:{count} octets:{octets} dropped-old:{} dropped-many:{} dropped-large:{}",
             dropped.age, dropped.count, dropped.octets
@@ -61,12 +61,12 @@
         for id in page.ids {
             text = format!("{text}\n{}", show_id(MsgId(id)));
         }
-        if let Some(r) = self.releasing.get(&client) {
+        if let Some(r) = self.releases.get(&client) {
             text = format!(
                 "{text}\nreleasing:{:.0}/s went:{} passed-over:{}",
                 r.release.rate(),
-                r.went,
-                r.passed_over
+                r.resubmitted,
+                r.skipped
             );
         }
         match page.next {
@@ -75,10 +75,10 @@
         }
     }
 
-    /// A trail in words, one step a line, with microseconds since 1970 UTC.
+    /// Formats a trail as text, one step a line, with times in microseconds since 1970 UTC.
     fn show_trail(&self, id: u64) -> String {
-        let filed = self.held.as_ref().and_then(|s| s.get(id));
-        let Some(trail) = filed.and_then(|f| Trail::read(&f.trail)) else {
+        let stored = self.held.as_ref().and_then(|s| s.get(id));
+        let Some(trail) = stored.and_then(|f| Trail::read(&f.trail)) else {
             return "stat:NOTFOUND".to_string();
         };
         let name = |n: u32| self.trail_names.get(n as usize).map_or("?", String::as_str);
--- a/crates/engine/src/hold/again.rs
+++ b/crates/engine/src/held/resubmit.rs
@@ -1,9 +1,9 @@
-//! A held message is submitted again.
+//! Resubmission of held messages.
 
-use super::STEPS;
+use super::MAX_TRAIL_STEPS;
 use crate::desk::From;
 use crate::entry_codec;
-use crate::front::Handing;
+use crate::front::SubmissionContext;
 use crate::ids::{key_of, show_id};
 use crate::node::Node;
 use crate::outbox::Reply;
@@ -13,14 +13,19 @@
 use prost::Message as _;
 
 impl Node {
-    /// Hands a held message of this client in again, or says why not.
-    pub(crate) fn again(&mut self, client: usize, id: u64, new_effect: bool) -> (String, &'static str) {
+    /// Resubmits a held message of this client, or returns why it can't.
+    pub(crate) fn resubmit_held(
+        &mut self,
+        client: usize,
+        id: u64,
+        new_effect: bool,
+    ) -> (String, &'static str) {
         let said = |state: &'static str| (format!("id:{} stat:{state}", show_id(MsgId(id))), state);
         let now = self.wall();
-        let filed = self.held.as_ref().and_then(|s| s.get(id)).cloned();
-        let Some(filed) = filed else { return said("NOTFOUND") };
-        let accepted = filed.message.as_deref().and_then(|m| Accepted::decode(m).ok());
-        let (Some(a), Some(trail)) = (accepted, Trail::read(&filed.trail)) else { return said("DELIVRD") };
+        let stored = self.held.as_ref().and_then(|s| s.get(id)).cloned();
+        let Some(stored) = stored else { return said("NOTFOUND") };
+        let accepted = stored.message.as_deref().and_then(|m| Accepted::decode(m).ok());
+        let (Some(a), Some(trail)) = (accepted, Trail::read(&stored.trail)) else { return said("DELIVRD") };
         let Some(class) = self.class_names.get(&a.class).copied() else { return said("NOCLASS") };
         let settings = &self.cfg.settings.classes[class];
         let (window, deadline, ordered) = (settings.window, settings.deadline, settings.ordered);
@@ -35,8 +40,8 @@
             effect,
             may_have_run: ran,
             delivered: false,
-            under_way: filed.under_way,
-            not_seen: filed.not_seen,
+            under_way: stored.under_way,
+            not_seen: stored.not_seen,
         };
         let decision = decide(now, past, Ask { new_effect, patience: deadline });
         let (leave_by, fresh) = match decision {
@@ -51,20 +56,20 @@
                 });
             }
         };
-        // Guards against the first answer's being taken closing the hand-in in the journal, which has the same
-        // identity: after a crash what it did would not be known.
+        // The resubmission has the same id as the first attempt. Acknowledging the first answer would close
+        // the resubmission in the journal too, and after a crash its outcome would be unknown.
         if !fresh && self.unheard.contains(&id) {
             return said("UNHEARD");
         }
         let Some(dest) = self.routes.find(&a.destination) else { return said("NOROUTE") };
-        // A partner may have it, and hand it in there.
+        // A partner may have the message, and resubmit it there.
         if self.stands_still(MsgId(id))
             || self.leaving
             || self.ledger.refuses(self.now, self.messages.len(), a.body.len())
         {
             return said("BUSY");
         }
-        // Its answer goes where the first one went, whoever asked.
+        // The answer goes to the mailbox of the first answer, whoever asked for the resubmission.
         let mailbox = self.mailboxes.open(client, &a.mailbox);
         let from = From { conn: None, token: 0, client, mailbox };
         if self.admit(&from, class, false).is_err() {
@@ -76,11 +81,12 @@
             return said("UNDERWAY");
         }
         let own = if fresh { self.new_id() } else { MsgId(id) };
-        // What went before counts, unless the destination's owner said that it did not run, or it is a new effect.
-        let ran = ran.filter(|at| !fresh && filed.not_seen.is_none_or(|said| *at >= said));
-        let handing = Handing {
+        // An earlier attempt counts as one that may have run, unless the destination's owner reported that it
+        // did not run, or the client asked for a new effect.
+        let ran = ran.filter(|at| !fresh && stored.not_seen.is_none_or(|said| *at >= said));
+        let handing = SubmissionContext {
             reply: Reply { topic: a.reply.clone(), correlation: a.correlation.clone() },
-            ..Handing::default()
+            ..SubmissionContext::default()
         };
         let submission = entry_codec::to_submission(&a);
         let key = submission.key.as_ref().filter(|_| ordered).map(|k| key_of(client, k));
@@ -122,19 +128,19 @@
         message.ran_at = ran.map(|at| self.now - (now - at).max(0));
         let before = self.held.as_ref().and_then(|s| s.get(id)).and_then(|f| Trail::read(&f.trail));
         if fresh {
-            // Its own trail begins with the hand-in; the old one stays without its message.
+            // The new message's trail begins with the resubmission. The old trail stays, without its message.
             let ended = before.unwrap_or_default();
             let dropped = self.held.as_mut().map(|s| s.end(now, id, &ended, true)).unwrap_or_default();
             self.write_released(&dropped);
             let mut trail = Trail::new(now, 0);
-            trail.add(now, What::HandedIn(party), STEPS);
+            trail.add(now, What::HandedIn(party), MAX_TRAIL_STEPS);
             message.trail = Some(Box::new(trail));
         } else {
             message.trail = before.map(Box::new);
         }
         self.hold(own, message);
         if fresh {
-            self.trail_by(own);
+            self.set_trail_origin(own);
         }
         self.stats.accepted += 1;
         (format!("id:{} stat:ENROUTE", show_id(own)), "ENROUTE")
--- a/crates/engine/src/hold/file.rs
+++ b/crates/engine/src/held/store.rs
@@ -1,6 +1,6 @@
-//! What is filed, written and dropped.
+//! Storing, journaling and dropping of held messages and trails.
 
-use super::{STEPS, filed};
+use super::{MAX_TRAIL_STEPS, stored_record};
 use crate::entry_codec::to_entry;
 use crate::ids::show_id;
 use crate::node::{Message, Node};
@@ -12,21 +12,21 @@
 use prost::Message as _;
 
 impl Node {
-    /// A message has its answer: its trail is filed, and the message held where it ended undelivered.
-    pub(crate) fn file(&mut self, id: MsgId, m: &mut Message, answer: Answer) {
+    /// Stores the trail of an answered message, and holds the message for its client if it ended undelivered.
+    pub(crate) fn store_ended(&mut self, id: MsgId, m: &mut Message, answer: Answer) {
         let (Some(mut trail), now) = (m.trail.take(), self.wall()) else { return };
-        trail.add(now, What::Answered(place(answer) as u32), STEPS);
-        // One that was submitted again and not delivered stays its owner's, whatever it ended with.
+        trail.add(now, What::Answered(place(answer) as u32), MAX_TRAIL_STEPS);
+        // A resubmitted message that was not delivered stays held, whatever its end.
         let handed_in = trail.steps().filter(|(_, what)| matches!(what, What::HandedIn(_))).last();
-        if let (Some((at, _)), Some(r)) = (handed_in, self.releasing.get_mut(&m.client)) {
+        if let (Some((at, _)), Some(r)) = (handed_in, self.releases.get_mut(&m.client)) {
             r.release.answered(answer == Answer::Delivered, now - at);
         }
         let hold = matches!(answer, Answer::Undeliverable | Answer::Unknown { .. } | Answer::Expired)
             || (handed_in.is_some() && answer != Answer::Delivered);
         let dest = self.routes.find(&m.submission.destination).map_or(0, |d| d.0);
         let key = m.submission.key.as_deref().unwrap_or_default();
-        let mut filed = filed(m.client, Some(m.class), dest, key, &trail);
-        // Only what is held is written out: most messages leave no more than their trail.
+        let mut stored = stored_record(m.client, Some(m.class), dest, key, &trail);
+        // Only held messages are written out: most messages leave no more than their trail.
         let held = hold.then(|| {
             let client = self.cfg.clients.get(m.client).map_or("", |c| c.system_id.as_str());
             let mailbox = self.mailboxes.get(m.mailbox).map_or("", |b| b.name.as_str());
@@ -34,9 +34,9 @@
             let rest = Accepted { id: id.0, class, dest, taken: m.taken, ..Accepted::default() };
             to_entry(client, mailbox, &m.submission, &m.to, rest)
         });
-        filed.message = held.as_ref().map(|a| a.encode_to_vec().into());
+        stored.message = held.as_ref().map(|a| a.encode_to_vec().into());
         let parts = self.parts_for(m.client, Some(m.class), &m.submission.destination, key);
-        let dropped = self.held.as_mut().map(|s| s.file_in(now, id.0, filed, parts)).unwrap_or_default();
+        let dropped = self.held.as_mut().map(|s| s.file_in(now, id.0, stored, parts)).unwrap_or_default();
         if let Some(accepted) = held {
             self.unheard.insert(id.0);
             self.write_held(accepted, *trail);
--- a/crates/engine/src/hold/trail.rs
+++ b/crates/engine/src/held/trail.rs
@@ -1,6 +1,6 @@
-//! Trails of open messages, and what is taken up after a restart.
+//! Trails of open messages, and recovery of trails and held messages after a restart.
 
-use super::{STEPS, filed};
+use super::{MAX_TRAIL_STEPS, stored_record};
 use crate::node::Node;
 use heronroute::MsgId;
 use heronroute_held::{Known, Store, Trail, What};
@@ -8,14 +8,14 @@
 use prost::Message as _;
 
 impl Node {
-    /// Whether what happens to a client's messages is noted. Guards against a client whose rules keep something, where
-    /// the settings keep nothing, and who has all others pay for it.
-    pub(crate) fn trails(&self, client: usize) -> bool {
+    /// Returns whether the steps of a client's messages are recorded. Guards against recording the messages
+    /// of all clients because the rules of one keep something, where the settings keep nothing.
+    pub(crate) fn records_trail(&self, client: usize) -> bool {
         let parts = |s: &Store| self.cfg.held.is_some() || s.has_parts(client as u32);
         self.held.as_ref().is_some_and(parts)
     }
 
-    /// The number of a name in trails.
+    /// Returns the number that stands for a name in trails.
     pub(crate) fn trail_number(&mut self, name: &str) -> u32 {
         if let Some(n) = self.trail_numbers.get(name) {
             return *n;
@@ -26,16 +26,16 @@
         n
     }
 
-    /// Something happened to an open message.
+    /// Adds a step to the trail of an open message.
     pub(crate) fn step(&mut self, id: MsgId, what: What) {
         let at = self.wall();
         if let Some(trail) = self.messages.get_mut(&id).and_then(|m| m.trail.as_mut()) {
-            trail.add(at, what, STEPS);
+            trail.add(at, what, MAX_TRAIL_STEPS);
         }
     }
 
-    /// By which front and session it came.
-    pub(crate) fn trail_by(&mut self, id: MsgId) {
+    /// Records by which front and session a message came.
+    pub(crate) fn set_trail_origin(&mut self, id: MsgId) {
         let Some(m) = self.messages.get(&id).filter(|m| m.trail.is_some()) else { return };
         let session = self.mailboxes.get(m.mailbox).map(|b| b.name.as_str()).unwrap_or_default();
         let name = format!("{:?}/{session}", m.speaks).to_lowercase();
@@ -45,33 +45,34 @@
         }
     }
 
-    /// An open message after a restart: attempts that had no effect are not known one by one any more.
+    /// Restores the trail of an open message after a restart. Attempts that had no effect are not known one
+    /// by one any more.
     pub(crate) fn trail_again(&mut self, open: &Open) {
         let id = MsgId(open.accepted.id);
         let client = self.messages.get(&id).map_or(0, |m| m.client);
-        let Some(store) = self.held.as_ref().filter(|_| self.trails(client)) else { return };
+        let Some(store) = self.held.as_ref().filter(|_| self.records_trail(client)) else { return };
         let before = store.get(id.0).and_then(|f| Trail::read(&f.trail));
         let mut trail = before.clone().unwrap_or_else(|| Trail::new(open.accepted.taken, 0));
         if let Some(ran) = open.may_run.as_ref().filter(|_| before.is_none()) {
             let number = self.trail_number(&ran.endpoint);
-            trail.add(ran.at, What::Began(number), STEPS);
-            trail.add(ran.at, What::Ended(Known::Written), STEPS);
+            trail.add(ran.at, What::Began(number), MAX_TRAIL_STEPS);
+            trail.add(ran.at, What::Ended(Known::Written), MAX_TRAIL_STEPS);
         }
         if let Some(out) = &open.out {
             let number = self.trail_number(&out.endpoint);
-            trail.add(out.at, What::Began(number), STEPS);
-            trail.add(out.at, What::Ended(Known::Lost), STEPS);
+            trail.add(out.at, What::Began(number), MAX_TRAIL_STEPS);
+            trail.add(out.at, What::Ended(Known::Lost), MAX_TRAIL_STEPS);
         }
-        trail.add(self.wall(), What::Restarted, STEPS);
+        trail.add(self.wall(), What::Restarted, MAX_TRAIL_STEPS);
         if let Some(m) = self.messages.get_mut(&id) {
             m.trail = Some(Box::new(trail));
         }
         if before.is_none() {
-            self.trail_by(id);
+            self.set_trail_origin(id);
         }
     }
 
-    /// What is held, as the journal has it.
+    /// Restores the held messages from the journal's state.
     pub(crate) fn take_up_held(&mut self, book: &Book) {
         let now = self.wall();
         for (id, held) in &book.held {
@@ -80,16 +81,16 @@
             trail.rename(|n| numbers.get(n as usize).copied().unwrap_or(0));
             let client = self.client_named(&a.client);
             let class = self.class_names.get(&a.class).copied();
-            let mut filed = filed(client, class, a.dest, &a.key, &trail);
-            filed.message = Some(a.encode_to_vec().into());
+            let mut stored = stored_record(client, class, a.dest, &a.key, &trail);
+            stored.message = Some(a.encode_to_vec().into());
             match book.open.get(id).map(|o| o.answer.is_some()) {
                 Some(true) => _ = self.unheard.insert(*id),
-                Some(false) => filed.under_way = true,
+                Some(false) => stored.under_way = true,
                 None => {}
             }
             let parts = self.parts_for(client, class, &a.destination, &a.key);
             if let Some(store) = &mut self.held {
-                store.file_in(now, *id, filed, parts);
+                store.file_in(now, *id, stored, parts);
             }
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -20,13 +20,14 @@
 mod applying;
 pub mod calls;
 mod carry;
+#[path = "admission/mod.rs"]
 mod desk;
 pub mod directory;
 mod doubts;
 mod entry_codec;
 pub mod front;
 pub mod heir;
-mod hold;
+mod held;
 pub use heronroute_rules::home;
 mod ids;
 mod keeping;
--- a/crates/engine/src/mailboxes.rs
+++ b/crates/engine/src/mailboxes.rs
@@ -1,10 +1,11 @@
-//! Whose answers go where, and sessions that outlive connections. Free of I/O.
+//! Mailboxes, which collect the answers owed to clients, and sessions that outlive connections. Free of I/O.
 //!
-//! A client has one mailbox that all its sessions share, and one for each session with a name of its own. A mailbox
-//! is there while something is owed to it, open for it, connected to it or kept in it; it costs nothing else.
+//! A client has one mailbox that all its unnamed sessions share, and one for each named session. A mailbox
+//! exists while it has owed answers, open messages, a connection, a will or a session; an unused one costs
+//! nothing.
 //!
-//! Guards against sessions that are never taken up again filling the memory: they are kept for as long as was agreed,
-//! and where there are too many, those that were left longest ago go first. Answers stay owed either way.
+//! Guards against abandoned sessions that fill the memory: sessions are kept for the agreed time, and where
+//! there are too many, those disconnected longest ago are dropped first. Their answers stay owed either way.
 
 use crate::Micros;
 use crate::ids::ConnId;
@@ -14,26 +15,26 @@
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A mailbox, by number.
+/// The number of a mailbox.
 pub type BoxId = usize;
 
-/// What a session keeps beyond its connection.
+/// The state of a named session, kept beyond its connection.
 #[derive(Debug)]
 pub struct Kept {
-    /// When it began: another time is another session.
+    /// When the session began. Two sessions with the same name differ in this time.
     pub began: Micros,
-    /// How long it is kept without a connection.
+    /// How long the session is kept without a connection.
     pub expiry: Micros,
-    /// What its protocol keeps with it.
+    /// The state that the protocol stores with the session.
     pub notes: Vec<u8>,
-    /// What its client may send again.
+    /// Recent messages, which the client may send again.
     pub recent: Recent,
 }
 
-/// A message to be submitted for a client that is gone.
+/// A message to be submitted for a client that has disconnected.
 #[derive(Debug)]
 pub struct Will {
-    /// When.
+    /// When it is submitted.
     pub at: Micros,
     /// The message.
     pub submission: Box<Submission>,
@@ -41,24 +42,24 @@
     pub reply: Reply,
 }
 
-/// One mailbox.
+/// The answers and the session of one client, or of one named session of it.
 #[derive(Debug)]
 pub struct Mailbox {
-    /// Whose.
+    /// The client that it belongs to.
     pub client: usize,
-    /// The session's name; empty for the one that all sessions share.
+    /// The name of the session; empty for the mailbox that all unnamed sessions share.
     pub name: String,
-    /// Answers owed.
+    /// The answers owed.
     pub outbox: Outbox,
-    /// Messages without an answer that will be owed here.
+    /// The number of open messages whose answer goes here.
     pub open: usize,
-    /// The connection there, for one with a name.
+    /// The connection of a named session.
     pub conn: Option<ConnId>,
-    /// The session.
+    /// The named session, if there is one.
     pub kept: Option<Kept>,
-    /// When the session ends, where no connection is there.
-    pub ends: Micros,
-    /// The will of a client that is gone.
+    /// When the session expires, while it has no connection.
+    pub expires_at: Micros,
+    /// The will of the disconnected client.
     pub will: Option<Will>,
 }
 
@@ -67,29 +68,29 @@
 pub struct Mailboxes {
     boxes: Slab<Mailbox>,
     by_name: BTreeMap<(usize, String), BoxId>,
-    /// Sessions without a connection, the one left longest ago first.
-    left: BTreeSet<(Micros, BoxId)>,
-    /// Sessions, with and without connections.
+    /// Sessions without a connection, the one disconnected longest ago first.
+    detached: BTreeSet<(Micros, BoxId)>,
+    /// The number of named sessions, with and without connections.
     sessions: usize,
 }
 
 impl Mailboxes {
-    /// A mailbox.
+    /// Returns a mailbox.
     pub fn get(&self, id: BoxId) -> Option<&Mailbox> {
         self.boxes.get(id)
     }
 
-    /// A mailbox, to change. Sessions are begun and ended with the calls below.
+    /// Returns a mailbox to change. Sessions are started and ended with the methods below.
     pub fn get_mut(&mut self, id: BoxId) -> Option<&mut Mailbox> {
         self.boxes.get_mut(id)
     }
 
-    /// The mailbox of a name.
+    /// Returns the mailbox with a name.
     pub fn find(&self, client: usize, name: &str) -> Option<BoxId> {
         self.by_name.get(&(client, name.to_string())).copied()
     }
 
-    /// The mailbox of a name, made where there is none.
+    /// Returns the mailbox with a name, created if there is none.
     pub fn open(&mut self, client: usize, name: &str) -> BoxId {
         let key = (client, name.to_string());
         if let Some(id) = self.by_name.get(&key) {
@@ -102,73 +103,74 @@
             open: 0,
             conn: None,
             kept: None,
-            ends: Micros::MAX,
+            expires_at: Micros::MAX,
             will: None,
         });
         self.by_name.insert(key, id);
         id
     }
 
-    /// All of them.
+    /// Returns all mailboxes.
     pub fn all(&self) -> impl Iterator<Item = (BoxId, &Mailbox)> {
         self.boxes.iter()
     }
 
-    /// Sessions, with and without connections.
+    /// Returns the number of named sessions, with and without connections.
     pub fn sessions(&self) -> usize {
         self.sessions
     }
 
-    /// The session that was left longest ago.
-    pub fn stalest(&self) -> Option<BoxId> {
-        self.left.first().map(|(_, id)| *id)
+    /// Returns the session that was disconnected longest ago.
+    pub fn oldest_detached(&self) -> Option<BoxId> {
+        self.detached.first().map(|(_, id)| *id)
     }
 
-    /// A connection takes a session up, or begins one. Gives whether an earlier one goes on.
+    /// Attaches a connection to a session: to the existing one, or to `fresh`, which replaces it. Returns
+    /// whether an existing session is resumed.
     pub fn attach(&mut self, id: BoxId, conn: ConnId, fresh: Option<Kept>) -> bool {
         let Some(m) = self.boxes.get_mut(id) else { return false };
-        self.left.remove(&(m.ends, id));
-        (m.conn, m.ends) = (Some(conn), Micros::MAX);
+        self.detached.remove(&(m.expires_at, id));
+        (m.conn, m.expires_at) = (Some(conn), Micros::MAX);
         match fresh {
             Some(kept) => {
                 self.sessions += usize::from(m.kept.is_none());
                 m.kept = Some(kept);
-                m.outbox.forget_numbers();
+                m.outbox.clear_packet_numbers();
                 false
             }
             None => m.kept.is_some(),
         }
     }
 
-    /// A connection is gone: its session is kept until a time.
-    pub fn detach(&mut self, id: BoxId, ends: Micros) {
+    /// Detaches the connection of a session, which is kept until `ends`.
+    pub fn detach(&mut self, id: BoxId, expires_at: Micros) {
         let Some(m) = self.boxes.get_mut(id) else { return };
-        (m.conn, m.ends) = (None, ends);
+        (m.conn, m.expires_at) = (None, expires_at);
         if m.kept.is_some() {
-            self.left.insert((ends, id));
+            self.detached.insert((expires_at, id));
         }
     }
 
-    /// Puts a session back that was kept over a restart.
-    pub fn restore(&mut self, id: BoxId, kept: Kept, ends: Micros) {
+    /// Restores a session after a restart.
+    pub fn restore(&mut self, id: BoxId, kept: Kept, expires_at: Micros) {
         let Some(m) = self.boxes.get_mut(id) else { return };
         self.sessions += usize::from(m.kept.is_none());
         m.kept = Some(kept);
-        self.detach(id, ends);
+        self.detach(id, expires_at);
     }
 
-    /// A session is over.
-    pub fn end(&mut self, id: BoxId) {
+    /// Ends a session.
+    pub fn end_session(&mut self, id: BoxId) {
         let Some(m) = self.boxes.get_mut(id) else { return };
-        self.left.remove(&(m.ends, id));
-        m.ends = Micros::MAX;
+        self.detached.remove(&(m.expires_at, id));
+        m.expires_at = Micros::MAX;
         if m.kept.take().is_some() {
             self.sessions -= 1;
-            m.outbox.forget_numbers();
+            m.outbox.clear_packet_numbers();
         }
     }
 
-    /// Forgets a mailbox with a name that nothing needs.
+    /// Removes a named mailbox that nothing uses. Returns whether it was removed.
     pub fn tidy(&mut self, id: BoxId) -> bool {
         let Some(m) = self.boxes.get(id) else { return false };
         let needed = m.name.is_empty()
--- a/crates/engine/src/node/answer.rs
+++ b/crates/engine/src/node/answer.rs
@@ -1,7 +1,8 @@
-//! The final answer to a message: found once, written, told, and over once it was taken.
+//! The final answer to a message: determined once, written to the journal, reported to the client, and closed
+//! once the client has acknowledged it.
 
 use super::Node;
-use super::state::{Effect, Ended, Message};
+use super::state::{Effect, FinishedMessage, Message};
 use crate::Micros;
 use crate::answers::{self, End};
 use crate::front::Speaks;
@@ -16,7 +17,7 @@
 use heronroute_smpp::receipt::{Answer, Receipt};
 
 impl Node {
-    /// What is held of one client and in all.
+    /// Returns the occupancy that admission checks: of one client and in all.
     pub(crate) fn held(&self, client: usize, class: usize) -> Held {
         let c = &self.clients[client];
         let classes = &self.cfg.settings.classes;
@@ -26,23 +27,23 @@
         Held { open, of_client, worth, ..Held::default() }
     }
 
-    /// The final answer to a message: it is told once, here, and the message is over.
+    /// Gives a message its final answer, once; the message is no longer open after that.
     pub(crate) fn answer(&mut self, id: MsgId, end: End) {
-        // An attempt that has not begun to leave is taken back first: it can't be sent after the answer, and the
-        // answer may then say that nothing ran.
+        // An attempt that has not started to be written is cancelled first: it can't be sent after the
+        // answer, and the answer may then say that nothing ran.
         if let Some((call, part)) = self.messages.get(&id).and_then(|m| m.out) {
             self.cancel_unsent(call, part);
         }
         let Some(m) = self.messages.get(&id) else { return };
         let may_run = m.ran_at.is_some() || m.out.is_some();
         let quantum = self.cfg.settings.quantum.max(1_000);
-        // Of a platform's message the library's own word is told, also where its time is up.
+        // For a platform's message the library's own answer is reported, even if the message has expired.
         let time_up = m.speaks != Speaks::Resp && self.now + 2 * quantum >= m.deadline;
         let answer = answers::answer(end, may_run, time_up);
         self.answer_with(id, answer);
     }
 
-    /// The same, with the answer's word.
+    /// Gives a message this final answer.
     pub(crate) fn answer_with(&mut self, id: MsgId, answer: Answer) {
         if let Some(m) = self.messages.get_mut(&id).filter(|m| m.still != Still::No) {
             m.still = Still::Found(answer);
@@ -52,8 +53,8 @@
         self.stats.answers[stats::place(answer)] += 1;
         let done = self.wall();
         if m.speaks == Speaks::Resp && (m.reply.is_some() || answer == Answer::Delivered) {
-            // It was never accepted, or nothing more is owed: no answer to be kept.
-            return self.tell_end(id, m, answer);
+            // The message was never accepted, or nothing more is owed: no answer has to be kept.
+            return self.report_end(id, m, answer);
         }
         self.ledger.write(|| {
             What::Answer(entry::Answer {
@@ -65,21 +66,22 @@
         });
         let mut m = m;
         self.keep_answer(id, &m, answer);
-        self.file(id, &mut m, answer);
-        self.once_durable(Effect::Tell { id, message: Box::new(m), answer, done });
+        self.store_ended(id, &mut m, answer);
+        self.once_durable(Effect::ReportAnswer { id, message: Box::new(m), answer, done });
     }
 
-    pub(crate) fn tell(&mut self, id: MsgId, m: Message, answer: Answer, done: Micros) {
+    pub(crate) fn report_answer(&mut self, id: MsgId, m: Message, answer: Answer, done: Micros) {
         if m.speaks == Speaks::Resp {
-            return self.tell_end(id, m, answer);
+            return self.report_end(id, m, answer);
         }
-        self.let_go(&m);
-        let ended = Ended { client: m.client, source: m.submission.source.clone(), answer, done };
-        self.ended.insert(id, ended);
-        self.ended_order.push_back(id);
-        while self.ended_order.len() > self.cfg.settings.max_open as usize {
-            if let Some(old) = self.ended_order.pop_front() {
-                self.ended.remove(&old);
+        self.remove_open_message(&m);
+        let finished =
+            FinishedMessage { client: m.client, source: m.submission.source.clone(), answer, done };
+        self.finished.insert(id, finished);
+        self.finished_order.push_back(id);
+        while self.finished_order.len() > self.cfg.settings.max_open as usize {
+            if let Some(old) = self.finished_order.pop_front() {
+                self.finished.remove(&old);
             }
         }
         if let Some((conn, sequence)) = m.reply
@@ -89,7 +91,7 @@
             self.mailboxes.tidy(m.mailbox);
             return;
         }
-        // In forward mode the response is the answer; where its session is gone, a receipt stands in for it.
+        // In forward mode the response is the answer. If the connection has closed, a receipt replaces it.
         if !m.submission.owes_receipt(answer == Answer::Delivered) {
             self.taken(id);
             self.mailboxes.tidy(m.mailbox);
@@ -107,14 +109,15 @@
         self.pump(m.mailbox);
     }
 
-    /// An answer is owed from now on.
+    /// Adds an answer to those owed to a mailbox.
     pub(crate) fn owe(&mut self, mailbox: BoxId, receipt: Receipt, to: Reply) {
         let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
-        m.outbox.owe(receipt, to);
+        m.outbox.push(receipt, to);
         self.clients[m.client].owed += 1;
     }
 
-    /// The answer was taken, or none is owed: nothing of the message is needed any more.
+    /// Closes a message whose answer was acknowledged, or to which none is owed: nothing of it is needed any
+    /// more.
     pub(crate) fn taken(&mut self, id: MsgId) {
         self.unheard.remove(&id.0);
         self.answer_heard(id);
--- a/crates/engine/src/node/api.rs
+++ b/crates/engine/src/node/api.rs
@@ -1,4 +1,4 @@
-//! What a node starts from, and what it asks of whoever holds its sockets.
+//! What a node starts from, and the operations that it requests from the owner of its sockets.
 
 use crate::Micros;
 use crate::ids::ConnId;
@@ -9,59 +9,61 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gone {
-    /// The peer closed its side.
+    /// The peer closed its side of the connection.
     Ended,
-    /// It broke, or could not be made.
+    /// The connection failed, or could not be established.
     Broken,
 }
 
-/// What a node asks of whoever holds the sockets, in order.
+/// An operation that a node requests from the owner of its sockets. Operations are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Connect; then say [`Node::connected`] or [`Node::closed`].
+    /// Connect to an address, then call [`Node::connected`] or [`Node::closed`].
     Connect {
-        /// The number for it.
+        /// The number of the connection.
         conn: ConnId,
-        /// Where to.
+        /// The address to connect to.
         address: SocketAddr,
     },
-    /// There is something to write; see [`Node::pending`].
+    /// The connection has bytes to write; see [`Node::pending`].
     Write(ConnId),
-    /// Close once all that is pending was written. The node has forgotten the connection's meaning.
+    /// Close the connection once all pending bytes are written. The node has dropped its state for it.
     Finish(ConnId),
-    /// Close at once.
+    /// Close the connection at once.
     Drop(ConnId),
-    /// Keep this text for the next start.
+    /// Save this directory list for the next start.
     Keep(String),
-    /// Write these in the journal, then say [`Node::durable`].
+    /// Write these entries to the journal, then call [`Node::durable`].
     Journal(Vec<Entry>),
-    /// The answer to [`Node::copying`]: from here on all that is accepted counts as the partner's too.
+    /// The answer to [`Node::copying`]: everything accepted from now on counts as the partner's too.
     Copying,
-    /// This life's work, as far as it has its home here, is written down whole; see [`Node::inherit`].
+    /// The work of this life of the process, as far as its home is here, is written to the journal as a
+    /// whole; see [`Node::inherit`].
     Inherited(String),
-    /// What is applied for a client, from now on or still; on nodes of a fleet only.
+    /// What is applied for a client from now on, or still is. Only on nodes of a fleet.
     Live(Live),
-    /// A client asks about its rules or about the fleet; to be answered with [`Node::told`]. On nodes of a fleet only.
+    /// A client's request about its rules or about the fleet, to be answered with [`Node::told`]. Only on
+    /// nodes of a fleet.
     Ask(Ask),
 }
 
-/// What a node starts from.
+/// The values that a node starts from.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// Which of the process's senders it is.
+    /// The index of this sender within the process.
     pub index: usize,
-    /// Seed of its random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// The clock, in microseconds; it never goes back.
+    /// The monotonic clock, in microseconds.
     pub now: Micros,
     /// Microseconds since 1970 UTC at that moment.
     pub wall: Micros,
-    /// Version of the endpoints in the settings, where they have one.
+    /// The version of the endpoints in the settings, if they have one.
     pub list: u64,
-    /// The list kept from before.
+    /// The directory list saved by the previous run.
     pub kept: Option<String>,
-    /// The journal's book, where there is a journal.
+    /// The state recovered from the journal, if there is a journal.
     pub book: Option<Book>,
-    /// It is one of a fleet: clients have rules of their own, and may ask about them.
+    /// Whether the node belongs to a fleet. Clients then have rules of their own, and may ask about them.
     pub fleet: bool,
 }
--- a/crates/engine/src/node/conns.rs
+++ b/crates/engine/src/node/connections.rs
@@ -1,4 +1,4 @@
-//! Connections as streams of octets: what is to be written and read, and how they are closed.
+//! Connections as byte streams: what is written and read, and how they are closed.
 
 use super::Node;
 use super::api::Output;
@@ -7,27 +7,28 @@
 use crate::read_budget;
 use crate::stream::Stream;
 
-/// Octets that may wait for a client that does not read; beyond that nothing more is read from it.
+/// The most bytes that may wait for a client that does not read; beyond that nothing more is read from it.
 const CLIENT_BACKLOG: usize = 256 * 1024;
 
 impl Node {
-    /// What is to be written on a connection.
+    /// Returns the bytes to be written on a connection.
     pub fn pending(&self, conn: ConnId) -> &[u8] {
         self.conns.get(&conn).map_or(&[], |c| &c.stream.out)
     }
 
-    /// Whether more may be read from a connection now. Bounds what waits for a client that does not read.
+    /// Returns whether more may be read from a connection now. Bounds what waits for a client that does not
+    /// read.
     pub fn wants_read(&self, conn: ConnId) -> bool {
         self.conns.get(&conn).is_some_and(|c| match c.what {
             Use::Client { ref front, .. } => c.stream.out.len() < CLIENT_BACKLOG && front.listens(),
-            // What comes now would be read and never answered.
+            // Whatever arrives now would be read and never answered.
             Use::Finishing => false,
             _ => true,
         })
     }
 
-    /// Whether a connection is to be read before it is written: what has come by now answers nothing that is still to
-    /// leave on it.
+    /// Returns whether a connection has to be read before it is written: what has arrived by now can't answer
+    /// anything that is still to be sent on it.
     pub fn reads_first(&self, conn: ConnId) -> bool {
         self.conns.get(&conn).is_some_and(|c| match &c.what {
             Use::Receiver { link, .. } => link.unbegun(&c.stream),
@@ -35,20 +36,21 @@
         })
     }
 
-    /// Octets to be read from a connection in one turn.
+    /// Returns how many bytes may be read from a connection in one turn.
     pub fn turn(&self, conn: ConnId) -> usize {
         match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { place: Some((client, _)), .. }) => self.read_budgets.octets(*client),
+            Some(Use::Client { owner: Some((client, _)), .. }) => self.read_budgets.octets(*client),
             _ => read_budget::MAX_READ,
         }
     }
 
-    /// The system took octets of a connection. True where it was being finished and all is written.
+    /// Records that `n` bytes of a connection were written. Returns true if the connection was closing and
+    /// everything is written.
     pub fn wrote(&mut self, conn: ConnId, n: usize) -> bool {
         let Some(c) = self.conns.get_mut(&conn) else { return true };
         c.stream.wrote(n);
-        c.told = !c.stream.out.is_empty();
-        if !c.told && matches!(c.what, Use::Finishing) {
+        c.write_requested = !c.stream.out.is_empty();
+        if !c.write_requested && matches!(c.what, Use::Finishing) {
             self.conns.remove(&conn);
             return true;
         }
@@ -57,22 +59,22 @@
 
     pub(crate) fn add_conn(&mut self, what: Use) -> ConnId {
         self.next_conn += 1;
-        self.conns.insert(self.next_conn, Conn { stream: Stream::default(), what, told: false });
+        self.conns.insert(self.next_conn, Conn { stream: Stream::default(), what, write_requested: false });
         self.next_conn
     }
 
-    /// Tells that a connection has something to write, once.
+    /// Requests once that a connection's pending bytes be written.
     pub(crate) fn flush(&mut self, conn: ConnId) {
         if let Some(c) = self.conns.get_mut(&conn)
-            && !c.told
+            && !c.write_requested
             && !c.stream.out.is_empty()
         {
-            c.told = true;
+            c.write_requested = true;
             self.outputs.push(Output::Write(conn));
         }
     }
 
-    /// Closes a connection once all is written. Its meaning is gone at once.
+    /// Closes a connection once all is written. Its role is dropped at once.
     pub(crate) fn finish(&mut self, conn: ConnId) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         c.what = Use::Finishing;
--- a/crates/engine/src/node/inputs.rs
+++ b/crates/engine/src/node/inputs.rs
@@ -1,4 +1,4 @@
-//! What happens to connections goes to whatever each is for.
+//! Events of connections, dispatched by each connection's role.
 
 use super::Node;
 use super::api::Gone;
@@ -7,7 +7,7 @@
 use crate::ids::ConnId;
 
 impl Node {
-    /// A connection of ours stands.
+    /// Handles a connection that was established.
     pub fn connected(&mut self, now: Micros, conn: ConnId) {
         self.now = now.max(self.now);
         match self.conns.get(&conn).map(|c| &c.what) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Octets came.
+    /// Handles received bytes.
     pub fn received(&mut self, now: Micros, conn: ConnId, octets: &[u8]) {
         self.now = now.max(self.now);
         match self.conns.get(&conn).map(|c| &c.what) {
@@ -32,32 +32,32 @@
             Some(Use::Receiver { .. }) => self.link_received(conn, octets),
             Some(Use::Notices) => self.notices_received(conn, octets),
             Some(Use::Directory) => {
-                let mut heard = Vec::new();
+                let mut events = Vec::new();
                 let Some(c) = self.conns.get_mut(&conn) else { return };
-                let goes_on = self.directory.receive(self.now, octets, &mut c.stream, &mut heard);
+                let goes_on = self.directory.receive(self.now, octets, &mut c.stream, &mut events);
                 self.flush(conn);
                 if !goes_on {
                     self.directory_conn = None;
                     self.drop_conn(conn);
                 }
-                self.heard(heard);
+                self.handle_directory_events(events);
             }
             _ => {}
         }
     }
 
-    /// A connection is no more; whoever holds the sockets has closed it.
+    /// Handles the end of a connection, which the owner of the sockets has closed.
     pub fn closed(&mut self, now: Micros, conn: ConnId, gone: Gone) {
         self.now = now.max(self.now);
         match self.conns.get(&conn).map(|c| &c.what) {
             Some(Use::Client { .. }) => self.client_gone(conn),
             Some(Use::Receiver { .. }) => self.link_closed(conn, gone),
-            Some(Use::Notices) => self.notices_gone(conn),
+            Some(Use::Notices) => self.notices_closed(conn),
             Some(Use::Directory) => {
                 self.directory_conn = None;
-                let mut heard = Vec::new();
-                self.directory.ended(self.now, &mut heard);
-                self.heard(heard);
+                let mut events = Vec::new();
+                self.directory.ended(self.now, &mut events);
+                self.handle_directory_events(events);
             }
             _ => {}
         }
--- a/crates/engine/src/node/members.rs
+++ b/crates/engine/src/node/listing.rs
@@ -1,4 +1,4 @@
-//! The directory's lists, put into the decision library's words.
+//! Directory lists, converted for the decision library.
 
 use super::Node;
 use super::api::Output;
@@ -20,12 +20,12 @@
         self.timers.set(Key::Directory, self.directory.wake());
     }
 
-    pub(crate) fn heard(&mut self, heard: Vec<Heard>) {
-        for h in heard {
-            match h {
+    pub(crate) fn handle_directory_events(&mut self, events: Vec<Heard>) {
+        for event in events {
+            match event {
                 Heard::List(listing) => {
                     self.stats.lists += 1;
-                    self.members(&listing);
+                    self.apply_listing(&listing);
                     self.outputs.extend(self.directory.text().map(Output::Keep));
                 }
                 Heard::Failed(why) => {
@@ -38,8 +38,9 @@
         self.schedule_directory();
     }
 
-    /// Puts a listing into the decision library's words. What names an unknown kind is passed over.
-    pub(crate) fn members(&mut self, listing: &Listing) {
+    /// Applies a directory list: updates the endpoint table and passes the list to the decision library.
+    /// Entries of an unknown kind are skipped.
+    pub(crate) fn apply_listing(&mut self, listing: &Listing) {
         let mut entries = Vec::new();
         for e in &listing.endpoints {
             let Some(kind) = self.cfg.kinds.iter().position(|k| k.name == e.kind) else {
@@ -51,11 +52,11 @@
                 continue;
             };
             let (dest, status) = (DestId(e.destination), e.status);
-            let (endpoint, moved) = self.remotes.entry(&e.name, e.address, kind, dest);
+            let (endpoint, moved) = self.remotes.upsert(&e.name, e.address, kind, dest);
             if self.held.is_some() {
                 self.remotes[endpoint].number = self.trail_number(&e.name);
             }
-            self.remotes.list(endpoint, status != Status::Removed);
+            self.remotes.set_listed(endpoint, status != Status::Removed);
             if moved {
                 self.close_idle(endpoint);
             }
@@ -73,10 +74,16 @@
         if listing.whole {
             let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             let gone: Vec<EndpointId> = self.remotes.listed().filter(|e| !named.contains(e)).collect();
-            gone.iter().for_each(|e| self.remotes.list(*e, false));
+            gone.iter().for_each(|e| self.remotes.set_listed(*e, false));
             down.extend(gone);
         }
-        tracing::debug!(now = self.now, whole = listing.whole, changes = entries.len(), ?down, "a list");
+        tracing::debug!(
+            now = self.now,
+            whole = listing.whole,
+            changes = entries.len(),
+            ?down,
+            "applying a directory list"
+        );
         self.events.push(Event::Members { whole: listing.whole, entries });
         down.into_iter().for_each(|e| self.cancel_unsent_calls(e));
     }
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -1,27 +1,29 @@
-//! One sender: what it holds, and the ways in and out. `desk` has the clients' side, `carry` the receivers',
-//! `hold` what is kept for clients.
+//! The core of a sender: its state, its inputs and its outputs. `admission` implements the client side,
+//! `carry` the receiver side, and `held` the messages held for clients.
 
 mod answer;
 mod api;
-mod conns;
-mod forget;
+mod connections;
+mod endpoints;
 mod inputs;
-mod leave;
-mod members;
-mod remotes;
+mod listing;
+mod prune;
 mod round;
+mod shutdown;
 mod start;
 mod state;
 
 pub use api::{Gone, Output, Start};
-use remotes::Remotes;
-pub(crate) use state::{Client, Conn, Effect, Ended, Key, LinkEvents, Message, Releasing, Use};
+use endpoints::EndpointTable;
+pub(crate) use state::{
+    BacklogRelease, Client, Conn, Effect, FinishedMessage, Key, LinkEvents, Message, Use,
+};
 
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::Directory;
 use crate::doubts::Doubts;
-use crate::front::FRONTS;
+use crate::front::FRONT_COUNT;
 use crate::ids::ConnId;
 use crate::keeping::Keeping;
 use crate::ledger::Ledger;
@@ -49,7 +51,7 @@
     pub(crate) mqtt_limits: Option<mqtt::Limits>,
     pub(crate) index: usize,
     pub(crate) now: Micros,
-    /// What must be added to the clock to have the time of day.
+    /// The offset from the clock to the time of day.
     pub(crate) wall: Micros,
     pub(crate) dispatcher: Dispatcher,
     pub(crate) events: Vec<Event>,
@@ -58,33 +60,33 @@
     pub(crate) timers: Timers<Key>,
     pub(crate) conns: BTreeMap<ConnId, Conn>,
     next_conn: ConnId,
-    /// Connections of clients, by front.
-    pub(crate) sessions: [usize; FRONTS],
-    /// Messages without an answer, by front.
-    pub(crate) open_of: [usize; FRONTS],
+    /// The number of client connections, by front.
+    pub(crate) sessions: [usize; FRONT_COUNT],
+    /// The number of open messages, by front.
+    pub(crate) open_by_front: [usize; FRONT_COUNT],
     pub(crate) mailboxes: Mailboxes,
-    /// Names that clients gave their messages.
+    /// The names that clients gave their messages, with the messages' ids.
     pub(crate) seen: Option<Seen>,
     pub(crate) read_budgets: ReadBudgets,
-    /// What is held for clients, and trails.
+    /// Messages held for clients, and trails.
     pub(crate) held: Option<Store>,
-    /// Held messages whose answer was not taken yet.
+    /// Held messages whose answer was not acknowledged yet.
     pub(crate) unheard: BTreeSet<u64>,
-    /// Backlogs that are being let go, by client.
-    pub(crate) releasing: BTreeMap<usize, Releasing>,
-    /// Names that trails have by number.
+    /// The running releases of backlogs, by client.
+    pub(crate) releases: BTreeMap<usize, BacklogRelease>,
+    /// The names that trails refer to by number.
     pub(crate) trail_names: Vec<String>,
     pub(crate) trail_numbers: BTreeMap<String, u32>,
     pub(crate) messages: BTreeMap<MsgId, Message>,
-    pub(crate) ended: BTreeMap<MsgId, Ended>,
-    ended_order: VecDeque<MsgId>,
+    pub(crate) finished: BTreeMap<MsgId, FinishedMessage>,
+    finished_order: VecDeque<MsgId>,
     pub(crate) next_id: u64,
     pub(crate) calls: Calls,
-    /// Outcomes by doubtful answers, which wait to be believed.
+    /// Outcomes reported by doubtful answers, which wait to be confirmed.
     pub(crate) doubts: Doubts,
-    pub(crate) remotes: Remotes,
-    /// When it is looked next for endpoints that are gone.
-    forget_at: Micros,
+    pub(crate) remotes: EndpointTable,
+    /// When to check next for endpoints to remove.
+    prune_at: Micros,
     zones: Vec<String>,
     pub(crate) clients: Vec<Client>,
     pub(crate) client_names: BTreeMap<String, usize>,
@@ -93,20 +95,21 @@
     pub(crate) routes: Trie<DestId>,
     pub(crate) directory: Box<dyn Directory>,
     pub(crate) directory_conn: Option<ConnId>,
-    /// Notices to the platform, where that is spoken.
+    /// Notices to the platform, if the sender serves one.
     pub(crate) notices: Option<Notices<MsgId>>,
     pub(crate) notices_conn: Option<ConnId>,
-    /// Submitted since the last round, with their destinations: not accepted yet.
-    pub(crate) fresh: Vec<(MsgId, i64)>,
-    /// Octets of their bodies.
-    pub(crate) fresh_octets: usize,
-    /// Open messages by the identity that the client's side gave them.
+    /// Messages submitted since the last round, with their destinations; not accepted yet.
+    pub(crate) submitted: Vec<(MsgId, i64)>,
+    /// The total size of their bodies.
+    pub(crate) submitted_bytes: usize,
+    /// Open messages by the identity that the client gave them.
     pub(crate) by_identity: BTreeMap<String, MsgId>,
-    /// About to end: nothing is decided any more, only what is out is waited for.
+    /// Set while the sender shuts down: no decisions are made any more, and it only waits for calls in
+    /// flight.
     pub(crate) frozen: bool,
-    /// Clients' own rules, on a node of a fleet.
+    /// The clients' own rules, on a node of a fleet.
     pub(crate) keeping: Option<Keeping>,
-    /// Where members stand in regions.
+    /// The state of the regions that members belong to.
     pub(crate) region: Option<Standing<Effect>>,
     pub(crate) ledger: Ledger<Effect>,
     pub(crate) outputs: Vec<Output>,
@@ -116,43 +119,44 @@
 }
 
 impl Node {
-    /// What was done so far.
+    /// Returns the counters since the start.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Messages without a final answer.
+    /// Returns the number of messages without a final answer.
     pub fn open(&self) -> usize {
         self.messages.len()
     }
 
-    /// Messages held for their clients.
+    /// Returns the number of messages held for their clients.
     pub fn kept_for_clients(&self) -> usize {
         let of = |c: usize| self.held.as_ref().map_or(0, |s| s.of(c as u32).0);
         (0..self.clients.len()).map(of).sum()
     }
 
-    /// What is kept of endpoints and destinations here and by the decision library, for those who watch a sender's memory.
+    /// Returns the number of records of endpoints and destinations, here and in the decision library, for
+    /// monitoring a sender's memory.
     pub fn kept(&self) -> usize {
-        self.remotes.kept() + self.dispatcher.kept()
+        self.remotes.record_count() + self.dispatcher.kept()
     }
 
-    /// Receipts that wait for their client.
+    /// Returns the number of receipts that wait for their client.
     pub fn owed(&self) -> usize {
         self.clients.iter().map(|c| c.owed).sum()
     }
 
-    /// The time of day.
+    /// Returns the time of day.
     pub(crate) fn wall(&self) -> Micros {
         self.now + self.wall
     }
 
-    /// What is asked of the sockets since the last call.
+    /// Takes the operations requested since the last call.
     pub fn outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When [`Node::settle`] is next needed without anything having happened.
+    /// Returns when [`Node::settle`] is next needed if nothing happens before.
     pub fn wake(&self) -> Option<Micros> {
         let region = self.region.as_ref().and_then(Standing::wake);
         [self.timers.next(), self.ledger.wake(), region].into_iter().flatten().min()
--- a/crates/engine/src/node/round.rs
+++ b/crates/engine/src/node/round.rs
@@ -1,4 +1,4 @@
-//! A turn: timers, rounds of the decision library, and what waits for the journal.
+//! A turn of the event loop: timers, rounds of the decision library, and effects that wait for the journal.
 
 use super::Node;
 use super::api::Output;
@@ -9,15 +9,16 @@
 use heronroute_journal::Usage;
 
 impl Node {
-    /// Acts on all that happened and fell due. To be called after a turn of inputs, and at [`Node::wake`].
+    /// Handles due timers and runs the rounds of the decision library. Must be called after a turn of inputs,
+    /// and at [`Node::wake`].
     pub fn settle(&mut self, now: Micros) {
         self.now = now.max(self.now);
         self.lapse_if_due();
-        // Each round may bring outcomes at once (calls that could not be made) and timers that are due; they are
-        // heard in the next.
+        // Each round may produce outcomes at once (calls that could not be made) and due timers; the next
+        // round handles them.
         for _ in 0..64 {
             while let Some(key) = self.timers.due(self.now) {
-                self.fell_due(key);
+                self.handle_timer(key);
             }
             if self.events.is_empty() || self.frozen {
                 break;
@@ -30,7 +31,7 @@
             self.round();
         }
         if self.leaving {
-            self.go_on_leaving();
+            self.continue_leaving();
         }
         let entries = self.ledger.hand_over(self.now);
         if !entries.is_empty() {
@@ -38,7 +39,8 @@
         }
     }
 
-    /// So many entries since the start are durable. What rested on them is done.
+    /// Reports that `count` entries since the start are durable, and performs the effects that waited for
+    /// them.
     pub fn durable(&mut self, now: Micros, count: u64, usage: Usage) {
         self.now = now.max(self.now);
         (self.stats.entries, self.stats.syncs) = (usage.entries, usage.commits);
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Does what rests on all that was written so far: now, or once that is durable.
+    /// Performs an effect that depends on everything written so far: now, or once that is durable.
     pub(crate) fn once_durable(&mut self, effect: Effect) {
         if let Some(effect) = self.ledger.hold(effect) {
             self.perform(effect);
@@ -57,13 +59,15 @@
     pub(crate) fn perform(&mut self, effect: Effect) {
         let Some(effect) = self.not_now(effect) else { return };
         match effect {
-            Effect::Accept { conn, token, id } => self.tell_accepted(conn, token, id),
-            Effect::Noted { conn, told } => self.tell_noted(conn, &told),
+            Effect::ReportAcceptance { conn, token, id } => self.report_acceptance(conn, token, id),
+            Effect::AcknowledgeNotes { conn, reply } => self.acknowledge_notes(conn, &reply),
             Effect::Place { call, endpoint } => self.start_call(call, endpoint),
-            Effect::Tell { id, message, answer, done } => self.tell(id, *message, answer, done),
+            Effect::ReportAnswer { id, message, answer, done } => {
+                self.report_answer(id, *message, answer, done)
+            }
             Effect::Apply(apply) => self.in_force(&apply),
             Effect::Inherited { origin } => self.estate_durable(origin),
-            Effect::Again { mailbox, id, to } => self.tell_again(mailbox, id, *to),
+            Effect::RepeatAnswer { mailbox, id, to } => self.tell_again(mailbox, id, *to),
         }
     }
 
@@ -74,17 +78,17 @@
         let mut actions = std::mem::take(&mut self.actions);
         actions.clear();
         self.dispatcher.round(self.now, &events, &mut actions);
-        self.accept_fresh(&actions);
+        self.accept_submitted(&actions);
         self.carry_out(&actions);
         self.note_known(events.iter().filter_map(|e| match e {
             Event::Outcome { endpoint, .. } => Some(*endpoint),
             _ => None,
         }));
         self.actions = actions;
-        self.forget_gone();
+        self.remove_unlisted_endpoints();
     }
 
-    fn fell_due(&mut self, key: Key) {
+    fn handle_timer(&mut self, key: Key) {
         match key {
             Key::Module => self.events.push(Event::Timer { token: 0 }),
             Key::Round => {}
@@ -99,12 +103,12 @@
             Key::Part(call, part) => self.part_timed_out(call, part),
             Key::Probe(endpoint) => self.probe_timed_out(EndpointId(endpoint)),
             Key::Outbox(mailbox) => self.pump(mailbox),
-            Key::Release(client) => self.release_on(client),
+            Key::Release(client) => self.continue_release(client),
             Key::Mailbox(mailbox) => self.mailbox_due(mailbox),
             Key::Keeping => self.keeping_due(),
             Key::Directory => {
-                let mut heard = Vec::new();
-                let want = self.directory.tick(self.now, &mut heard);
+                let mut events = Vec::new();
+                let want = self.directory.tick(self.now, &mut events);
                 match want {
                     Want::Nothing => {}
                     Want::Drop => {
@@ -118,7 +122,7 @@
                         self.outputs.push(Output::Connect { conn, address });
                     }
                 }
-                self.heard(heard);
+                self.handle_directory_events(events);
             }
             Key::Notices => self.notices_due(),
             Key::Leave if self.cfg.platform.is_some() => self.freeze(),
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -1,14 +1,14 @@
-//! A node is made, and takes over new settings.
+//! Creation of a node, and reload of its settings.
 
 use super::Node;
 use super::api::Start;
-use super::remotes::Remotes;
+use super::endpoints::EndpointTable;
 use super::state::Client;
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::{Directory, Polled, Watched};
 use crate::doubts::Doubts;
-use crate::front::FRONTS;
+use crate::front::FRONT_COUNT;
 use crate::ids::ID_SENDER_BITS;
 use crate::keeping::Keeping;
 use crate::ledger::Ledger;
@@ -29,20 +29,21 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// What the fronts are due beside each other; none where there is one only.
-fn fronts(cfg: &Config) -> Vec<f64> {
+/// Returns the weights of the fronts; empty if there is only one.
+fn front_weights(cfg: &Config) -> Vec<f64> {
     cfg.mqtt.as_ref().map(|m| vec![cfg.smpp.weight, m.weight]).unwrap_or_default()
 }
 
-fn rates(cfg: &Config) -> Vec<Part> {
+fn client_rates(cfg: &Config) -> Vec<Part> {
     cfg.clients.iter().map(|c| Part { rate: c.rate, burst: c.burst, weight: c.weight }).collect()
 }
 
 impl Node {
-    /// Starts a sender.
+    /// Creates a sender.
     ///
     /// # Errors
-    /// When the decision library can't work with the settings.
+    ///
+    /// Returns an error if the decision library rejects the settings.
     pub fn new(cfg: Arc<Config>, start: Start) -> Result<Self, SettingsError> {
         let s = &cfg.smpp;
         let session_limits = server::Limits {
@@ -69,8 +70,8 @@
         };
         let limits = Limits::new(
             now,
-            &rates(&cfg),
-            &fronts(&cfg),
+            &client_rates(&cfg),
+            &front_weights(&cfg),
             cfg.settings.max_open as usize,
             cfg.service.owed_room,
         );
@@ -87,8 +88,8 @@
             timers: Timers::default(),
             conns: BTreeMap::new(),
             next_conn: 0,
-            sessions: [0; FRONTS],
-            open_of: [0; FRONTS],
+            sessions: [0; FRONT_COUNT],
+            open_by_front: [0; FRONT_COUNT],
             mailboxes: Mailboxes::default(),
             seen: cfg.mqtt.as_ref().map(|m| Seen::new(m.remembered, start.wall, start.seed)),
             read_budgets: ReadBudgets::new(now),
@@ -97,19 +98,19 @@
                 Store::new(trails, Room { age: h.age, count: h.count, octets: h.octets })
             }),
             unheard: BTreeSet::new(),
-            releasing: BTreeMap::new(),
+            releases: BTreeMap::new(),
             trail_names: Vec::new(),
             trail_numbers: BTreeMap::new(),
             messages: BTreeMap::new(),
-            ended: BTreeMap::new(),
-            ended_order: VecDeque::new(),
-            // Numbers are never used twice, over restarts and senders too: an earlier run's lie lower, as no
-            // sender takes on a million messages a second for as long as it runs.
+            finished: BTreeMap::new(),
+            finished_order: VecDeque::new(),
+            // Ids are never reused, not even across restarts and senders: those of an earlier run are lower,
+            // as no sender accepts a million messages a second for as long as it runs.
             next_id: ((start.wall.max(0) as u64) << ID_SENDER_BITS) | start.index as u64,
             calls: Calls::default(),
             doubts: Doubts::default(),
-            remotes: Remotes::default(),
-            forget_at: now,
+            remotes: EndpointTable::default(),
+            prune_at: now,
             zones: cfg.zones.clone(),
             clients: Vec::new(),
             client_names: BTreeMap::new(),
@@ -120,8 +121,8 @@
             directory_conn: None,
             notices: cfg.platform.map(|p| Notices::new(p.discovery)),
             notices_conn: None,
-            fresh: Vec::new(),
-            fresh_octets: 0,
+            submitted: Vec::new(),
+            submitted_bytes: 0,
             by_identity: BTreeMap::new(),
             frozen: false,
             keeping: start.fleet.then(|| {
@@ -140,22 +141,22 @@
             left: false,
             cfg: cfg.clone(),
         };
-        node.take_over(&cfg);
+        node.apply_clients_and_routes(&cfg);
         let kept = start.kept.and_then(|text| match parse_listing("kept list", &text) {
             Ok(listing) => Some(listing),
             Err(e) => {
-                tracing::warn!(error = %e, "the kept list cannot be read; starting without it");
+                tracing::warn!(error = %e, "the saved directory list cannot be read; starting without it");
                 None
             }
         });
         let known = Listing { version: start.list, whole: true, endpoints: cfg.endpoints.clone() };
         let first = kept.unwrap_or(known);
         node.directory.known(&first);
-        node.members(&first);
+        node.apply_listing(&first);
         if let Some(book) = start.book {
             node.restart(book);
         }
-        // All that was accepted before may be in a copy.
+        // Everything accepted before may be in a copy.
         let next = node.next_id;
         node.region = node.region.map(|r| r.began(next));
         node.schedule_directory();
@@ -163,8 +164,8 @@
         Ok(node)
     }
 
-    /// Clients and routes, at the start and at a reload. A client that stays keeps its place.
-    fn take_over(&mut self, cfg: &Config) {
+    /// Applies clients and routes, at the start and at a reload. An existing client keeps its index.
+    fn apply_clients_and_routes(&mut self, cfg: &Config) {
         for c in &cfg.clients {
             let next = self.clients.len();
             if !self.client_names.contains_key(&c.system_id) {
@@ -178,21 +179,21 @@
         }
     }
 
-    /// A place for one more client.
+    /// Adds the state of one more client.
     pub(crate) fn add_client(&mut self) {
         let mailbox = self.mailboxes.open(self.clients.len(), "");
-        self.clients.push(Client { open: 0, owed: 0, conns: 0, mailbox });
+        self.clients.push(Client { open: 0, owed: 0, admitted_conns: 0, mailbox });
     }
 
-    /// Takes over new settings, as far as they can change in service: clients that were added, passwords, rates,
-    /// routes and endpoints of the file. Gives the names of what differs and needs a restart.
+    /// Applies new settings, as far as they can change in service: added clients, passwords, rates, routes,
+    /// and the endpoints of the file. Returns the names of settings that differ and need a restart.
     pub fn reload(&mut self, now: Micros, cfg: Arc<Config>) -> Vec<&'static str> {
         self.now = now.max(self.now);
         let old = self.cfg.clone();
-        let mut fixed = Vec::new();
+        let mut needs_restart = Vec::new();
         let same_order = old.clients.iter().zip(&cfg.clients).all(|(a, b)| a.system_id == b.system_id);
         if !same_order || cfg.clients.len() < old.clients.len() {
-            fixed.push("client (order, or one taken out)");
+            needs_restart.push("client (order, or one taken out)");
         }
         for (name, differs) in [
             ("service", old.service != cfg.service),
@@ -206,19 +207,19 @@
             ("fleet", old.fleet != cfg.fleet),
         ] {
             if differs {
-                fixed.push(name);
+                needs_restart.push(name);
             }
         }
-        if !fixed.is_empty() {
-            return fixed;
+        if !needs_restart.is_empty() {
+            return needs_restart;
         }
-        self.take_over(&cfg);
-        self.limits.reload(now, &rates(&cfg));
+        self.apply_clients_and_routes(&cfg);
+        self.limits.reload(now, &client_rates(&cfg));
         if old.endpoints != cfg.endpoints && cfg.directory.address.is_none() {
-            self.members(&Listing { version: 0, whole: true, endpoints: cfg.endpoints.clone() });
+            self.apply_listing(&Listing { version: 0, whole: true, endpoints: cfg.endpoints.clone() });
         }
         self.cfg = cfg;
         self.settle(now);
-        fixed
+        needs_restart
     }
 }
--- a/crates/engine/src/node/state.rs
+++ b/crates/engine/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a node holds, as plain data: connections, messages, endpoints, clients, timers, effects that wait.
+//! The state of a node, as plain data: connections, messages, endpoints, clients, timers, deferred effects.
 
 use crate::Micros;
 use crate::front::{Front, Speaks};
@@ -19,78 +19,78 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Key {
-    /// The decision library asked for it.
+    /// A timer that the decision library set.
     Module,
     /// The next round may begin.
     Round,
-    /// A session's or link's own timers.
+    /// The own timer of a session or link.
     Conn(ConnId),
-    /// A connection must stand by then.
+    /// The time by which a connection has to be established.
     Connect(ConnId),
-    /// A connection without calls is closed then.
+    /// The time at which a connection without calls is closed.
     Idle(ConnId),
-    /// Doubtful answers on a connection are believed then.
+    /// The time at which doubtful answers on a connection are confirmed.
     Confirm(ConnId),
-    /// A message of a call must be answered by then.
+    /// The time by which a message of a call has to be answered.
     Part(u64, usize),
-    /// A probe must be answered by then.
+    /// The time by which a probe has to be answered.
     Probe(u32),
-    /// A mailbox's answers may go on.
+    /// The time from which a mailbox's answers may be sent again.
     Outbox(BoxId),
-    /// A session without a connection ends, or its client's will is due.
+    /// The expiry of a session without a connection, or the time of its client's will.
     Mailbox(BoxId),
-    /// A client's backlog may go on.
+    /// The next step in the release of a client's backlog.
     Release(usize),
-    /// What has become too old under clients' rules.
+    /// The expiry of what is kept under clients' rules.
     Keeping,
     /// The directory's timer.
     Directory,
-    /// Notices are owed, or were not answered.
+    /// Notices are due, or were not answered.
     Notices,
-    /// Leaving takes no longer than this.
+    /// The end of the time for the shutdown.
     Leave,
 }
 
-/// What waits until the entries it rests on are durable.
+/// An effect that is deferred until the journal entries it depends on are durable.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// An acceptance is told.
-    Accept { conn: ConnId, token: u32, id: MsgId },
-    /// A change of what a session keeps is acknowledged.
-    Noted { conn: ConnId, told: Vec<u8> },
-    /// A call may leave.
+    /// Report an acceptance to the client.
+    ReportAcceptance { conn: ConnId, token: u32, id: MsgId },
+    /// Acknowledge a change of a session's stored notes.
+    AcknowledgeNotes { conn: ConnId, reply: Vec<u8> },
+    /// Start a call.
     Place { call: u64, endpoint: EndpointId },
-    /// A final answer is told.
-    Tell { id: MsgId, message: Box<Message>, answer: Answer, done: Micros },
-    /// A client's rules are in force.
+    /// Report a final answer to the client.
+    ReportAnswer { id: MsgId, message: Box<Message>, answer: Answer, done: Micros },
+    /// Put a client's rules in force.
     Apply(Box<Apply>),
-    /// A dead member's work is written down whole.
+    /// Report that a dead member's work is written to the journal as a whole.
     Inherited { origin: String },
-    /// A kept answer is told again.
-    Again { mailbox: BoxId, id: MsgId, to: Box<Reply> },
+    /// Send a kept answer again.
+    RepeatAnswer { mailbox: BoxId, id: MsgId, to: Box<Reply> },
 }
 
 impl Effect {
-    /// The message whose final answer it tells.
+    /// Returns the message whose final answer it reports.
     pub fn about(&self) -> Option<MsgId> {
         match self {
-            Effect::Tell { id, .. } | Effect::Again { id, .. } => Some(*id),
+            Effect::ReportAnswer { id, .. } | Effect::RepeatAnswer { id, .. } => Some(*id),
             _ => None,
         }
     }
 }
 
-/// What a connection is for.
+/// The role of a connection.
 #[derive(Debug)]
 pub(crate) enum Use {
     Client {
         front: Box<dyn Front>,
         speaks: Speaks,
-        /// Whose it is and where its answers go, once it is let in.
-        place: Option<(usize, BoxId)>,
-        /// Messages submitted here that have no answer.
+        /// The client and the mailbox for its answers, once the client is admitted.
+        owner: Option<(usize, BoxId)>,
+        /// The number of open messages submitted on this connection.
         open: usize,
-        /// It was refused last for its part of its client's room.
+        /// Whether its last message was refused because the client uses its fair share of the room.
         shedding: bool,
     },
     Receiver {
@@ -100,7 +100,7 @@
     Directory,
     /// Notices to the platform.
     Notices,
-    /// Being closed once all is written.
+    /// Closing once everything is written.
     Finishing,
 }
 
@@ -108,43 +108,43 @@
 pub(crate) struct Conn {
     pub stream: Stream,
     pub what: Use,
-    /// It is in the list of those to be written.
-    pub told: bool,
+    /// Whether a write has been requested for it.
+    pub write_requested: bool,
 }
 
 /// An accepted message without a final answer.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub client: usize,
-    /// Where its answer goes.
+    /// The mailbox for its answer.
     pub mailbox: BoxId,
-    /// The connection and front that it came by.
+    /// The connection and protocol by which it came.
     pub conn: ConnId,
     pub speaks: Speaks,
     pub class: usize,
     pub submission: Submission,
-    /// Where in the client's protocol.
+    /// The address for its answer in the client's protocol.
     pub to: Reply,
     pub taken: Micros,
     pub deadline: Micros,
-    /// Forward mode: the session and request that wait for the answer.
+    /// The connection and request that wait for the answer, in forward mode.
     pub reply: Option<(ConnId, u32)>,
     pub attempts: u32,
-    /// The attempt out.
+    /// The attempt in flight, as call and part.
     pub out: Option<(u64, usize)>,
-    /// Since when it may have run: some attempt began to leave and was not proved to have had no effect.
+    /// Since when it may have run: an attempt began to be written and was not proved to have had no effect.
     pub ran_at: Option<Micros>,
-    /// What happened to it, where trails are kept.
+    /// Its history, where trails are kept.
     pub trail: Option<Box<Trail>>,
-    /// Its answer is kept so long, to be told again; 0: it is not.
+    /// How long its answer is kept to be sent again; 0 if it is not kept.
     pub answer_for: Micros,
-    /// Whether it goes on.
+    /// Whether it is suspended.
     pub still: Still,
 }
 
-/// A final answer, kept for those who ask.
+/// A finished message, kept for queries.
 #[derive(Clone, Debug)]
-pub(crate) struct Ended {
+pub(crate) struct FinishedMessage {
     pub client: usize,
     pub source: String,
     pub answer: Answer,
@@ -153,28 +153,28 @@
 
 /// One endpoint.
 #[derive(Debug)]
-pub(crate) struct Remote {
+pub(crate) struct Endpoint {
     pub address: SocketAddr,
     pub name: String,
-    /// Its number in trails.
+    /// The number that stands for it in trails.
     pub number: u32,
     pub kind: usize,
     pub dest: DestId,
-    /// Calls up to this one were decided before the endpoint drained or announced a wait.
+    /// The last call that was decided before the endpoint started draining or announced a wait.
     pub cancelled_up_to: u64,
-    /// What the journal knows of it.
+    /// What the journal records of it.
     pub place: entry::Place,
     pub pool: Pool,
-    /// A probe is out on this connection.
+    /// The connection with a probe in flight.
     pub probe: Option<ConnId>,
     pub probing: bool,
 }
 
-impl Remote {
-    /// An endpoint of which nothing is known yet.
+impl Endpoint {
+    /// Creates an endpoint without any history.
     pub fn new(name: &str, address: SocketAddr, kind: usize, dest: DestId) -> Self {
         let place = entry::Place { endpoint: name.to_string(), ..entry::Place::default() };
-        Remote {
+        Endpoint {
             address,
             name: name.to_string(),
             number: 0,
@@ -193,24 +193,24 @@
 #[derive(Debug)]
 pub(crate) struct Client {
     pub open: usize,
-    /// Answers that were not taken yet, of all its mailboxes.
+    /// Answers that were not acknowledged yet, in all its mailboxes.
     pub owed: usize,
-    /// Connections that are let in.
-    pub conns: usize,
-    /// The mailbox that its sessions without a name share.
+    /// The number of admitted connections.
+    pub admitted_conns: usize,
+    /// The mailbox that its unnamed sessions share.
     pub mailbox: BoxId,
 }
 
-/// A client's backlog that is being let go.
+/// The running release of a client's backlog.
 #[derive(Debug)]
-pub(crate) struct Releasing {
+pub(crate) struct BacklogRelease {
     pub release: Release,
     pub destination: Option<i64>,
-    /// All up to here was asked for once.
+    /// Messages up to this id were handled once.
     pub after: Option<u64>,
-    pub went: u64,
-    pub passed_over: u64,
+    pub resubmitted: u64,
+    pub skipped: u64,
 }
 
-/// Events of a link are handled in order.
+/// Events of a link, handled in order.
 pub(crate) type LinkEvents = Vec<LinkEvent>;
--- a/crates/engine/src/notices.rs
+++ b/crates/engine/src/notices.rs
@@ -1,4 +1,4 @@
-//! Ends that are told to the platform by notices, on a connection of their own.
+//! Notices that report the ends of messages to the platform, on a connection of their own.
 
 use crate::Micros;
 use crate::ids::ConnId;
@@ -62,12 +62,15 @@
         let (taken, apart) = match n.receive(now, octets, &mut c.stream.out) {
             Ok(taken) => (taken, n.apart()),
             Err(why) => {
-                tracing::warn!(why = why.to_string(), "notices could not be told; they are told again");
+                tracing::warn!(
+                    why = why.to_string(),
+                    "notices could not be delivered; they will be sent again"
+                );
                 n.ended(now);
                 (Vec::new(), true)
             }
         };
-        tracing::debug!(now, notices = taken.len(), "notices were taken");
+        tracing::debug!(now, notices = taken.len(), "notices were acknowledged");
         taken.into_iter().for_each(|id| self.taken(id));
         self.flush(conn);
         if apart {
@@ -77,7 +80,7 @@
         self.schedule_notices();
     }
 
-    pub(crate) fn notices_gone(&mut self, conn: ConnId) {
+    pub(crate) fn notices_closed(&mut self, conn: ConnId) {
         if self.notices_conn == Some(conn) {
             self.notices_conn = None;
             let now = self.now;
@@ -88,7 +91,7 @@
         self.schedule_notices();
     }
 
-    /// Discovery is elsewhere from now on.
+    /// Handles a new address of the platform's discovery.
     pub fn discovery_moved(&mut self, now: Micros, address: std::net::SocketAddr) {
         self.now = now.max(self.now);
         self.directory.moved(self.now, address);
--- a/crates/engine/src/outbox.rs
+++ b/crates/engine/src/outbox.rs
@@ -1,33 +1,34 @@
-//! Answers owed to a mailbox, until each is taken. Free of I/O.
+//! Answers owed to a mailbox, until the client has acknowledged each. Free of I/O.
 //!
-//! Guards against answers lost with a session: an answer goes out on one session at a time, and where that
-//! session ends or refuses it, it is owed again, first in line. Room is bounded before acceptance (see `limits`):
-//! a client whose answers pile up is not accepted more from, so none is ever dropped.
+//! Guards against answers that are lost with a session: an answer is sent on one session at a time, and if
+//! that session ends or refuses it, it is owed again, at the front of the queue. Room is bounded before
+//! acceptance (see `limits`): a client whose answers pile up gets no more messages accepted, so no answer is
+//! ever dropped.
 
 use crate::Micros;
 use heronroute_smpp::receipt::Receipt;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A session, by the number that the sender gives its connection.
+/// The number of a session, which is that of its connection.
 pub type SessionId = u64;
 
-/// Where an answer goes, in protocols that let clients say so.
+/// The address for an answer, in protocols that let clients choose it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// The topic; empty for the usual one.
+    /// The topic; empty for the default one.
     pub topic: String,
-    /// What comes back with it.
+    /// The correlation data, returned with the answer.
     pub correlation: Vec<u8>,
 }
 
 /// An answer that is owed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owed {
-    /// What is told.
+    /// The answer.
     pub receipt: Receipt,
-    /// Where.
+    /// The address for it.
     pub reply: Reply,
-    /// The number under which it was out when a connection was lost.
+    /// The packet number under which it was sent on a connection that was lost.
     pub before: Option<u32>,
 }
 
@@ -35,122 +36,123 @@
 #[derive(Debug, Default)]
 pub struct Outbox {
     waiting: VecDeque<Owed>,
-    /// Those that the sessions there did not ask for.
-    aside: VecDeque<Owed>,
-    /// Out on a session, by session and sequence number.
-    out: BTreeMap<(SessionId, u32), Owed>,
-    /// Sessions that can take answers, next one first.
+    /// Answers to which no session here has subscribed.
+    unsubscribed: VecDeque<Owed>,
+    /// Sent and not acknowledged, by session and sequence number.
+    in_flight: BTreeMap<(SessionId, u32), Owed>,
+    /// Sessions that receive answers, the next one first.
     sessions: VecDeque<SessionId>,
-    not_before: Micros,
+    retry_at: Micros,
 }
 
 impl Outbox {
-    /// Answers owed, those out included.
+    /// Returns the number of answers owed, including those sent and not acknowledged.
     pub fn owed(&self) -> usize {
-        self.waiting.len() + self.aside.len() + self.out.len()
+        self.waiting.len() + self.unsubscribed.len() + self.in_flight.len()
     }
 
-    /// Whether nothing is out, and nothing waits that a session here would take.
-    pub fn rests(&self) -> bool {
-        self.out.is_empty() && (self.waiting.is_empty() || self.sessions.is_empty())
+    /// Returns whether no answer is in flight, and none waits that a session here would take.
+    pub fn is_idle(&self) -> bool {
+        self.in_flight.is_empty() && (self.waiting.is_empty() || self.sessions.is_empty())
     }
 
-    /// Sessions that can take answers.
+    /// Returns the number of sessions that receive answers.
     pub fn sessions(&self) -> usize {
         self.sessions.len()
     }
 
-    /// A further answer is owed.
-    pub fn owe(&mut self, receipt: Receipt, reply: Reply) {
+    /// Adds an answer.
+    pub fn push(&mut self, receipt: Receipt, reply: Reply) {
         self.waiting.push_back(Owed { receipt, reply, before: None });
     }
 
-    /// A session that takes answers is there.
-    pub fn join(&mut self, session: SessionId) {
+    /// Adds a session that receives answers.
+    pub fn add_session(&mut self, session: SessionId) {
         self.sessions.push_back(session);
-        self.not_before = 0;
+        self.retry_at = 0;
         self.ask_again();
     }
 
-    /// What was set aside may be asked for now; it goes first, as it is older.
+    /// Queues the answers that were set aside again, as a session may have subscribed to them now. They go
+    /// first, as they are older.
     pub fn ask_again(&mut self) {
-        while let Some(owed) = self.aside.pop_back() {
+        while let Some(owed) = self.unsubscribed.pop_back() {
             self.waiting.push_front(owed);
         }
     }
 
-    /// Nobody here asked for this one.
+    /// Sets an answer aside to which no session here has subscribed.
     pub fn set_aside(&mut self, owed: Owed) {
-        self.aside.push_back(owed);
+        self.unsubscribed.push_back(owed);
     }
 
-    /// A session ended: what was out on it is owed again, in its order.
-    pub fn leave(&mut self, session: SessionId) {
+    /// Removes a session. The answers in flight on it are owed again, in their order.
+    pub fn remove_session(&mut self, session: SessionId) {
         self.sessions.retain(|s| *s != session);
         let keys: Vec<(SessionId, u32)> =
-            self.out.range((session, 0)..=(session, u32::MAX)).map(|(k, _)| *k).collect();
+            self.in_flight.range((session, 0)..=(session, u32::MAX)).map(|(k, _)| *k).collect();
         for key in keys.into_iter().rev() {
-            if let Some(mut owed) = self.out.remove(&key) {
+            if let Some(mut owed) = self.in_flight.remove(&key) {
                 owed.before = Some(key.1);
                 self.waiting.push_front(owed);
             }
         }
     }
 
-    /// The numbers of lost connections mean nothing any more: their session is over.
-    pub fn forget_numbers(&mut self) {
-        self.waiting.iter_mut().chain(&mut self.aside).for_each(|o| o.before = None);
+    /// Clears the packet numbers of lost connections, whose session is over.
+    pub fn clear_packet_numbers(&mut self) {
+        self.waiting.iter_mut().chain(&mut self.unsubscribed).for_each(|o| o.before = None);
     }
 
-    /// Takes out what is not to be told from here, also where it is out and was not taken; gives the answers' identities.
+    /// Removes the matching answers, including those in flight, and returns their ids.
     pub fn withdraw(&mut self, which: impl Fn(&Owed) -> bool) -> Vec<String> {
-        let mut gone = Vec::new();
-        for queue in [&mut self.waiting, &mut self.aside] {
+        let mut removed = Vec::new();
+        for queue in [&mut self.waiting, &mut self.unsubscribed] {
             queue.retain(|o| {
                 !which(o) || {
-                    gone.push(o.receipt.id.clone());
+                    removed.push(o.receipt.id.clone());
                     false
                 }
             });
         }
-        self.out.retain(|_, o| {
+        self.in_flight.retain(|_, o| {
             !which(o) || {
-                gone.push(o.receipt.id.clone());
+                removed.push(o.receipt.id.clone());
                 false
             }
         });
-        gone
+        removed
     }
 
-    /// The session to try next; sessions take turns.
-    pub fn turn(&mut self, now: Micros) -> Option<SessionId> {
-        if self.waiting.is_empty() || now < self.not_before {
+    /// Returns the session to try next, in rotation.
+    pub fn next_session(&mut self, now: Micros) -> Option<SessionId> {
+        if self.waiting.is_empty() || now < self.retry_at {
             return None;
         }
         self.sessions.rotate_left(usize::from(!self.sessions.is_empty()));
         self.sessions.back().copied()
     }
 
-    /// When to try again, where a peer asked for it.
+    /// Returns when to try again, after a client refused an answer for now.
     pub fn wake(&self) -> Option<Micros> {
-        (self.not_before > 0 && !self.waiting.is_empty() && !self.sessions.is_empty())
-            .then_some(self.not_before)
+        (self.retry_at > 0 && !self.waiting.is_empty() && !self.sessions.is_empty()).then_some(self.retry_at)
     }
 
-    /// The next answer to go out; then say where it went with [`Outbox::went`].
-    pub fn take(&mut self) -> Option<Owed> {
+    /// Takes the next answer to send. [`Outbox::sent`] must be called once it is sent.
+    pub fn pop(&mut self) -> Option<Owed> {
         self.waiting.pop_front()
     }
 
-    /// An answer went out on a session.
-    pub fn went(&mut self, session: SessionId, sequence: u32, owed: Owed) {
-        let before = self.out.insert((session, sequence), owed);
-        debug_assert!(before.is_none(), "a number in use was given out again");
+    /// Records that an answer was sent on a session.
+    pub fn sent(&mut self, session: SessionId, sequence: u32, owed: Owed) {
+        let before = self.in_flight.insert((session, sequence), owed);
+        debug_assert!(before.is_none(), "a sequence number in use was assigned again");
     }
 
-    /// The peer answered; gives the answer where it was taken. One that it could not take now is owed again, after a
-    /// pause: guards against a peer that refuses at once being asked at once, for ever.
-    pub fn answered(
+    /// Handles the client's reply to an answer, and returns the answer if the client took it. An answer that
+    /// the client could not take is owed again after a pause, which guards against a client that refuses at
+    /// once being sent the same answer in an endless loop.
+    pub fn acknowledge(
         &mut self,
         now: Micros,
         session: SessionId,
@@ -158,12 +160,12 @@
         taken: bool,
         pause: Micros,
     ) -> Option<Owed> {
-        let owed = self.out.remove(&(session, sequence))?;
+        let owed = self.in_flight.remove(&(session, sequence))?;
         if taken {
             return Some(owed);
         }
         self.waiting.push_front(owed);
-        self.not_before = now + pause;
+        self.retry_at = now + pause;
         None
     }
 }
--- a/crates/engine/src/outbox/tests.rs
+++ b/crates/engine/src/outbox/tests.rs
@@ -15,51 +15,51 @@
 }
 
 fn owe(o: &mut Outbox, id: usize) {
-    o.owe(receipt(id), Reply::default());
+    o.push(receipt(id), Reply::default());
 }
 
 #[test]
-fn what_a_session_did_not_take_is_owed_again_in_order() {
+fn unacknowledged_answers_are_owed_again_in_order() {
     let mut o = Outbox::default();
     (0..4).for_each(|i| owe(&mut o, i));
-    assert_eq!(o.turn(0), None, "nobody to tell");
-    o.join(7);
+    assert_eq!(o.next_session(0), None, "no session to send to");
+    o.add_session(7);
     for n in 1..=3 {
-        assert_eq!(o.turn(0), Some(7));
-        let r = o.take().unwrap();
-        o.went(7, n, r);
+        assert_eq!(o.next_session(0), Some(7));
+        let r = o.pop().unwrap();
+        o.sent(7, n, r);
     }
-    assert!(o.answered(0, 7, 2, true, 100).is_some());
-    assert!(o.answered(0, 7, 2, true, 100).is_none(), "only once");
-    o.leave(7);
+    assert!(o.acknowledge(0, 7, 2, true, 100).is_some());
+    assert!(o.acknowledge(0, 7, 2, true, 100).is_none(), "only once");
+    o.remove_session(7);
     let rest: Vec<(String, Option<u32>)> =
-        std::iter::from_fn(|| o.take()).map(|r| (r.receipt.id, r.before)).collect();
+        std::iter::from_fn(|| o.pop()).map(|r| (r.receipt.id, r.before)).collect();
     assert_eq!(rest, [("0".into(), Some(1)), ("2".into(), Some(3)), ("3".into(), None)]);
 }
 
 #[test]
-fn what_nobody_asked_for_stands_back_until_somebody_may() {
+fn answers_without_a_subscription_are_set_aside_until_one_may_exist() {
     let mut o = Outbox::default();
     (0..3).for_each(|i| owe(&mut o, i));
-    o.join(1);
-    let first = o.take().unwrap();
+    o.add_session(1);
+    let first = o.pop().unwrap();
     o.set_aside(first);
-    let second = o.take().unwrap();
+    let second = o.pop().unwrap();
     o.set_aside(second);
-    assert_eq!((o.owed(), o.rests()), (3, false));
-    _ = o.take();
-    assert_eq!((o.turn(0), o.rests()), (None, true), "only what is set aside is left");
+    assert_eq!((o.owed(), o.is_idle()), (3, false));
+    _ = o.pop();
+    assert_eq!((o.next_session(0), o.is_idle()), (None, true), "only what is set aside is left");
     o.ask_again();
-    assert_eq!(o.take().map(|r| r.receipt.id), Some("0".into()));
+    assert_eq!(o.pop().map(|r| r.receipt.id), Some("0".into()));
 }
 
 #[test]
-fn a_refused_receipt_waits() {
+fn a_refused_receipt_is_sent_again_after_a_pause() {
     let mut o = Outbox::default();
     owe(&mut o, 0);
-    o.join(1);
-    let r = o.take().unwrap();
-    o.went(1, 1, r);
-    assert!(o.answered(50, 1, 1, false, 100).is_none());
-    assert_eq!((o.turn(149), o.wake(), o.turn(150)), (None, Some(150), Some(1)));
+    o.add_session(1);
+    let r = o.pop().unwrap();
+    o.sent(1, 1, r);
+    assert!(o.acknowledge(50, 1, 1, false, 100).is_none());
+    assert_eq!((o.next_session(149), o.wake(), o.next_session(150)), (None, Some(150), Some(1)));
 }
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -1,8 +1,9 @@
-//! Who is let in, and sessions that outlive connections: begun, taken up, taken over, left and ended.
+//! Admission of clients, and sessions that outlive connections: started, resumed, taken over, detached and
+//! ended.
 
 use crate::Micros;
-use crate::desk::{From, same};
-use crate::front::{Denied, Entered, Handing, Speaks, Wanted};
+use crate::desk::{From, constant_time_eq};
+use crate::front::{Denied, Entered, SessionRequest, Speaks, SubmissionContext};
 use crate::ids::ConnId;
 use crate::mailboxes::{BoxId, Kept, Will};
 use crate::node::{Effect, Key, Node, Use};
@@ -10,25 +11,25 @@
 use heronroute_seen::Recent;
 
 impl Node {
-    pub(crate) fn enter(
+    pub(crate) fn admit_client(
         &mut self,
         conn: ConnId,
         name: &str,
-        proof: &str,
+        password: &str,
         token: u32,
-        session: Option<Wanted>,
+        session: Option<SessionRequest>,
     ) {
         let known = self.client_names.get(name).copied();
         let config = known.and_then(|k| self.cfg.clients.get(k));
         let result = match (config, known) {
             _ if self.leaving => Err(Denied::Leaving),
-            (Some(c), Some(client)) if same(&c.password, proof) => Ok(client),
+            (Some(c), Some(client)) if constant_time_eq(&c.password, password) => Ok(client),
             (Some(_), _) => Err(Denied::Proof),
             _ => Err(Denied::Name),
         };
         let taken = result.and_then(|client| match session {
             None => Ok((client, self.clients[client].mailbox, Entered::default())),
-            Some(wanted) => self.take_session(conn, client, wanted).map(|(m, e)| (client, m, e)),
+            Some(wanted) => self.open_session(conn, client, wanted).map(|(m, e)| (client, m, e)),
         });
         let now = self.now;
         let Some((front, out)) = self.front(conn) else { return };
@@ -39,7 +40,7 @@
             }
             Err(denied) => {
                 front.admitted(now, token, Err(denied), out);
-                // One that may try once more on this connection stays; see the front.
+                // An SMPP client may try again on the same connection; an MQTT client may not.
                 if self.speaks(conn) == Some(Speaks::Mqtt) {
                     self.flush(conn);
                     self.end_session(conn);
@@ -48,12 +49,12 @@
             }
         };
         let receives = front.receives();
-        if let Some(Use::Client { place, .. }) = self.conns.get_mut(&conn).map(|c| &mut c.what) {
-            *place = Some((client, mailbox));
+        if let Some(Use::Client { owner, .. }) = self.conns.get_mut(&conn).map(|c| &mut c.what) {
+            *owner = Some((client, mailbox));
         }
-        self.clients[client].conns += 1;
+        self.clients[client].admitted_conns += 1;
         if receives && let Some(m) = self.mailboxes.get_mut(mailbox) {
-            m.outbox.join(conn);
+            m.outbox.add_session(conn);
             self.pump(mailbox);
         }
     }
@@ -65,18 +66,19 @@
         }
     }
 
-    /// A connection takes a session with a name up, or begins one.
-    fn take_session(
+    /// Attaches a connection to a named session, which is resumed or started.
+    fn open_session(
         &mut self,
         conn: ConnId,
         client: usize,
-        wanted: Wanted,
+        wanted: SessionRequest,
     ) -> Result<(BoxId, Entered), Denied> {
         let given = wanted.name.is_empty().then(|| format!("hr{}-{:x}-{conn}", self.index, self.wall()));
         let name = given.clone().unwrap_or(wanted.name);
         let found = self.mailboxes.find(client, &name);
         if let Some(other) = found.and_then(|m| self.mailboxes.get(m)).and_then(|m| m.conn) {
-            // The same name from another place: the first one goes, and what it left is found by the second.
+            // The client connected again under the same name: the earlier connection ends, and the new one
+            // resumes its session.
             if let Some((front, out)) = self.front(other) {
                 front.supplanted(out);
             }
@@ -86,14 +88,14 @@
         let most = self.cfg.mqtt.as_ref().map_or(0, |m| m.sessions);
         let kept = found.and_then(|m| self.mailboxes.get(m)).is_some_and(|m| m.kept.is_some());
         if !kept && self.mailboxes.sessions() >= most {
-            // One that nobody has come back to makes room for one that is here.
-            let stalest = self.mailboxes.stalest().ok_or(Denied::Busy)?;
-            self.session_over(stalest);
+            // The session disconnected longest ago makes room for the new one.
+            let oldest = self.mailboxes.oldest_detached().ok_or(Denied::Busy)?;
+            self.end_named_session(oldest);
         }
         if let Some(earlier) = found.filter(|_| wanted.clean && kept) {
-            self.session_over(earlier);
+            self.end_named_session(earlier);
         }
-        // The mailbox may be gone with its session.
+        // The mailbox may have been removed with its session.
         let mailbox = self.mailboxes.open(client, &name);
         let goes_on = self.mailboxes.get(mailbox).is_some_and(|m| m.kept.is_some());
         let window = self.cfg.mqtt.as_ref().map_or(1, |m| usize::from(m.window));
@@ -107,7 +109,7 @@
         self.timers.clear(Key::Mailbox(mailbox));
         let mut notes = None;
         if let Some(m) = self.mailboxes.get_mut(mailbox) {
-            // Its client is back: the will is not wanted.
+            // The client is back, so its will is not sent.
             m.will = None;
             if let Some(k) = &mut m.kept {
                 k.expiry = wanted.expiry;
@@ -120,7 +122,8 @@
         Ok((mailbox, Entered { given, notes }))
     }
 
-    /// What a session keeps, for the next start; a session that ends with its connection is not kept.
+    /// Writes the state of a session to the journal, for the next start. A session that ends with its
+    /// connection is not written.
     fn write_session(&mut self, mailbox: BoxId) {
         let Some(m) = self.mailboxes.get(mailbox) else { return };
         let Some(k) = &m.kept else { return };
@@ -139,8 +142,8 @@
         });
     }
 
-    /// What a session keeps has changed; its client is told once that is durable.
-    pub(crate) fn noted(&mut self, conn: ConnId, notes: Vec<u8>, told: Vec<u8>) {
+    /// Handles a change of a session's stored notes. The client is told once the change is durable.
+    pub(crate) fn notes_changed(&mut self, conn: ConnId, notes: Vec<u8>, reply: Vec<u8>) {
         let Some((_, mailbox)) = self.place_of(conn) else { return };
         if let Some(m) = self.mailboxes.get_mut(mailbox) {
             m.outbox.ask_again();
@@ -151,31 +154,32 @@
         if self.mailboxes.get(mailbox).and_then(|m| m.kept.as_ref()).is_some_and(|k| k.expiry > 0) {
             self.write_session(mailbox);
         }
-        self.once_durable(Effect::Noted { conn, told });
+        self.once_durable(Effect::AcknowledgeNotes { conn, reply });
         self.pump(mailbox);
     }
 
-    pub(crate) fn tell_noted(&mut self, conn: ConnId, told: &[u8]) {
+    pub(crate) fn acknowledge_notes(&mut self, conn: ConnId, reply: &[u8]) {
         if let Some((_, out)) = self.front(conn) {
-            out.extend_from_slice(told);
+            out.extend_from_slice(reply);
         }
         self.flush(conn);
     }
 
-    /// The connection ended, in whatever way: answers that were out on it are owed again.
+    /// Handles the end of a client's connection, for whatever reason. The answers in flight on it are owed
+    /// again.
     pub(crate) fn client_gone(&mut self, conn: ConnId) {
         self.forget_asks(conn);
         let Some(c) = self.conns.get_mut(&conn) else { return };
-        let Use::Client { speaks, place, front, .. } = &mut c.what else { return };
+        let Use::Client { speaks, owner, front, .. } = &mut c.what else { return };
         self.sessions[*speaks as usize] -= 1;
         if *speaks == Speaks::Resp {
             return self.abandon_unacknowledged(conn);
         }
-        let Some((client, mailbox)) = *place else { return };
+        let Some((client, mailbox)) = *owner else { return };
         let parting = front.parting();
-        self.clients[client].conns -= 1;
+        self.clients[client].admitted_conns -= 1;
         let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
-        m.outbox.leave(conn);
+        m.outbox.remove_session(conn);
         if m.conn == Some(conn) {
             m.will = parting.will.map(|(delay, submission, reply)| Will {
                 at: self.now + delay,
@@ -187,15 +191,15 @@
                 k.expiry = parting.expiry;
                 self.write_session(mailbox);
             }
-            let ends = self.now.saturating_add(parting.expiry);
-            self.mailboxes.detach(mailbox, ends);
+            let expires_at = self.now.saturating_add(parting.expiry);
+            self.mailboxes.detach(mailbox, expires_at);
             if will_now {
-                self.hand_in_will(mailbox);
+                self.submit_will(mailbox);
             }
             if parting.expiry == 0 {
-                self.session_over(mailbox);
+                self.end_named_session(mailbox);
             } else {
-                self.mailbox_timer(mailbox);
+                self.schedule_mailbox(mailbox);
             }
         }
         self.pump(mailbox);
@@ -206,49 +210,50 @@
         self.finish(conn);
     }
 
-    /// A session is over: its will is sent at the latest now. Answers stay owed to whoever comes under its name.
-    fn session_over(&mut self, mailbox: BoxId) {
-        self.hand_in_will(mailbox);
+    /// Ends a named session. A pending will is sent now. Answers stay owed to a later session with the same
+    /// name.
+    fn end_named_session(&mut self, mailbox: BoxId) {
+        self.submit_will(mailbox);
         let kept = self.mailboxes.get_mut(mailbox).and_then(|m| m.kept.as_mut());
         if kept.is_some_and(|k| std::mem::take(&mut k.expiry) > 0) {
             self.write_session(mailbox);
         }
-        self.mailboxes.end(mailbox);
+        self.mailboxes.end_session(mailbox);
         self.timers.clear(Key::Mailbox(mailbox));
         self.mailboxes.tidy(mailbox);
     }
 
-    fn mailbox_timer(&mut self, mailbox: BoxId) {
+    fn schedule_mailbox(&mut self, mailbox: BoxId) {
         if let Some(m) = self.mailboxes.get(mailbox) {
             let will = m.will.as_ref().map_or(Micros::MAX, |w| w.at);
-            self.timers.set(Key::Mailbox(mailbox), m.ends.min(will));
+            self.timers.set(Key::Mailbox(mailbox), m.expires_at.min(will));
         }
     }
 
-    /// A session's time may be up, or its will's.
+    /// Handles the timer of a mailbox: the session may have expired, or its will may be due.
     pub(crate) fn mailbox_due(&mut self, mailbox: BoxId) {
         let Some(m) = self.mailboxes.get(mailbox) else { return };
         if m.conn.is_some() {
             return;
         }
         if m.will.as_ref().is_some_and(|w| w.at <= self.now) {
-            self.hand_in_will(mailbox);
+            self.submit_will(mailbox);
         }
-        if self.mailboxes.get(mailbox).is_some_and(|m| m.ends <= self.now) {
-            return self.session_over(mailbox);
+        if self.mailboxes.get(mailbox).is_some_and(|m| m.expires_at <= self.now) {
+            return self.end_named_session(mailbox);
         }
-        self.mailbox_timer(mailbox);
+        self.schedule_mailbox(mailbox);
     }
 
-    /// The message that a client left for the case that it is gone. Where it can't be accepted, nobody is there to
-    /// hear of it; that is counted.
-    fn hand_in_will(&mut self, mailbox: BoxId) {
+    /// Submits the will of a disconnected client. A will that can't be accepted is counted and logged, as no
+    /// client is there to be told.
+    fn submit_will(&mut self, mailbox: BoxId) {
         let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
         let Some(will) = m.will.take() else { return };
         let from = From { conn: None, token: 0, client: m.client, mailbox };
-        let handing = Handing { reply: will.reply, ..Handing::default() };
-        match self.judge(&from, &will.submission, handing.light) {
-            Ok(terms) => self.take_on(from, *will.submission, &handing, terms),
+        let handing = SubmissionContext { reply: will.reply, ..SubmissionContext::default() };
+        match self.check_submission(&from, &will.submission, handing.light) {
+            Ok(terms) => self.accept_message(from, *will.submission, &handing, terms),
             Err(no) => {
                 self.stats.refused_other += 1;
                 tracing::info!(?no, "a will could not be taken on");
