--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -31,19 +31,19 @@
         // Refuses what can't be accepted in time instead of queueing it. The library bounds the messages that
         // it holds, so this happens only on a flood within one round, on a full disk, or while the sender
         // shuts down.
-        let most = self.cfg.settings.max_open as usize;
-        let flooded = self.submitted.len() >= most;
-        let coming = self.submitted_bytes + add.body.len();
-        if self.frozen || flooded || self.ledger.refuses(self.now, self.messages.len(), coming) {
+        let max_open = self.cfg.settings.max_open as usize;
+        let round_full = self.submitted.len() >= max_open;
+        let submitted_bytes = self.submitted_bytes + add.body.len();
+        if self.frozen || round_full || self.ledger.refuses(self.now, self.messages.len(), submitted_bytes) {
             self.stats.refused_room += 1;
             let retry_after = self.cfg.settings.max_retry_after;
             self.respond(conn, token, MsgId(0), Answer::Rejected { retry_after });
             return;
         }
-        self.submitted_bytes = coming;
+        self.submitted_bytes = submitted_bytes;
         let id = self.new_id();
         let deadline = self.cfg.settings.classes[class].deadline;
-        let span = (add.left_ms.min(i64::MAX as u64 / 1_000) as i64 * 1_000).min(deadline);
+        let time_left = (add.left_ms.min(i64::MAX as u64 / 1_000) as i64 * 1_000).min(deadline);
         let ordered = self.cfg.settings.classes[class].ordered;
         self.events.push(Event::Message {
             id,
@@ -51,7 +51,7 @@
             tenant,
             key: add.key.clone().filter(|_| ordered),
             dest: DestId(add.dest),
-            time_left: span,
+            time_left,
             again: add.again,
         });
         self.by_identity.insert(add.id.clone(), id);
@@ -72,7 +72,7 @@
             submission,
             to: Reply::default(),
             taken: self.wall(),
-            deadline: self.now + span,
+            deadline: self.now + time_left,
             reply: Some((conn, token)),
             attempts: 0,
             out: None,
@@ -95,8 +95,8 @@
         if self.by_identity.contains_key(&add.id) {
             return Err(No::Message);
         }
-        let guarded = self.cfg.settings.classes[class].effect == Repeats::Guarded;
-        if guarded && add.key.is_none() {
+        let needs_key = self.cfg.settings.classes[class].effect == Repeats::Guarded;
+        if needs_key && add.key.is_none() {
             return Err(No::TooLate);
         }
         Ok((class, tenant))
@@ -115,14 +115,14 @@
         if self.submitted.is_empty() {
             return;
         }
-        let over = |a: &Action| match a {
+        let refused = |a: &Action| match a {
             Action::Refuse { id, .. } | Action::Fail { id } => Some(*id),
             _ => None,
         };
-        let over: Vec<MsgId> = actions.iter().filter_map(over).collect();
+        let refused: Vec<MsgId> = actions.iter().filter_map(refused).collect();
         self.submitted_bytes = 0;
         for (id, dest) in std::mem::take(&mut self.submitted) {
-            if over.contains(&id) {
+            if refused.contains(&id) {
                 continue;
             }
             let (now, wall) = (self.now, self.wall());
--- a/crates/engine/src/admission/admit.rs
+++ b/crates/engine/src/admission/admit.rs
@@ -19,7 +19,7 @@
         &mut self,
         from: &From,
         submission: &Submission,
-        light: bool,
+        may_be_lost: bool,
     ) -> Result<Terms, No> {
         let named = self.class_names.get(&submission.service).copied();
         let class = named.or(submission.service.is_empty().then_some(0)).ok_or(No::Class)?;
@@ -27,15 +27,15 @@
         let deadline = self.cfg.settings.classes[class].deadline;
         let keep = self.keep_for(from.client, class, submission);
         let deadline = keep.validity.map_or(deadline, |v| v.min(deadline));
-        let span = submission.validity.map_or(deadline, |v| v.min(deadline));
-        if span <= 0 {
+        let time_left = submission.validity.map_or(deadline, |v| v.min(deadline));
+        if time_left <= 0 {
             return Err(No::Time);
         }
         if self.ledger.refuses(self.now, self.messages.len(), submission.body.len()) {
             return Err(No::Room);
         }
-        self.admit(from, class, light)?;
-        Ok(Terms { class, dest, span, keep })
+        self.admit(from, class, may_be_lost)?;
+        Ok(Terms { class, dest, time_left, keep })
     }
 
     /// Accepts a message that passed [`Node::check_submission`].
@@ -46,7 +46,7 @@
         handing: &SubmissionContext,
         terms: Terms,
     ) {
-        let Terms { class, dest, span, keep } = terms;
+        let Terms { class, dest, time_left, keep } = terms;
         let id = self.new_id();
         let ordered = self.cfg.settings.classes[class].ordered;
         submission.key = submission.key.filter(|_| ordered);
@@ -58,7 +58,7 @@
             tenant: from.client,
             key,
             dest,
-            time_left: span,
+            time_left,
             again: submission.again,
         });
         let named = self.remember_submission(&from, handing, id, keep);
@@ -72,42 +72,42 @@
                 id: id.0,
                 class: self.cfg.class_names[class].clone(),
                 dest: dest.0,
-                deadline: self.wall() + span,
+                deadline: self.wall() + time_left,
                 named,
                 answer_for,
                 ..Accepted::default()
             },
         );
-        let mut message = self.message(&from, class, submission, handing, self.now + span);
+        let mut message = self.new_message(&from, class, submission, handing, self.now + time_left);
         message.answer_for = answer_for;
-        let waits = message.reply.is_some();
+        let answered_later = message.reply.is_some();
         self.hold(id, message);
         self.set_trail_origin(id);
-        if let Some(conn) = from.conn.filter(|_| !waits) {
+        if let Some(conn) = from.conn.filter(|_| !answered_later) {
             self.once_durable(Effect::ReportAcceptance { conn, token: from.token, id });
         }
     }
 
     /// Checks whether there is room for another message of this client, front and session.
-    pub(crate) fn admit(&mut self, from: &From, class: usize, light: bool) -> Result<(), No> {
-        let mut held = self.held(from.client, class);
-        if light {
+    pub(crate) fn admit(&mut self, from: &From, class: usize, may_be_lost: bool) -> Result<(), No> {
+        let mut occupancy = self.occupancy(from.client, class);
+        if may_be_lost {
             // Messages that their protocol allows to be lost are refused first.
-            held.worth *= LOSSY_WORTH_FACTOR;
+            occupancy.worth *= LOSSY_WORTH_FACTOR;
         }
         let conn = from.conn.and_then(|c| self.conns.get_mut(&c)).map(|c| &mut c.what);
-        let mut own = false;
+        let mut no_session = false;
         let (front, session) = match conn {
             Some(Use::Client { speaks, open, shedding, .. }) => (Some(*speaks), Some((*open, shedding))),
             _ => (None, None),
         };
         if let Some(speaks) = front {
-            held.front = Some((speaks as usize, self.open_by_front[speaks as usize]));
+            occupancy.front = Some((speaks as usize, self.open_by_front[speaks as usize]));
         }
-        let (of_session, shedding) = session.unwrap_or((0, &mut own));
-        held.of_session = of_session;
-        held.sessions = self.clients[from.client].admitted_conns;
-        let result = self.limits.admit(self.now, from.client, held, shedding);
+        let (of_session, shedding) = session.unwrap_or((0, &mut no_session));
+        occupancy.of_session = of_session;
+        occupancy.sessions = self.clients[from.client].admitted_conns;
+        let result = self.limits.admit(self.now, from.client, occupancy, shedding);
         result.map_err(|refusal| match refusal {
             Refusal::Rate => No::Rate,
             Refusal::Share => No::Share,
--- a/crates/engine/src/admission/delivery.rs
+++ b/crates/engine/src/admission/delivery.rs
@@ -19,23 +19,23 @@
 
     /// Sends the answers owed to a mailbox, as far as its sessions have room.
     pub(crate) fn pump(&mut self, mailbox: BoxId) {
-        let (mut full, now) = (0, self.now);
-        let still = self.still_below();
+        let (mut full_sessions, now) = (0, self.now);
+        let suspended_below = self.still_below();
         loop {
             let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
             let Some(conn) = m.outbox.next_session(now) else { break };
             let Some(c) = self.conns.get_mut(&conn) else { break };
             let Use::Client { front, .. } = &mut c.what else { break };
             if front.room() == 0 {
-                full += 1;
-                if full >= m.outbox.sessions() {
+                full_sessions += 1;
+                if full_sessions >= m.outbox.sessions() {
                     break;
                 }
                 continue;
             }
-            full = 0;
+            full_sessions = 0;
             let Some(owed) = m.outbox.pop() else { break };
-            if read_id(&owed.receipt.id).is_some_and(|id| still.is_some_and(|below| id.0 < below)) {
+            if read_id(&owed.receipt.id).is_some_and(|id| suspended_below.is_some_and(|below| id.0 < below)) {
                 self.owe_later(mailbox, owed);
                 continue;
             }
@@ -55,24 +55,24 @@
     }
 
     pub(crate) fn end_all_sessions(&mut self) {
-        let bound: Vec<ConnId> = self
+        let admitted: Vec<ConnId> = self
             .conns
             .iter()
             .filter(|(_, c)| matches!(&c.what, Use::Client { front, .. } if front.entered()))
             .map(|(id, _)| *id)
             .collect();
-        for conn in bound {
+        for conn in admitted {
             let now = self.now;
             self.with_front(conn, |f, out, requests| f.leave(now, out, requests));
         }
         // Connections that were never admitted are owed nothing.
-        let other: Vec<ConnId> = self
+        let not_admitted: Vec<ConnId> = self
             .conns
             .iter()
             .filter(|(_, c)| matches!(&c.what, Use::Client { owner: None, .. }))
             .map(|(id, _)| *id)
             .collect();
-        for conn in other {
+        for conn in not_admitted {
             self.client_gone(conn);
             self.drop_conn(conn);
         }
--- a/crates/engine/src/admission/fronts.rs
+++ b/crates/engine/src/admission/fronts.rs
@@ -12,9 +12,9 @@
 impl Node {
     /// Adds a connection that a client opened, with the bytes it has sent so far. Returns the number of the
     /// connection, or `None` if there is no room for another one.
-    pub fn accepted(&mut self, now: Micros, speaks: Speaks, octets: &[u8]) -> Option<ConnId> {
+    pub fn accepted(&mut self, now: Micros, speaks: Speaks, bytes: &[u8]) -> Option<ConnId> {
         self.now = now.max(self.now);
-        let most = match speaks {
+        let limit = match speaks {
             Speaks::Smpp => self.cfg.smpp.sessions,
             Speaks::Mqtt => self.cfg.mqtt.as_ref().map_or(0, |m| m.sessions),
             Speaks::Resp => self.cfg.platform.map_or(0, |p| p.sessions),
@@ -23,10 +23,10 @@
             return None;
         }
         if speaks == Speaks::Resp {
-            if self.sessions[speaks as usize] >= most && !self.make_way() {
+            if self.sessions[speaks as usize] >= limit && !self.make_way() {
                 return None;
             }
-        } else if self.leaving || self.sessions[speaks as usize] >= most {
+        } else if self.leaving || self.sessions[speaks as usize] >= limit {
             return None;
         }
         let front: Box<dyn Front> = match (speaks, self.mqtt_limits) {
@@ -38,7 +38,7 @@
         };
         self.sessions[speaks as usize] += 1;
         let conn = self.add_conn(Use::Client { front, speaks, owner: None, open: 0, shedding: false });
-        self.client_received(conn, octets);
+        self.client_received(conn, bytes);
         Some(conn)
     }
 
@@ -54,18 +54,18 @@
     pub(crate) fn with_front(
         &mut self,
         conn: ConnId,
-        work: impl FnOnce(&mut dyn Front, &mut bytes::BytesMut, &mut Vec<Ask>),
+        operation: impl FnOnce(&mut dyn Front, &mut bytes::BytesMut, &mut Vec<Ask>),
     ) {
         let Some((front, out)) = self.front(conn) else { return };
         let mut requests = Vec::new();
-        work(front, out, &mut requests);
-        let mut entered = false;
-        for ask in requests {
-            entered |= matches!(ask, Ask::Enter { .. });
-            self.handle_request(conn, ask);
+        operation(front, out, &mut requests);
+        let mut admission_requested = false;
+        for request in requests {
+            admission_requested |= matches!(request, Ask::Enter { .. });
+            self.handle_request(conn, request);
         }
         self.schedule_front(conn);
-        if entered {
+        if admission_requested {
             // Bytes received after the request to be admitted waited for its answer.
             self.client_received(conn, &[]);
         }
@@ -79,9 +79,9 @@
         self.flush(conn);
     }
 
-    pub(crate) fn client_received(&mut self, conn: ConnId, octets: &[u8]) {
+    pub(crate) fn client_received(&mut self, conn: ConnId, bytes: &[u8]) {
         let (now, wall) = (self.now, self.wall());
-        self.with_front(conn, |f, out, requests| f.receive(now, wall, octets, out, requests));
+        self.with_front(conn, |f, out, requests| f.receive(now, wall, bytes, out, requests));
     }
 
     pub(crate) fn client_tick(&mut self, conn: ConnId) {
@@ -103,8 +103,8 @@
         }
     }
 
-    fn handle_request(&mut self, conn: ConnId, ask: Ask) {
-        match ask {
+    fn handle_request(&mut self, conn: ConnId, request: Ask) {
+        match request {
             Ask::Enter { name, password, token, session } => {
                 self.admit_client(conn, &name, &password, token, session)
             }
--- a/crates/engine/src/admission/mod.rs
+++ b/crates/engine/src/admission/mod.rs
@@ -30,7 +30,7 @@
     pub(crate) class: usize,
     pub(crate) dest: DestId,
     /// The time after which the message expires.
-    pub(crate) span: Micros,
+    pub(crate) time_left: Micros,
     /// What the client's own rules say about the message.
     pub(crate) keep: Keep,
 }
--- a/crates/engine/src/admission/open_messages.rs
+++ b/crates/engine/src/admission/open_messages.rs
@@ -44,7 +44,7 @@
         });
     }
 
-    pub(crate) fn message(
+    pub(crate) fn new_message(
         &self,
         from: &From,
         class: usize,
--- a/crates/engine/src/admission/replies.rs
+++ b/crates/engine/src/admission/replies.rs
@@ -25,14 +25,14 @@
     /// connection has closed.
     pub(crate) fn respond(&mut self, conn: ConnId, token: u32, id: MsgId, answer: Answer) -> bool {
         let Some((front, out)) = self.front(conn) else { return false };
-        let told = front.answered(token, &show_id(id), answer, out);
+        let sent = front.answered(token, &show_id(id), answer, out);
         self.schedule_front(conn);
-        told
+        sent
     }
 
-    pub(crate) fn query(&mut self, conn: ConnId, token: u32, text: &str, source: &str) {
+    pub(crate) fn query(&mut self, conn: ConnId, token: u32, id_text: &str, source: &str) {
         let Some((client, _)) = self.place_of(conn) else { return self.refuse(conn, token, No::NotEntered) };
-        let id = read_id(text);
+        let id = read_id(id_text);
         let open = id.and_then(|id| self.messages.get(&id));
         let open =
             open.filter(|m| m.client == client && (source.is_empty() || m.submission.source == source));
@@ -40,12 +40,12 @@
             Some((MessageState::Enroute, None))
         } else {
             let finished = id.and_then(|id| self.finished.get(&id));
-            let mine = finished.filter(|e| e.client == client && (source.is_empty() || e.source == source));
-            mine.map(|e| (e.answer.state(), Some(e.done)))
+            let own = finished.filter(|e| e.client == client && (source.is_empty() || e.source == source));
+            own.map(|e| (e.answer.state(), Some(e.done)))
         };
         let Some((front, out)) = self.front(conn) else { return };
         match known {
-            Some((state, done)) => front.queried(token, text, state, done, out),
+            Some((state, done)) => front.queried(token, id_text, state, done, out),
             // The same reply for messages that don't exist and for those of another client, so that a client
             // can't tell which ids exist.
             None => front.refused(token, No::Message, out),
@@ -53,13 +53,13 @@
     }
 
     /// Withdraws a message that certainly has not run and is not on its way.
-    pub(crate) fn withdraw(&mut self, conn: ConnId, token: u32, text: &str, source: &str) {
+    pub(crate) fn withdraw(&mut self, conn: ConnId, token: u32, id_text: &str, source: &str) {
         let Some((client, _)) = self.place_of(conn) else { return self.refuse(conn, token, No::NotEntered) };
-        let id = read_id(text);
+        let id = read_id(id_text);
         let found = id.and_then(|id| self.messages.get(&id));
-        let mine =
+        let own =
             found.filter(|m| m.client == client && (source.is_empty() || m.submission.source == source));
-        let (Some(id), Some(m)) = (id, mine) else {
+        let (Some(id), Some(m)) = (id, own) else {
             return self.refuse(conn, token, No::Message);
         };
         if m.still != Still::No {
@@ -68,8 +68,8 @@
         if let Some((call, part)) = m.out {
             self.cancel_unsent(call, part);
         }
-        let gone = self.messages.get(&id).is_some_and(|m| m.out.is_some() || m.ran_at.is_some());
-        if gone {
+        let too_late = self.messages.get(&id).is_some_and(|m| m.out.is_some() || m.ran_at.is_some());
+        if too_late {
             return self.refuse(conn, token, No::TooLate);
         }
         self.events.push(Event::Left { id });
--- a/crates/engine/src/admission/submit.rs
+++ b/crates/engine/src/admission/submit.rs
@@ -27,7 +27,7 @@
         self.read_budgets.count(now, client, |c| cfg.clients.get(c).map_or(1.0, |c| c.weight));
         let from = From { conn: Some(conn), token, client, mailbox };
         let (verdict, by_name) = self.find_duplicate(client, mailbox, &handing);
-        let judged = match verdict {
+        let checked = match verdict {
             Verdict::Same(id) => {
                 // The acceptance is repeated once the first one is durable.
                 let id = MsgId(id);
@@ -39,9 +39,9 @@
                 return;
             }
             Verdict::Unsure => Err(No::Unsure),
-            Verdict::New => self.check_submission(&from, &submission, handing.light),
+            Verdict::New => self.check_submission(&from, &submission, handing.may_be_lost),
         };
-        let reason = match judged {
+        let reason = match checked {
             Ok(terms) => return self.accept_message(from, submission, &handing, terms),
             Err(reason) => reason,
         };
@@ -53,8 +53,8 @@
             No::Room | No::Unsure => self.stats.refused_room += 1,
             _ => self.stats.refused_other += 1,
         }
-        let told = self.front(conn).is_none_or(|(front, _)| front.refuses());
-        if told || handing.handle.is_none() {
+        let can_refuse = self.front(conn).is_none_or(|(front, _)| front.refuses());
+        if can_refuse || handing.handle.is_none() {
             return self.refuse(conn, token, reason);
         }
         if !self.answer_refusal(from, &submission, &handing, reason) {
@@ -66,9 +66,9 @@
     /// Looks for an earlier submission of the same message: in this session, or under the name that the
     /// client gave it. The flag is true if it was looked up by name.
     fn find_duplicate(&self, client: usize, mailbox: BoxId, handing: &SubmissionContext) -> (Verdict, bool) {
-        let kept = self.mailboxes.get(mailbox).and_then(|m| m.kept.as_ref());
-        if let (Some(kept), Some(handle)) = (kept, handing.handle) {
-            match kept.recent.find(handle) {
+        let session = self.mailboxes.get(mailbox).and_then(|m| m.kept.as_ref());
+        if let (Some(session), Some(handle)) = (session, handing.handle) {
+            match session.recent.find(handle) {
                 Verdict::New => {}
                 other => return (other, false),
             }
@@ -94,12 +94,12 @@
         keep: Keep,
     ) -> Option<Named> {
         if let Some(handle) = handing.handle
-            && let Some(kept) = self.mailboxes.get_mut(from.mailbox).and_then(|m| m.kept.as_mut())
+            && let Some(session) = self.mailboxes.get_mut(from.mailbox).and_then(|m| m.kept.as_mut())
         {
-            kept.recent.add(handle, id.0);
+            session.recent.add(handle, id.0);
         }
-        let span = keep.remember.unwrap_or(self.cfg.mqtt.as_ref().map_or(0, |m| m.remember));
-        let (wall, until) = (self.wall(), self.wall().saturating_add(span));
+        let remember_for = keep.remember.unwrap_or(self.cfg.mqtt.as_ref().map_or(0, |m| m.remember));
+        let (wall, until) = (self.wall(), self.wall().saturating_add(remember_for));
         let name = handing.name.as_ref().map(|n| self.message_name(from.client, n))?;
         let seen = self.seen.as_mut()?;
         seen.add(wall, name, id.0, until);
@@ -141,7 +141,7 @@
             handing,
             Accepted { id: id.0, class, deadline: taken, refused: true, ..Accepted::default() },
         );
-        let mut message = self.message(&from, 0, submission, handing, self.now);
+        let mut message = self.new_message(&from, 0, submission, handing, self.now);
         // The message was never held for its client, and has no trail.
         message.trail = None;
         self.hold(id, message);
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -67,7 +67,7 @@
     /// message.
     pub name: Option<String>,
     /// Whether the message may be lost (MQTT QoS 0). Such messages are refused before others.
-    pub light: bool,
+    pub may_be_lost: bool,
 }
 
 /// What remains of a closed connection.
@@ -219,7 +219,7 @@
         &mut self,
         now: Micros,
         wall: Micros,
-        octets: &[u8],
+        bytes: &[u8],
         out: &mut BytesMut,
         requests: &mut Vec<Ask>,
     );
--- a/crates/engine/src/front/mqtt.rs
+++ b/crates/engine/src/front/mqtt.rs
@@ -87,7 +87,7 @@
         reply: Reply { topic: h.reply, correlation: h.correlation },
         handle,
         name: h.name,
-        light: h.qos == 0,
+        may_be_lost: h.qos == 0,
     };
     let submission = Submission {
         service: h.class,
@@ -139,15 +139,8 @@
 }
 
 impl Front for MqttFront {
-    fn receive(
-        &mut self,
-        now: Micros,
-        _: Micros,
-        octets: &[u8],
-        out: &mut BytesMut,
-        requests: &mut Vec<Ask>,
-    ) {
-        self.session.receive(now, octets, out, &mut self.events);
+    fn receive(&mut self, now: Micros, _: Micros, bytes: &[u8], out: &mut BytesMut, requests: &mut Vec<Ask>) {
+        self.session.receive(now, bytes, out, &mut self.events);
         self.forward_events(requests);
     }
 
--- a/crates/engine/src/front/resp.rs
+++ b/crates/engine/src/front/resp.rs
@@ -71,7 +71,7 @@
                 Ok(Some(command)) => {
                     self.served = true;
                     self.last_activity = now;
-                    self.command(command, requests);
+                    self.handle_command(command, requests);
                 }
                 Ok(None) => {
                     self.batch_limited = false;
@@ -115,7 +115,7 @@
         self.closing = true;
     }
 
-    fn command(&mut self, mut command: Command, requests: &mut Vec<Ask>) {
+    fn handle_command(&mut self, mut command: Command, requests: &mut Vec<Ask>) {
         let name = command.remove(0);
         if name.eq_ignore_ascii_case(add::NAME) {
             match Add::read(command) {
@@ -150,7 +150,7 @@
         }
     }
 
-    fn answer(&mut self, token: u32, text: impl FnOnce(&mut BytesMut), out: &mut BytesMut) -> bool {
+    fn write_reply(&mut self, token: u32, text: impl FnOnce(&mut BytesMut), out: &mut BytesMut) -> bool {
         let Some(reply) = self.replies.get_mut(token.wrapping_sub(self.first_token) as usize) else {
             return false;
         };
@@ -163,18 +163,11 @@
 }
 
 impl Front for RespFront {
-    fn receive(
-        &mut self,
-        now: Micros,
-        _: Micros,
-        octets: &[u8],
-        out: &mut BytesMut,
-        requests: &mut Vec<Ask>,
-    ) {
-        if !octets.is_empty() && !self.reader.begun() {
+    fn receive(&mut self, now: Micros, _: Micros, bytes: &[u8], out: &mut BytesMut, requests: &mut Vec<Ask>) {
+        if !bytes.is_empty() && !self.reader.begun() {
             self.last_activity = now;
         }
-        self.reader.push(octets);
+        self.reader.push(bytes);
         self.process_commands(now, out, requests);
     }
 
@@ -212,7 +205,7 @@
     }
 
     fn accepted(&mut self, token: u32, _: &str, out: &mut BytesMut) {
-        self.answer(token, |out| simple("OK", out), out);
+        self.write_reply(token, |out| simple("OK", out), out);
     }
 
     fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut) {
@@ -225,7 +218,7 @@
             No::TooLate => "ERR an idempotency key is wanted in this class",
             No::Rate | No::Share | No::Room | No::Unsure => "BUSY",
         };
-        self.answer(token, |out| error(text, out), out);
+        self.write_reply(token, |out| error(text, out), out);
     }
 
     fn answered(&mut self, token: u32, _: &str, answer: Answer, out: &mut BytesMut) -> bool {
@@ -233,7 +226,7 @@
             Answer::Rejected { retry_after } => busy(retry_after),
             _ => "ERR failed".to_string(),
         };
-        self.answer(token, |out| error(&text, out), out)
+        self.write_reply(token, |out| error(&text, out), out)
     }
 
     fn queried(&mut self, _: u32, _: &str, _: MessageState, _: Option<Micros>, _: &mut BytesMut) {}
@@ -256,9 +249,9 @@
     fn listens(&self) -> bool {
         // While the sender shuts down, no further request is read: the client sends what was not read to
         // another sender.
-        let wanted = self.shutdown_deadline.is_none() || self.reader.begun();
+        let may_read = self.shutdown_deadline.is_none() || self.reader.begun();
         !self.closing
-            && wanted
+            && may_read
             && self.replies.len() < MAX_PIPELINED
             && self.reader.waiting() < 2 * LIMITS.octets
     }
--- a/crates/engine/src/front/smpp.rs
+++ b/crates/engine/src/front/smpp.rs
@@ -55,11 +55,11 @@
         &mut self,
         now: Micros,
         wall: Micros,
-        octets: &[u8],
+        bytes: &[u8],
         out: &mut BytesMut,
         requests: &mut Vec<Ask>,
     ) {
-        self.session.receive(now, wall, octets, out, &mut self.events);
+        self.session.receive(now, wall, bytes, out, &mut self.events);
         self.forward_events(requests);
     }
 
--- a/crates/engine/src/held/commands.rs
+++ b/crates/engine/src/held/commands.rs
@@ -15,13 +15,13 @@
         let Some((client, _)) = self.place_of(conn) else { return };
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         // A message of another client gets the same reply as one that doesn't exist.
-        let with = |deed, id: &str| self.own_held_message(client, id, deed);
-        let nowhere = || ("stat:NOTFOUND".to_string(), "NOTFOUND");
+        let with_own = |deed, id: &str| self.own_held_message(client, id, deed);
+        let not_found = || ("stat:NOTFOUND".to_string(), "NOTFOUND");
         let (text, state) = match words[..] {
             ["list"] => (self.list_held(client, None), "HELD"),
             ["list", after] => (self.list_held(client, read_id(after).map(|i| i.0)), "HELD"),
-            ["show", id] => with(Deed::See, id).map_or_else(nowhere, |id| (self.show_trail(id), "HELD")),
-            ["drop", id] => with(Deed::GiveUp, id).map_or_else(nowhere, |id| self.drop_held(id)),
+            ["show", id] => with_own(Deed::See, id).map_or_else(not_found, |id| (self.show_trail(id), "HELD")),
+            ["drop", id] => with_own(Deed::GiveUp, id).map_or_else(not_found, |id| self.drop_held(id)),
             ["release"] => self.start_release(client, None),
             ["release", d] if d.parse::<i64>().is_ok() => self.start_release(client, d.parse().ok()),
             ["stop"] => {
@@ -31,7 +31,7 @@
             }
             ["again", id, ref new @ ..] if matches!(new, [] | ["new"]) => {
                 let new_effect = !new.is_empty();
-                with(Deed::HandIn, id).map_or_else(nowhere, |id| self.resubmit_held(client, id, new_effect))
+                with_own(Deed::HandIn, id).map_or_else(not_found, |id| self.resubmit_held(client, id, new_effect))
             }
             _ => ("stat:WHAT allowed: list[/AFTER], show/ID, again/ID[/new], drop/ID, release[/DESTINATION], stop".to_string(), "WHAT"),
         };
--- a/crates/engine/src/held/release.rs
+++ b/crates/engine/src/held/release.rs
@@ -28,8 +28,8 @@
             patience: ANSWER_TARGET,
         };
         let release = Release::new(self.now, pace);
-        let releasing = BacklogRelease { release, destination, after: None, resubmitted: 0, skipped: 0 };
-        self.releases.insert(client, releasing);
+        let backlog = BacklogRelease { release, destination, after: None, resubmitted: 0, skipped: 0 };
+        self.releases.insert(client, backlog);
         self.timers.set(Key::Release(client), self.now);
         (format!("stat:RELEASING held:{held}"), "RELEASING")
     }
@@ -37,17 +37,17 @@
     /// Resubmits as many messages as the pace allows.
     pub(crate) fn continue_release(&mut self, client: usize) {
         let Some(r) = self.releases.get_mut(&client) else { return };
-        let n = r.release.may(self.now);
+        let count = r.release.may(self.now);
         let (destination, after) = (r.destination, r.after);
         let query = Query { client: Some(client as u32), destination, held: true, after, ..Query::default() };
-        let page = self.held.as_ref().filter(|_| n > 0).map(|s| s.list(&query, n));
-        let last = page.as_ref().is_some_and(|p| p.ids.is_empty() && p.next.is_none());
+        let page = self.held.as_ref().filter(|_| count > 0).map(|s| s.list(&query, count));
+        let exhausted = page.as_ref().is_some_and(|p| p.ids.is_empty() && p.next.is_none());
         let (ids, next) = page.map_or((Vec::new(), None), |p| (p.ids, p.next));
-        let mut at = next;
+        let mut position = next;
         for id in ids {
             if !self.may_release(client, id) {
                 // The client's rules hold it back: the release tries it again later.
-                at = self.releases.get(&client).and_then(|r| r.after);
+                position = self.releases.get(&client).and_then(|r| r.after);
                 break;
             }
             let (_, state) = self.resubmit_held(client, id, false);
@@ -63,17 +63,17 @@
                 "BUSY" => {
                     // There is no room now: the release tries it again, later and at a slower pace.
                     r.release.crowded();
-                    at = r.after;
+                    position = r.after;
                     break;
                 }
                 _ => r.skipped += 1,
             }
             r.after = Some(id);
-            at = at.max(Some(id));
+            position = position.max(Some(id));
         }
         if let Some(r) = self.releases.get_mut(&client) {
-            r.after = at.max(r.after);
-            if last {
+            r.after = position.max(r.after);
+            if exhausted {
                 tracing::info!(
                     client,
                     went = r.resubmitted,
--- a/crates/engine/src/held/resubmit.rs
+++ b/crates/engine/src/held/resubmit.rs
@@ -20,13 +20,13 @@
         id: u64,
         new_effect: bool,
     ) -> (String, &'static str) {
-        let said = |state: &'static str| (format!("id:{} stat:{state}", show_id(MsgId(id))), state);
+        let reply = |state: &'static str| (format!("id:{} stat:{state}", show_id(MsgId(id))), state);
         let now = self.wall();
         let stored = self.held.as_ref().and_then(|s| s.get(id)).cloned();
-        let Some(stored) = stored else { return said("NOTFOUND") };
+        let Some(stored) = stored else { return reply("NOTFOUND") };
         let accepted = stored.message.as_deref().and_then(|m| Accepted::decode(m).ok());
-        let (Some(a), Some(trail)) = (accepted, Trail::read(&stored.trail)) else { return said("DELIVRD") };
-        let Some(class) = self.class_names.get(&a.class).copied() else { return said("NOCLASS") };
+        let (Some(a), Some(trail)) = (accepted, Trail::read(&stored.trail)) else { return reply("DELIVRD") };
+        let Some(class) = self.class_names.get(&a.class).copied() else { return reply("NOCLASS") };
         let settings = &self.cfg.settings.classes[class];
         let (window, deadline, ordered) = (settings.window, settings.deadline, settings.ordered);
         let effect = match settings.effect {
@@ -35,20 +35,20 @@
             heronroute::Effect::SingleShot => Effect::SingleShot,
         };
         let deadline = self.validity_for(client, class, &a).map_or(deadline, |v| v.min(deadline));
-        let ran = trail.may_have_run();
+        let may_have_run = trail.may_have_run();
         let past = Past {
             effect,
-            may_have_run: ran,
+            may_have_run,
             delivered: false,
             under_way: stored.under_way,
             not_seen: stored.not_seen,
         };
         let decision = decide(now, past, Ask { new_effect, patience: deadline });
-        let (leave_by, fresh) = match decision {
+        let (leave_by, as_new) = match decision {
             Decision::Again { leave_by } => (leave_by, false),
             Decision::NewEffect { leave_by } => (leave_by, true),
             Decision::Refused(why) => {
-                return said(match why {
+                return reply(match why {
                     Refusal::Delivered => "DELIVRD",
                     Refusal::UnderWay => "UNDERWAY",
                     Refusal::MayHaveRun => "MAYHAVERUN",
@@ -58,32 +58,33 @@
         };
         // The resubmission has the same id as the first attempt. Acknowledging the first answer would close
         // the resubmission in the journal too, and after a crash its outcome would be unknown.
-        if !fresh && self.unheard.contains(&id) {
-            return said("UNHEARD");
+        if !as_new && self.unheard.contains(&id) {
+            return reply("UNHEARD");
         }
-        let Some(dest) = self.routes.find(&a.destination) else { return said("NOROUTE") };
+        let Some(dest) = self.routes.find(&a.destination) else { return reply("NOROUTE") };
         // A partner may have the message, and resubmit it there.
         if self.stands_still(MsgId(id))
             || self.leaving
             || self.ledger.refuses(self.now, self.messages.len(), a.body.len())
         {
-            return said("BUSY");
+            return reply("BUSY");
         }
         // The answer goes to the mailbox of the first answer, whoever asked for the resubmission.
         let mailbox = self.mailboxes.open(client, &a.mailbox);
         let from = From { conn: None, token: 0, client, mailbox };
         if self.admit(&from, class, false).is_err() {
-            return said("BUSY");
+            return reply("BUSY");
         }
         let party = self.trail_number(&format!("client {}", a.client));
         let begun = self.held.as_mut().map(|s| s.begin(now, id, party, decision));
         if !matches!(begun, Some(Ok(_))) {
-            return said("UNDERWAY");
+            return reply("UNDERWAY");
         }
-        let own = if fresh { self.new_id() } else { MsgId(id) };
+        let new_id = if as_new { self.new_id() } else { MsgId(id) };
         // An earlier attempt counts as one that may have run, unless the destination's owner reported that it
         // did not run, or the client asked for a new effect.
-        let ran = ran.filter(|at| !fresh && stored.not_seen.is_none_or(|said| *at >= said));
+        let may_have_run =
+            may_have_run.filter(|at| !as_new && stored.not_seen.is_none_or(|said| *at >= said));
         let handing = SubmissionContext {
             reply: Reply { topic: a.reply.clone(), correlation: a.correlation.clone() },
             ..SubmissionContext::default()
@@ -91,7 +92,7 @@
         let submission = entry_codec::to_submission(&a);
         let key = submission.key.as_ref().filter(|_| ordered).map(|k| key_of(client, k));
         self.events.push(Event::Message {
-            id: own,
+            id: new_id,
             class,
             tenant: client,
             key,
@@ -100,17 +101,17 @@
             again: true,
         });
         let rest = Accepted {
-            id: own.0,
+            id: new_id.0,
             class: a.class.clone(),
             dest: dest.0,
             deadline: leave_by,
-            replaces: if fresh { id } else { 0 },
+            replaces: if as_new { id } else { 0 },
             ..Accepted::default()
         };
-        let answer_for = if fresh { 0 } else { self.answer_for(client, class, id, &submission) };
+        let answer_for = if as_new { 0 } else { self.answer_for(client, class, id, &submission) };
         let rest = Accepted { answer_for, ..rest };
         self.write_accepted(&from, &submission, &handing, rest);
-        if let Some(at) = ran {
+        if let Some(at) = may_have_run {
             let endpoint = trail.steps().find_map(|(t, w)| match w {
                 What::Began(e) if t == at => self.trail_names.get(e as usize).cloned(),
                 _ => None,
@@ -118,16 +119,16 @@
             let endpoint = endpoint.unwrap_or_default();
             let known = self.remotes.named(&endpoint);
             let place = known.unwrap_or(heronroute::EndpointId(u32::MAX));
-            self.events.push(Event::Resumed { id: own, attempts: 0, may_run: Some((place, now - at)) });
-            let intent = entry::Intent { id: own.0, endpoint, at };
+            self.events.push(Event::Resumed { id: new_id, attempts: 0, may_run: Some((place, now - at)) });
+            let intent = entry::Intent { id: new_id.0, endpoint, at };
             self.ledger.write(|| entry::What::Intent(intent));
-            self.ledger.write(|| entry::What::Outcome(entry::Outcome { id: own.0, never_ran: false }));
+            self.ledger.write(|| entry::What::Outcome(entry::Outcome { id: new_id.0, never_ran: false }));
         }
-        let mut message = self.message(&from, class, submission, &handing, self.now + (leave_by - now));
+        let mut message = self.new_message(&from, class, submission, &handing, self.now + (leave_by - now));
         message.answer_for = answer_for;
-        message.ran_at = ran.map(|at| self.now - (now - at).max(0));
+        message.ran_at = may_have_run.map(|at| self.now - (now - at).max(0));
         let before = self.held.as_ref().and_then(|s| s.get(id)).and_then(|f| Trail::read(&f.trail));
-        if fresh {
+        if as_new {
             // The new message's trail begins with the resubmission. The old trail stays, without its message.
             let ended = before.unwrap_or_default();
             let dropped = self.held.as_mut().map(|s| s.end(now, id, &ended, true)).unwrap_or_default();
@@ -138,11 +139,11 @@
         } else {
             message.trail = before.map(Box::new);
         }
-        self.hold(own, message);
-        if fresh {
-            self.set_trail_origin(own);
+        self.hold(new_id, message);
+        if as_new {
+            self.set_trail_origin(new_id);
         }
         self.stats.accepted += 1;
-        (format!("id:{} stat:ENROUTE", show_id(own)), "ENROUTE")
+        (format!("id:{} stat:ENROUTE", show_id(new_id)), "ENROUTE")
     }
 }
--- a/crates/engine/src/held/store.rs
+++ b/crates/engine/src/held/store.rs
@@ -17,12 +17,12 @@
         let (Some(mut trail), now) = (m.trail.take(), self.wall()) else { return };
         trail.add(now, What::Answered(place(answer) as u32), MAX_TRAIL_STEPS);
         // A resubmitted message that was not delivered stays held, whatever its end.
-        let handed_in = trail.steps().filter(|(_, what)| matches!(what, What::HandedIn(_))).last();
-        if let (Some((at, _)), Some(r)) = (handed_in, self.releases.get_mut(&m.client)) {
-            r.release.answered(answer == Answer::Delivered, now - at);
+        let resubmitted = trail.steps().filter(|(_, what)| matches!(what, What::HandedIn(_))).last();
+        if let (Some((index, _)), Some(r)) = (resubmitted, self.releases.get_mut(&m.client)) {
+            r.release.answered(answer == Answer::Delivered, now - index);
         }
         let hold = matches!(answer, Answer::Undeliverable | Answer::Unknown { .. } | Answer::Expired)
-            || (handed_in.is_some() && answer != Answer::Delivered);
+            || (resubmitted.is_some() && answer != Answer::Delivered);
         let dest = self.routes.find(&m.submission.destination).map_or(0, |d| d.0);
         let key = m.submission.key.as_deref().unwrap_or_default();
         let mut stored = stored_record(m.client, Some(m.class), dest, key, &trail);
@@ -49,8 +49,8 @@
         let all = &self.trail_names;
         trail.rename(|n| {
             let name = all.get(n as usize).cloned().unwrap_or_default();
-            let at = names.iter().position(|x| *x == name);
-            at.unwrap_or_else(|| {
+            let index = names.iter().position(|x| *x == name);
+            index.unwrap_or_else(|| {
                 names.push(name);
                 names.len() - 1
             }) as u32
--- a/crates/engine/src/node/answer.rs
+++ b/crates/engine/src/node/answer.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Returns the occupancy that admission checks: of one client and in all.
-    pub(crate) fn held(&self, client: usize, class: usize) -> Held {
+    pub(crate) fn occupancy(&self, client: usize, class: usize) -> Held {
         let c = &self.clients[client];
         let classes = &self.cfg.settings.classes;
         let mean = classes.iter().map(|c| c.worth).sum::<f64>() / classes.len().max(1) as f64;
--- a/crates/engine/src/node/endpoints.rs
+++ b/crates/engine/src/node/endpoints.rs
@@ -80,15 +80,21 @@
 
     /// Adds or updates an endpoint from a directory entry. Returns its number, and whether its address has
     /// changed.
-    pub fn upsert(&mut self, name: &str, at: SocketAddr, kind: usize, dest: DestId) -> (EndpointId, bool) {
+    pub fn upsert(
+        &mut self,
+        name: &str,
+        address: SocketAddr,
+        kind: usize,
+        dest: DestId,
+    ) -> (EndpointId, bool) {
         let next_number = EndpointId(self.next_number);
         let endpoint = *self.names.entry(name.to_string()).or_insert(next_number);
         if endpoint == next_number {
             self.next_number += 1;
         }
-        let r = self.all.entry(endpoint).or_insert_with(|| Endpoint::new(name, at, kind, dest));
-        let (moved, before) = (r.address != at, r.dest);
-        (r.address, r.kind, r.dest) = (at, kind, dest);
+        let entry = self.all.entry(endpoint).or_insert_with(|| Endpoint::new(name, address, kind, dest));
+        let (moved, before) = (entry.address != address, entry.dest);
+        (entry.address, entry.kind, entry.dest) = (address, kind, dest);
         if before != dest {
             self.by_dest.entry(before).or_default().remove(&endpoint);
         }
@@ -112,22 +118,22 @@
 
     /// Returns the unlisted endpoints that have neither a connection nor a probe.
     pub fn idle_unlisted(&self) -> impl Iterator<Item = (EndpointId, &Endpoint)> + '_ {
-        let is_idle = |r: &Endpoint| !r.probing && r.pool.is_empty();
+        let is_idle = |e: &Endpoint| !e.probing && e.pool.is_empty();
         self.unlisted.iter().filter_map(move |e| Some((*e, self.all.get(e).filter(|r| is_idle(r))?)))
     }
 
     /// Removes an endpoint.
     pub fn remove(&mut self, endpoint: EndpointId) -> Option<Endpoint> {
         self.unlisted.remove(&endpoint);
-        let endpoint_state = self.all.remove(&endpoint)?;
-        self.names.remove(&endpoint_state.name);
-        if let Some(of) = self.by_dest.get_mut(&endpoint_state.dest) {
+        let removed = self.all.remove(&endpoint)?;
+        self.names.remove(&removed.name);
+        if let Some(of) = self.by_dest.get_mut(&removed.dest) {
             of.remove(&endpoint);
             if of.is_empty() && self.by_dest.len() > MAX_LISTED_DESTS {
-                self.by_dest.remove(&endpoint_state.dest);
+                self.by_dest.remove(&removed.dest);
             }
         }
-        Some(endpoint_state)
+        Some(removed)
     }
 
     /// Returns the numbers of all endpoints.
--- a/crates/engine/src/node/inputs.rs
+++ b/crates/engine/src/node/inputs.rs
@@ -25,18 +25,18 @@
     }
 
     /// Handles received bytes.
-    pub fn received(&mut self, now: Micros, conn: ConnId, octets: &[u8]) {
+    pub fn received(&mut self, now: Micros, conn: ConnId, bytes: &[u8]) {
         self.now = now.max(self.now);
         match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { .. }) => self.client_received(conn, octets),
-            Some(Use::Receiver { .. }) => self.link_received(conn, octets),
-            Some(Use::Notices) => self.notices_received(conn, octets),
+            Some(Use::Client { .. }) => self.client_received(conn, bytes),
+            Some(Use::Receiver { .. }) => self.link_received(conn, bytes),
+            Some(Use::Notices) => self.notices_received(conn, bytes),
             Some(Use::Directory) => {
                 let mut events = Vec::new();
                 let Some(c) = self.conns.get_mut(&conn) else { return };
-                let goes_on = self.directory.receive(self.now, octets, &mut c.stream, &mut events);
+                let keep_open = self.directory.receive(self.now, bytes, &mut c.stream, &mut events);
                 self.flush(conn);
-                if !goes_on {
+                if !keep_open {
                     self.directory_conn = None;
                     self.drop_conn(conn);
                 }
--- a/crates/engine/src/node/shutdown.rs
+++ b/crates/engine/src/node/shutdown.rs
@@ -85,8 +85,8 @@
     /// up.
     pub(crate) fn abandon_all(&mut self) {
         // A suspended message is in the journal, and its partner may have it.
-        let goes_on = self.messages.iter().filter(|(_, m)| m.still == Still::No);
-        let open: Vec<MsgId> = goes_on.map(|(id, _)| *id).collect();
+        let not_suspended = self.messages.iter().filter(|(_, m)| m.still == Still::No);
+        let open: Vec<MsgId> = not_suspended.map(|(id, _)| *id).collect();
         for id in open {
             self.events.push(Event::Left { id });
             self.answer(id, End::Leaving);
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -63,10 +63,10 @@
         });
         let now = start.now;
         let dispatcher = Dispatcher::new(now, start.seed, cfg.settings.clone())?;
-        let follow = cfg.settings.discovery == Discovery::Push;
+        let push = cfg.settings.discovery == Discovery::Push;
         let directory: Box<dyn Directory> = match cfg.platform {
             Some(p) => Box::new(Watched::new(now, p.discovery)),
-            None => Box::new(Polled::new(now, cfg.directory.address, cfg.directory.poll, follow)),
+            None => Box::new(Polled::new(now, cfg.directory.address, cfg.directory.poll, push)),
         };
         let limits = Limits::new(
             now,
@@ -149,8 +149,8 @@
                 None
             }
         });
-        let known = Listing { version: start.list, whole: true, endpoints: cfg.endpoints.clone() };
-        let first = kept.unwrap_or(known);
+        let configured = Listing { version: start.list, whole: true, endpoints: cfg.endpoints.clone() };
+        let first = kept.unwrap_or(configured);
         node.directory.known(&first);
         node.apply_listing(&first);
         if let Some(book) = start.book {
--- a/crates/engine/src/node/state.rs
+++ b/crates/engine/src/node/state.rs
@@ -17,6 +17,7 @@
 use heronroute_smpp::submission::Submission;
 use std::net::SocketAddr;
 
+/// A timer of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Key {
     /// A timer that the decision library set.
@@ -90,7 +91,7 @@
         owner: Option<(usize, BoxId)>,
         /// The number of open messages submitted on this connection.
         open: usize,
-        /// Whether its last message was refused because the client uses its fair share of the room.
+        /// Whether it was last refused for exceeding its share of its client's room.
         shedding: bool,
     },
     Receiver {
@@ -104,6 +105,7 @@
     Finishing,
 }
 
+/// A connection of a node.
 #[derive(Debug)]
 pub(crate) struct Conn {
     pub stream: Stream,
--- a/crates/engine/src/notices.rs
+++ b/crates/engine/src/notices.rs
@@ -23,9 +23,9 @@
 
     pub(crate) fn notices_due(&mut self) {
         let Some(notices) = &mut self.notices else { return };
-        let mut none = bytes::BytesMut::new();
+        let mut no_conn = bytes::BytesMut::new();
         let conn = self.notices_conn;
-        let out = conn.and_then(|c| self.conns.get_mut(&c)).map_or(&mut none, |c| &mut c.stream.out);
+        let out = conn.and_then(|c| self.conns.get_mut(&c)).map_or(&mut no_conn, |c| &mut c.stream.out);
         match notices.tick(self.now, out) {
             Want::Nothing => {}
             Want::Connect(address) => {
@@ -56,11 +56,11 @@
         self.schedule_notices();
     }
 
-    pub(crate) fn notices_received(&mut self, conn: ConnId, octets: &[u8]) {
+    pub(crate) fn notices_received(&mut self, conn: ConnId, bytes: &[u8]) {
         let now = self.now;
         let (Some(n), Some(c)) = (&mut self.notices, self.conns.get_mut(&conn)) else { return };
-        let (taken, apart) = match n.receive(now, octets, &mut c.stream.out) {
-            Ok(taken) => (taken, n.apart()),
+        let (acknowledged, disconnect) = match n.receive(now, bytes, &mut c.stream.out) {
+            Ok(acknowledged) => (acknowledged, n.apart()),
             Err(why) => {
                 tracing::warn!(
                     why = why.to_string(),
@@ -70,10 +70,10 @@
                 (Vec::new(), true)
             }
         };
-        tracing::debug!(now, notices = taken.len(), "notices were acknowledged");
-        taken.into_iter().for_each(|id| self.taken(id));
+        tracing::debug!(now, notices = acknowledged.len(), "notices were acknowledged");
+        acknowledged.into_iter().for_each(|id| self.taken(id));
         self.flush(conn);
-        if apart {
+        if disconnect {
             self.notices_conn = None;
             self.drop_conn(conn);
         }
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -27,13 +27,13 @@
             (Some(_), _) => Err(Denied::Proof),
             _ => Err(Denied::Name),
         };
-        let taken = result.and_then(|client| match session {
+        let admitted = result.and_then(|client| match session {
             None => Ok((client, self.clients[client].mailbox, Entered::default())),
-            Some(wanted) => self.open_session(conn, client, wanted).map(|(m, e)| (client, m, e)),
+            Some(request) => self.open_session(conn, client, request).map(|(m, e)| (client, m, e)),
         });
         let now = self.now;
         let Some((front, out)) = self.front(conn) else { return };
-        let (client, mailbox) = match taken {
+        let (client, mailbox) = match admitted {
             Ok((client, mailbox, entered)) => {
                 front.admitted(now, token, Ok(entered), out);
                 (client, mailbox)
@@ -71,37 +71,37 @@
         &mut self,
         conn: ConnId,
         client: usize,
-        wanted: SessionRequest,
+        request: SessionRequest,
     ) -> Result<(BoxId, Entered), Denied> {
-        let given = wanted.name.is_empty().then(|| format!("hr{}-{:x}-{conn}", self.index, self.wall()));
-        let name = given.clone().unwrap_or(wanted.name);
+        let assigned = request.name.is_empty().then(|| format!("hr{}-{:x}-{conn}", self.index, self.wall()));
+        let name = assigned.clone().unwrap_or(request.name);
         let found = self.mailboxes.find(client, &name);
-        if let Some(other) = found.and_then(|m| self.mailboxes.get(m)).and_then(|m| m.conn) {
+        if let Some(earlier_conn) = found.and_then(|m| self.mailboxes.get(m)).and_then(|m| m.conn) {
             // The client connected again under the same name: the earlier connection ends, and the new one
             // resumes its session.
-            if let Some((front, out)) = self.front(other) {
+            if let Some((front, out)) = self.front(earlier_conn) {
                 front.supplanted(out);
             }
-            self.flush(other);
-            self.end_session(other);
+            self.flush(earlier_conn);
+            self.end_session(earlier_conn);
         }
-        let most = self.cfg.mqtt.as_ref().map_or(0, |m| m.sessions);
-        let kept = found.and_then(|m| self.mailboxes.get(m)).is_some_and(|m| m.kept.is_some());
-        if !kept && self.mailboxes.sessions() >= most {
+        let limit = self.cfg.mqtt.as_ref().map_or(0, |m| m.sessions);
+        let exists = found.and_then(|m| self.mailboxes.get(m)).is_some_and(|m| m.kept.is_some());
+        if !exists && self.mailboxes.sessions() >= limit {
             // The session disconnected longest ago makes room for the new one.
             let oldest = self.mailboxes.oldest_detached().ok_or(Denied::Busy)?;
             self.end_named_session(oldest);
         }
-        if let Some(earlier) = found.filter(|_| wanted.clean && kept) {
+        if let Some(earlier) = found.filter(|_| request.clean && exists) {
             self.end_named_session(earlier);
         }
         // The mailbox may have been removed with its session.
         let mailbox = self.mailboxes.open(client, &name);
-        let goes_on = self.mailboxes.get(mailbox).is_some_and(|m| m.kept.is_some());
+        let resumed = self.mailboxes.get(mailbox).is_some_and(|m| m.kept.is_some());
         let window = self.cfg.mqtt.as_ref().map_or(1, |m| usize::from(m.window));
-        let fresh = (!goes_on).then(|| Kept {
+        let fresh = (!resumed).then(|| Kept {
             began: self.wall(),
-            expiry: wanted.expiry,
+            expiry: request.expiry,
             notes: Vec::new(),
             recent: Recent::new(window),
         });
@@ -112,14 +112,14 @@
             // The client is back, so its will is not sent.
             m.will = None;
             if let Some(k) = &mut m.kept {
-                k.expiry = wanted.expiry;
-                notes = goes_on.then(|| k.notes.clone());
+                k.expiry = request.expiry;
+                notes = resumed.then(|| k.notes.clone());
             }
         }
-        if goes_on || wanted.expiry > 0 {
+        if resumed || request.expiry > 0 {
             self.write_session(mailbox);
         }
-        Ok((mailbox, Entered { given, notes }))
+        Ok((mailbox, Entered { given: assigned, notes }))
     }
 
     /// Writes the state of a session to the journal, for the next start. A session that ends with its
@@ -176,27 +176,27 @@
             return self.abandon_unacknowledged(conn);
         }
         let Some((client, mailbox)) = *owner else { return };
-        let parting = front.parting();
+        let remains = front.parting();
         self.clients[client].admitted_conns -= 1;
         let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
         m.outbox.remove_session(conn);
         if m.conn == Some(conn) {
-            m.will = parting.will.map(|(delay, submission, reply)| Will {
+            m.will = remains.will.map(|(delay, submission, reply)| Will {
                 at: self.now + delay,
                 submission,
                 reply,
             });
             let will_now = m.will.as_ref().is_some_and(|w| w.at <= self.now);
-            if let Some(k) = m.kept.as_mut().filter(|k| k.expiry != parting.expiry) {
-                k.expiry = parting.expiry;
+            if let Some(k) = m.kept.as_mut().filter(|k| k.expiry != remains.expiry) {
+                k.expiry = remains.expiry;
                 self.write_session(mailbox);
             }
-            let expires_at = self.now.saturating_add(parting.expiry);
+            let expires_at = self.now.saturating_add(remains.expiry);
             self.mailboxes.detach(mailbox, expires_at);
             if will_now {
                 self.submit_will(mailbox);
             }
-            if parting.expiry == 0 {
+            if remains.expiry == 0 {
                 self.end_named_session(mailbox);
             } else {
                 self.schedule_mailbox(mailbox);
@@ -252,7 +252,7 @@
         let Some(will) = m.will.take() else { return };
         let from = From { conn: None, token: 0, client: m.client, mailbox };
         let handing = SubmissionContext { reply: will.reply, ..SubmissionContext::default() };
-        match self.check_submission(&from, &will.submission, handing.light) {
+        match self.check_submission(&from, &will.submission, handing.may_be_lost) {
             Ok(terms) => self.accept_message(from, *will.submission, &handing, terms),
             Err(no) => {
                 self.stats.refused_other += 1;
