--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -6,8 +6,9 @@
 //! retry delay.
 
 use crate::Micros;
+use crate::desk::RejectReason;
 use crate::entry_codec::to_entry;
-use crate::front::{No, Speaks};
+use crate::front::Speaks;
 use crate::ids::ConnId;
 use crate::node::{Effect, Message, Node, Use};
 use crate::outbox::Reply;
@@ -86,23 +87,23 @@
     }
 
     /// Returns the class and tenant of a submitted message, or why it is refused.
-    fn resolve_names(&self, add: &Add) -> Result<(usize, usize), No> {
-        let class = self.class_names.get(&add.class).copied().ok_or(No::Class)?;
-        let tenant = self.client_names.get(&add.tenant).copied().ok_or(No::NotEntered)?;
+    fn resolve_names(&self, add: &Add) -> Result<(usize, usize), RejectReason> {
+        let class = self.class_names.get(&add.class).copied().ok_or(RejectReason::Class)?;
+        let tenant = self.client_names.get(&add.tenant).copied().ok_or(RejectReason::NotEntered)?;
         if !self.remotes.is_known_destination(DestId(add.dest)) {
-            return Err(No::Address);
+            return Err(RejectReason::Address);
         }
         if self.by_identity.contains_key(&add.id) {
-            return Err(No::Message);
+            return Err(RejectReason::Message);
         }
         let needs_key = self.cfg.settings.classes[class].effect == Repeats::Guarded;
         if needs_key && add.key.is_none() {
-            return Err(No::TooLate);
+            return Err(RejectReason::TooLate);
         }
         Ok((class, tenant))
     }
 
-    fn send_refusal(&mut self, conn: ConnId, token: u32, reason: No) {
+    fn send_refusal(&mut self, conn: ConnId, token: u32, reason: RejectReason) {
         if let Some((front, out)) = self.front(conn) {
             front.refused(token, reason, out);
         }
--- a/crates/engine/src/admission/delivery.rs
+++ b/crates/engine/src/admission/delivery.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Ends the sessions of all clients.
     pub(crate) fn end_all_sessions(&mut self) {
         let admitted: Vec<ConnId> = self
             .conns
--- a/crates/engine/src/admission/fronts.rs
+++ b/crates/engine/src/admission/fronts.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Sets the timer of a connection's front, and requests that its pending bytes be written.
     pub(crate) fn schedule_front(&mut self, conn: ConnId) {
         if let Some((front, _)) = self.front(conn) {
             let wake = front.wake();
@@ -79,16 +80,19 @@
         self.flush(conn);
     }
 
+    /// Handles bytes received from a client.
     pub(crate) fn client_received(&mut self, conn: ConnId, bytes: &[u8]) {
         let (now, wall) = (self.now, self.wall());
         self.with_front(conn, |f, out, requests| f.receive(now, wall, bytes, out, requests));
     }
 
+    /// Handles the timer of a client connection.
     pub(crate) fn client_tick(&mut self, conn: ConnId) {
         let now = self.now;
         self.with_front(conn, |f, out, requests| f.tick(now, out, requests));
     }
 
+    /// Returns the front of a connection and its output buffer.
     pub(crate) fn front(&mut self, conn: ConnId) -> Option<(&mut dyn Front, &mut bytes::BytesMut)> {
         let c = self.conns.get_mut(&conn)?;
         match &mut c.what {
@@ -97,12 +101,14 @@
         }
     }
 
+    /// Refuses a request.
     pub(crate) fn refuse(&mut self, conn: ConnId, token: u32, reason: No) {
         if let Some((front, out)) = self.front(conn) {
             front.refused(token, reason, out);
         }
     }
 
+    /// Handles a request of a client.
     fn handle_request(&mut self, conn: ConnId, request: Ask) {
         match request {
             Ask::Enter { name, password, token, session } => {
--- a/crates/engine/src/admission/mod.rs
+++ b/crates/engine/src/admission/mod.rs
@@ -9,6 +9,7 @@
 mod submit;
 
 use crate::Micros;
+pub(crate) use crate::front::No as RejectReason;
 use crate::ids::ConnId;
 use crate::keeping::rules::Keep;
 use crate::mailboxes::BoxId;
--- a/crates/engine/src/admission/open_messages.rs
+++ b/crates/engine/src/admission/open_messages.rs
@@ -13,6 +13,7 @@
 use heronroute_smpp::submission::Submission;
 
 impl Node {
+    /// Returns a new message id.
     pub(crate) fn new_id(&mut self) -> MsgId {
         let id = MsgId(self.next_id);
         self.next_id += 1 << ID_SENDER_BITS;
@@ -44,6 +45,7 @@
         });
     }
 
+    /// Builds an open message from a submission.
     pub(crate) fn new_message(
         &self,
         from: &From,
--- a/crates/engine/src/admission/replies.rs
+++ b/crates/engine/src/admission/replies.rs
@@ -1,7 +1,8 @@
 //! Replies to requests: acceptances, answers in forward mode, queries, withdrawals.
 
+use super::RejectReason;
 use crate::answers::End;
-use crate::front::{No, Speaks};
+use crate::front::Speaks;
 use crate::ids::{ConnId, read_id, show_id};
 use crate::node::Node;
 use crate::standing::Still;
@@ -30,8 +31,11 @@
         sent
     }
 
+    /// Reports the state of a message to its client.
     pub(crate) fn query(&mut self, conn: ConnId, token: u32, id_text: &str, source: &str) {
-        let Some((client, _)) = self.place_of(conn) else { return self.refuse(conn, token, No::NotEntered) };
+        let Some((client, _)) = self.place_of(conn) else {
+            return self.refuse(conn, token, RejectReason::NotEntered);
+        };
         let id = read_id(id_text);
         let open = id.and_then(|id| self.messages.get(&id));
         let open =
@@ -48,29 +52,31 @@
             Some((state, done)) => front.queried(token, id_text, state, done, out),
             // The same reply for messages that don't exist and for those of another client, so that a client
             // can't tell which ids exist.
-            None => front.refused(token, No::Message, out),
+            None => front.refused(token, RejectReason::Message, out),
         }
     }
 
     /// Withdraws a message that certainly has not run and is not on its way.
     pub(crate) fn withdraw(&mut self, conn: ConnId, token: u32, id_text: &str, source: &str) {
-        let Some((client, _)) = self.place_of(conn) else { return self.refuse(conn, token, No::NotEntered) };
+        let Some((client, _)) = self.place_of(conn) else {
+            return self.refuse(conn, token, RejectReason::NotEntered);
+        };
         let id = read_id(id_text);
         let found = id.and_then(|id| self.messages.get(&id));
         let own =
             found.filter(|m| m.client == client && (source.is_empty() || m.submission.source == source));
         let (Some(id), Some(m)) = (id, own) else {
-            return self.refuse(conn, token, No::Message);
+            return self.refuse(conn, token, RejectReason::Message);
         };
         if m.still != Still::No {
-            return self.refuse(conn, token, No::TooLate);
+            return self.refuse(conn, token, RejectReason::TooLate);
         }
         if let Some((call, part)) = m.out {
             self.cancel_unsent(call, part);
         }
         let too_late = self.messages.get(&id).is_some_and(|m| m.out.is_some() || m.ran_at.is_some());
         if too_late {
-            return self.refuse(conn, token, No::TooLate);
+            return self.refuse(conn, token, RejectReason::TooLate);
         }
         self.events.push(Event::Left { id });
         if let Some((front, out)) = self.front(conn) {
--- a/crates/engine/src/admission/submit.rs
+++ b/crates/engine/src/admission/submit.rs
@@ -13,6 +13,7 @@
 use heronroute_smpp::submission::Submission;
 
 impl Node {
+    /// Handles the submission of a message.
     pub(crate) fn submit(
         &mut self,
         conn: ConnId,
@@ -79,6 +80,7 @@
         }
     }
 
+    /// Returns the key under which a client-given message name is remembered.
     fn message_name(&self, client: usize, name: &str) -> Name {
         let own = self.cfg.clients.get(client).map_or("", |c| c.system_id.as_str());
         Name::new(own, name)
--- a/crates/engine/src/front/resp.rs
+++ b/crates/engine/src/front/resp.rs
@@ -39,6 +39,7 @@
     first_token: u32,
     /// When the last request was completed, or the next one began.
     last_activity: Micros,
+    /// Whether a complete request has been processed.
     served: bool,
     /// Processing stopped at [`MAX_PIPELINED`]: more complete requests may be buffered.
     batch_limited: bool,
@@ -64,6 +65,7 @@
         }
     }
 
+    /// Processes buffered requests, as far as there is room, and writes the replies that are ready.
     fn process_commands(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
         self.batch_limited = true;
         while !self.closing && self.replies.len() < MAX_PIPELINED {
@@ -135,6 +137,7 @@
         }
     }
 
+    /// Adds a request whose reply is known.
     fn queue_reply(&mut self, write: impl FnOnce(&mut BytesMut)) {
         let mut text = BytesMut::new();
         write(&mut text);
@@ -150,6 +153,8 @@
         }
     }
 
+    /// Sets the reply to a request, and writes the replies that are ready. Returns false if the request is
+    /// not open.
     fn write_reply(&mut self, token: u32, text: impl FnOnce(&mut BytesMut), out: &mut BytesMut) -> bool {
         let Some(reply) = self.replies.get_mut(token.wrapping_sub(self.first_token) as usize) else {
             return false;
--- a/crates/engine/src/held/store.rs
+++ b/crates/engine/src/held/store.rs
@@ -59,12 +59,14 @@
             .write(|| entry::What::Held(Held { accepted: Some(accepted), trail: trail.write(), names }));
     }
 
+    /// Writes to the journal that these messages are no longer held.
     pub(crate) fn write_released(&mut self, ids: &[u64]) {
         for id in ids {
             self.ledger.write(|| entry::What::Released(Released { id: *id }));
         }
     }
 
+    /// Drops a held message at its client's request.
     pub(crate) fn drop_held(&mut self, id: u64) -> (String, &'static str) {
         let Some(store) = &mut self.held else { return ("stat:NOTFOUND".to_string(), "NOTFOUND") };
         if store.get(id).is_some_and(|f| f.under_way || f.kept) {
--- a/crates/engine/src/mailboxes.rs
+++ b/crates/engine/src/mailboxes.rs
@@ -67,6 +67,7 @@
 #[derive(Debug, Default)]
 pub struct Mailboxes {
     boxes: Slab<Mailbox>,
+    /// The numbers of mailboxes by client and session name.
     by_name: BTreeMap<(usize, String), BoxId>,
     /// Sessions without a connection, the one disconnected longest ago first.
     detached: BTreeSet<(Micros, BoxId)>,
--- a/crates/engine/src/node/answer.rs
+++ b/crates/engine/src/node/answer.rs
@@ -70,6 +70,7 @@
         self.once_durable(Effect::ReportAnswer { id, message: Box::new(m), answer, done });
     }
 
+    /// Reports a final answer that is durable: as the response in forward mode, or as a receipt.
     pub(crate) fn report_answer(&mut self, id: MsgId, m: Message, answer: Answer, done: Micros) {
         if m.speaks == Speaks::Resp {
             return self.report_end(id, m, answer);
--- a/crates/engine/src/node/connections.rs
+++ b/crates/engine/src/node/connections.rs
@@ -57,6 +57,7 @@
         false
     }
 
+    /// Adds a connection with a role, and returns its number.
     pub(crate) fn add_conn(&mut self, what: Use) -> ConnId {
         self.next_conn += 1;
         self.conns.insert(self.next_conn, Conn { stream: Stream::default(), what, write_requested: false });
@@ -89,6 +90,7 @@
         }
     }
 
+    /// Closes a connection at once.
     pub(crate) fn drop_conn(&mut self, conn: ConnId) {
         if self.conns.remove(&conn).is_some() {
             for key in [Key::Conn(conn), Key::Idle(conn), Key::Connect(conn)] {
--- a/crates/engine/src/node/endpoints.rs
+++ b/crates/engine/src/node/endpoints.rs
@@ -13,7 +13,9 @@
 /// The table of endpoints, by number, by name and by destination.
 #[derive(Debug)]
 pub(crate) struct EndpointTable {
+    /// Endpoints by number.
     all: BTreeMap<EndpointId, Endpoint>,
+    /// The numbers of endpoints by name.
     names: BTreeMap<String, EndpointId>,
     /// Endpoints by destination, including unlisted ones until they are removed, and destinations that have
     /// no endpoint any more.
--- a/crates/engine/src/node/listing.rs
+++ b/crates/engine/src/node/listing.rs
@@ -9,6 +9,7 @@
 use std::collections::BTreeSet;
 
 impl Node {
+    /// Subscribes to the directory's lists.
     pub(crate) fn subscribe(&mut self) {
         if !self.directory.subscribe(self.now) {
             self.events.push(Event::DirectoryFailed);
@@ -16,10 +17,12 @@
         self.schedule_directory();
     }
 
+    /// Sets the directory's timer.
     pub(crate) fn schedule_directory(&mut self) {
         self.timers.set(Key::Directory, self.directory.wake());
     }
 
+    /// Handles lists and failures that the directory reported.
     pub(crate) fn handle_directory_events(&mut self, events: Vec<Heard>) {
         for event in events {
             match event {
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -49,11 +49,14 @@
     pub(crate) cfg: Arc<Config>,
     pub(crate) session_limits: server::Limits,
     pub(crate) mqtt_limits: Option<mqtt::Limits>,
+    /// The index of this sender within the process.
     pub(crate) index: usize,
+    /// The time of the latest input, on the caller's clock.
     pub(crate) now: Micros,
     /// The offset from the clock to the time of day.
     pub(crate) wall: Micros,
     pub(crate) dispatcher: Dispatcher,
+    /// Events for the next round of the decision library.
     pub(crate) events: Vec<Event>,
     actions: Vec<Action>,
     last_round: Micros,
@@ -76,8 +79,10 @@
     pub(crate) releases: BTreeMap<usize, BacklogRelease>,
     /// The names that trails refer to by number.
     pub(crate) trail_names: Vec<String>,
+    /// The numbers of these names.
     pub(crate) trail_numbers: BTreeMap<String, u32>,
     pub(crate) messages: BTreeMap<MsgId, Message>,
+    /// The latest messages with a final answer.
     pub(crate) finished: BTreeMap<MsgId, FinishedMessage>,
     finished_order: VecDeque<MsgId>,
     pub(crate) next_id: u64,
@@ -112,9 +117,12 @@
     /// The state of the regions that members belong to.
     pub(crate) region: Option<Standing<Effect>>,
     pub(crate) ledger: Ledger<Effect>,
+    /// Operations requested from the owner of the sockets.
     pub(crate) outputs: Vec<Output>,
     pub(crate) stats: Stats,
+    /// Whether the shutdown has started.
     pub(crate) leaving: bool,
+    /// Whether the shutdown is complete.
     left: bool,
 }
 
--- a/crates/engine/src/node/round.rs
+++ b/crates/engine/src/node/round.rs
@@ -56,6 +56,7 @@
         }
     }
 
+    /// Performs an effect, unless it is held back while messages are suspended.
     pub(crate) fn perform(&mut self, effect: Effect) {
         let Some(effect) = self.not_now(effect) else { return };
         match effect {
--- a/crates/engine/src/node/shutdown.rs
+++ b/crates/engine/src/node/shutdown.rs
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Completes the shutdown once nothing is left to wait for.
     pub(crate) fn continue_leaving(&mut self) {
         if self.cfg.platform.is_some() {
             let clients_done = self.sessions[Speaks::Resp as usize] == 0;
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -34,6 +34,7 @@
     cfg.mqtt.as_ref().map(|m| vec![cfg.smpp.weight, m.weight]).unwrap_or_default()
 }
 
+/// Returns the rate limits of the clients.
 fn client_rates(cfg: &Config) -> Vec<Part> {
     cfg.clients.iter().map(|c| Part { rate: c.rate, burst: c.burst, weight: c.weight }).collect()
 }
--- a/crates/engine/src/notices.rs
+++ b/crates/engine/src/notices.rs
@@ -8,6 +8,7 @@
 use heronroute_smpp::receipt::Answer;
 
 impl Node {
+    /// Adds a notice that reports a message's end.
     pub(crate) fn owe_notice(&mut self, id: MsgId, identity: &str, answer: Answer) {
         let end = answer.retry_after().map_or(End::Failed, End::Returned);
         if let Some(notices) = &mut self.notices {
@@ -21,6 +22,7 @@
         self.timers.set(Key::Notices, wake);
     }
 
+    /// Handles the timer of the notices.
     pub(crate) fn notices_due(&mut self) {
         let Some(notices) = &mut self.notices else { return };
         let mut no_conn = bytes::BytesMut::new();
@@ -47,6 +49,7 @@
         self.schedule_notices();
     }
 
+    /// Handles an established notice connection.
     pub(crate) fn notices_connected(&mut self, conn: ConnId) {
         let now = self.now;
         if let (Some(n), Some(c)) = (&mut self.notices, self.conns.get_mut(&conn)) {
@@ -56,6 +59,7 @@
         self.schedule_notices();
     }
 
+    /// Handles bytes received on the notice connection.
     pub(crate) fn notices_received(&mut self, conn: ConnId, bytes: &[u8]) {
         let now = self.now;
         let (Some(n), Some(c)) = (&mut self.notices, self.conns.get_mut(&conn)) else { return };
@@ -80,6 +84,7 @@
         self.schedule_notices();
     }
 
+    /// Handles the end of the notice connection.
     pub(crate) fn notices_closed(&mut self, conn: ConnId) {
         if self.notices_conn == Some(conn) {
             self.notices_conn = None;
--- a/crates/engine/src/outbox.rs
+++ b/crates/engine/src/outbox.rs
@@ -35,6 +35,7 @@
 /// The answers owed to one mailbox.
 #[derive(Debug, Default)]
 pub struct Outbox {
+    /// Answers to send, the next one first.
     waiting: VecDeque<Owed>,
     /// Answers to which no session here has subscribed.
     unsubscribed: VecDeque<Owed>,
@@ -42,6 +43,7 @@
     in_flight: BTreeMap<(SessionId, u32), Owed>,
     /// Sessions that receive answers, the next one first.
     sessions: VecDeque<SessionId>,
+    /// The time before which no answer is sent, after a client refused one; 0 if there is none.
     retry_at: Micros,
 }
 
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -11,6 +11,7 @@
 use heronroute_seen::Recent;
 
 impl Node {
+    /// Admits a client with this name and password, or denies it.
     pub(crate) fn admit_client(
         &mut self,
         conn: ConnId,
@@ -59,6 +60,7 @@
         }
     }
 
+    /// Returns the protocol of a client connection.
     pub(crate) fn speaks(&self, conn: ConnId) -> Option<Speaks> {
         match self.conns.get(&conn).map(|c| &c.what) {
             Some(Use::Client { speaks, .. }) => Some(*speaks),
@@ -158,6 +160,7 @@
         self.pump(mailbox);
     }
 
+    /// Sends the reply to a change of stored notes, which is durable now.
     pub(crate) fn acknowledge_notes(&mut self, conn: ConnId, reply: &[u8]) {
         if let Some((_, out)) = self.front(conn) {
             out.extend_from_slice(reply);
@@ -205,6 +208,7 @@
         self.pump(mailbox);
     }
 
+    /// Ends the session of a connection, and closes the connection once everything is written.
     pub(crate) fn end_session(&mut self, conn: ConnId) {
         self.client_gone(conn);
         self.finish(conn);
