--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -180,13 +180,13 @@
 
     /// Abandons the messages of a closed client connection whose acceptance was not acknowledged.
     pub(crate) fn abandon_unacknowledged(&mut self, conn: ConnId) {
-        let gone: Vec<MsgId> = self
+        let unacknowledged: Vec<MsgId> = self
             .submitted
             .iter()
             .map(|f| f.0)
             .filter(|id| self.messages.get(id).is_some_and(|m| m.conn == conn))
             .collect();
-        for id in gone {
+        for id in unacknowledged {
             self.submitted.retain(|f| f.0 != id);
             self.abandon_message(id);
         }
--- a/crates/engine/src/admission/open_messages.rs
+++ b/crates/engine/src/admission/open_messages.rs
@@ -89,7 +89,7 @@
         self.messages.insert(id, message);
     }
 
-    /// Takes a message that is no longer open out of the counts of every shared limit.
+    /// Removes a message that is no longer open from the counts of every shared limit.
     pub(crate) fn remove_open_message(&mut self, message: &Message) {
         self.clients[message.client].open -= 1;
         self.open_by_front[message.speaks as usize] -= 1;
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A front translates received bytes into client requests, and replies into bytes of its protocol. It keeps
 //! the protocol's session (states, windows, timers) and decides nothing about messages: `admission` decides
-//! for all fronts whether a message is accepted, which client it belongs to, and what that client is told.
+//! for all fronts whether a message is accepted, which client it belongs to, and how it is answered.
 //! Adding a protocol means adding a front here and a listener in the settings.
 
 mod mqtt;
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entered {
     /// The name assigned to its session, if it gave none.
-    pub given: Option<String>,
+    pub assigned_name: Option<String>,
     /// The front's stored notes, if an earlier session is resumed.
     pub notes: Option<Vec<u8>>,
 }
@@ -59,7 +59,7 @@
 /// What a protocol adds to a submission.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SubmissionContext {
-    /// Where its answer goes.
+    /// The address for the answer.
     pub reply: Reply,
     /// Identifies the message within its session, to detect a repeated submission.
     pub handle: Option<Handle>,
--- a/crates/engine/src/front/mqtt.rs
+++ b/crates/engine/src/front/mqtt.rs
@@ -157,7 +157,7 @@
         match result {
             Ok(entered) => {
                 let filters = entered.notes.as_deref().map(read_filters).unwrap_or_default();
-                self.session.admit(entered.given, entered.notes.is_some(), &filters, out);
+                self.session.admit(entered.assigned_name, entered.notes.is_some(), &filters, out);
             }
             Err(Denied::Name | Denied::Proof) => self.session.refuse(0x86, out),
             Err(Denied::Leaving) => self.session.refuse(0x88, out),
--- a/crates/engine/src/mailboxes.rs
+++ b/crates/engine/src/mailboxes.rs
@@ -38,7 +38,7 @@
     pub at: Micros,
     /// The message.
     pub submission: Box<Submission>,
-    /// Where its answer goes.
+    /// The address for its answer.
     pub reply: Reply,
 }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Detaches the connection of a session, which is kept until `ends`.
+    /// Detaches the connection of a session, which is kept until `expires_at`.
     pub fn detach(&mut self, id: BoxId, expires_at: Micros) {
         let Some(m) = self.boxes.get_mut(id) else { return };
         (m.conn, m.expires_at) = (None, expires_at);
--- a/crates/engine/src/node/api.rs
+++ b/crates/engine/src/node/api.rs
@@ -18,14 +18,14 @@
 /// An operation that a node requests from the owner of its sockets. Operations are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Connect to an address, then call [`Node::connected`] or [`Node::closed`].
+    /// Connect to an address, then call `Node::connected` or `Node::closed`.
     Connect {
         /// The number of the connection.
         conn: ConnId,
         /// The address to connect to.
         address: SocketAddr,
     },
-    /// The connection has bytes to write; see [`Node::pending`].
+    /// The connection has bytes to write; see `Node::pending`.
     Write(ConnId),
     /// Close the connection once all pending bytes are written. The node has dropped its state for it.
     Finish(ConnId),
@@ -33,16 +33,16 @@
     Drop(ConnId),
     /// Save this directory list for the next start.
     Keep(String),
-    /// Write these entries to the journal, then call [`Node::durable`].
+    /// Write these entries to the journal, then call `Node::durable`.
     Journal(Vec<Entry>),
-    /// The answer to [`Node::copying`]: everything accepted from now on counts as the partner's too.
+    /// The answer to `Node::copying`: everything accepted from now on counts as the partner's too.
     Copying,
     /// The work of this life of the process, as far as its home is here, is written to the journal as a
-    /// whole; see [`Node::inherit`].
+    /// whole; see `Node::inherit`.
     Inherited(String),
     /// What is applied for a client from now on, or still is. Only on nodes of a fleet.
     Live(Live),
-    /// A client's request about its rules or about the fleet, to be answered with [`Node::told`]. Only on
+    /// A client's request about its rules or about the fleet, to be answered with `Node::told`. Only on
     /// nodes of a fleet.
     Ask(Ask),
 }
--- a/crates/engine/src/node/state.rs
+++ b/crates/engine/src/node/state.rs
@@ -84,6 +84,7 @@
 /// The role of a connection.
 #[derive(Debug)]
 pub(crate) enum Use {
+    /// A client's connection.
     Client {
         front: Box<dyn Front>,
         speaks: Speaks,
@@ -94,10 +95,9 @@
         /// Whether it was last refused for exceeding its share of its client's room.
         shedding: bool,
     },
-    Receiver {
-        endpoint: EndpointId,
-        link: Box<dyn Link>,
-    },
+    /// A connection to an endpoint.
+    Receiver { endpoint: EndpointId, link: Box<dyn Link> },
+    /// The connection to the directory.
     Directory,
     /// Notices to the platform.
     Notices,
@@ -127,10 +127,14 @@
     pub submission: Submission,
     /// The address for its answer in the client's protocol.
     pub to: Reply,
+    /// When it was accepted, as time of day.
     pub taken: Micros,
+    /// When it expires, on the node's clock.
     pub deadline: Micros,
-    /// The connection and request that wait for the answer, in forward mode.
+    /// The connection and request that wait for the answer in forward mode, or for the first reply to a
+    /// platform's message.
     pub reply: Option<(ConnId, u32)>,
+    /// The number of attempts so far.
     pub attempts: u32,
     /// The attempt in flight, as call and part.
     pub out: Option<(u64, usize)>,
@@ -169,6 +173,7 @@
     pub pool: Pool,
     /// The connection with a probe in flight.
     pub probe: Option<ConnId>,
+    /// Whether a probe is under way.
     pub probing: bool,
 }
 
@@ -194,6 +199,7 @@
 /// One client.
 #[derive(Debug)]
 pub(crate) struct Client {
+    /// The number of its open messages.
     pub open: usize,
     /// Answers that were not acknowledged yet, in all its mailboxes.
     pub owed: usize,
@@ -207,10 +213,13 @@
 #[derive(Debug)]
 pub(crate) struct BacklogRelease {
     pub release: Release,
+    /// The destination that it is limited to, if any.
     pub destination: Option<i64>,
     /// Messages up to this id were handled once.
     pub after: Option<u64>,
+    /// The number of messages resubmitted.
     pub resubmitted: u64,
+    /// The number of messages that could not be resubmitted.
     pub skipped: u64,
 }
 
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -75,8 +75,9 @@
         client: usize,
         request: SessionRequest,
     ) -> Result<(BoxId, Entered), Denied> {
-        let assigned = request.name.is_empty().then(|| format!("hr{}-{:x}-{conn}", self.index, self.wall()));
-        let name = assigned.clone().unwrap_or(request.name);
+        let assigned_name =
+            request.name.is_empty().then(|| format!("hr{}-{:x}-{conn}", self.index, self.wall()));
+        let name = assigned_name.clone().unwrap_or(request.name);
         let found = self.mailboxes.find(client, &name);
         if let Some(earlier_conn) = found.and_then(|m| self.mailboxes.get(m)).and_then(|m| m.conn) {
             // The client connected again under the same name: the earlier connection ends, and the new one
@@ -121,7 +122,7 @@
         if resumed || request.expiry > 0 {
             self.write_session(mailbox);
         }
-        Ok((mailbox, Entered { given: assigned, notes }))
+        Ok((mailbox, Entered { assigned_name, notes }))
     }
 
     /// Writes the state of a session to the journal, for the next start. A session that ends with its
