--- a/crates/contracts/src/front/clauses.rs
+++ b/crates/contracts/src/front/clauses.rs
@@ -5,8 +5,8 @@
 use crate::dice::Dice;
 use crate::ensure;
 use crate::suite::Clause;
-use heronroute_engine::front::{Ask, Delivery, Denied};
-use heronroute_engine::outbox::{Owed, Reply};
+use heronroute_engine::front::{ClientRequest, Delivery, Denied};
+use heronroute_engine::outbox::{OwedAnswer, ReplyAddress};
 use heronroute_smpp::receipt::{Answer, Receipt};
 use std::collections::BTreeSet;
 
@@ -115,11 +115,11 @@
             c.admits = false;
             c.give(&enter);
             let token = c.asks.iter().find_map(|a| match a {
-                Ask::Enter { token, .. } => Some(*token),
+                ClientRequest::Admit { token, .. } => Some(*token),
                 _ => None,
             });
             let token = token.ok_or("it does not ask to be let in")?;
-            c.front.admitted(c.now, token, Err(Denied::Proof), &mut c.out);
+            c.front.admitted(c.now, token, Err(Denied::Password), &mut c.out);
             ensure!(!c.front.entered(), "it is in, though refused");
         }
         for octets in [d.hand_in(1), d.settle(), d.hand_in(2)] {
@@ -265,9 +265,9 @@
             source: "000001".into(),
             destination: "234".into(),
         };
-        let owed = Owed { receipt, reply: Reply::default(), before: None };
+        let owed = OwedAnswer { receipt, reply: ReplyAddress::default(), before: None };
         match c.front.deliver(c.now, &owed, &mut c.out) {
-            Delivery::Out(token) => _ = tokens.insert(token),
+            Delivery::Sent(token) => _ = tokens.insert(token),
             other => return Err(format!("an answer that was asked for: {other:?}")),
         }
     }
@@ -279,7 +279,7 @@
     c.give(&heard);
     c.give(&heard);
     let told = c.asks[from..].iter().filter_map(|a| match a {
-        Ask::Heard { token, taken: true } => Some(*token),
+        ClientRequest::Heard { token, taken: true } => Some(*token),
         _ => None,
     });
     let told: Vec<u32> = told.collect();
--- a/crates/contracts/src/front/client.rs
+++ b/crates/contracts/src/front/client.rs
@@ -3,7 +3,7 @@
 use super::Dialect;
 use bytes::BytesMut;
 use heronroute_engine::Micros;
-use heronroute_engine::front::{Ask, Entered, Front, No};
+use heronroute_engine::front::{AdmittedSession, ClientRequest, Front, RejectReason};
 
 /// A connection as seen from both its ends.
 pub struct Client<'a> {
@@ -14,7 +14,7 @@
     /// All that the front has written.
     pub out: BytesMut,
     /// All that it has asked.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<ClientRequest>,
     /// The time.
     pub now: Micros,
     /// Whoever asks is let in.
@@ -56,11 +56,11 @@
         let from = self.asks.len();
         self.front.receive(self.now, self.now, octets, &mut self.out, &mut self.asks);
         let enter = self.asks[from..].iter().find_map(|a| match a {
-            Ask::Enter { token, .. } => Some(*token),
+            ClientRequest::Admit { token, .. } => Some(*token),
             _ => None,
         });
         if let Some(token) = enter.filter(|_| self.admits) {
-            self.front.admitted(self.now, token, Ok(Entered::default()), &mut self.out);
+            self.front.admitted(self.now, token, Ok(AdmittedSession::default()), &mut self.out);
             // What came behind the request is looked at now.
             self.give(b"");
         }
@@ -74,8 +74,10 @@
 
     /// Tokens of the messages handed in, in order.
     pub fn tokens(&self) -> Vec<u32> {
-        let token = |a: &Ask| match a {
-            Ask::Submit { token, .. } | Ask::HandIn { token, .. } => Some(*token),
+        let token = |a: &ClientRequest| match a {
+            ClientRequest::Submit { token, .. } | ClientRequest::SubmitForTenant { token, .. } => {
+                Some(*token)
+            }
             _ => None,
         };
         self.asks.iter().filter_map(token).collect()
@@ -83,7 +85,7 @@
 
     /// Whether the connection is over.
     pub fn over(&self) -> bool {
-        self.asks.iter().any(|a| matches!(a, Ask::Over(_)))
+        self.asks.iter().any(|a| matches!(a, ClientRequest::Over(_)))
     }
 
     /// A message was taken on.
@@ -93,7 +95,7 @@
 
     /// A message is refused.
     pub fn refuse(&mut self, token: u32) {
-        self.front.refused(token, No::Rate, &mut self.out);
+        self.front.refused(token, RejectReason::Rate, &mut self.out);
     }
 
     /// The answers to hand-ins so far.
@@ -103,6 +105,6 @@
 }
 
 /// Whether it asks for something of a client that is in.
-pub fn wants(ask: &Ask) -> bool {
-    !matches!(ask, Ask::Enter { .. } | Ask::Over(_))
+pub fn wants(ask: &ClientRequest) -> bool {
+    !matches!(ask, ClientRequest::Admit { .. } | ClientRequest::Over(_))
 }
--- a/crates/contracts/src/front/wrong.rs
+++ b/crates/contracts/src/front/wrong.rs
@@ -3,8 +3,10 @@
 use super::Dialect;
 use bytes::BytesMut;
 use heronroute_engine::Micros;
-use heronroute_engine::front::{Ask, Delivery, Denied, Entered, Front, No, Parting};
-use heronroute_engine::outbox::Owed;
+use heronroute_engine::front::{
+    AdmittedSession, ClientRequest, Delivery, Denied, DisconnectState, Front, RejectReason,
+};
+use heronroute_engine::outbox::OwedAnswer;
 use heronroute_smpp::receipt::Answer;
 use rusmpp_core::values::MessageState;
 use std::collections::BTreeMap;
@@ -69,29 +71,31 @@
         self.fault == fault
     }
 
-    fn after(&mut self, octets: usize, from: usize, asks: &mut Vec<Ask>) {
+    fn after(&mut self, octets: usize, from: usize, asks: &mut Vec<ClientRequest>) {
         if self.is(Fault::Floods) && octets > 2_000 {
             let first = asks[from..].iter().find_map(|a| match a {
-                Ask::Submit { submission, handing, .. } => Some((submission.clone(), handing.clone())),
+                ClientRequest::Submit { submission, context, .. } => {
+                    Some((submission.clone(), context.clone()))
+                }
                 _ => None,
             });
-            asks.extend(first.into_iter().flat_map(|(submission, handing)| {
-                let again = move |token| Ask::Submit {
+            asks.extend(first.into_iter().flat_map(|(submission, context)| {
+                let again = move |token| ClientRequest::Submit {
                     token,
                     submission: submission.clone(),
-                    handing: handing.clone(),
+                    context: context.clone(),
                 };
                 (0..40).map(again)
             }));
         }
-        let hand_in = asks[from..].iter().find(|a| matches!(a, Ask::Submit { .. })).cloned();
+        let hand_in = asks[from..].iter().find(|a| matches!(a, ClientRequest::Submit { .. })).cloned();
         if let Some(ask) = hand_in.filter(|_| self.is(Fault::AsksTwice) && self.asked.len() == 3) {
             asks.push(ask);
         }
         for ask in &asks[from..] {
             match ask {
-                Ask::Over(_) => self.over = true,
-                Ask::Submit { token, .. } => self.asked.push(*token),
+                ClientRequest::Over(_) => self.over = true,
+                ClientRequest::Submit { token, .. } => self.asked.push(*token),
                 _ => {}
             }
         }
@@ -115,21 +119,28 @@
 }
 
 impl Front for Wrong {
-    fn receive(&mut self, now: Micros, wall: Micros, octets: &[u8], out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        wall: Micros,
+        octets: &[u8],
+        out: &mut BytesMut,
+        asks: &mut Vec<ClientRequest>,
+    ) {
         assert!(!(self.is(Fault::Panics) && octets.contains(&0xFD)), "an octet that nobody thought of");
         if self.is(Fault::LosesSmallPieces) && octets.len() == 1 {
             return;
         }
         let (from, said, entered) = (asks.len(), out.len(), self.inner.entered());
         if self.is(Fault::Impatient) && now > self.began + 30_000_000 {
-            asks.push(Ask::Over(Some("for no reason")));
+            asks.push(ClientRequest::Over(Some("for no reason")));
         }
         if self.is(Fault::AsksLate) && self.over {
-            asks.push(Ask::Query { token: 0, id: String::new(), source: String::new() });
+            asks.push(ClientRequest::Query { token: 0, id: String::new(), source: String::new() });
         }
         self.inner.receive(now, wall, octets, out, asks);
         if self.is(Fault::AsksEarly) && !entered && !self.over && octets == self.hand_in {
-            asks.push(Ask::Query { token: 0, id: String::new(), source: String::new() });
+            asks.push(ClientRequest::Query { token: 0, id: String::new(), source: String::new() });
         }
         self.after(octets.len(), from, asks);
         if self.is(Fault::EndsMute) && self.over {
@@ -143,17 +154,23 @@
             _ => self.inner.wake(),
         }
     }
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<ClientRequest>) {
         let from = asks.len();
         if self.is(Fault::Hasty) && now < self.inner.wake() {
-            asks.push(Ask::Over(Some("before its time")));
+            asks.push(ClientRequest::Over(Some("before its time")));
         }
         if !self.is(Fault::Deaf) {
             self.inner.tick(now, out, asks);
         }
         self.after(0, from, asks);
     }
-    fn admitted(&mut self, now: Micros, token: u32, result: Result<Entered, Denied>, out: &mut BytesMut) {
+    fn admitted(
+        &mut self,
+        now: Micros,
+        token: u32,
+        result: Result<AdmittedSession, Denied>,
+        out: &mut BytesMut,
+    ) {
         self.inner.admitted(now, token, result, out);
     }
     fn entered(&self) -> bool {
@@ -165,7 +182,7 @@
     fn accepted(&mut self, token: u32, id: &str, out: &mut BytesMut) {
         self.tell(token, out, |f, out| f.accepted(token, id, out));
     }
-    fn refused(&mut self, token: u32, no: No, out: &mut BytesMut) {
+    fn refused(&mut self, token: u32, no: RejectReason, out: &mut BytesMut) {
         let takes = self.is(Fault::TakesAll);
         self.tell(
             token,
@@ -195,27 +212,27 @@
     fn room(&self) -> usize {
         self.room.filter(|_| self.is(Fault::NoRoom)).unwrap_or_else(|| self.inner.room())
     }
-    fn deliver(&mut self, now: Micros, owed: &Owed, out: &mut BytesMut) -> Delivery {
+    fn deliver(&mut self, now: Micros, owed: &OwedAnswer, out: &mut BytesMut) -> Delivery {
         self.room = self.room.or(Some(self.inner.room()));
         self.inner.deliver(now, owed, out)
     }
-    fn leave(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn leave(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<ClientRequest>) {
         self.inner.leave(now, out, asks);
     }
-    fn supplanted(&mut self, out: &mut BytesMut) {
-        self.inner.supplanted(out);
+    fn session_taken_over(&mut self, out: &mut BytesMut) {
+        self.inner.session_taken_over(out);
     }
     fn refuses(&self) -> bool {
         self.inner.refuses()
     }
-    fn rests(&self) -> Option<Micros> {
-        self.inner.rests()
+    fn idle_since(&self) -> Option<Micros> {
+        self.inner.idle_since()
     }
     fn listens(&self) -> bool {
         self.is(Fault::Greedy) || self.inner.listens()
     }
-    fn parting(&mut self) -> Parting {
-        self.inner.parting()
+    fn disconnect_state(&mut self) -> DisconnectState {
+        self.inner.disconnect_state()
     }
 }
 
--- a/crates/engine/benches/node.rs
+++ b/crates/engine/benches/node.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use heronroute_config::parse;
 use heronroute_engine::front::Speaks;
-use heronroute_engine::{Gone, Node, Output, Start};
+use heronroute_engine::{CloseReason, Node, Output, Start};
 use heronroute_rules::seam::Apply;
 use heronroute_rules::{Figures, Plan, Rule, RuleSet};
 use heronroute_smpp::client;
@@ -123,9 +123,9 @@
                     Output::Finish(conn) | Output::Drop(conn) => {
                         self.receivers.remove(&conn);
                         self.clients.remove(&conn);
-                        self.node.closed(self.now, conn, Gone::Ended);
+                        self.node.closed(self.now, conn, CloseReason::Ended);
                     }
-                    Output::Keep(_)
+                    Output::SaveList(_)
                     | Output::Journal(_)
                     | Output::Live(_)
                     | Output::Ask(_)
--- a/crates/engine/benches/release.rs
+++ b/crates/engine/benches/release.rs
@@ -179,7 +179,7 @@
             }
             node.settle(now);
         }
-        if held > 0 && w.served >= held && (now - first) % 1_000_000 == 0 && node.kept_for_clients() == 0 {
+        if held > 0 && w.served >= held && (now - first) % 1_000_000 == 0 && node.held_for_clients() == 0 {
             break;
         }
     }
--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -6,12 +6,12 @@
 //! retry delay.
 
 use crate::Micros;
-use crate::desk::RejectReason;
+use crate::admission::RejectReason;
 use crate::entry_codec::to_entry;
 use crate::front::Speaks;
 use crate::ids::ConnId;
-use crate::node::{Effect, Message, Node, Use};
-use crate::outbox::Reply;
+use crate::node::{ConnRole, Effect, Message, Node};
+use crate::outbox::ReplyAddress;
 use crate::standing::Still;
 use heronroute::{Action, DestId, Effect as Repeats, Event, MsgId};
 use heronroute_journal::entry::{Accepted, What};
@@ -71,18 +71,18 @@
             speaks: Speaks::Resp,
             class,
             submission,
-            to: Reply::default(),
+            reply_to: ReplyAddress::default(),
             taken: self.wall(),
             deadline: self.now + time_left,
             reply: Some((conn, token)),
             attempts: 0,
             out: None,
-            ran_at: None,
+            may_have_run_since: None,
             trail: None,
             answer_for: 0,
             still: Still::No,
         };
-        self.hold(id, message);
+        self.add_open_message(id, message);
         self.submitted.push((id, add.dest));
     }
 
@@ -90,7 +90,7 @@
     fn resolve_names(&self, add: &Add) -> Result<(usize, usize), RejectReason> {
         let class = self.class_names.get(&add.class).copied().ok_or(RejectReason::Class)?;
         let tenant = self.client_names.get(&add.tenant).copied().ok_or(RejectReason::NotEntered)?;
-        if !self.remotes.is_known_destination(DestId(add.dest)) {
+        if !self.endpoints.is_known_destination(DestId(add.dest)) {
             return Err(RejectReason::Address);
         }
         if self.by_identity.contains_key(&add.id) {
@@ -143,7 +143,7 @@
                     identity: s.identity.clone().unwrap_or_default(),
                     ..Accepted::default()
                 };
-                What::Accepted(to_entry(client, "", s, &m.to, rest))
+                What::Accepted(to_entry(client, "", s, &m.reply_to, rest))
             });
             tracing::debug!(
                 now,
@@ -204,11 +204,11 @@
             self.cancel_or_abandon(call, part);
         }
         self.events.push(Event::Left { id });
-        self.over(id);
+        self.remove_unowed(id);
     }
 
     /// Removes a message for which no answer is owed.
-    pub(crate) fn over(&mut self, id: MsgId) {
+    pub(crate) fn remove_unowed(&mut self, id: MsgId) {
         let Some(m) = self.messages.remove(&id) else { return };
         self.forget_identity(&m);
         self.remove_open_message(&m);
@@ -239,7 +239,7 @@
 
     /// Closes the client connection that has been idle longest, to make room for another one. Returns false
     /// if every connection waits for something.
-    pub fn make_way(&mut self) -> bool {
+    pub fn close_idlest_client(&mut self) -> bool {
         let Some((_, oldest)) = self.idle_clients().min() else { return false };
         self.end_session(oldest);
         true
@@ -247,8 +247,8 @@
 
     /// Returns the idle client connections, each with the time since when it is idle.
     pub(crate) fn idle_clients(&self) -> impl Iterator<Item = (Micros, ConnId)> + '_ {
-        self.conns.iter().filter_map(|(id, c)| match &c.what {
-            Use::Client { front, .. } => front.rests().map(|since| (since, *id)),
+        self.conns.iter().filter_map(|(id, c)| match &c.role {
+            ConnRole::Client { front, .. } => front.idle_since().map(|since| (since, *id)),
             _ => None,
         })
     }
--- a/crates/engine/src/admission/admit.rs
+++ b/crates/engine/src/admission/admit.rs
@@ -1,10 +1,10 @@
 //! Admission of messages: whether a message is accepted, on which terms, and its acceptance.
 
-use super::{From, Terms};
-use crate::front::{No, SubmissionContext};
+use super::{Origin, Terms};
+use crate::front::{RejectReason, SubmissionContext};
 use crate::ids::key_of;
 use crate::limits::Refusal;
-use crate::node::{Effect, Node, Use};
+use crate::node::{ConnRole, Effect, Node};
 use heronroute::Event;
 use heronroute_journal::entry::Accepted;
 use heronroute_smpp::submission::Submission;
@@ -17,22 +17,22 @@
     /// other checks have passed.
     pub(crate) fn check_submission(
         &mut self,
-        from: &From,
+        from: &Origin,
         submission: &Submission,
         may_be_lost: bool,
-    ) -> Result<Terms, No> {
+    ) -> Result<Terms, RejectReason> {
         let named = self.class_names.get(&submission.service).copied();
-        let class = named.or(submission.service.is_empty().then_some(0)).ok_or(No::Class)?;
-        let dest = self.routes.find(&submission.destination).ok_or(No::Address)?;
+        let class = named.or(submission.service.is_empty().then_some(0)).ok_or(RejectReason::Class)?;
+        let dest = self.routes.find(&submission.destination).ok_or(RejectReason::Address)?;
         let deadline = self.cfg.settings.classes[class].deadline;
         let keep = self.keep_for(from.client, class, submission);
         let deadline = keep.validity.map_or(deadline, |v| v.min(deadline));
         let time_left = submission.validity.map_or(deadline, |v| v.min(deadline));
         if time_left <= 0 {
-            return Err(No::Time);
+            return Err(RejectReason::Time);
         }
         if self.ledger.refuses(self.now, self.messages.len(), submission.body.len()) {
-            return Err(No::Room);
+            return Err(RejectReason::Room);
         }
         self.admit(from, class, may_be_lost)?;
         Ok(Terms { class, dest, time_left, keep })
@@ -41,9 +41,9 @@
     /// Accepts a message that passed [`Node::check_submission`].
     pub(crate) fn accept_message(
         &mut self,
-        from: From,
+        from: Origin,
         mut submission: Submission,
-        handing: &SubmissionContext,
+        context: &SubmissionContext,
         terms: Terms,
     ) {
         let Terms { class, dest, time_left, keep } = terms;
@@ -61,13 +61,13 @@
             time_left,
             again: submission.again,
         });
-        let named = self.remember_submission(&from, handing, id, keep);
+        let named = self.remember_submission(&from, context, id, keep);
         // Only a message with a client-given name can be submitted again.
         let answer_for = if named.is_some() { keep.answer_for } else { 0 };
         self.write_accepted(
             &from,
             &submission,
-            handing,
+            context,
             Accepted {
                 id: id.0,
                 class: self.cfg.class_names[class].clone(),
@@ -78,10 +78,10 @@
                 ..Accepted::default()
             },
         );
-        let mut message = self.new_message(&from, class, submission, handing, self.now + time_left);
+        let mut message = self.new_message(&from, class, submission, context, self.now + time_left);
         message.answer_for = answer_for;
         let answered_later = message.reply.is_some();
-        self.hold(id, message);
+        self.add_open_message(id, message);
         self.set_trail_origin(id);
         if let Some(conn) = from.conn.filter(|_| !answered_later) {
             self.once_durable(Effect::ReportAcceptance { conn, token: from.token, id });
@@ -89,16 +89,21 @@
     }
 
     /// Checks whether there is room for another message of this client, front and session.
-    pub(crate) fn admit(&mut self, from: &From, class: usize, may_be_lost: bool) -> Result<(), No> {
+    pub(crate) fn admit(
+        &mut self,
+        from: &Origin,
+        class: usize,
+        may_be_lost: bool,
+    ) -> Result<(), RejectReason> {
         let mut occupancy = self.occupancy(from.client, class);
         if may_be_lost {
             // Messages that their protocol allows to be lost are refused first.
             occupancy.worth *= LOSSY_WORTH_FACTOR;
         }
-        let conn = from.conn.and_then(|c| self.conns.get_mut(&c)).map(|c| &mut c.what);
+        let conn = from.conn.and_then(|c| self.conns.get_mut(&c)).map(|c| &mut c.role);
         let mut no_session = false;
         let (front, session) = match conn {
-            Some(Use::Client { speaks, open, shedding, .. }) => (Some(*speaks), Some((*open, shedding))),
+            Some(ConnRole::Client { speaks, open, shedding, .. }) => (Some(*speaks), Some((*open, shedding))),
             _ => (None, None),
         };
         if let Some(speaks) = front {
@@ -109,9 +114,9 @@
         occupancy.sessions = self.clients[from.client].admitted_conns;
         let result = self.limits.admit(self.now, from.client, occupancy, shedding);
         result.map_err(|refusal| match refusal {
-            Refusal::Rate => No::Rate,
-            Refusal::Share => No::Share,
-            Refusal::Room | Refusal::Leaving => No::Room,
+            Refusal::Rate => RejectReason::Rate,
+            Refusal::Share => RejectReason::Share,
+            Refusal::Room | Refusal::Leaving => RejectReason::Room,
         })
     }
 }
--- a/crates/engine/src/admission/delivery.rs
+++ b/crates/engine/src/admission/delivery.rs
@@ -2,30 +2,30 @@
 
 use crate::front::Delivery;
 use crate::ids::{ConnId, read_id};
-use crate::mailboxes::BoxId;
-use crate::node::{Key, Node, Use};
+use crate::mailboxes::MailboxId;
+use crate::node::{ConnRole, Node, TimerKey};
 
 impl Node {
     /// Handles the client's acknowledgement of an answer.
-    pub(crate) fn receipt_acknowledged(&mut self, mailbox: BoxId, id: &str) {
+    pub(crate) fn receipt_acknowledged(&mut self, mailbox: MailboxId, id: &str) {
         if let Some(id) = read_id(id) {
             self.taken(id);
         }
         if let Some(m) = self.mailboxes.get(mailbox) {
             self.clients[m.client].owed -= 1;
         }
-        self.mailboxes.tidy(mailbox);
+        self.mailboxes.remove_if_unused(mailbox);
     }
 
     /// Sends the answers owed to a mailbox, as far as its sessions have room.
-    pub(crate) fn pump(&mut self, mailbox: BoxId) {
+    pub(crate) fn deliver_owed(&mut self, mailbox: MailboxId) {
         let (mut full_sessions, now) = (0, self.now);
         let suspended_below = self.still_below();
         loop {
             let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
             let Some(conn) = m.outbox.next_session(now) else { break };
             let Some(c) = self.conns.get_mut(&conn) else { break };
-            let Use::Client { front, .. } = &mut c.what else { break };
+            let ConnRole::Client { front, .. } = &mut c.role else { break };
             if front.room() == 0 {
                 full_sessions += 1;
                 if full_sessions >= m.outbox.sessions() {
@@ -40,7 +40,7 @@
                 continue;
             }
             match front.deliver(now, &owed, &mut c.stream.out) {
-                Delivery::Out(token) => m.outbox.sent(conn, token, owed),
+                Delivery::Sent(token) => m.outbox.sent(conn, token, owed),
                 Delivery::NotSubscribed => m.outbox.set_aside(owed),
                 Delivery::Done => {
                     self.stats.receipts += 1;
@@ -50,7 +50,7 @@
             self.schedule_front(conn);
         }
         if let Some(at) = self.mailboxes.get(mailbox).and_then(|m| m.outbox.wake()) {
-            self.timers.set(Key::Outbox(mailbox), at.max(self.now + 1));
+            self.timers.set(TimerKey::Outbox(mailbox), at.max(self.now + 1));
         }
     }
 
@@ -59,7 +59,7 @@
         let admitted: Vec<ConnId> = self
             .conns
             .iter()
-            .filter(|(_, c)| matches!(&c.what, Use::Client { front, .. } if front.entered()))
+            .filter(|(_, c)| matches!(&c.role, ConnRole::Client { front, .. } if front.entered()))
             .map(|(id, _)| *id)
             .collect();
         for conn in admitted {
@@ -70,11 +70,11 @@
         let not_admitted: Vec<ConnId> = self
             .conns
             .iter()
-            .filter(|(_, c)| matches!(&c.what, Use::Client { owner: None, .. }))
+            .filter(|(_, c)| matches!(&c.role, ConnRole::Client { owner: None, .. }))
             .map(|(id, _)| *id)
             .collect();
         for conn in not_admitted {
-            self.client_gone(conn);
+            self.client_disconnected(conn);
             self.drop_conn(conn);
         }
     }
--- a/crates/engine/src/admission/fronts.rs
+++ b/crates/engine/src/admission/fronts.rs
@@ -1,10 +1,10 @@
 //! Client connections and the requests that their fronts raise.
 
 use crate::Micros;
-use crate::front::{Ask, Front, MqttFront, No, RespFront, SmppFront, Speaks};
+use crate::front::{ClientRequest, Front, MqttFront, RejectReason, RespFront, SmppFront, Speaks};
 use crate::ids::ConnId;
-use crate::mailboxes::BoxId;
-use crate::node::{Key, Node, Use};
+use crate::mailboxes::MailboxId;
+use crate::node::{ConnRole, Node, TimerKey};
 
 /// The pause after a client refused a receipt, before it is sent again.
 const RECEIPT_PAUSE: Micros = 1_000_000;
@@ -23,7 +23,7 @@
             return None;
         }
         if speaks == Speaks::Resp {
-            if self.sessions[speaks as usize] >= limit && !self.make_way() {
+            if self.sessions[speaks as usize] >= limit && !self.close_idlest_client() {
                 return None;
             }
         } else if self.leaving || self.sessions[speaks as usize] >= limit {
@@ -37,7 +37,7 @@
             _ => Box::new(SmppFront::new(self.now, self.session_limits)),
         };
         self.sessions[speaks as usize] += 1;
-        let conn = self.add_conn(Use::Client { front, speaks, owner: None, open: 0, shedding: false });
+        let conn = self.add_conn(ConnRole::Client { front, speaks, owner: None, open: 0, shedding: false });
         self.client_received(conn, bytes);
         Some(conn)
     }
@@ -45,7 +45,7 @@
     /// Returns how many closing connections of platform clients may linger, each holding one descriptor.
     /// Together with the open ones they take no more than the clients' session limit and a sixteenth. Without
     /// a platform there is no bound.
-    pub fn room_to_linger(&self) -> usize {
+    pub fn max_lingering_conns(&self) -> usize {
         let open = self.sessions[Speaks::Resp as usize];
         self.cfg.platform.map_or(usize::MAX, |p| (p.sessions + p.sessions / 16).saturating_sub(open))
     }
@@ -54,14 +54,14 @@
     pub(crate) fn with_front(
         &mut self,
         conn: ConnId,
-        operation: impl FnOnce(&mut dyn Front, &mut bytes::BytesMut, &mut Vec<Ask>),
+        operation: impl FnOnce(&mut dyn Front, &mut bytes::BytesMut, &mut Vec<ClientRequest>),
     ) {
         let Some((front, out)) = self.front(conn) else { return };
         let mut requests = Vec::new();
         operation(front, out, &mut requests);
         let mut admission_requested = false;
         for request in requests {
-            admission_requested |= matches!(request, Ask::Enter { .. });
+            admission_requested |= matches!(request, ClientRequest::Admit { .. });
             self.handle_request(conn, request);
         }
         self.schedule_front(conn);
@@ -75,7 +75,7 @@
     pub(crate) fn schedule_front(&mut self, conn: ConnId) {
         if let Some((front, _)) = self.front(conn) {
             let wake = front.wake();
-            self.timers.set(Key::Conn(conn), wake);
+            self.timers.set(TimerKey::Conn(conn), wake);
         }
         self.flush(conn);
     }
@@ -95,31 +95,33 @@
     /// Returns the front of a connection and its output buffer.
     pub(crate) fn front(&mut self, conn: ConnId) -> Option<(&mut dyn Front, &mut bytes::BytesMut)> {
         let c = self.conns.get_mut(&conn)?;
-        match &mut c.what {
-            Use::Client { front, .. } => Some((front.as_mut(), &mut c.stream.out)),
+        match &mut c.role {
+            ConnRole::Client { front, .. } => Some((front.as_mut(), &mut c.stream.out)),
             _ => None,
         }
     }
 
     /// Refuses a request.
-    pub(crate) fn refuse(&mut self, conn: ConnId, token: u32, reason: No) {
+    pub(crate) fn refuse(&mut self, conn: ConnId, token: u32, reason: RejectReason) {
         if let Some((front, out)) = self.front(conn) {
             front.refused(token, reason, out);
         }
     }
 
     /// Handles a request of a client.
-    fn handle_request(&mut self, conn: ConnId, request: Ask) {
+    fn handle_request(&mut self, conn: ConnId, request: ClientRequest) {
         match request {
-            Ask::Enter { name, password, token, session } => {
+            ClientRequest::Admit { name, password, token, session } => {
                 self.admit_client(conn, &name, &password, token, session)
             }
-            Ask::Submit { token, submission, handing } => self.submit(conn, token, *submission, *handing),
-            Ask::HandIn { token, add } => self.submit_from_platform(conn, token, *add),
-            Ask::Query { token, id, source } => self.query(conn, token, &id, &source),
-            Ask::Withdraw { token, id, source } => self.withdraw(conn, token, &id, &source),
-            Ask::Heard { token, taken } => {
-                let Some((_, mailbox)) = self.place_of(conn) else { return };
+            ClientRequest::Submit { token, submission, context } => {
+                self.submit(conn, token, *submission, *context)
+            }
+            ClientRequest::SubmitForTenant { token, add } => self.submit_from_platform(conn, token, *add),
+            ClientRequest::Query { token, id, source } => self.query(conn, token, &id, &source),
+            ClientRequest::Withdraw { token, id, source } => self.withdraw(conn, token, &id, &source),
+            ClientRequest::Heard { token, taken } => {
+                let Some((_, mailbox)) = self.owner_of(conn) else { return };
                 let now = self.now;
                 let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
                 let owed = m.outbox.acknowledge(now, conn, token, taken, RECEIPT_PAUSE);
@@ -127,12 +129,12 @@
                     self.stats.receipts += 1;
                     self.receipt_acknowledged(mailbox, &owed.receipt.id);
                 }
-                self.pump(mailbox);
+                self.deliver_owed(mailbox);
             }
-            Ask::Rules { token, words, body } => self.asked_of_fleet(conn, token, words, body),
-            Ask::Held { token, words } => self.handle_held_command(conn, token, &words),
-            Ask::SaveNotes { notes, reply } => self.notes_changed(conn, notes, reply),
-            Ask::Over(why) => {
+            ClientRequest::Rules { token, words, body } => self.asked_of_fleet(conn, token, words, body),
+            ClientRequest::Held { token, words } => self.handle_held_command(conn, token, &words),
+            ClientRequest::SaveNotes { notes, reply } => self.notes_changed(conn, notes, reply),
+            ClientRequest::Over(why) => {
                 if let Some(why) = why {
                     tracing::info!(conn, why, "a client's session ended with an error");
                 }
@@ -142,9 +144,9 @@
     }
 
     /// Returns the client that a connection belongs to, and the mailbox for its answers.
-    pub(crate) fn place_of(&self, conn: ConnId) -> Option<(usize, BoxId)> {
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { owner, .. }) => *owner,
+    pub(crate) fn owner_of(&self, conn: ConnId) -> Option<(usize, MailboxId)> {
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Client { owner, .. }) => *owner,
             _ => None,
         }
     }
--- a/crates/engine/src/admission/mod.rs
+++ b/crates/engine/src/admission/mod.rs
@@ -9,20 +9,20 @@
 mod submit;
 
 use crate::Micros;
-pub(crate) use crate::front::No as RejectReason;
+pub(crate) use crate::front::RejectReason;
 use crate::ids::ConnId;
 use crate::keeping::rules::Keep;
-use crate::mailboxes::BoxId;
+use crate::mailboxes::MailboxId;
 use heronroute::DestId;
 
 /// Where a message comes from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct From {
+pub(crate) struct Origin {
     /// The connection of the request; `None` for a message submitted on behalf of a disconnected client.
     pub conn: Option<ConnId>,
     pub token: u32,
     pub client: usize,
-    pub mailbox: BoxId,
+    pub mailbox: MailboxId,
 }
 
 /// The terms on which a message is accepted.
--- a/crates/engine/src/admission/open_messages.rs
+++ b/crates/engine/src/admission/open_messages.rs
@@ -1,11 +1,11 @@
 //! Open messages: their numbers, their journal entries, and their share of the room.
 
-use super::From;
+use super::Origin;
 use crate::Micros;
 use crate::entry_codec::to_entry;
 use crate::front::{Speaks, SubmissionContext};
 use crate::ids::ID_SENDER_BITS;
-use crate::node::{Message, Node, Use};
+use crate::node::{ConnRole, Message, Node};
 use crate::standing::Still;
 use heronroute::MsgId;
 use heronroute_held::Trail;
@@ -24,9 +24,9 @@
     /// submission.
     pub(crate) fn write_accepted(
         &mut self,
-        from: &From,
+        from: &Origin,
         submission: &Submission,
-        handing: &SubmissionContext,
+        context: &SubmissionContext,
         rest: Accepted,
     ) {
         let (taken, cfg) = (self.wall(), &self.cfg);
@@ -37,21 +37,21 @@
                 taken,
                 forward: submission.forward,
                 again: submission.again,
-                packet: handing.handle.map_or(0, |h| u32::from(h.packet)),
-                digest: handing.handle.map_or(0, |h| h.digest),
+                packet: context.handle.map_or(0, |h| u32::from(h.packet)),
+                digest: context.handle.map_or(0, |h| h.digest),
                 ..rest
             };
-            What::Accepted(to_entry(client, mailbox, submission, &handing.reply, rest))
+            What::Accepted(to_entry(client, mailbox, submission, &context.reply, rest))
         });
     }
 
     /// Builds an open message from a submission.
     pub(crate) fn new_message(
         &self,
-        from: &From,
+        from: &Origin,
         class: usize,
         submission: Submission,
-        handing: &SubmissionContext,
+        context: &SubmissionContext,
         deadline: Micros,
     ) -> Message {
         let reply = submission.forward.then_some(from.conn.map(|c| (c, from.token))).flatten();
@@ -63,13 +63,13 @@
             speaks,
             class,
             submission,
-            to: handing.reply.clone(),
+            reply_to: context.reply.clone(),
             taken: self.wall(),
             deadline,
             reply,
             attempts: 0,
             out: None,
-            ran_at: None,
+            may_have_run_since: None,
             answer_for: 0,
             still: Still::No,
             trail: self.records_trail(from.client).then(|| Box::new(Trail::new(self.wall(), 0))),
@@ -77,13 +77,13 @@
     }
 
     /// Adds an open message, and counts it against every shared limit.
-    pub(crate) fn hold(&mut self, id: MsgId, message: Message) {
+    pub(crate) fn add_open_message(&mut self, id: MsgId, message: Message) {
         self.clients[message.client].open += 1;
         self.open_by_front[message.speaks as usize] += 1;
         if let Some(m) = self.mailboxes.get_mut(message.mailbox) {
             m.open += 1;
         }
-        if let Some(Use::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.what) {
+        if let Some(ConnRole::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.role) {
             *open += 1;
         }
         self.messages.insert(id, message);
@@ -96,7 +96,7 @@
         if let Some(m) = self.mailboxes.get_mut(message.mailbox) {
             m.open -= 1;
         }
-        if let Some(Use::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.what) {
+        if let Some(ConnRole::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.role) {
             *open -= 1;
         }
     }
--- a/crates/engine/src/admission/replies.rs
+++ b/crates/engine/src/admission/replies.rs
@@ -33,7 +33,7 @@
 
     /// Reports the state of a message to its client.
     pub(crate) fn query(&mut self, conn: ConnId, token: u32, id_text: &str, source: &str) {
-        let Some((client, _)) = self.place_of(conn) else {
+        let Some((client, _)) = self.owner_of(conn) else {
             return self.refuse(conn, token, RejectReason::NotEntered);
         };
         let id = read_id(id_text);
@@ -58,7 +58,7 @@
 
     /// Withdraws a message that certainly has not run and is not on its way.
     pub(crate) fn withdraw(&mut self, conn: ConnId, token: u32, id_text: &str, source: &str) {
-        let Some((client, _)) = self.place_of(conn) else {
+        let Some((client, _)) = self.owner_of(conn) else {
             return self.refuse(conn, token, RejectReason::NotEntered);
         };
         let id = read_id(id_text);
@@ -74,7 +74,8 @@
         if let Some((call, part)) = m.out {
             self.cancel_unsent(call, part);
         }
-        let too_late = self.messages.get(&id).is_some_and(|m| m.out.is_some() || m.ran_at.is_some());
+        let too_late =
+            self.messages.get(&id).is_some_and(|m| m.out.is_some() || m.may_have_run_since.is_some());
         if too_late {
             return self.refuse(conn, token, RejectReason::TooLate);
         }
--- a/crates/engine/src/applying/again.rs
+++ b/crates/engine/src/applying/again.rs
@@ -1,12 +1,12 @@
 //! Final answers that are kept, and told again when the same named message is submitted once more.
 
 use crate::Micros;
-use crate::desk::From;
+use crate::admission::Origin;
 use crate::ids::show_id;
 use crate::keeping::answers::Kept;
-use crate::mailboxes::BoxId;
+use crate::mailboxes::MailboxId;
 use crate::node::{Message, Node};
-use crate::outbox::Reply;
+use crate::outbox::ReplyAddress;
 use heronroute::MsgId;
 use heronroute_journal::Book;
 use heronroute_journal::entry::{self, Final, What};
@@ -63,7 +63,7 @@
     }
 
     /// Whether a kept answer is owed to a message that came before.
-    pub(crate) fn owes_again(&mut self, from: &From, id: MsgId) -> bool {
+    pub(crate) fn owes_again(&mut self, from: &Origin, id: MsgId) -> bool {
         let now = self.wall();
         // It goes on: its answer comes.
         if self.messages.contains_key(&id) {
@@ -77,7 +77,7 @@
     }
 
     /// A kept answer is told again, where this hand-in says.
-    pub(crate) fn tell_again(&mut self, mailbox: BoxId, id: MsgId, to: Reply) {
+    pub(crate) fn tell_again(&mut self, mailbox: MailboxId, id: MsgId, to: ReplyAddress) {
         let now = self.wall();
         let held = self.held.as_ref().and_then(|s| s.get(id.0)).is_some_and(|f| f.message.is_some());
         if self.messages.contains_key(&id) || self.mailboxes.get(mailbox).is_none() {
@@ -99,11 +99,11 @@
         };
         if held {
             // Guards against a hand-in of the held message that this answer's being taken would close.
-            self.unheard.insert(id.0);
+            self.unacknowledged.insert(id.0);
         }
         self.stats.told_again += 1;
         self.owe(mailbox, receipt, to);
-        self.pump(mailbox);
+        self.deliver_owed(mailbox);
     }
 
     /// After a restart: answers that were kept still are. Those that were not taken yet are owed by the book's messages.
--- a/crates/engine/src/applying/apply.rs
+++ b/crates/engine/src/applying/apply.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 use crate::keeping::change::destroys;
 use crate::keeping::rules::{self, Rules};
-use crate::node::{Effect, Key, Node};
+use crate::node::{Effect, Node, TimerKey};
 use heronroute_held::{PartRoom, Room, Store};
 use heronroute_journal::Book;
 use heronroute_journal::entry::{Applied, What};
@@ -162,7 +162,7 @@
         }
         now_has.iter().for_each(|(part, _)| self.trim_names(client, *part));
         self.trim_held(client);
-        self.timers.set(Key::Keeping, self.now + LOOK);
+        self.timers.set(TimerKey::Keeping, self.now + LOOK);
     }
 
     /// A rule keeps messages, where the settings keep none: there is a store from now on, with no room but the rules'.
@@ -172,9 +172,9 @@
         }
         let none = Room { age: 0, count: 0, octets: 0 };
         self.held = Some(Store::new(none, none));
-        for endpoint in self.remotes.ids() {
-            let name = self.remotes[endpoint].name.clone();
-            self.remotes[endpoint].number = self.trail_number(&name);
+        for endpoint in self.endpoints.ids() {
+            let name = self.endpoints[endpoint].name.clone();
+            self.endpoints[endpoint].number = self.trail_number(&name);
         }
     }
 
@@ -192,7 +192,7 @@
         let clients: BTreeSet<usize> = k.rules.keys().chain(k.fences.keys()).copied().collect();
         clients.into_iter().for_each(|c| self.trim_held(c));
         self.clear_fences();
-        self.timers.set(Key::Keeping, self.now + LOOK);
+        self.timers.set(TimerKey::Keeping, self.now + LOOK);
     }
 
     /// After a restart: rules are in force before anything that they concern is taken up. What can't be read is as if it
--- a/crates/engine/src/applying/asks.rs
+++ b/crates/engine/src/applying/asks.rs
@@ -1,7 +1,7 @@
 //! Clients' questions about their rules and about the fleet: passed on to the process, and its answers back.
 
 use crate::Micros;
-use crate::front::No;
+use crate::front::RejectReason;
 use crate::ids::ConnId;
 use crate::node::{Node, Output};
 use heronroute_rules::seam::{Ask, Token, Told};
@@ -11,9 +11,9 @@
 
 impl Node {
     pub(crate) fn asked_of_fleet(&mut self, conn: ConnId, token: u32, words: Vec<String>, body: Vec<u8>) {
-        let Some((client, _)) = self.place_of(conn) else {
+        let Some((client, _)) = self.owner_of(conn) else {
             if let Some((front, out)) = self.front(conn) {
-                front.refused(token, No::NotEntered, out);
+                front.refused(token, RejectReason::NotEntered, out);
             }
             return;
         };
--- a/crates/engine/src/applying/fence.rs
+++ b/crates/engine/src/applying/fence.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::keeping::rules;
-use crate::node::{Key, Node};
+use crate::node::{Node, TimerKey};
 use heronroute_held::PartRoom;
 use heronroute_rules::seam::Fence;
 
@@ -39,7 +39,7 @@
         }
         has.iter().for_each(|(part, _)| self.trim_names(client, *part));
         self.trim_held(client);
-        self.timers.set(Key::Keeping, self.now + LOOK);
+        self.timers.set(TimerKey::Keeping, self.now + LOOK);
     }
 
     /// What is left of fences that were lifted goes once nothing counts there.
--- a/crates/engine/src/carry/cancel.rs
+++ b/crates/engine/src/carry/cancel.rs
@@ -2,7 +2,7 @@
 
 use super::plain;
 use crate::calls::{End as CallEnd, outcome_of};
-use crate::node::{Node, Use};
+use crate::node::{ConnRole, Node};
 use heronroute::{EndpointId, MsgId};
 
 impl Node {
@@ -10,7 +10,7 @@
     /// endpoint drains, is gone or announced a wait. Guards against a call whose connection comes up only after the
     /// grace, or within the wait.
     pub(crate) fn cancel_unsent_calls(&mut self, endpoint: EndpointId) {
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         // A call whose intents are not durable yet is cancelled once it may leave.
         remote.cancelled_up_to = self.calls.last();
         let mut calls = remote.pool.waiting();
@@ -21,9 +21,9 @@
     /// Cancels the unsent calls to all endpoints that share the destination's limit, as one of them announced a wait.
     /// Their messages go back to the library, which knows of the wait from its next round on.
     pub(crate) fn cancel_for_wait(&mut self, endpoint: EndpointId) {
-        let remote = &self.remotes[endpoint];
+        let remote = &self.endpoints[endpoint];
         let apart = self.cfg.settings.kinds.get(remote.kind).is_some_and(|k| k.apart);
-        let shares = if apart { vec![endpoint] } else { self.remotes.of(remote.dest) };
+        let shares = if apart { vec![endpoint] } else { self.endpoints.of(remote.dest) };
         shares.into_iter().for_each(|e| self.cancel_unsent_calls(e));
     }
 
@@ -39,7 +39,7 @@
 
     /// Cancels the messages of waiting calls whose time to leave is over.
     pub(crate) fn cancel_expired(&mut self, endpoint: EndpointId) {
-        for call in self.remotes[endpoint].pool.waiting() {
+        for call in self.endpoints[endpoint].pool.waiting() {
             for part in self.calls.late(call, self.now) {
                 self.cancel_unsent(call, part);
             }
@@ -74,7 +74,7 @@
             if (shared && !whole) || !entry.stream.withdraw(range.0, range.1) {
                 return false;
             }
-            if let Use::Receiver { link, .. } = &mut entry.what {
+            if let ConnRole::Receiver { link, .. } = &mut entry.role {
                 link.forget(call, part, true);
             }
             self.calls.shift(conn, range.0, range.1 - range.0);
--- a/crates/engine/src/carry/doubt.rs
+++ b/crates/engine/src/carry/doubt.rs
@@ -10,7 +10,7 @@
 use crate::doubts::Doubt;
 use crate::ids::ConnId;
 use crate::link::{CONFIRMATION, Reply};
-use crate::node::{Gone, Key, Node, Use};
+use crate::node::{CloseReason, ConnRole, Node, TimerKey};
 use heronroute::{DestId, Effect, EndpointId, Event, MsgId, Outcome};
 
 /// A doubtful delivery that is not believed this long after its message's time is reported as one that may have run. Less
@@ -29,7 +29,7 @@
         if reply.outcome == Outcome::Done {
             let latest = deadline.max(self.now) + AFTER_DEADLINE;
             let due = latest.min(self.now + CONFIRMATION);
-            let dest = self.remotes[endpoint].dest;
+            let dest = self.endpoints[endpoint].dest;
             self.doubt(conn, due, Doubt::Delivered { message, dest, endpoint, began, latest });
         } else if reply.outcome.never_ran() && !reply.over && effect != Effect::Free {
             // The wait binds from the answer on.
@@ -45,7 +45,7 @@
     fn doubt(&mut self, conn: ConnId, due: Micros, doubt: Doubt) {
         self.doubts.add(conn, due, doubt);
         let next = self.doubts.next(conn).unwrap_or(due);
-        self.timers.set(Key::Confirm(conn), next);
+        self.timers.set(TimerKey::Confirm(conn), next);
     }
 
     /// Whether a message's delivery waits to be believed.
@@ -55,9 +55,9 @@
 
     /// No call goes on a connection until its doubtful answers are believed.
     pub(crate) fn rest_unsettled(&mut self, endpoint: EndpointId, conn: ConnId) {
-        self.remotes[endpoint].pool.rest(conn);
+        self.endpoints[endpoint].pool.rest(conn);
         self.doubts.prolong(conn, self.now + CONFIRMATION);
-        self.timers.set(Key::Confirm(conn), self.now + CONFIRMATION);
+        self.timers.set(TimerKey::Confirm(conn), self.now + CONFIRMATION);
     }
 
     /// Nothing has followed doubtful answers on a connection in time: they are believed.
@@ -71,16 +71,16 @@
                 Doubt::Delivered { message, .. } => self.answer(message, End::Delivered),
             }
         }
-        let receiver = self.conns.get(&conn).and_then(|c| match &c.what {
-            Use::Receiver { endpoint, link } => Some((*endpoint, link.unsettled_until())),
+        let receiver = self.conns.get(&conn).and_then(|c| match &c.role {
+            ConnRole::Receiver { endpoint, link } => Some((*endpoint, link.unsettled_until())),
             _ => None,
         });
         let unsettled = receiver.and_then(|(_, until)| until).filter(|until| *until > self.now);
         if let Some(next) = [self.doubts.next(conn), unsettled].into_iter().flatten().min() {
-            self.timers.set(Key::Confirm(conn), next);
+            self.timers.set(TimerKey::Confirm(conn), next);
         }
         let Some((endpoint, _)) = receiver.filter(|_| unsettled.is_none()) else { return };
-        let pool = &mut self.remotes[endpoint].pool;
+        let pool = &mut self.endpoints[endpoint].pool;
         pool.rested(conn);
         if pool.is_spent(conn) {
             self.close_link(conn);
@@ -90,7 +90,7 @@
 
     /// What followed on a connection shows that the doubtful answers there may have been other calls'.
     pub(crate) fn contradicted(&mut self, conn: ConnId) {
-        self.timers.clear(Key::Confirm(conn));
+        self.timers.clear(TimerKey::Confirm(conn));
         for doubt in self.doubts.take_due(conn, Micros::MAX) {
             self.stats.contradicted += 1;
             match doubt {
@@ -111,14 +111,14 @@
     /// message that was delivered does no harm.
     fn report_unproven(&mut self, message: MsgId, began: Micros) {
         if let Some(m) = self.messages.get_mut(&message) {
-            m.ran_at = Some(m.ran_at.map_or(began, |at| at.min(began)));
+            m.may_have_run_since = Some(m.may_have_run_since.map_or(began, |at| at.min(began)));
         }
         self.answer(message, End::Failed);
     }
 
     /// The sender itself has closed a connection that carries no call: nothing can contradict its doubtful deliveries any more.
     pub(crate) fn report_unproven_of(&mut self, conn: ConnId) {
-        self.timers.clear(Key::Confirm(conn));
+        self.timers.clear(TimerKey::Confirm(conn));
         for doubt in self.doubts.take_due(conn, Micros::MAX) {
             if let Doubt::Delivered { message, began, .. } = doubt {
                 self.report_unproven(message, began);
@@ -128,7 +128,7 @@
 
     /// The endpoint's side ended a connection. Guards against a copy that stands for a call which the end leaves without an
     /// answer of its own.
-    pub(crate) fn link_closed(&mut self, conn: ConnId, gone: Gone) {
+    pub(crate) fn link_closed(&mut self, conn: ConnId, gone: CloseReason) {
         self.link_gone(conn, gone);
         self.contradicted(conn);
     }
@@ -141,7 +141,7 @@
     /// A message counted as delivered may have been turned away, or may have run: it goes on as after a restart.
     fn deliver_again(&mut self, id: MsgId, dest: DestId, endpoint: EndpointId, began: Micros) {
         let Some(m) = self.messages.get_mut(&id) else { return };
-        m.ran_at = Some(m.ran_at.map_or(began, |at| at.min(began)));
+        m.may_have_run_since = Some(m.may_have_run_since.map_or(began, |at| at.min(began)));
         let class = &self.cfg.settings.classes[m.class];
         let time_left = m.deadline - self.now;
         if class.effect == Effect::SingleShot || time_left <= 0 {
@@ -164,11 +164,11 @@
     /// Closes a connection that takes no more calls and carries none, once what may still follow on it can contradict
     /// nothing.
     pub(crate) fn close_once_settled(&mut self, conn: ConnId) {
-        let Some(Use::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
+        let Some(ConnRole::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.role) else { return };
         let Some(until) = link.unsettled_until().filter(|until| *until > self.now) else {
             return self.close_link(conn);
         };
         let next = self.doubts.next(conn).map_or(until, |next| next.min(until));
-        self.timers.set(Key::Confirm(conn), next);
+        self.timers.set(TimerKey::Confirm(conn), next);
     }
 }
--- a/crates/engine/src/carry/known.rs
+++ b/crates/engine/src/carry/known.rs
@@ -15,7 +15,7 @@
             return;
         }
         let until = self.wall() + reply.wait;
-        let place = &self.remotes[endpoint].place;
+        let place = &self.endpoints[endpoint].place;
         self.note_place(endpoint, entry::Place { wait_until: place.wait_until.max(until), ..place.clone() });
     }
 
@@ -23,15 +23,15 @@
     /// senders that restart at once, each of which knew a destination to be down, cold or refusing, and none of which
     /// does any more: first calls and repeats of all of them would push it over.
     pub(crate) fn note_known(&mut self, ended: impl Iterator<Item = EndpointId>) {
-        let dests: BTreeSet<DestId> = ended.filter_map(|e| self.remotes.get(e)).map(|r| r.dest).collect();
+        let dests: BTreeSet<DestId> = ended.filter_map(|e| self.endpoints.get(e)).map(|r| r.dest).collect();
         let shift = self.wall;
         let day = |at: Option<Micros>| at.map_or(0, |at| (at + shift).max(1));
         for dest in dests {
-            for endpoint in self.remotes.of(dest) {
+            for endpoint in self.endpoints.of(dest) {
                 let known = self.dispatcher.known(endpoint);
                 let (bad_since, back_since) = (day(known.bad_since), day(known.back_since));
                 let budget = known.budget.map_or(0, |b| (b * 1e3).clamp(1.0, 1e9) as u32);
-                let place = &self.remotes[endpoint].place;
+                let place = &self.endpoints[endpoint].place;
                 if (place.bad_since, place.back_since, place.budget) == (bad_since, back_since, budget) {
                     continue;
                 }
@@ -42,7 +42,7 @@
     }
 
     fn note_place(&mut self, endpoint: EndpointId, place: entry::Place) {
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         if place != remote.place {
             remote.place = place.clone();
             self.ledger.write(|| What::Place(place));
--- a/crates/engine/src/carry/links.rs
+++ b/crates/engine/src/carry/links.rs
@@ -5,13 +5,13 @@
 use crate::calls::{End as CallEnd, outcome_of};
 use crate::ids::ConnId;
 use crate::link::{Link, LinkEvent};
-use crate::node::{Conn, Gone, Key, LinkEvents, Node, Use};
+use crate::node::{CloseReason, Conn, ConnRole, LinkEvents, Node, TimerKey};
 use crate::stream::Stream;
 use heronroute::{EndpointId, Event, Outcome};
 
 impl Node {
     pub(crate) fn close_idle(&mut self, endpoint: EndpointId) {
-        let Some(remote) = self.remotes.get(endpoint) else { return };
+        let Some(remote) = self.endpoints.get(endpoint) else { return };
         let probe = remote.probe;
         for conn in remote.pool.idle().into_iter().filter(|c| Some(*c) != probe) {
             self.close_link(conn);
@@ -20,8 +20,10 @@
     }
 
     pub(crate) fn link_idle(&mut self, conn: ConnId) {
-        let Some(Use::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
-        let pool = &self.remotes[*endpoint].pool;
+        let Some(ConnRole::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.role) else {
+            return;
+        };
+        let pool = &self.endpoints[*endpoint].pool;
         if pool.calls(conn) == 0 {
             self.close_link(conn);
         }
@@ -31,10 +33,10 @@
     pub(crate) fn close_link(&mut self, conn: ConnId) {
         let now = self.now;
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        if let Use::Receiver { link, .. } = &mut entry.what {
+        if let ConnRole::Receiver { link, .. } = &mut entry.role {
             link.close(now, &mut entry.stream);
         }
-        self.link_gone(conn, Gone::Ended);
+        self.link_gone(conn, CloseReason::Ended);
         self.finish(conn);
     }
 
@@ -42,7 +44,7 @@
     fn with_link(&mut self, conn: ConnId, work: impl FnOnce(&mut dyn Link, &mut Stream, &mut LinkEvents)) {
         let mut events = LinkEvents::new();
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        let Use::Receiver { link, .. } = &mut entry.what else { return };
+        let ConnRole::Receiver { link, .. } = &mut entry.role else { return };
         work(link.as_mut(), &mut entry.stream, &mut events);
         self.link_events(conn, events);
     }
@@ -63,21 +65,23 @@
     }
 
     pub(crate) fn link_wake(&mut self, conn: ConnId) {
-        if let Some(Use::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.what) {
+        if let Some(ConnRole::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.role) {
             let wake = link.wake();
-            self.timers.set(Key::Conn(conn), wake);
+            self.timers.set(TimerKey::Conn(conn), wake);
         }
     }
 
     fn link_events(&mut self, conn: ConnId, events: LinkEvents) {
-        let Some(Use::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
+        let Some(ConnRole::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.role) else {
+            return;
+        };
         let endpoint = *endpoint;
         for event in events {
             match event {
                 LinkEvent::Ready => {
-                    self.timers.clear(Key::Connect(conn));
+                    self.timers.clear(TimerKey::Connect(conn));
                     self.rests(conn);
-                    let pool = &mut self.remotes[endpoint].pool;
+                    let pool = &mut self.endpoints[endpoint].pool;
                     pool.ready(conn);
                     if pool.probe_waits {
                         self.write_probe(endpoint, conn);
@@ -91,11 +95,11 @@
                 LinkEvent::Contradicted => self.contradicted(conn),
                 LinkEvent::Waits(wait) => self.wait_announced(endpoint, wait),
                 LinkEvent::Rests => self.rest_unsettled(endpoint, conn),
-                LinkEvent::Spent => self.remotes[endpoint].pool.suspect(conn),
+                LinkEvent::Spent => self.endpoints[endpoint].pool.suspect(conn),
                 LinkEvent::Probed(reply) => self.probed(endpoint, reply),
                 LinkEvent::Over(why) => {
                     tracing::debug!(conn, why, "a connection to a receiver is over");
-                    self.link_gone(conn, Gone::Ended);
+                    self.link_gone(conn, CloseReason::Ended);
                     self.finish(conn);
                     return;
                 }
@@ -113,18 +117,18 @@
 
     /// The connection did not stand in time.
     pub(crate) fn link_gone_and_dropped(&mut self, conn: ConnId) {
-        self.link_gone(conn, Gone::Broken);
+        self.link_gone(conn, CloseReason::Broken);
         self.drop_conn(conn);
     }
 
     /// A connection to a receiver is of no more use: what was on it comes to its end, each message by what had
     /// left of it.
-    pub(crate) fn link_gone(&mut self, conn: ConnId, gone: Gone) {
+    pub(crate) fn link_gone(&mut self, conn: ConnId, gone: CloseReason) {
         tracing::debug!(now = self.now, conn, ?gone, "a connection is gone");
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        let Use::Receiver { endpoint, link, .. } = &mut entry.what else { return };
+        let ConnRole::Receiver { endpoint, link, .. } = &mut entry.role else { return };
         let endpoint = *endpoint;
-        if gone == Gone::Ended {
+        if gone == CloseReason::Ended {
             // What came before the end may still answer something.
             let mut events = LinkEvents::new();
             link.ended(self.now, &mut events);
@@ -144,9 +148,9 @@
                 }
             }
         }
-        let window = self.cfg.kinds[self.remotes[endpoint].kind].window;
+        let window = self.cfg.kinds[self.endpoints[endpoint].kind].window;
         // It is out of the pool first: what its end sets free goes elsewhere.
-        let waiting = self.remotes[endpoint].pool.gone(conn, window);
+        let waiting = self.endpoints[endpoint].pool.gone(conn, window);
         let calls = self.calls.of(conn);
         let mut begun = Vec::new();
         for call in calls.iter().rev() {
@@ -163,7 +167,7 @@
                 entry.stream.withdraw(range.0, range.1);
             }
         }
-        if let Some(Conn { stream, what: Use::Receiver { link, .. }, .. }) = self.conns.get_mut(&conn) {
+        if let Some(Conn { stream, role: ConnRole::Receiver { link, .. }, .. }) = self.conns.get_mut(&conn) {
             link.discard_unsent(stream);
         }
         for (call, part, begun) in begun.into_iter().rev() {
@@ -175,7 +179,7 @@
                 self.outcome(call, part, plain(Outcome::ConnectFailed));
             }
         }
-        let remote = &self.remotes[endpoint];
+        let remote = &self.endpoints[endpoint];
         if remote.probe == Some(conn) || (remote.pool.probe_waits && remote.pool.all().is_empty()) {
             let outcome = if remote.probe.is_some() { Outcome::Reset } else { Outcome::ConnectFailed };
             self.probed(endpoint, plain(outcome));
--- a/crates/engine/src/carry/outcome.rs
+++ b/crates/engine/src/carry/outcome.rs
@@ -5,7 +5,7 @@
 use crate::calls::{End as CallEnd, outcome_of};
 use crate::ids::ConnId;
 use crate::link::Reply;
-use crate::node::{Key, Node, Use};
+use crate::node::{ConnRole, Node, TimerKey};
 use heronroute::{Event, Outcome};
 use heronroute_held::{Known, What as Trailed};
 use heronroute_journal::entry::{self, What};
@@ -17,7 +17,7 @@
         let Some(c) = self.calls.get(call) else { return };
         let (endpoint, began, conn) = (c.endpoint, c.began, c.conn);
         let Some((p, over)) = self.calls.close(call, part) else { return };
-        self.timers.clear(Key::Part(call, part));
+        self.timers.clear(TimerKey::Part(call, part));
         let at = match reply.outcome {
             Outcome::Done => 0,
             Outcome::Error => 1,
@@ -36,12 +36,12 @@
             Outcome::Busy | Outcome::Crowded | Outcome::Error => Known::Refused,
             _ => Known::NeverWritten,
         };
-        self.step(p.msg, Trailed::Ended(known));
+        self.add_trail_step(p.msg, Trailed::Ended(known));
         let mut last = true;
         if let Some(m) = self.messages.get_mut(&p.msg) {
             m.out = None;
             if !reply.outcome.never_ran() && reply.outcome != Outcome::Done {
-                m.ran_at = Some(m.ran_at.map_or(began, |at| at.min(began)));
+                m.may_have_run_since = Some(m.may_have_run_since.map_or(began, |at| at.min(began)));
             }
             last = reply.over;
             if !last {
@@ -55,7 +55,7 @@
         }
         // What the library believed before it hears of this, to be held against what passed.
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let remote = &self.remotes[endpoint];
+            let remote = &self.endpoints[endpoint];
             let sent = conn.and_then(|c| self.conns.get(&c)).map_or(0, |c| c.stream.sent);
             tracing::debug!(
                 now = self.now,
@@ -96,14 +96,14 @@
         }
         match conn {
             Some(conn) => {
-                if self.remotes[endpoint].pool.finished(conn) {
+                if self.endpoints[endpoint].pool.finished(conn) {
                     self.close_once_settled(conn);
-                } else if self.remotes[endpoint].pool.calls(conn) == 0 {
+                } else if self.endpoints[endpoint].pool.calls(conn) == 0 {
                     self.rests(conn);
                 }
                 self.place(endpoint);
             }
-            None => _ = self.remotes[endpoint].pool.remove_waiting(call),
+            None => _ = self.endpoints[endpoint].pool.remove_waiting(call),
         }
     }
 
@@ -112,14 +112,14 @@
     pub(crate) fn rests(&mut self, conn: ConnId) {
         let idle = self.cfg.settings.idle_close;
         let idle = if self.cfg.platform.is_some() { idle * 4 / 5 } else { idle };
-        self.timers.set(Key::Idle(conn), self.now + idle);
+        self.timers.set(TimerKey::Idle(conn), self.now + idle);
     }
 
     /// A message's time to leave is over, or its time to be answered.
     pub(crate) fn part_timed_out(&mut self, call: u64, part: usize) {
         let Some(p) = self.calls.get(call).and_then(|c| c.parts.get(part)).copied() else { return };
         if self.now < p.until {
-            self.timers.set(Key::Part(call, part), p.until);
+            self.timers.set(TimerKey::Part(call, part), p.until);
             self.withdraw_unsent(call, part, CallEnd::Cancelled, true);
             return;
         }
@@ -135,13 +135,13 @@
             return self.abandon_shared(call, part, end);
         }
         if let Some(conn) = conn {
-            self.remotes[endpoint].pool.suspect(conn);
+            self.endpoints[endpoint].pool.suspect(conn);
         }
         if !self.begun(call, part) && self.withdraw_unsent(call, part, end, false) {
             return;
         }
-        if let Some(Use::Receiver { link, .. }) =
-            conn.and_then(|conn| self.conns.get_mut(&conn)).map(|entry| &mut entry.what)
+        if let Some(ConnRole::Receiver { link, .. }) =
+            conn.and_then(|conn| self.conns.get_mut(&conn)).map(|entry| &mut entry.role)
         {
             link.forget(call, part, false);
         }
@@ -160,7 +160,7 @@
         let (conn, endpoint, parts) = (c.conn, c.endpoint, c.parts.clone());
         let begun = self.begun(call, part);
         if let Some(conn) = conn {
-            self.remotes[endpoint].pool.suspect(conn);
+            self.endpoints[endpoint].pool.suspect(conn);
             if let (false, Some(entry)) = (begun, self.conns.get_mut(&conn)) {
                 let (from, to) = parts[part].range;
                 entry.stream.withdraw(from, to);
--- a/crates/engine/src/carry/send.rs
+++ b/crates/engine/src/carry/send.rs
@@ -5,7 +5,7 @@
 use crate::front::Speaks;
 use crate::ids::{ConnId, show_id};
 use crate::link::{self, Cargo};
-use crate::node::{Effect as Durably, Key, Node, Output, Use};
+use crate::node::{ConnRole, Effect as Durably, Node, Output, TimerKey};
 use heronroute::{Action, Effect, EndpointId, MsgId};
 use heronroute_held::What as Trailed;
 use heronroute_journal::entry::{self, What};
@@ -20,7 +20,7 @@
         for action in actions {
             match action {
                 Action::Send { id, endpoint, timeout } => {
-                    let Some(remote) = self.remotes.get(*endpoint) else { continue };
+                    let Some(remote) = self.endpoints.get(*endpoint) else { continue };
                     let Some(m) = self.messages.get(id) else { continue };
                     let kind = &self.cfg.kinds[remote.kind];
                     let size = link::size(kind, &m.submission);
@@ -41,19 +41,19 @@
                     // Guards against a repeat that was decided in time and waits for its connection until the
                     // receiver has forgotten the key.
                     let class = &self.cfg.settings.classes[m.class];
-                    let leave_by = match m.ran_at.filter(|_| class.effect == Effect::Guarded) {
-                        Some(ran_at) => ran_at + class.window,
+                    let leave_by = match m.may_have_run_since.filter(|_| class.effect == Effect::Guarded) {
+                        Some(may_have_run_since) => may_have_run_since + class.window,
                         None => Micros::MAX,
                     };
                     let part = self.calls.add(call, *id, m.attempts, until, leave_by);
                     m.attempts += 1;
                     m.out = Some((call, part));
-                    self.timers.set(Key::Part(call, part), until.min(leave_by));
+                    self.timers.set(TimerKey::Part(call, part), until.min(leave_by));
                 }
                 Action::Cancel { id, attempt } => self.cancel_attempt(*id, *attempt),
                 Action::Refuse { id, retry_after } => self.answer(*id, End::Refused(*retry_after)),
                 Action::Fail { id } => self.answer(*id, End::Failed),
-                Action::Timer { at, .. } => self.timers.set(Key::Module, *at),
+                Action::Timer { at, .. } => self.timers.set(TimerKey::Dispatcher, *at),
                 Action::Subscribe => self.subscribe(),
                 Action::Probe { endpoint } => self.probe(*endpoint),
                 Action::Close { endpoint } => self.close_idle(*endpoint),
@@ -64,15 +64,15 @@
         // No octet of a call leaves before its intents are durable.
         for (call, endpoint) in made {
             let Some(c) = self.calls.get(call) else { continue };
-            let (name, at) = (&self.remotes[endpoint].name, self.wall());
+            let (name, at) = (&self.endpoints[endpoint].name, self.wall());
             for p in c.parts.iter().filter(|p| p.open) {
                 let intent = || entry::Intent { id: p.msg.0, endpoint: name.clone(), at };
                 self.ledger.write(|| What::Intent(intent()));
             }
             if self.held.is_some() {
-                let number = self.remotes[endpoint].number;
+                let number = self.endpoints[endpoint].number;
                 let parts: Vec<MsgId> = c.parts.iter().filter(|p| p.open).map(|p| p.msg).collect();
-                parts.into_iter().for_each(|id| self.step(id, Trailed::Began(number)));
+                parts.into_iter().for_each(|id| self.add_trail_step(id, Trailed::Began(number)));
             }
             self.stats.calls += 1;
             self.once_durable(Durably::Place { call, endpoint });
@@ -84,7 +84,7 @@
         if self.calls.get(call).is_none() {
             return;
         }
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         if call <= remote.cancelled_up_to {
             return self.cancel_unsent_call(call);
         }
@@ -94,20 +94,20 @@
 
     /// Puts waiting calls on connections, and opens what is lacking.
     pub(crate) fn place(&mut self, endpoint: EndpointId) {
-        let window = self.cfg.kinds[self.remotes[endpoint].kind].window;
+        let window = self.cfg.kinds[self.endpoints[endpoint].kind].window;
         self.cancel_expired(endpoint);
-        while let Some((call, conn)) = self.remotes[endpoint].pool.place(window) {
+        while let Some((call, conn)) = self.endpoints[endpoint].pool.place(window) {
             self.write_call(call, conn);
         }
-        for _ in 0..self.remotes[endpoint].pool.wanted(window) {
-            let remote = &mut self.remotes[endpoint];
+        for _ in 0..self.endpoints[endpoint].pool.wanted(window) {
+            let remote = &mut self.endpoints[endpoint];
             let kind = &self.cfg.kinds[remote.kind];
             let address = remote.address;
             let link = link::new(kind, self.session_limits, address.to_string(), self.index);
-            let conn = self.add_conn(Use::Receiver { endpoint, link });
-            self.remotes[endpoint].pool.opening(conn);
+            let conn = self.add_conn(ConnRole::Receiver { endpoint, link });
+            self.endpoints[endpoint].pool.opening(conn);
             self.stats.connections += 1;
-            self.timers.set(Key::Connect(conn), self.now + self.cfg.service.connect_timeout);
+            self.timers.set(TimerKey::Connect(conn), self.now + self.cfg.service.connect_timeout);
             self.outputs.push(Output::Connect { conn, address });
         }
     }
@@ -133,10 +133,10 @@
             });
         }
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        let Use::Receiver { link, .. } = &mut entry.what else { return };
+        let ConnRole::Receiver { link, .. } = &mut entry.role else { return };
         let ranges = link.send(self.now, call, &cargo, &mut entry.stream);
         self.calls.written(call, conn, &ranges);
-        self.timers.clear(Key::Idle(conn));
+        self.timers.clear(TimerKey::Idle(conn));
         self.flush(conn);
         self.link_wake(conn);
     }
--- a/crates/engine/src/entry_codec.rs
+++ b/crates/engine/src/entry_codec.rs
@@ -1,6 +1,6 @@
 //! Conversion of messages to the journal's entries and back.
 
-use crate::outbox::Reply;
+use crate::outbox::ReplyAddress;
 use heronroute_journal::entry::Accepted;
 use heronroute_smpp::submission::{Submission, Wanted};
 
@@ -9,7 +9,7 @@
     client: &str,
     mailbox: &str,
     s: &Submission,
-    reply: &Reply,
+    reply: &ReplyAddress,
     rest: Accepted,
 ) -> Accepted {
     Accepted {
@@ -47,6 +47,6 @@
 }
 
 /// Where the message's answer goes, from its entry.
-pub(crate) fn to_reply(a: &Accepted) -> Reply {
-    Reply { topic: a.reply.clone(), correlation: a.correlation.clone() }
+pub(crate) fn to_reply(a: &Accepted) -> ReplyAddress {
+    ReplyAddress { topic: a.reply.clone(), correlation: a.correlation.clone() }
 }
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -14,7 +14,7 @@
 pub use smpp::SmppFront;
 
 use crate::Micros;
-use crate::outbox::{Owed, Reply};
+use crate::outbox::{OwedAnswer, ReplyAddress};
 use bytes::BytesMut;
 use heronroute_platform::add::Add;
 use heronroute_seen::Handle;
@@ -49,7 +49,7 @@
 
 /// The session state reported to an admitted client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Entered {
+pub struct AdmittedSession {
     /// The name assigned to its session, if it gave none.
     pub assigned_name: Option<String>,
     /// The front's stored notes, if an earlier session is resumed.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SubmissionContext {
     /// The address for the answer.
-    pub reply: Reply,
+    pub reply: ReplyAddress,
     /// Identifies the message within its session, to detect a repeated submission.
     pub handle: Option<Handle>,
     /// The client's own name for the message. Within the time that it is remembered, a name stands for one
@@ -72,18 +72,18 @@
 
 /// What remains of a closed connection.
 #[derive(Debug, Default)]
-pub struct Parting {
+pub struct DisconnectState {
     /// How long its session is kept.
     pub expiry: Micros,
     /// The client's will: a delay, and the message to submit after it.
-    pub will: Option<(Micros, Box<Submission>, Reply)>,
+    pub will: Option<(Micros, Box<Submission>, ReplyAddress)>,
 }
 
 /// The result of handing an answer to a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// The answer was sent, and the client acknowledges it with this token.
-    Out(u32),
+    Sent(u32),
     /// The answer was sent and needs no acknowledgement.
     Done,
     /// The client has not subscribed to the answer's topic.
@@ -92,9 +92,9 @@
 
 /// A request of a client. The token is the front's own number for the request; the reply carries it too.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum ClientRequest {
     /// Asks to be admitted; answered with [`Front::admitted`].
-    Enter {
+    Admit {
         /// The client's name.
         name: String,
         /// The client's password.
@@ -112,11 +112,11 @@
         /// The message.
         submission: Box<Submission>,
         /// What the protocol adds to it.
-        handing: Box<SubmissionContext>,
+        context: Box<SubmissionContext>,
     },
     /// Submits a message for the tenant that it names; answered with [`Front::accepted`] or
     /// [`Front::refused`], or with [`Front::answered`] if the first round of decisions refuses it.
-    HandIn {
+    SubmitForTenant {
         /// The request's token.
         token: u32,
         /// The message.
@@ -176,7 +176,7 @@
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum No {
+pub enum RejectReason {
     /// The client is not admitted.
     NotEntered,
     /// The client exceeds its accepted rate.
@@ -205,7 +205,7 @@
     /// The client's name is unknown.
     Name,
     /// The password is wrong.
-    Proof,
+    Password,
     /// The sender is shutting down.
     Leaving,
     /// The limit of named sessions is reached.
@@ -221,14 +221,20 @@
         wall: Micros,
         bytes: &[u8],
         out: &mut BytesMut,
-        requests: &mut Vec<Ask>,
+        requests: &mut Vec<ClientRequest>,
     );
     /// Returns when [`Front::tick`] is next needed.
     fn wake(&self) -> Micros;
     /// Handles the protocol's own timers.
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>);
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>);
     /// Reports whether the client is admitted.
-    fn admitted(&mut self, now: Micros, token: u32, result: Result<Entered, Denied>, out: &mut BytesMut);
+    fn admitted(
+        &mut self,
+        now: Micros,
+        token: u32,
+        result: Result<AdmittedSession, Denied>,
+        out: &mut BytesMut,
+    );
     /// Returns whether the client is admitted.
     fn entered(&self) -> bool;
     /// Returns whether the client receives answers on this connection.
@@ -236,7 +242,7 @@
     /// Reports that a message was accepted under this id.
     fn accepted(&mut self, token: u32, id: &str, out: &mut BytesMut);
     /// Reports that a request is refused.
-    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut);
+    fn refused(&mut self, token: u32, reason: RejectReason, out: &mut BytesMut);
     /// Sends the final answer as the response to a submission. Returns false if that is no longer possible.
     fn answered(&mut self, token: u32, id: &str, answer: Answer, out: &mut BytesMut) -> bool;
     /// Reports the state of a message.
@@ -255,11 +261,11 @@
     /// Returns how many more answers may be sent before one is acknowledged.
     fn room(&self) -> usize;
     /// Sends an answer.
-    fn deliver(&mut self, now: Micros, owed: &Owed, out: &mut BytesMut) -> Delivery;
+    fn deliver(&mut self, now: Micros, owed: &OwedAnswer, out: &mut BytesMut) -> Delivery;
     /// Asks the client to disconnect.
-    fn leave(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>);
+    fn leave(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>);
     /// Reports, where the protocol can, that another connection has taken over the session.
-    fn supplanted(&mut self, _out: &mut BytesMut) {}
+    fn session_taken_over(&mut self, _out: &mut BytesMut) {}
     /// Returns whether the protocol can refuse a single message. If it can't, a refused message is
     /// acknowledged, and its refusal is sent as its answer.
     fn refuses(&self) -> bool {
@@ -267,7 +273,7 @@
     }
     /// Returns since when the connection has been idle, if it is. An idle connection may be closed to make
     /// room.
-    fn rests(&self) -> Option<Micros> {
+    fn idle_since(&self) -> Option<Micros> {
         None
     }
     /// Returns whether more may be read from the client.
@@ -275,7 +281,7 @@
         true
     }
     /// Takes what remains of the closed connection.
-    fn parting(&mut self) -> Parting {
-        Parting::default()
+    fn disconnect_state(&mut self) -> DisconnectState {
+        DisconnectState::default()
     }
 }
--- a/crates/engine/src/front/mqtt.rs
+++ b/crates/engine/src/front/mqtt.rs
@@ -1,8 +1,11 @@
 //! The front for MQTT clients.
 
-use super::{Ask, Delivery, Denied, Entered, Front, No, Parting, SessionRequest, SubmissionContext};
+use super::{
+    AdmittedSession, ClientRequest, Delivery, Denied, DisconnectState, Front, RejectReason, SessionRequest,
+    SubmissionContext,
+};
 use crate::Micros;
-use crate::outbox::{Owed, Reply};
+use crate::outbox::{OwedAnswer, ReplyAddress};
 use bytes::BytesMut;
 use heronroute_mqtt::session::{Event, Handed, Limits, Session, Telling, handed};
 use heronroute_seen::{Handle, digest};
@@ -31,10 +34,10 @@
         self
     }
 
-    fn forward_events(&mut self, requests: &mut Vec<Ask>) {
+    fn forward_events(&mut self, requests: &mut Vec<ClientRequest>) {
         for event in std::mem::take(&mut self.events) {
             requests.push(match event {
-                Event::Connect(c) => Ask::Enter {
+                Event::Connect(c) => ClientRequest::Admit {
                     name: c.user.unwrap_or_default(),
                     password: String::from_utf8(c.password.unwrap_or_default()).unwrap_or_default(),
                     token: 0,
@@ -45,18 +48,22 @@
                     }),
                 },
                 Event::Submit(token, h) => {
-                    let (submission, handing) = to_submission(*h);
-                    Ask::Submit { token, submission: Box::new(submission), handing: Box::new(handing) }
+                    let (submission, context) = to_submission(*h);
+                    ClientRequest::Submit {
+                        token,
+                        submission: Box::new(submission),
+                        context: Box::new(context),
+                    }
                 }
-                Event::Query(token, id) => Ask::Query { token, id, source: String::new() },
-                Event::Withdraw(token, id) => Ask::Withdraw { token, id, source: String::new() },
-                Event::Held(token, words) => Ask::Held { token, words },
-                Event::Rules(token, words, body) => Ask::Rules { token, words, body },
+                Event::Query(token, id) => ClientRequest::Query { token, id, source: String::new() },
+                Event::Withdraw(token, id) => ClientRequest::Withdraw { token, id, source: String::new() },
+                Event::Held(token, words) => ClientRequest::Held { token, words },
+                Event::Rules(token, words, body) => ClientRequest::Rules { token, words, body },
                 Event::Subscribed(reply) => {
-                    Ask::SaveNotes { notes: write_filters(&self.session.filters()), reply }
+                    ClientRequest::SaveNotes { notes: write_filters(&self.session.filters()), reply }
                 }
-                Event::Heard(packet) => Ask::Heard { token: u32::from(packet), taken: true },
-                Event::Over(why) => Ask::Over(why),
+                Event::Heard(packet) => ClientRequest::Heard { token: u32::from(packet), taken: true },
+                Event::Over(why) => ClientRequest::Over(why),
             });
         }
     }
@@ -83,8 +90,8 @@
         digest: digest(u64::from(h.qos), &parts),
         again: h.duplicate,
     });
-    let handing = SubmissionContext {
-        reply: Reply { topic: h.reply, correlation: h.correlation },
+    let context = SubmissionContext {
+        reply: ReplyAddress { topic: h.reply, correlation: h.correlation },
         handle,
         name: h.name,
         may_be_lost: h.qos == 0,
@@ -99,7 +106,7 @@
         body: h.payload,
         ..Submission::default()
     };
-    (submission, handing)
+    (submission, context)
 }
 
 /// Encodes subscriptions as session notes: QoS, length and filter of each.
@@ -139,7 +146,14 @@
 }
 
 impl Front for MqttFront {
-    fn receive(&mut self, now: Micros, _: Micros, bytes: &[u8], out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        _: Micros,
+        bytes: &[u8],
+        out: &mut BytesMut,
+        requests: &mut Vec<ClientRequest>,
+    ) {
         self.session.receive(now, bytes, out, &mut self.events);
         self.forward_events(requests);
     }
@@ -148,18 +162,18 @@
         self.session.wake()
     }
 
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.session.tick(now, out, &mut self.events);
         self.forward_events(requests);
     }
 
-    fn admitted(&mut self, _: Micros, _: u32, result: Result<Entered, Denied>, out: &mut BytesMut) {
+    fn admitted(&mut self, _: Micros, _: u32, result: Result<AdmittedSession, Denied>, out: &mut BytesMut) {
         match result {
             Ok(entered) => {
                 let filters = entered.notes.as_deref().map(read_filters).unwrap_or_default();
                 self.session.admit(entered.assigned_name, entered.notes.is_some(), &filters, out);
             }
-            Err(Denied::Name | Denied::Proof) => self.session.refuse(0x86, out),
+            Err(Denied::Name | Denied::Password) => self.session.refuse(0x86, out),
             Err(Denied::Leaving) => self.session.refuse(0x88, out),
             Err(Denied::Busy) => self.session.refuse(0x89, out),
         }
@@ -177,10 +191,10 @@
         self.session.taken(token, id, out);
     }
 
-    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut) {
+    fn refused(&mut self, token: u32, reason: RejectReason, out: &mut BytesMut) {
         let state = match reason {
-            No::Message => Some("NOTFOUND"),
-            No::TooLate => Some("TOOLATE"),
+            RejectReason::Message => Some("NOTFOUND"),
+            RejectReason::TooLate => Some("TOOLATE"),
             _ => None,
         };
         if let Some(state) = state {
@@ -192,10 +206,10 @@
             );
         }
         let code = match reason {
-            No::NotEntered => 0x87,
-            No::Rate | No::Share | No::Room | No::Unsure => 0x97,
-            No::Class | No::Address => 0x90,
-            No::Time | No::TooLate | No::Message => 0x83,
+            RejectReason::NotEntered => 0x87,
+            RejectReason::Rate | RejectReason::Share | RejectReason::Room | RejectReason::Unsure => 0x97,
+            RejectReason::Class | RejectReason::Address => 0x90,
+            RejectReason::Time | RejectReason::TooLate | RejectReason::Message => 0x83,
         };
         self.session.denied(token, code, out);
     }
@@ -222,7 +236,7 @@
         self.session.room()
     }
 
-    fn deliver(&mut self, _: Micros, owed: &Owed, out: &mut BytesMut) -> Delivery {
+    fn deliver(&mut self, _: Micros, owed: &OwedAnswer, out: &mut BytesMut) -> Delivery {
         if self.session.wants(&owed.reply.topic).is_none() {
             return Delivery::NotSubscribed;
         }
@@ -240,17 +254,17 @@
             before: owed.before.and_then(|n| u16::try_from(n).ok()),
         };
         match self.session.deliver(&telling, out) {
-            Some(packet) => Delivery::Out(u32::from(packet)),
+            Some(packet) => Delivery::Sent(u32::from(packet)),
             None => Delivery::Done,
         }
     }
 
-    fn leave(&mut self, _: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn leave(&mut self, _: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.session.leave(0x8B, out);
-        requests.push(Ask::Over(None));
+        requests.push(ClientRequest::Over(None));
     }
 
-    fn supplanted(&mut self, out: &mut BytesMut) {
+    fn session_taken_over(&mut self, out: &mut BytesMut) {
         self.session.leave(0x8E, out);
     }
 
@@ -262,13 +276,13 @@
         self.session.listens()
     }
 
-    fn parting(&mut self) -> Parting {
+    fn disconnect_state(&mut self) -> DisconnectState {
         let expiry = Micros::from(self.session.expiry()) * SECOND;
         let will = self.session.will().and_then(|w| {
-            let (submission, handing) = to_submission(handed(w.publish)?);
-            Some((Micros::from(w.delay) * SECOND, Box::new(submission), handing.reply))
+            let (submission, context) = to_submission(handed(w.publish)?);
+            Some((Micros::from(w.delay) * SECOND, Box::new(submission), context.reply))
         });
-        Parting { expiry, will }
+        DisconnectState { expiry, will }
     }
 }
 
--- a/crates/engine/src/front/resp.rs
+++ b/crates/engine/src/front/resp.rs
@@ -6,9 +6,9 @@
 //! Also guards against a client that pipelines hundreds of commands: at most [`MAX_PIPELINED`] are unanswered
 //! at a time.
 
-use super::{Ask, Delivery, Denied, Entered, Front, No};
+use super::{AdmittedSession, ClientRequest, Delivery, Denied, Front, RejectReason};
 use crate::Micros;
-use crate::outbox::Owed;
+use crate::outbox::OwedAnswer;
 use bytes::BytesMut;
 use heronroute_platform::add::{self, Add};
 use heronroute_platform::notice::busy;
@@ -66,7 +66,7 @@
     }
 
     /// Processes buffered requests, as far as there is room, and writes the replies that are ready.
-    fn process_commands(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn process_commands(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.batch_limited = true;
         while !self.closing && self.replies.len() < MAX_PIPELINED {
             match self.reader.next_command() {
@@ -91,7 +91,7 @@
         self.flush_replies(out);
         if self.is_finished() {
             self.closing = true;
-            requests.push(Ask::Over(None));
+            requests.push(ClientRequest::Over(None));
         }
     }
 
@@ -117,12 +117,12 @@
         self.closing = true;
     }
 
-    fn handle_command(&mut self, mut command: Command, requests: &mut Vec<Ask>) {
+    fn handle_command(&mut self, mut command: Command, requests: &mut Vec<ClientRequest>) {
         let name = command.remove(0);
         if name.eq_ignore_ascii_case(add::NAME) {
             match Add::read(command) {
                 Ok(add) => {
-                    requests.push(Ask::HandIn {
+                    requests.push(ClientRequest::SubmitForTenant {
                         token: self.first_token + self.replies.len() as u32,
                         add: Box::new(add),
                     });
@@ -168,7 +168,14 @@
 }
 
 impl Front for RespFront {
-    fn receive(&mut self, now: Micros, _: Micros, bytes: &[u8], out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn receive(
+        &mut self,
+        now: Micros,
+        _: Micros,
+        bytes: &[u8],
+        out: &mut BytesMut,
+        requests: &mut Vec<ClientRequest>,
+    ) {
         if !bytes.is_empty() && !self.reader.begun() {
             self.last_activity = now;
         }
@@ -189,17 +196,17 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.process_commands(now, out, requests);
         if self.replies.is_empty() && !self.closing && !self.may_continue() && now >= self.wake() {
             if self.reader.begun() {
                 error("ERR a request that was not finished", out);
             }
-            requests.push(Ask::Over(None));
+            requests.push(ClientRequest::Over(None));
         }
     }
 
-    fn admitted(&mut self, _: Micros, _: u32, _: Result<Entered, Denied>, _: &mut BytesMut) {}
+    fn admitted(&mut self, _: Micros, _: u32, _: Result<AdmittedSession, Denied>, _: &mut BytesMut) {}
 
     fn entered(&self) -> bool {
         false
@@ -213,15 +220,15 @@
         self.write_reply(token, |out| simple("OK", out), out);
     }
 
-    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut) {
+    fn refused(&mut self, token: u32, reason: RejectReason, out: &mut BytesMut) {
         let text = match reason {
-            No::NotEntered => "ERR unknown tenant",
-            No::Class => "ERR unknown class",
-            No::Address => "ERR unknown destination",
-            No::Time => "ERR no time left",
-            No::Message => "ERR the id is open already",
-            No::TooLate => "ERR an idempotency key is wanted in this class",
-            No::Rate | No::Share | No::Room | No::Unsure => "BUSY",
+            RejectReason::NotEntered => "ERR unknown tenant",
+            RejectReason::Class => "ERR unknown class",
+            RejectReason::Address => "ERR unknown destination",
+            RejectReason::Time => "ERR no time left",
+            RejectReason::Message => "ERR the id is open already",
+            RejectReason::TooLate => "ERR an idempotency key is wanted in this class",
+            RejectReason::Rate | RejectReason::Share | RejectReason::Room | RejectReason::Unsure => "BUSY",
         };
         self.write_reply(token, |out| error(text, out), out);
     }
@@ -242,11 +249,11 @@
         0
     }
 
-    fn deliver(&mut self, _: Micros, _: &Owed, _: &mut BytesMut) -> Delivery {
+    fn deliver(&mut self, _: Micros, _: &OwedAnswer, _: &mut BytesMut) -> Delivery {
         Delivery::NotSubscribed
     }
 
-    fn leave(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn leave(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.shutdown_deadline.get_or_insert(now + SHUTDOWN_TIMEOUT);
         self.process_commands(now, out, requests);
     }
@@ -261,7 +268,7 @@
             && self.reader.waiting() < 2 * LIMITS.octets
     }
 
-    fn rests(&self) -> Option<Micros> {
+    fn idle_since(&self) -> Option<Micros> {
         (self.replies.is_empty() && !self.reader.begun()).then_some(self.last_activity)
     }
 }
--- a/crates/engine/src/front/smpp.rs
+++ b/crates/engine/src/front/smpp.rs
@@ -1,9 +1,9 @@
 //! The front for SMPP clients.
 
-use super::{Ask, Delivery, Denied, Entered, Front, No, SubmissionContext};
+use super::{AdmittedSession, ClientRequest, Delivery, Denied, Front, RejectReason, SubmissionContext};
 use crate::Micros;
 use crate::answers;
-use crate::outbox::Owed;
+use crate::outbox::OwedAnswer;
 use bytes::BytesMut;
 use heronroute_smpp::receipt::Answer;
 use heronroute_smpp::server::{Event, Limits, Mode, Session};
@@ -29,22 +29,24 @@
         SmppFront { session: Session::new(now, limits), events: Vec::new() }
     }
 
-    fn forward_events(&mut self, requests: &mut Vec<Ask>) {
+    fn forward_events(&mut self, requests: &mut Vec<ClientRequest>) {
         for event in self.events.drain(..) {
             requests.push(match event {
                 Event::Bind { system_id, password, sequence, .. } => {
-                    Ask::Enter { name: system_id, password, token: sequence, session: None }
+                    ClientRequest::Admit { name: system_id, password, token: sequence, session: None }
                 }
-                Event::Submit { sequence, submission, .. } => Ask::Submit {
+                Event::Submit { sequence, submission, .. } => ClientRequest::Submit {
                     token: sequence,
                     submission,
-                    handing: Box::new(SubmissionContext::default()),
+                    context: Box::new(SubmissionContext::default()),
                 },
-                Event::Query { sequence, id, source } => Ask::Query { token: sequence, id, source },
-                Event::Cancel { sequence, id, source, .. } => Ask::Withdraw { token: sequence, id, source },
-                Event::Acknowledged { sequence, taken } => Ask::Heard { token: sequence, taken },
-                Event::Unbound => Ask::Over(None),
-                Event::Ended(why) => Ask::Over(Some(why)),
+                Event::Query { sequence, id, source } => ClientRequest::Query { token: sequence, id, source },
+                Event::Cancel { sequence, id, source, .. } => {
+                    ClientRequest::Withdraw { token: sequence, id, source }
+                }
+                Event::Acknowledged { sequence, taken } => ClientRequest::Heard { token: sequence, taken },
+                Event::Unbound => ClientRequest::Over(None),
+                Event::Ended(why) => ClientRequest::Over(Some(why)),
             });
         }
     }
@@ -57,7 +59,7 @@
         wall: Micros,
         bytes: &[u8],
         out: &mut BytesMut,
-        requests: &mut Vec<Ask>,
+        requests: &mut Vec<ClientRequest>,
     ) {
         self.session.receive(now, wall, bytes, out, &mut self.events);
         self.forward_events(requests);
@@ -67,16 +69,22 @@
         self.session.wake()
     }
 
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<Ask>) {
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.session.tick(now, out, &mut self.events);
         self.forward_events(requests);
     }
 
-    fn admitted(&mut self, now: Micros, token: u32, result: Result<Entered, Denied>, out: &mut BytesMut) {
+    fn admitted(
+        &mut self,
+        now: Micros,
+        token: u32,
+        result: Result<AdmittedSession, Denied>,
+        out: &mut BytesMut,
+    ) {
         match result {
             Ok(_) => self.session.accept(now, token, OWN_NAME, out),
             Err(Denied::Name) => self.session.refuse(token, CommandStatus::EsmeRinvsysid, out),
-            Err(Denied::Proof) => self.session.refuse(token, CommandStatus::EsmeRinvpaswd, out),
+            Err(Denied::Password) => self.session.refuse(token, CommandStatus::EsmeRinvpaswd, out),
             Err(Denied::Leaving | Denied::Busy) => {
                 self.session.refuse(token, CommandStatus::EsmeRbindfail, out)
             }
@@ -95,16 +103,16 @@
         self.session.submitted(token, id, CommandStatus::EsmeRok, Vec::new(), out);
     }
 
-    fn refused(&mut self, token: u32, reason: No, out: &mut BytesMut) {
+    fn refused(&mut self, token: u32, reason: RejectReason, out: &mut BytesMut) {
         let status = match reason {
-            No::NotEntered => CommandStatus::EsmeRinvbndsts,
-            No::Rate | No::Share => CommandStatus::EsmeRthrottled,
-            No::Room | No::Unsure => CommandStatus::EsmeRmsgqful,
-            No::Class => CommandStatus::EsmeRinvsertyp,
-            No::Address => CommandStatus::EsmeRinvdstadr,
-            No::Time => CommandStatus::EsmeRinvexpiry,
-            No::Message => CommandStatus::EsmeRinvmsgid,
-            No::TooLate => CommandStatus::EsmeRcancelfail,
+            RejectReason::NotEntered => CommandStatus::EsmeRinvbndsts,
+            RejectReason::Rate | RejectReason::Share => CommandStatus::EsmeRthrottled,
+            RejectReason::Room | RejectReason::Unsure => CommandStatus::EsmeRmsgqful,
+            RejectReason::Class => CommandStatus::EsmeRinvsertyp,
+            RejectReason::Address => CommandStatus::EsmeRinvdstadr,
+            RejectReason::Time => CommandStatus::EsmeRinvexpiry,
+            RejectReason::Message => CommandStatus::EsmeRinvmsgid,
+            RejectReason::TooLate => CommandStatus::EsmeRcancelfail,
         };
         self.session.error(token, status, out);
     }
@@ -146,11 +154,11 @@
         self.session.room()
     }
 
-    fn deliver(&mut self, now: Micros, owed: &Owed, out: &mut BytesMut) -> Delivery {
-        Delivery::Out(self.session.deliver(now, &owed.receipt, out))
+    fn deliver(&mut self, now: Micros, owed: &OwedAnswer, out: &mut BytesMut) -> Delivery {
+        Delivery::Sent(self.session.deliver(now, &owed.receipt, out))
     }
 
-    fn leave(&mut self, now: Micros, out: &mut BytesMut, _: &mut Vec<Ask>) {
+    fn leave(&mut self, now: Micros, out: &mut BytesMut, _: &mut Vec<ClientRequest>) {
         self.session.unbind(now, out);
     }
 }
--- a/crates/engine/src/held/commands.rs
+++ b/crates/engine/src/held/commands.rs
@@ -12,7 +12,7 @@
 impl Node {
     /// Handles a command about the messages held for the client.
     pub(crate) fn handle_held_command(&mut self, conn: ConnId, token: u32, words: &[String]) {
-        let Some((client, _)) = self.place_of(conn) else { return };
+        let Some((client, _)) = self.owner_of(conn) else { return };
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         // A message of another client gets the same reply as one that doesn't exist.
         let with_own = |deed, id: &str| self.own_held_message(client, id, deed);
--- a/crates/engine/src/held/release.rs
+++ b/crates/engine/src/held/release.rs
@@ -1,7 +1,7 @@
 //! Release of a client's backlog, at the pace that the room allows.
 
 use crate::Micros;
-use crate::node::{BacklogRelease, Key, Node};
+use crate::node::{BacklogRelease, Node, TimerKey};
 use heronroute_held::{Pace, Query, Release};
 
 /// The time within which a released message should be answered.
@@ -30,7 +30,7 @@
         let release = Release::new(self.now, pace);
         let backlog = BacklogRelease { release, destination, after: None, resubmitted: 0, skipped: 0 };
         self.releases.insert(client, backlog);
-        self.timers.set(Key::Release(client), self.now);
+        self.timers.set(TimerKey::Release(client), self.now);
         (format!("stat:RELEASING held:{held}"), "RELEASING")
     }
 
@@ -84,7 +84,7 @@
                 return;
             }
         }
-        self.timers.set(Key::Release(client), self.now + RELEASE_INTERVAL);
+        self.timers.set(TimerKey::Release(client), self.now + RELEASE_INTERVAL);
     }
 
     /// Slows all releases, after live traffic was refused for lack of room.
--- a/crates/engine/src/held/resubmit.rs
+++ b/crates/engine/src/held/resubmit.rs
@@ -1,12 +1,12 @@
 //! Resubmission of held messages.
 
 use super::MAX_TRAIL_STEPS;
-use crate::desk::From;
+use crate::admission::Origin;
 use crate::entry_codec;
 use crate::front::SubmissionContext;
 use crate::ids::{key_of, show_id};
 use crate::node::Node;
-use crate::outbox::Reply;
+use crate::outbox::ReplyAddress;
 use heronroute::{DestId, Event, MsgId};
 use heronroute_held::{Ask, Decision, Effect, Past, Refusal, Trail, What, decide};
 use heronroute_journal::entry::{self, Accepted};
@@ -58,7 +58,7 @@
         };
         // The resubmission has the same id as the first attempt. Acknowledging the first answer would close
         // the resubmission in the journal too, and after a crash its outcome would be unknown.
-        if !as_new && self.unheard.contains(&id) {
+        if !as_new && self.unacknowledged.contains(&id) {
             return reply("UNHEARD");
         }
         let Some(dest) = self.routes.find(&a.destination) else { return reply("NOROUTE") };
@@ -71,7 +71,7 @@
         }
         // The answer goes to the mailbox of the first answer, whoever asked for the resubmission.
         let mailbox = self.mailboxes.open(client, &a.mailbox);
-        let from = From { conn: None, token: 0, client, mailbox };
+        let from = Origin { conn: None, token: 0, client, mailbox };
         if self.admit(&from, class, false).is_err() {
             return reply("BUSY");
         }
@@ -85,8 +85,8 @@
         // did not run, or the client asked for a new effect.
         let may_have_run =
             may_have_run.filter(|at| !as_new && stored.not_seen.is_none_or(|said| *at >= said));
-        let handing = SubmissionContext {
-            reply: Reply { topic: a.reply.clone(), correlation: a.correlation.clone() },
+        let context = SubmissionContext {
+            reply: ReplyAddress { topic: a.reply.clone(), correlation: a.correlation.clone() },
             ..SubmissionContext::default()
         };
         let submission = entry_codec::to_submission(&a);
@@ -110,23 +110,23 @@
         };
         let answer_for = if as_new { 0 } else { self.answer_for(client, class, id, &submission) };
         let rest = Accepted { answer_for, ..rest };
-        self.write_accepted(&from, &submission, &handing, rest);
+        self.write_accepted(&from, &submission, &context, rest);
         if let Some(at) = may_have_run {
             let endpoint = trail.steps().find_map(|(t, w)| match w {
                 What::Began(e) if t == at => self.trail_names.get(e as usize).cloned(),
                 _ => None,
             });
             let endpoint = endpoint.unwrap_or_default();
-            let known = self.remotes.named(&endpoint);
+            let known = self.endpoints.named(&endpoint);
             let place = known.unwrap_or(heronroute::EndpointId(u32::MAX));
             self.events.push(Event::Resumed { id: new_id, attempts: 0, may_run: Some((place, now - at)) });
             let intent = entry::Intent { id: new_id.0, endpoint, at };
             self.ledger.write(|| entry::What::Intent(intent));
             self.ledger.write(|| entry::What::Outcome(entry::Outcome { id: new_id.0, never_ran: false }));
         }
-        let mut message = self.new_message(&from, class, submission, &handing, self.now + (leave_by - now));
+        let mut message = self.new_message(&from, class, submission, &context, self.now + (leave_by - now));
         message.answer_for = answer_for;
-        message.ran_at = may_have_run.map(|at| self.now - (now - at).max(0));
+        message.may_have_run_since = may_have_run.map(|at| self.now - (now - at).max(0));
         let before = self.held.as_ref().and_then(|s| s.get(id)).and_then(|f| Trail::read(&f.trail));
         if as_new {
             // The new message's trail begins with the resubmission. The old trail stays, without its message.
@@ -139,7 +139,7 @@
         } else {
             message.trail = before.map(Box::new);
         }
-        self.hold(new_id, message);
+        self.add_open_message(new_id, message);
         if as_new {
             self.set_trail_origin(new_id);
         }
--- a/crates/engine/src/held/store.rs
+++ b/crates/engine/src/held/store.rs
@@ -32,13 +32,13 @@
             let mailbox = self.mailboxes.get(m.mailbox).map_or("", |b| b.name.as_str());
             let class = self.cfg.class_names.get(m.class).cloned().unwrap_or_default();
             let rest = Accepted { id: id.0, class, dest, taken: m.taken, ..Accepted::default() };
-            to_entry(client, mailbox, &m.submission, &m.to, rest)
+            to_entry(client, mailbox, &m.submission, &m.reply_to, rest)
         });
         stored.message = held.as_ref().map(|a| a.encode_to_vec().into());
         let parts = self.parts_for(m.client, Some(m.class), &m.submission.destination, key);
         let dropped = self.held.as_mut().map(|s| s.file_in(now, id.0, stored, parts)).unwrap_or_default();
         if let Some(accepted) = held {
-            self.unheard.insert(id.0);
+            self.unacknowledged.insert(id.0);
             self.write_held(accepted, *trail);
         }
         self.write_released(&dropped);
--- a/crates/engine/src/held/trail.rs
+++ b/crates/engine/src/held/trail.rs
@@ -27,7 +27,7 @@
     }
 
     /// Adds a step to the trail of an open message.
-    pub(crate) fn step(&mut self, id: MsgId, what: What) {
+    pub(crate) fn add_trail_step(&mut self, id: MsgId, what: What) {
         let at = self.wall();
         if let Some(trail) = self.messages.get_mut(&id).and_then(|m| m.trail.as_mut()) {
             trail.add(at, what, MAX_TRAIL_STEPS);
@@ -47,7 +47,7 @@
 
     /// Restores the trail of an open message after a restart. Attempts that had no effect are not known one
     /// by one any more.
-    pub(crate) fn trail_again(&mut self, open: &Open) {
+    pub(crate) fn restore_trail(&mut self, open: &Open) {
         let id = MsgId(open.accepted.id);
         let client = self.messages.get(&id).map_or(0, |m| m.client);
         let Some(store) = self.held.as_ref().filter(|_| self.records_trail(client)) else { return };
@@ -73,7 +73,7 @@
     }
 
     /// Restores the held messages from the journal's state.
-    pub(crate) fn take_up_held(&mut self, book: &Book) {
+    pub(crate) fn restore_held(&mut self, book: &Book) {
         let now = self.wall();
         for (id, held) in &book.held {
             let (Some(a), Some(mut trail)) = (&held.accepted, Trail::read(&held.trail)) else { continue };
@@ -84,7 +84,7 @@
             let mut stored = stored_record(client, class, a.dest, &a.key, &trail);
             stored.message = Some(a.encode_to_vec().into());
             match book.open.get(id).map(|o| o.answer.is_some()) {
-                Some(true) => _ = self.unheard.insert(*id),
+                Some(true) => _ = self.unacknowledged.insert(*id),
                 Some(false) => stored.under_way = true,
                 None => {}
             }
--- a/crates/engine/src/keeping/answers.rs
+++ b/crates/engine/src/keeping/answers.rs
@@ -3,7 +3,7 @@
 //! and hears nothing.
 
 use crate::Micros;
-use crate::mailboxes::BoxId;
+use crate::mailboxes::MailboxId;
 use heronroute_smpp::receipt::Answer;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
     /// It is kept until then, in time of day.
     pub until: Micros,
     /// It is owed here just now, and not heard yet.
-    pub owed: Option<BoxId>,
+    pub owed: Option<MailboxId>,
 }
 
 /// All of them.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -16,12 +16,12 @@
 #![forbid(unsafe_code)]
 
 mod acceptance;
+#[path = "admission/mod.rs"]
+mod admission;
 pub mod answers;
 mod applying;
 pub mod calls;
 mod carry;
-#[path = "admission/mod.rs"]
-mod desk;
 pub mod directory;
 mod doubts;
 mod entry_codec;
@@ -53,7 +53,7 @@
 mod uptime;
 
 pub use ids::ConnId;
-pub use node::{Gone, Node, Output, Start};
+pub use node::{CloseReason, Node, Output, Start};
 pub use restart::Restarted;
 pub use stats::Stats;
 pub use stream::Stream;
--- a/crates/engine/src/mailboxes.rs
+++ b/crates/engine/src/mailboxes.rs
@@ -9,18 +9,18 @@
 
 use crate::Micros;
 use crate::ids::ConnId;
-use crate::outbox::{Outbox, Reply};
+use crate::outbox::{Outbox, ReplyAddress};
 use heronroute_seen::Recent;
 use heronroute_smpp::submission::Submission;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The number of a mailbox.
-pub type BoxId = usize;
+pub type MailboxId = usize;
 
 /// The state of a named session, kept beyond its connection.
 #[derive(Debug)]
-pub struct Kept {
+pub struct NamedSession {
     /// When the session began. Two sessions with the same name differ in this time.
     pub began: Micros,
     /// How long the session is kept without a connection.
@@ -39,7 +39,7 @@
     /// The message.
     pub submission: Box<Submission>,
     /// The address for its answer.
-    pub reply: Reply,
+    pub reply: ReplyAddress,
 }
 
 /// The answers and the session of one client, or of one named session of it.
@@ -56,7 +56,7 @@
     /// The connection of a named session.
     pub conn: Option<ConnId>,
     /// The named session, if there is one.
-    pub kept: Option<Kept>,
+    pub kept: Option<NamedSession>,
     /// When the session expires, while it has no connection.
     pub expires_at: Micros,
     /// The will of the disconnected client.
@@ -68,31 +68,31 @@
 pub struct Mailboxes {
     boxes: Slab<Mailbox>,
     /// The numbers of mailboxes by client and session name.
-    by_name: BTreeMap<(usize, String), BoxId>,
+    by_name: BTreeMap<(usize, String), MailboxId>,
     /// Sessions without a connection, the one disconnected longest ago first.
-    detached: BTreeSet<(Micros, BoxId)>,
+    detached: BTreeSet<(Micros, MailboxId)>,
     /// The number of named sessions, with and without connections.
     sessions: usize,
 }
 
 impl Mailboxes {
     /// Returns a mailbox.
-    pub fn get(&self, id: BoxId) -> Option<&Mailbox> {
+    pub fn get(&self, id: MailboxId) -> Option<&Mailbox> {
         self.boxes.get(id)
     }
 
     /// Returns a mailbox to change. Sessions are started and ended with the methods below.
-    pub fn get_mut(&mut self, id: BoxId) -> Option<&mut Mailbox> {
+    pub fn get_mut(&mut self, id: MailboxId) -> Option<&mut Mailbox> {
         self.boxes.get_mut(id)
     }
 
     /// Returns the mailbox with a name.
-    pub fn find(&self, client: usize, name: &str) -> Option<BoxId> {
+    pub fn find(&self, client: usize, name: &str) -> Option<MailboxId> {
         self.by_name.get(&(client, name.to_string())).copied()
     }
 
     /// Returns the mailbox with a name, created if there is none.
-    pub fn open(&mut self, client: usize, name: &str) -> BoxId {
+    pub fn open(&mut self, client: usize, name: &str) -> MailboxId {
         let key = (client, name.to_string());
         if let Some(id) = self.by_name.get(&key) {
             return *id;
@@ -112,7 +112,7 @@
     }
 
     /// Returns all mailboxes.
-    pub fn all(&self) -> impl Iterator<Item = (BoxId, &Mailbox)> {
+    pub fn all(&self) -> impl Iterator<Item = (MailboxId, &Mailbox)> {
         self.boxes.iter()
     }
 
@@ -122,13 +122,13 @@
     }
 
     /// Returns the session that was disconnected longest ago.
-    pub fn oldest_detached(&self) -> Option<BoxId> {
+    pub fn oldest_detached(&self) -> Option<MailboxId> {
         self.detached.first().map(|(_, id)| *id)
     }
 
     /// Attaches a connection to a session: to the existing one, or to `fresh`, which replaces it. Returns
     /// whether an existing session is resumed.
-    pub fn attach(&mut self, id: BoxId, conn: ConnId, fresh: Option<Kept>) -> bool {
+    pub fn attach(&mut self, id: MailboxId, conn: ConnId, fresh: Option<NamedSession>) -> bool {
         let Some(m) = self.boxes.get_mut(id) else { return false };
         self.detached.remove(&(m.expires_at, id));
         (m.conn, m.expires_at) = (Some(conn), Micros::MAX);
@@ -144,7 +144,7 @@
     }
 
     /// Detaches the connection of a session, which is kept until `expires_at`.
-    pub fn detach(&mut self, id: BoxId, expires_at: Micros) {
+    pub fn detach(&mut self, id: MailboxId, expires_at: Micros) {
         let Some(m) = self.boxes.get_mut(id) else { return };
         (m.conn, m.expires_at) = (None, expires_at);
         if m.kept.is_some() {
@@ -153,7 +153,7 @@
     }
 
     /// Restores a session after a restart.
-    pub fn restore(&mut self, id: BoxId, kept: Kept, expires_at: Micros) {
+    pub fn restore(&mut self, id: MailboxId, kept: NamedSession, expires_at: Micros) {
         let Some(m) = self.boxes.get_mut(id) else { return };
         self.sessions += usize::from(m.kept.is_none());
         m.kept = Some(kept);
@@ -161,7 +161,7 @@
     }
 
     /// Ends a session.
-    pub fn end_session(&mut self, id: BoxId) {
+    pub fn end_session(&mut self, id: MailboxId) {
         let Some(m) = self.boxes.get_mut(id) else { return };
         self.detached.remove(&(m.expires_at, id));
         m.expires_at = Micros::MAX;
@@ -172,7 +172,7 @@
     }
 
     /// Removes a named mailbox that nothing uses. Returns whether it was removed.
-    pub fn tidy(&mut self, id: BoxId) -> bool {
+    pub fn remove_if_unused(&mut self, id: MailboxId) -> bool {
         let Some(m) = self.boxes.get(id) else { return false };
         let needed = m.name.is_empty()
             || m.open > 0
--- a/crates/engine/src/mailboxes/tests.rs
+++ b/crates/engine/src/mailboxes/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn kept(began: Micros) -> Kept {
-    Kept { began, expiry: 10, notes: Vec::new(), recent: Recent::new(4) }
+fn kept(began: Micros) -> NamedSession {
+    NamedSession { began, expiry: 10, notes: Vec::new(), recent: Recent::new(4) }
 }
 
 #[test]
@@ -17,8 +17,8 @@
     assert_eq!((m.sessions(), m.oldest_detached()), (2, Some(b)));
     assert!(m.attach(b, 3, None), "the earlier session is resumed");
     assert_eq!(m.oldest_detached(), Some(a));
-    assert!(!m.tidy(a), "it holds a session");
+    assert!(!m.remove_if_unused(a), "it holds a session");
     m.end_session(a);
-    assert!(m.tidy(a));
+    assert!(m.remove_if_unused(a));
     assert_eq!((m.sessions(), m.oldest_detached(), m.find(0, "a")), (1, None, None));
 }
--- a/crates/engine/src/node/answer.rs
+++ b/crates/engine/src/node/answer.rs
@@ -8,8 +8,8 @@
 use crate::front::Speaks;
 use crate::ids::show_id;
 use crate::limits::Held;
-use crate::mailboxes::BoxId;
-use crate::outbox::Reply;
+use crate::mailboxes::MailboxId;
+use crate::outbox::ReplyAddress;
 use crate::standing::Still;
 use crate::stats::{self};
 use heronroute::MsgId;
@@ -35,7 +35,7 @@
             self.cancel_unsent(call, part);
         }
         let Some(m) = self.messages.get(&id) else { return };
-        let may_run = m.ran_at.is_some() || m.out.is_some();
+        let may_run = m.may_have_run_since.is_some() || m.out.is_some();
         let quantum = self.cfg.settings.quantum.max(1_000);
         // For a platform's message the library's own answer is reported, even if the message has expired.
         let time_up = m.speaks != Speaks::Resp && self.now + 2 * quantum >= m.deadline;
@@ -89,13 +89,13 @@
             && self.respond(conn, sequence, id, answer)
         {
             self.taken(id);
-            self.mailboxes.tidy(m.mailbox);
+            self.mailboxes.remove_if_unused(m.mailbox);
             return;
         }
         // In forward mode the response is the answer. If the connection has closed, a receipt replaces it.
         if !m.submission.owes_receipt(answer == Answer::Delivered) {
             self.taken(id);
-            self.mailboxes.tidy(m.mailbox);
+            self.mailboxes.remove_if_unused(m.mailbox);
             return;
         }
         let receipt = Receipt {
@@ -106,21 +106,21 @@
             source: m.submission.source,
             destination: m.submission.destination,
         };
-        self.owe(m.mailbox, receipt, m.to);
-        self.pump(m.mailbox);
+        self.owe(m.mailbox, receipt, m.reply_to);
+        self.deliver_owed(m.mailbox);
     }
 
     /// Adds an answer to those owed to a mailbox.
-    pub(crate) fn owe(&mut self, mailbox: BoxId, receipt: Receipt, to: Reply) {
+    pub(crate) fn owe(&mut self, mailbox: MailboxId, receipt: Receipt, reply_to: ReplyAddress) {
         let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
-        m.outbox.push(receipt, to);
+        m.outbox.push(receipt, reply_to);
         self.clients[m.client].owed += 1;
     }
 
     /// Closes a message whose answer was acknowledged, or to which none is owed: nothing of it is needed any
     /// more.
     pub(crate) fn taken(&mut self, id: MsgId) {
-        self.unheard.remove(&id.0);
+        self.unacknowledged.remove(&id.0);
         self.answer_heard(id);
         self.ledger.write(|| What::Taken(entry::Taken { id: id.0 }));
     }
--- a/crates/engine/src/node/api.rs
+++ b/crates/engine/src/node/api.rs
@@ -8,7 +8,7 @@
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum CloseReason {
     /// The peer closed its side of the connection.
     Ended,
     /// The connection failed, or could not be established.
@@ -32,7 +32,7 @@
     /// Close the connection at once.
     Drop(ConnId),
     /// Save this directory list for the next start.
-    Keep(String),
+    SaveList(String),
     /// Write these entries to the journal, then call `Node::durable`.
     Journal(Vec<Entry>),
     /// The answer to `Node::copying`: everything accepted from now on counts as the partner's too.
--- a/crates/engine/src/node/connections.rs
+++ b/crates/engine/src/node/connections.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::api::Output;
-use super::state::{Conn, Key, Use};
+use super::state::{Conn, ConnRole, TimerKey};
 use crate::ids::ConnId;
 use crate::read_budget;
 use crate::stream::Stream;
@@ -19,10 +19,10 @@
     /// Returns whether more may be read from a connection now. Bounds what waits for a client that does not
     /// read.
     pub fn wants_read(&self, conn: ConnId) -> bool {
-        self.conns.get(&conn).is_some_and(|c| match c.what {
-            Use::Client { ref front, .. } => c.stream.out.len() < CLIENT_BACKLOG && front.listens(),
+        self.conns.get(&conn).is_some_and(|c| match c.role {
+            ConnRole::Client { ref front, .. } => c.stream.out.len() < CLIENT_BACKLOG && front.listens(),
             // Whatever arrives now would be read and never answered.
-            Use::Finishing => false,
+            ConnRole::Finishing => false,
             _ => true,
         })
     }
@@ -30,16 +30,16 @@
     /// Returns whether a connection has to be read before it is written: what has arrived by now can't answer
     /// anything that is still to be sent on it.
     pub fn reads_first(&self, conn: ConnId) -> bool {
-        self.conns.get(&conn).is_some_and(|c| match &c.what {
-            Use::Receiver { link, .. } => link.unbegun(&c.stream),
+        self.conns.get(&conn).is_some_and(|c| match &c.role {
+            ConnRole::Receiver { link, .. } => link.unbegun(&c.stream),
             _ => false,
         })
     }
 
     /// Returns how many bytes may be read from a connection in one turn.
-    pub fn turn(&self, conn: ConnId) -> usize {
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { owner: Some((client, _)), .. }) => self.read_budgets.octets(*client),
+    pub fn read_quota(&self, conn: ConnId) -> usize {
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Client { owner: Some((client, _)), .. }) => self.read_budgets.octets(*client),
             _ => read_budget::MAX_READ,
         }
     }
@@ -50,7 +50,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return true };
         c.stream.wrote(n);
         c.write_requested = !c.stream.out.is_empty();
-        if !c.write_requested && matches!(c.what, Use::Finishing) {
+        if !c.write_requested && matches!(c.role, ConnRole::Finishing) {
             self.conns.remove(&conn);
             return true;
         }
@@ -58,9 +58,9 @@
     }
 
     /// Adds a connection with a role, and returns its number.
-    pub(crate) fn add_conn(&mut self, what: Use) -> ConnId {
+    pub(crate) fn add_conn(&mut self, role: ConnRole) -> ConnId {
         self.next_conn += 1;
-        self.conns.insert(self.next_conn, Conn { stream: Stream::default(), what, write_requested: false });
+        self.conns.insert(self.next_conn, Conn { stream: Stream::default(), role, write_requested: false });
         self.next_conn
     }
 
@@ -78,10 +78,10 @@
     /// Closes a connection once all is written. Its role is dropped at once.
     pub(crate) fn finish(&mut self, conn: ConnId) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
-        c.what = Use::Finishing;
-        self.timers.clear(Key::Conn(conn));
-        self.timers.clear(Key::Idle(conn));
-        self.timers.clear(Key::Connect(conn));
+        c.role = ConnRole::Finishing;
+        self.timers.clear(TimerKey::Conn(conn));
+        self.timers.clear(TimerKey::Idle(conn));
+        self.timers.clear(TimerKey::Connect(conn));
         if c.stream.out.is_empty() {
             self.conns.remove(&conn);
             self.outputs.push(Output::Drop(conn));
@@ -93,7 +93,7 @@
     /// Closes a connection at once.
     pub(crate) fn drop_conn(&mut self, conn: ConnId) {
         if self.conns.remove(&conn).is_some() {
-            for key in [Key::Conn(conn), Key::Idle(conn), Key::Connect(conn)] {
+            for key in [TimerKey::Conn(conn), TimerKey::Idle(conn), TimerKey::Connect(conn)] {
                 self.timers.clear(key);
             }
             self.outputs.push(Output::Drop(conn));
--- a/crates/engine/src/node/inputs.rs
+++ b/crates/engine/src/node/inputs.rs
@@ -1,8 +1,8 @@
 //! Events of connections, dispatched by each connection's role.
 
 use super::Node;
-use super::api::Gone;
-use super::state::Use;
+use super::api::CloseReason;
+use super::state::ConnRole;
 use crate::Micros;
 use crate::ids::ConnId;
 
@@ -10,10 +10,10 @@
     /// Handles a connection that was established.
     pub fn connected(&mut self, now: Micros, conn: ConnId) {
         self.now = now.max(self.now);
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Receiver { .. }) => self.link_opened(conn),
-            Some(Use::Notices) => self.notices_connected(conn),
-            Some(Use::Directory) => {
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Receiver { .. }) => self.link_opened(conn),
+            Some(ConnRole::Notices) => self.notices_connected(conn),
+            Some(ConnRole::Directory) => {
                 if let Some(c) = self.conns.get_mut(&conn) {
                     self.directory.connected(self.now, &mut c.stream);
                 }
@@ -27,11 +27,11 @@
     /// Handles received bytes.
     pub fn received(&mut self, now: Micros, conn: ConnId, bytes: &[u8]) {
         self.now = now.max(self.now);
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { .. }) => self.client_received(conn, bytes),
-            Some(Use::Receiver { .. }) => self.link_received(conn, bytes),
-            Some(Use::Notices) => self.notices_received(conn, bytes),
-            Some(Use::Directory) => {
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Client { .. }) => self.client_received(conn, bytes),
+            Some(ConnRole::Receiver { .. }) => self.link_received(conn, bytes),
+            Some(ConnRole::Notices) => self.notices_received(conn, bytes),
+            Some(ConnRole::Directory) => {
                 let mut events = Vec::new();
                 let Some(c) = self.conns.get_mut(&conn) else { return };
                 let keep_open = self.directory.receive(self.now, bytes, &mut c.stream, &mut events);
@@ -47,13 +47,13 @@
     }
 
     /// Handles the end of a connection, which the owner of the sockets has closed.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, gone: Gone) {
+    pub fn closed(&mut self, now: Micros, conn: ConnId, gone: CloseReason) {
         self.now = now.max(self.now);
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { .. }) => self.client_gone(conn),
-            Some(Use::Receiver { .. }) => self.link_closed(conn, gone),
-            Some(Use::Notices) => self.notices_closed(conn),
-            Some(Use::Directory) => {
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Client { .. }) => self.client_disconnected(conn),
+            Some(ConnRole::Receiver { .. }) => self.link_closed(conn, gone),
+            Some(ConnRole::Notices) => self.notices_closed(conn),
+            Some(ConnRole::Directory) => {
                 self.directory_conn = None;
                 let mut events = Vec::new();
                 self.directory.ended(self.now, &mut events);
--- a/crates/engine/src/node/listing.rs
+++ b/crates/engine/src/node/listing.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::api::Output;
-use super::state::Key;
+use super::state::TimerKey;
 use crate::directory::Heard;
 use heronroute::{DestId, EndpointEntry, EndpointId, Event, Status};
 use heronroute_config::Listing;
@@ -19,7 +19,7 @@
 
     /// Sets the directory's timer.
     pub(crate) fn schedule_directory(&mut self) {
-        self.timers.set(Key::Directory, self.directory.wake());
+        self.timers.set(TimerKey::Directory, self.directory.wake());
     }
 
     /// Handles lists and failures that the directory reported.
@@ -29,7 +29,7 @@
                 Heard::List(listing) => {
                     self.stats.lists += 1;
                     self.apply_listing(&listing);
-                    self.outputs.extend(self.directory.text().map(Output::Keep));
+                    self.outputs.extend(self.directory.text().map(Output::SaveList));
                 }
                 Heard::Failed(why) => {
                     self.stats.list_failures += 1;
@@ -55,11 +55,11 @@
                 continue;
             };
             let (dest, status) = (DestId(e.destination), e.status);
-            let (endpoint, moved) = self.remotes.upsert(&e.name, e.address, kind, dest);
+            let (endpoint, moved) = self.endpoints.upsert(&e.name, e.address, kind, dest);
             if self.held.is_some() {
-                self.remotes[endpoint].number = self.trail_number(&e.name);
+                self.endpoints[endpoint].number = self.trail_number(&e.name);
             }
-            self.remotes.set_listed(endpoint, status != Status::Removed);
+            self.endpoints.set_listed(endpoint, status != Status::Removed);
             if moved {
                 self.close_idle(endpoint);
             }
@@ -76,8 +76,8 @@
             entries.iter().filter(|e| e.status != Status::Up).map(|e| e.endpoint).collect();
         if listing.whole {
             let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
-            let gone: Vec<EndpointId> = self.remotes.listed().filter(|e| !named.contains(e)).collect();
-            gone.iter().for_each(|e| self.remotes.set_listed(*e, false));
+            let gone: Vec<EndpointId> = self.endpoints.listed().filter(|e| !named.contains(e)).collect();
+            gone.iter().for_each(|e| self.endpoints.set_listed(*e, false));
             down.extend(gone);
         }
         tracing::debug!(
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -13,10 +13,10 @@
 mod start;
 mod state;
 
-pub use api::{Gone, Output, Start};
+pub use api::{CloseReason, Output, Start};
 use endpoints::EndpointTable;
 pub(crate) use state::{
-    BacklogRelease, Client, Conn, Effect, FinishedMessage, Key, LinkEvents, Message, Use,
+    BacklogRelease, Client, Conn, ConnRole, Effect, FinishedMessage, LinkEvents, Message, TimerKey,
 };
 
 use crate::Micros;
@@ -60,7 +60,7 @@
     pub(crate) events: Vec<Event>,
     actions: Vec<Action>,
     last_round: Micros,
-    pub(crate) timers: Timers<Key>,
+    pub(crate) timers: Timers<TimerKey>,
     pub(crate) conns: BTreeMap<ConnId, Conn>,
     next_conn: ConnId,
     /// The number of client connections, by front.
@@ -74,7 +74,7 @@
     /// Messages held for clients, and trails.
     pub(crate) held: Option<Store>,
     /// Held messages whose answer was not acknowledged yet.
-    pub(crate) unheard: BTreeSet<u64>,
+    pub(crate) unacknowledged: BTreeSet<u64>,
     /// The running releases of backlogs, by client.
     pub(crate) releases: BTreeMap<usize, BacklogRelease>,
     /// The names that trails refer to by number.
@@ -89,7 +89,7 @@
     pub(crate) calls: Calls,
     /// Outcomes reported by doubtful answers, which wait to be confirmed.
     pub(crate) doubts: Doubts,
-    pub(crate) remotes: EndpointTable,
+    pub(crate) endpoints: EndpointTable,
     /// When to check next for endpoints to remove.
     prune_at: Micros,
     zones: Vec<String>,
@@ -138,7 +138,7 @@
     }
 
     /// Returns the number of messages held for their clients.
-    pub fn kept_for_clients(&self) -> usize {
+    pub fn held_for_clients(&self) -> usize {
         let of = |c: usize| self.held.as_ref().map_or(0, |s| s.of(c as u32).0);
         (0..self.clients.len()).map(of).sum()
     }
@@ -146,7 +146,7 @@
     /// Returns the number of records of endpoints and destinations, here and in the decision library, for
     /// monitoring a sender's memory.
     pub fn kept(&self) -> usize {
-        self.remotes.record_count() + self.dispatcher.kept()
+        self.endpoints.record_count() + self.dispatcher.kept()
     }
 
     /// Returns the number of receipts that wait for their client.
--- a/crates/engine/src/node/prune.rs
+++ b/crates/engine/src/node/prune.rs
@@ -20,9 +20,10 @@
         self.prune_at = self.now + PRUNE_INTERVAL;
         let (wall, busy) = (self.wall(), self.calls.endpoints());
         let in_use = |e: &EndpointId| busy.contains(e) || self.dispatcher.belief(*e).is_some();
-        let unlisted = self.remotes.idle_unlisted().filter(|(e, r)| r.place.wait_until <= wall && !in_use(e));
+        let unlisted =
+            self.endpoints.idle_unlisted().filter(|(e, r)| r.place.wait_until <= wall && !in_use(e));
         for endpoint in unlisted.map(|(e, _)| e).collect::<Vec<_>>() {
-            let Some(removed) = self.remotes.remove(endpoint) else { continue };
+            let Some(removed) = self.endpoints.remove(endpoint) else { continue };
             // The journal's record of the endpoint is cleared too.
             let empty = Place { endpoint: removed.name, ..Place::default() };
             if removed.place != empty {
--- a/crates/engine/src/node/round.rs
+++ b/crates/engine/src/node/round.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::api::Output;
-use super::state::{Effect, Key, Use};
+use super::state::{ConnRole, Effect, TimerKey};
 use crate::Micros;
 use crate::directory::Want;
 use heronroute::{EndpointId, Event};
@@ -25,7 +25,7 @@
             }
             let next = self.last_round + self.cfg.settings.quantum;
             if next > self.now {
-                self.timers.set(Key::Round, next);
+                self.timers.set(TimerKey::Round, next);
                 break;
             }
             self.round();
@@ -68,7 +68,7 @@
             }
             Effect::Apply(apply) => self.in_force(&apply),
             Effect::Inherited { origin } => self.estate_durable(origin),
-            Effect::RepeatAnswer { mailbox, id, to } => self.tell_again(mailbox, id, *to),
+            Effect::RepeatAnswer { mailbox, id, reply_to } => self.tell_again(mailbox, id, *reply_to),
         }
     }
 
@@ -89,25 +89,25 @@
         self.remove_unlisted_endpoints();
     }
 
-    fn handle_timer(&mut self, key: Key) {
+    fn handle_timer(&mut self, key: TimerKey) {
         match key {
-            Key::Module => self.events.push(Event::Timer { token: 0 }),
-            Key::Round => {}
-            Key::Conn(conn) => match self.conns.get(&conn).map(|c| &c.what) {
-                Some(Use::Client { .. }) => self.client_tick(conn),
-                Some(Use::Receiver { .. }) => self.link_tick(conn),
+            TimerKey::Dispatcher => self.events.push(Event::Timer { token: 0 }),
+            TimerKey::Round => {}
+            TimerKey::Conn(conn) => match self.conns.get(&conn).map(|c| &c.role) {
+                Some(ConnRole::Client { .. }) => self.client_tick(conn),
+                Some(ConnRole::Receiver { .. }) => self.link_tick(conn),
                 _ => {}
             },
-            Key::Connect(conn) => self.link_gone_and_dropped(conn),
-            Key::Idle(conn) => self.link_idle(conn),
-            Key::Confirm(conn) => self.confirm_due(conn),
-            Key::Part(call, part) => self.part_timed_out(call, part),
-            Key::Probe(endpoint) => self.probe_timed_out(EndpointId(endpoint)),
-            Key::Outbox(mailbox) => self.pump(mailbox),
-            Key::Release(client) => self.continue_release(client),
-            Key::Mailbox(mailbox) => self.mailbox_due(mailbox),
-            Key::Keeping => self.keeping_due(),
-            Key::Directory => {
+            TimerKey::Connect(conn) => self.link_gone_and_dropped(conn),
+            TimerKey::Idle(conn) => self.link_idle(conn),
+            TimerKey::Confirm(conn) => self.confirm_due(conn),
+            TimerKey::Part(call, part) => self.part_timed_out(call, part),
+            TimerKey::Probe(endpoint) => self.probe_timed_out(EndpointId(endpoint)),
+            TimerKey::Outbox(mailbox) => self.deliver_owed(mailbox),
+            TimerKey::Release(client) => self.continue_release(client),
+            TimerKey::Mailbox(mailbox) => self.mailbox_due(mailbox),
+            TimerKey::Keeping => self.keeping_due(),
+            TimerKey::Directory => {
                 let mut events = Vec::new();
                 let want = self.directory.tick(self.now, &mut events);
                 match want {
@@ -118,16 +118,16 @@
                         }
                     }
                     Want::Connect(address) => {
-                        let conn = self.add_conn(Use::Directory);
+                        let conn = self.add_conn(ConnRole::Directory);
                         self.directory_conn = Some(conn);
                         self.outputs.push(Output::Connect { conn, address });
                     }
                 }
                 self.handle_directory_events(events);
             }
-            Key::Notices => self.notices_due(),
-            Key::Leave if self.cfg.platform.is_some() => self.freeze(),
-            Key::Leave => self.abandon_all(),
+            TimerKey::Notices => self.notices_due(),
+            TimerKey::Leave if self.cfg.platform.is_some() => self.freeze(),
+            TimerKey::Leave => self.abandon_all(),
         }
     }
 }
--- a/crates/engine/src/node/shutdown.rs
+++ b/crates/engine/src/node/shutdown.rs
@@ -1,7 +1,7 @@
 //! Shutdown of a sender.
 
 use super::Node;
-use super::state::{Conn, Key, Use};
+use super::state::{Conn, ConnRole, TimerKey};
 use crate::Micros;
 use crate::answers::End;
 use crate::front::{FRONT_COUNT, Speaks};
@@ -22,18 +22,18 @@
             if self.cfg.platform.is_none() {
                 self.limits.leave();
             }
-            self.timers.set(Key::Leave, self.now + self.cfg.service.drain_for);
+            self.timers.set(TimerKey::Leave, self.now + self.cfg.service.drain_for);
         }
         self.settle(now);
     }
 
     /// Returns whether new client connections are refused.
-    pub fn closes_door(&self) -> bool {
+    pub fn refuses_connections(&self) -> bool {
         self.frozen
     }
 
     /// Returns whether the shutdown is complete: no client is left.
-    pub fn has_left(&self) -> bool {
+    pub fn is_shut_down(&self) -> bool {
         self.left
     }
 
@@ -45,14 +45,14 @@
         self.left = self.frozen;
         self.frozen = true;
         self.refuse_submitted();
-        let is_client = |c: &Conn| matches!(c.what, Use::Client { .. });
+        let is_client = |c: &Conn| matches!(c.role, ConnRole::Client { .. });
         let clients: Vec<ConnId> =
             self.conns.iter().filter(|(_, c)| is_client(c)).map(|(id, _)| *id).collect();
         let now = self.now;
         for conn in clients {
             self.with_front(conn, |f, out, requests| f.leave(now, out, requests));
         }
-        self.timers.set(Key::Leave, self.now + LAST_CALLS_TIMEOUT);
+        self.timers.set(TimerKey::Leave, self.now + LAST_CALLS_TIMEOUT);
     }
 
     /// Refuses what was submitted since the last round. Guards against requests that were read but see no
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -98,7 +98,7 @@
                 let trails = Room { age: i64::MAX, count: h.trails, octets: u64::MAX };
                 Store::new(trails, Room { age: h.age, count: h.count, octets: h.octets })
             }),
-            unheard: BTreeSet::new(),
+            unacknowledged: BTreeSet::new(),
             releases: BTreeMap::new(),
             trail_names: Vec::new(),
             trail_numbers: BTreeMap::new(),
@@ -110,7 +110,7 @@
             next_id: ((start.wall.max(0) as u64) << ID_SENDER_BITS) | start.index as u64,
             calls: Calls::default(),
             doubts: Doubts::default(),
-            remotes: EndpointTable::default(),
+            endpoints: EndpointTable::default(),
             prune_at: now,
             zones: cfg.zones.clone(),
             clients: Vec::new(),
--- a/crates/engine/src/node/state.rs
+++ b/crates/engine/src/node/state.rs
@@ -4,8 +4,8 @@
 use crate::front::{Front, Speaks};
 use crate::ids::ConnId;
 use crate::link::{Link, LinkEvent};
-use crate::mailboxes::BoxId;
-use crate::outbox::Reply;
+use crate::mailboxes::MailboxId;
+use crate::outbox::ReplyAddress;
 use crate::pool::Pool;
 use crate::standing::Still;
 use crate::stream::Stream;
@@ -19,9 +19,9 @@
 
 /// A timer of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Key {
+pub(crate) enum TimerKey {
     /// A timer that the decision library set.
-    Module,
+    Dispatcher,
     /// The next round may begin.
     Round,
     /// The own timer of a session or link.
@@ -37,9 +37,9 @@
     /// The time by which a probe has to be answered.
     Probe(u32),
     /// The time from which a mailbox's answers may be sent again.
-    Outbox(BoxId),
+    Outbox(MailboxId),
     /// The expiry of a session without a connection, or the time of its client's will.
-    Mailbox(BoxId),
+    Mailbox(MailboxId),
     /// The next step in the release of a client's backlog.
     Release(usize),
     /// The expiry of what is kept under clients' rules.
@@ -68,7 +68,7 @@
     /// Report that a dead member's work is written to the journal as a whole.
     Inherited { origin: String },
     /// Send a kept answer again.
-    RepeatAnswer { mailbox: BoxId, id: MsgId, to: Box<Reply> },
+    RepeatAnswer { mailbox: MailboxId, id: MsgId, reply_to: Box<ReplyAddress> },
 }
 
 impl Effect {
@@ -83,13 +83,13 @@
 
 /// The role of a connection.
 #[derive(Debug)]
-pub(crate) enum Use {
+pub(crate) enum ConnRole {
     /// A client's connection.
     Client {
         front: Box<dyn Front>,
         speaks: Speaks,
         /// The client and the mailbox for its answers, once the client is admitted.
-        owner: Option<(usize, BoxId)>,
+        owner: Option<(usize, MailboxId)>,
         /// The number of open messages submitted on this connection.
         open: usize,
         /// Whether it was last refused for exceeding its share of its client's room.
@@ -109,7 +109,7 @@
 #[derive(Debug)]
 pub(crate) struct Conn {
     pub stream: Stream,
-    pub what: Use,
+    pub role: ConnRole,
     /// Whether a write has been requested for it.
     pub write_requested: bool,
 }
@@ -119,14 +119,14 @@
 pub(crate) struct Message {
     pub client: usize,
     /// The mailbox for its answer.
-    pub mailbox: BoxId,
+    pub mailbox: MailboxId,
     /// The connection and protocol by which it came.
     pub conn: ConnId,
     pub speaks: Speaks,
     pub class: usize,
     pub submission: Submission,
     /// The address for its answer in the client's protocol.
-    pub to: Reply,
+    pub reply_to: ReplyAddress,
     /// When it was accepted, as time of day.
     pub taken: Micros,
     /// When it expires, on the node's clock.
@@ -139,7 +139,7 @@
     /// The attempt in flight, as call and part.
     pub out: Option<(u64, usize)>,
     /// Since when it may have run: an attempt began to be written and was not proved to have had no effect.
-    pub ran_at: Option<Micros>,
+    pub may_have_run_since: Option<Micros>,
     /// Its history, where trails are kept.
     pub trail: Option<Box<Trail>>,
     /// How long its answer is kept to be sent again; 0 if it is not kept.
@@ -206,7 +206,7 @@
     /// The number of admitted connections.
     pub admitted_conns: usize,
     /// The mailbox that its unnamed sessions share.
-    pub mailbox: BoxId,
+    pub mailbox: MailboxId,
 }
 
 /// The running release of a client's backlog.
--- a/crates/engine/src/notices.rs
+++ b/crates/engine/src/notices.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::ids::ConnId;
-use crate::node::{Key, Node, Output, Use};
+use crate::node::{ConnRole, Node, Output, TimerKey};
 use heronroute::MsgId;
 use heronroute_platform::notice::{End, Want};
 use heronroute_smpp::receipt::Answer;
@@ -19,7 +19,7 @@
 
     fn schedule_notices(&mut self) {
         let wake = self.notices.as_ref().map_or(Micros::MAX, |n| n.wake());
-        self.timers.set(Key::Notices, wake);
+        self.timers.set(TimerKey::Notices, wake);
     }
 
     /// Handles the timer of the notices.
@@ -31,7 +31,7 @@
         match notices.tick(self.now, out) {
             Want::Nothing => {}
             Want::Connect(address) => {
-                let conn = self.add_conn(Use::Notices);
+                let conn = self.add_conn(ConnRole::Notices);
                 self.notices_conn = Some(conn);
                 self.outputs.push(Output::Connect { conn, address });
             }
--- a/crates/engine/src/outbox.rs
+++ b/crates/engine/src/outbox.rs
@@ -14,7 +14,7 @@
 
 /// The address for an answer, in protocols that let clients choose it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reply {
+pub struct ReplyAddress {
     /// The topic; empty for the default one.
     pub topic: String,
     /// The correlation data, returned with the answer.
@@ -23,11 +23,11 @@
 
 /// An answer that is owed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Owed {
+pub struct OwedAnswer {
     /// The answer.
     pub receipt: Receipt,
     /// The address for it.
-    pub reply: Reply,
+    pub reply: ReplyAddress,
     /// The packet number under which it was sent on a connection that was lost.
     pub before: Option<u32>,
 }
@@ -36,11 +36,11 @@
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// Answers to send, the next one first.
-    waiting: VecDeque<Owed>,
+    waiting: VecDeque<OwedAnswer>,
     /// Answers to which no session here has subscribed.
-    unsubscribed: VecDeque<Owed>,
+    unsubscribed: VecDeque<OwedAnswer>,
     /// Sent and not acknowledged, by session and sequence number.
-    in_flight: BTreeMap<(SessionId, u32), Owed>,
+    in_flight: BTreeMap<(SessionId, u32), OwedAnswer>,
     /// Sessions that receive answers, the next one first.
     sessions: VecDeque<SessionId>,
     /// The time before which no answer is sent, after a client refused one; 0 if there is none.
@@ -64,27 +64,27 @@
     }
 
     /// Adds an answer.
-    pub fn push(&mut self, receipt: Receipt, reply: Reply) {
-        self.waiting.push_back(Owed { receipt, reply, before: None });
+    pub fn push(&mut self, receipt: Receipt, reply: ReplyAddress) {
+        self.waiting.push_back(OwedAnswer { receipt, reply, before: None });
     }
 
     /// Adds a session that receives answers.
     pub fn add_session(&mut self, session: SessionId) {
         self.sessions.push_back(session);
         self.retry_at = 0;
-        self.ask_again();
+        self.requeue_set_aside();
     }
 
     /// Queues the answers that were set aside again, as a session may have subscribed to them now. They go
     /// first, as they are older.
-    pub fn ask_again(&mut self) {
+    pub fn requeue_set_aside(&mut self) {
         while let Some(owed) = self.unsubscribed.pop_back() {
             self.waiting.push_front(owed);
         }
     }
 
     /// Sets an answer aside to which no session here has subscribed.
-    pub fn set_aside(&mut self, owed: Owed) {
+    pub fn set_aside(&mut self, owed: OwedAnswer) {
         self.unsubscribed.push_back(owed);
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Removes the matching answers, including those in flight, and returns their ids.
-    pub fn withdraw(&mut self, which: impl Fn(&Owed) -> bool) -> Vec<String> {
+    pub fn remove_matching(&mut self, which: impl Fn(&OwedAnswer) -> bool) -> Vec<String> {
         let mut removed = Vec::new();
         for queue in [&mut self.waiting, &mut self.unsubscribed] {
             queue.retain(|o| {
@@ -141,12 +141,12 @@
     }
 
     /// Takes the next answer to send. [`Outbox::sent`] must be called once it is sent.
-    pub fn pop(&mut self) -> Option<Owed> {
+    pub fn pop(&mut self) -> Option<OwedAnswer> {
         self.waiting.pop_front()
     }
 
     /// Records that an answer was sent on a session.
-    pub fn sent(&mut self, session: SessionId, sequence: u32, owed: Owed) {
+    pub fn sent(&mut self, session: SessionId, sequence: u32, owed: OwedAnswer) {
         let before = self.in_flight.insert((session, sequence), owed);
         debug_assert!(before.is_none(), "a sequence number in use was assigned again");
     }
@@ -161,7 +161,7 @@
         sequence: u32,
         taken: bool,
         pause: Micros,
-    ) -> Option<Owed> {
+    ) -> Option<OwedAnswer> {
         let owed = self.in_flight.remove(&(session, sequence))?;
         if taken {
             return Some(owed);
--- a/crates/engine/src/outbox/tests.rs
+++ b/crates/engine/src/outbox/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn owe(o: &mut Outbox, id: usize) {
-    o.push(receipt(id), Reply::default());
+    o.push(receipt(id), ReplyAddress::default());
 }
 
 #[test]
@@ -49,7 +49,7 @@
     assert_eq!((o.owed(), o.is_idle()), (3, false));
     _ = o.pop();
     assert_eq!((o.next_session(0), o.is_idle()), (None, true), "only what is set aside is left");
-    o.ask_again();
+    o.requeue_set_aside();
     assert_eq!(o.pop().map(|r| r.receipt.id), Some("0".into()));
 }
 
--- a/crates/engine/src/region/back.rs
+++ b/crates/engine/src/region/back.rs
@@ -32,15 +32,15 @@
             let client = self.client_named(&open.accepted.client);
             let mailbox = self.mailboxes.open(client, &open.accepted.mailbox);
             self.owe_again(mailbox, &open);
-            self.pump(mailbox);
+            self.deliver_owed(mailbox);
         }
         for (client, name, owed) in owed {
             let mailbox = self.mailboxes.open(client, &name);
             if let Some(m) = self.mailboxes.get_mut(mailbox) {
                 m.outbox.set_aside(owed);
-                m.outbox.ask_again();
+                m.outbox.requeue_set_aside();
             }
-            self.pump(mailbox);
+            self.deliver_owed(mailbox);
         }
         effects.into_iter().for_each(|effect| self.perform(effect));
     }
@@ -58,7 +58,7 @@
         let class = self.class_names.get(&m.submission.service).copied();
         let class = class.or(m.submission.service.is_empty().then_some(m.class));
         let settings = class.and_then(|c| self.cfg.settings.classes.get(c));
-        let ran = m.ran_at.map(|at| Intent { at: wall - (self.now - at), ..Intent::default() });
+        let ran = m.may_have_run_since.map(|at| Intent { at: wall - (self.now - at), ..Intent::default() });
         let deadline = wall + (m.deadline - self.now);
         let accepted = Accepted { deadline, ..Accepted::default() };
         let open = Open { accepted, attempts: m.attempts, may_run: ran, out: None, answer: None };
@@ -108,7 +108,7 @@
         );
         for id in gone {
             self.break_off(id);
-            self.over(id);
+            self.remove_unowed(id);
         }
         theirs.iter().for_each(|open| self.taken(MsgId(open.accepted.id)));
         for (client, _, owed) in owed {
@@ -119,10 +119,10 @@
         let mailboxes: Vec<_> = self.mailboxes.all().map(|(id, _)| id).collect();
         for mailbox in mailboxes {
             let Some(m) = self.mailboxes.get_mut(mailbox) else { continue };
-            let (client, ids) = (m.client, m.outbox.withdraw(|o| below(&o.receipt.id, upto)));
+            let (client, ids) = (m.client, m.outbox.remove_matching(|o| below(&o.receipt.id, upto)));
             self.clients[client].owed -= ids.len();
             ids.iter().filter_map(|id| read_id(id)).for_each(|id| self.taken(id));
-            self.mailboxes.tidy(mailbox);
+            self.mailboxes.remove_if_unused(mailbox);
         }
         self.let_partner_hold(upto);
     }
--- a/crates/engine/src/region/inherit.rs
+++ b/crates/engine/src/region/inherit.rs
@@ -152,14 +152,14 @@
     fn take_up_estate(&mut self, origin: &str, mut estate: Estate) {
         estate.book.sessions.retain(|(client, name), _| !self.has_session(client, name));
         self.take_up_sessions(&estate.book);
-        self.take_up_held(&estate.book);
+        self.restore_held(&estate.book);
         self.take_up_answers(&estate.book);
         let (wall, mut done) = (self.wall(), Restarted::default());
         for open in estate.open {
             self.take_up_open(open, wall, &mut done);
         }
         let owed: Vec<_> = self.mailboxes.all().map(|(id, _)| id).collect();
-        owed.into_iter().for_each(|mailbox| self.pump(mailbox));
+        owed.into_iter().for_each(|mailbox| self.deliver_owed(mailbox));
         tracing::warn!(origin, ?done, "taken over");
     }
 }
--- a/crates/engine/src/region/lapse.rs
+++ b/crates/engine/src/region/lapse.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::End as CallEnd;
 use crate::ids::ConnId;
-use crate::node::{Node, Use};
+use crate::node::{ConnRole, Node};
 use crate::standing::Still;
 use heronroute::{Event, MsgId};
 use std::collections::BTreeSet;
@@ -43,10 +43,11 @@
         half.into_iter().for_each(|conn| self.link_gone_and_dropped(conn));
         // Answers that lie in a connection can't be told from each other: guards against one that leaves after the partner
         // has told another.
-        let queued = |c: &crate::node::Conn| matches!(c.what, Use::Client { .. }) && !c.stream.out.is_empty();
+        let queued =
+            |c: &crate::node::Conn| matches!(c.role, ConnRole::Client { .. }) && !c.stream.out.is_empty();
         let queued: Vec<ConnId> = self.conns.iter().filter(|(_, c)| queued(c)).map(|(id, _)| *id).collect();
         for conn in queued {
-            self.client_gone(conn);
+            self.client_disconnected(conn);
             self.drop_conn(conn);
         }
     }
--- a/crates/engine/src/region/mod.rs
+++ b/crates/engine/src/region/mod.rs
@@ -11,9 +11,9 @@
 mod lapse;
 
 use crate::Micros;
-use crate::mailboxes::BoxId;
+use crate::mailboxes::MailboxId;
 use crate::node::{Effect, Node, Output};
-use crate::outbox::Owed;
+use crate::outbox::OwedAnswer;
 use heronroute::MsgId;
 
 impl Node {
@@ -76,7 +76,7 @@
     }
 
     /// An answer that may not go out now.
-    pub(crate) fn owe_later(&mut self, mailbox: BoxId, owed: Owed) {
+    pub(crate) fn owe_later(&mut self, mailbox: MailboxId, owed: OwedAnswer) {
         let Some(m) = self.mailboxes.get(mailbox) else { return };
         let (client, name) = (m.client, m.name.clone());
         if let Some(r) = &mut self.region {
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -5,8 +5,8 @@
 use crate::entry_codec::{to_reply, to_submission};
 use crate::front::Speaks;
 use crate::ids::{ID_SENDER_BITS, key_of, show_id};
-use crate::mailboxes::{BoxId, Kept};
-use crate::node::{Key, Message, Node};
+use crate::mailboxes::{MailboxId, NamedSession};
+use crate::node::{Message, Node, TimerKey};
 use crate::resume::{Resume, resume};
 use crate::standing::Still;
 use heronroute::{DestId, Event, MsgId};
@@ -35,8 +35,8 @@
         let (step, own) = (1 << ID_SENDER_BITS, self.next_id % (1 << ID_SENDER_BITS));
         self.next_id = self.next_id.max(book.next_id.next_multiple_of(step) | own);
         for (name, p) in &book.places {
-            let Some(endpoint) = self.remotes.named(name) else { continue };
-            self.remotes[endpoint].place = p.clone();
+            let Some(endpoint) = self.endpoints.named(name) else { continue };
+            self.endpoints[endpoint].place = p.clone();
             let wait = (p.wait_until - wall).max(0);
             let ago = |at: Micros| (at > 0).then(|| (wall - at).max(0));
             let (bad_for, back) = (ago(p.bad_since), ago(p.back_since));
@@ -49,7 +49,7 @@
         // First, as they say where the rest belongs.
         self.take_up_rules(&book);
         self.take_up_sessions(&book);
-        self.take_up_held(&book);
+        self.restore_held(&book);
         self.take_up_answers(&book);
         for open in book.open.into_values() {
             self.take_up_open(open, wall, &mut done);
@@ -73,10 +73,10 @@
             }
             Resume::GoesOn(ran) => {
                 done.go_on += 1;
-                let ran_at = ran.as_ref().map(|i| self.now - (wall - i.at).max(0));
-                self.take_up(client, mailbox, class.unwrap_or(0), &open, ran_at);
+                let may_have_run_since = ran.as_ref().map(|i| self.now - (wall - i.at).max(0));
+                self.take_up(client, mailbox, class.unwrap_or(0), &open, may_have_run_since);
                 let may_run = ran.map(|i| {
-                    let at = self.remotes.named(&i.endpoint);
+                    let at = self.endpoints.named(&i.endpoint);
                     // An endpoint that is not known any more shares its memory with none that is.
                     (at.unwrap_or(heronroute::EndpointId(u32::MAX)), (wall - i.at).max(0))
                 });
@@ -86,23 +86,23 @@
             Resume::Over { may_run } => {
                 done.over += 1;
                 let id = MsgId(a.id);
-                let ran_at = may_run.then_some(self.now);
-                self.hold_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
+                let may_have_run_since = may_run.then_some(self.now);
+                self.hold_message(client, mailbox, class.unwrap_or(0), &open, may_have_run_since);
                 self.answer(id, End::Failed);
             }
         }
     }
 
     /// A partner may have taken it over meanwhile: it stands still until that is known.
-    fn wait_for_right(&mut self, client: usize, mailbox: BoxId, class: Option<usize>, open: Open) {
+    fn wait_for_right(&mut self, client: usize, mailbox: MailboxId, class: Option<usize>, open: Open) {
         if open.answer.is_some() {
             self.region.iter_mut().for_each(|r| r.wait_answered(open.clone()));
             return;
         }
         let id = MsgId(open.accepted.id);
         let ran = open.may_run.as_ref().or(open.out.as_ref());
-        let ran_at = ran.map(|i| self.now - (self.wall() - i.at).max(0));
-        self.hold_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
+        let may_have_run_since = ran.map(|i| self.now - (self.wall() - i.at).max(0));
+        self.hold_message(client, mailbox, class.unwrap_or(0), &open, may_have_run_since);
         if let Some(m) = self.messages.get_mut(&id) {
             // What was refused from the start is never sent.
             let refused = Still::Found(Answer::Rejected { retry_after: 0 });
@@ -138,9 +138,9 @@
             }
             let notes = s.notes.clone();
             let ends = now.saturating_add(s.expiry);
-            let session = Kept { began: s.began, expiry: s.expiry, notes, recent };
+            let session = NamedSession { began: s.began, expiry: s.expiry, notes, recent };
             self.mailboxes.restore(mailbox, session, ends);
-            self.timers.set(Key::Mailbox(mailbox), ends);
+            self.timers.set(TimerKey::Mailbox(mailbox), ends);
         }
         if let Some(seen) = &mut self.seen {
             seen.forgot(book.forgot);
@@ -153,10 +153,10 @@
     fn hold_message(
         &mut self,
         client: usize,
-        mailbox: BoxId,
+        mailbox: MailboxId,
         class: usize,
         open: &Open,
-        ran_at: Option<Micros>,
+        may_have_run_since: Option<Micros>,
     ) {
         let a = &open.accepted;
         let message = Message {
@@ -170,13 +170,13 @@
             },
             class,
             submission: to_submission(a),
-            to: to_reply(a),
+            reply_to: to_reply(a),
             taken: a.taken,
             deadline: self.now + (a.deadline - self.wall()),
             reply: None,
             attempts: open.attempts,
             out: None,
-            ran_at,
+            may_have_run_since,
             trail: None,
             answer_for: a.answer_for,
             still: Still::No,
@@ -184,12 +184,19 @@
         if let Some(identity) = message.submission.identity.clone().filter(|_| self.cfg.platform.is_some()) {
             self.by_identity.insert(identity, MsgId(a.id));
         }
-        self.hold(MsgId(a.id), message);
-        self.trail_again(open);
+        self.add_open_message(MsgId(a.id), message);
+        self.restore_trail(open);
     }
 
-    fn take_up(&mut self, client: usize, mailbox: BoxId, class: usize, open: &Open, ran_at: Option<Micros>) {
-        self.hold_message(client, mailbox, class, open, ran_at);
+    fn take_up(
+        &mut self,
+        client: usize,
+        mailbox: MailboxId,
+        class: usize,
+        open: &Open,
+        may_have_run_since: Option<Micros>,
+    ) {
+        self.hold_message(client, mailbox, class, open, may_have_run_since);
         let a = &open.accepted;
         let ordered = self.cfg.settings.classes.get(class).is_some_and(|c| c.ordered);
         self.events.push(Event::Message {
@@ -205,7 +212,7 @@
     }
 
     /// An answer that was not taken is told again, the same.
-    pub(crate) fn owe_again(&mut self, mailbox: BoxId, open: &Open) -> bool {
+    pub(crate) fn owe_again(&mut self, mailbox: MailboxId, open: &Open) -> bool {
         let a = &open.accepted;
         let Some(Answered { word, retry_after, at, .. }) = &open.answer else { return false };
         let wait = Some(*retry_after).filter(|w| *w >= 0);
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -2,11 +2,11 @@
 //! ended.
 
 use crate::Micros;
-use crate::desk::{From, constant_time_eq};
-use crate::front::{Denied, Entered, SessionRequest, Speaks, SubmissionContext};
+use crate::admission::{Origin, constant_time_eq};
+use crate::front::{AdmittedSession, Denied, SessionRequest, Speaks, SubmissionContext};
 use crate::ids::ConnId;
-use crate::mailboxes::{BoxId, Kept, Will};
-use crate::node::{Effect, Key, Node, Use};
+use crate::mailboxes::{MailboxId, NamedSession, Will};
+use crate::node::{ConnRole, Effect, Node, TimerKey};
 use heronroute_journal::entry::{Session, What};
 use heronroute_seen::Recent;
 
@@ -25,11 +25,11 @@
         let result = match (config, known) {
             _ if self.leaving => Err(Denied::Leaving),
             (Some(c), Some(client)) if constant_time_eq(&c.password, password) => Ok(client),
-            (Some(_), _) => Err(Denied::Proof),
+            (Some(_), _) => Err(Denied::Password),
             _ => Err(Denied::Name),
         };
         let admitted = result.and_then(|client| match session {
-            None => Ok((client, self.clients[client].mailbox, Entered::default())),
+            None => Ok((client, self.clients[client].mailbox, AdmittedSession::default())),
             Some(request) => self.open_session(conn, client, request).map(|(m, e)| (client, m, e)),
         });
         let now = self.now;
@@ -50,20 +50,20 @@
             }
         };
         let receives = front.receives();
-        if let Some(Use::Client { owner, .. }) = self.conns.get_mut(&conn).map(|c| &mut c.what) {
+        if let Some(ConnRole::Client { owner, .. }) = self.conns.get_mut(&conn).map(|c| &mut c.role) {
             *owner = Some((client, mailbox));
         }
         self.clients[client].admitted_conns += 1;
         if receives && let Some(m) = self.mailboxes.get_mut(mailbox) {
             m.outbox.add_session(conn);
-            self.pump(mailbox);
+            self.deliver_owed(mailbox);
         }
     }
 
     /// Returns the protocol of a client connection.
     pub(crate) fn speaks(&self, conn: ConnId) -> Option<Speaks> {
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { speaks, .. }) => Some(*speaks),
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Client { speaks, .. }) => Some(*speaks),
             _ => None,
         }
     }
@@ -74,7 +74,7 @@
         conn: ConnId,
         client: usize,
         request: SessionRequest,
-    ) -> Result<(BoxId, Entered), Denied> {
+    ) -> Result<(MailboxId, AdmittedSession), Denied> {
         let assigned_name =
             request.name.is_empty().then(|| format!("hr{}-{:x}-{conn}", self.index, self.wall()));
         let name = assigned_name.clone().unwrap_or(request.name);
@@ -83,7 +83,7 @@
             // The client connected again under the same name: the earlier connection ends, and the new one
             // resumes its session.
             if let Some((front, out)) = self.front(earlier_conn) {
-                front.supplanted(out);
+                front.session_taken_over(out);
             }
             self.flush(earlier_conn);
             self.end_session(earlier_conn);
@@ -102,14 +102,14 @@
         let mailbox = self.mailboxes.open(client, &name);
         let resumed = self.mailboxes.get(mailbox).is_some_and(|m| m.kept.is_some());
         let window = self.cfg.mqtt.as_ref().map_or(1, |m| usize::from(m.window));
-        let fresh = (!resumed).then(|| Kept {
+        let fresh = (!resumed).then(|| NamedSession {
             began: self.wall(),
             expiry: request.expiry,
             notes: Vec::new(),
             recent: Recent::new(window),
         });
         self.mailboxes.attach(mailbox, conn, fresh);
-        self.timers.clear(Key::Mailbox(mailbox));
+        self.timers.clear(TimerKey::Mailbox(mailbox));
         let mut notes = None;
         if let Some(m) = self.mailboxes.get_mut(mailbox) {
             // The client is back, so its will is not sent.
@@ -122,12 +122,12 @@
         if resumed || request.expiry > 0 {
             self.write_session(mailbox);
         }
-        Ok((mailbox, Entered { assigned_name, notes }))
+        Ok((mailbox, AdmittedSession { assigned_name, notes }))
     }
 
     /// Writes the state of a session to the journal, for the next start. A session that ends with its
     /// connection is not written.
-    fn write_session(&mut self, mailbox: BoxId) {
+    fn write_session(&mut self, mailbox: MailboxId) {
         let Some(m) = self.mailboxes.get(mailbox) else { return };
         let Some(k) = &m.kept else { return };
         let (cfg, client) = (&self.cfg, m.client);
@@ -147,9 +147,9 @@
 
     /// Handles a change of a session's stored notes. The client is told once the change is durable.
     pub(crate) fn notes_changed(&mut self, conn: ConnId, notes: Vec<u8>, reply: Vec<u8>) {
-        let Some((_, mailbox)) = self.place_of(conn) else { return };
+        let Some((_, mailbox)) = self.owner_of(conn) else { return };
         if let Some(m) = self.mailboxes.get_mut(mailbox) {
-            m.outbox.ask_again();
+            m.outbox.requeue_set_aside();
             if let Some(k) = &mut m.kept {
                 k.notes = notes;
             }
@@ -158,7 +158,7 @@
             self.write_session(mailbox);
         }
         self.once_durable(Effect::AcknowledgeNotes { conn, reply });
-        self.pump(mailbox);
+        self.deliver_owed(mailbox);
     }
 
     /// Sends the reply to a change of stored notes, which is durable now.
@@ -171,16 +171,16 @@
 
     /// Handles the end of a client's connection, for whatever reason. The answers in flight on it are owed
     /// again.
-    pub(crate) fn client_gone(&mut self, conn: ConnId) {
+    pub(crate) fn client_disconnected(&mut self, conn: ConnId) {
         self.forget_asks(conn);
         let Some(c) = self.conns.get_mut(&conn) else { return };
-        let Use::Client { speaks, owner, front, .. } = &mut c.what else { return };
+        let ConnRole::Client { speaks, owner, front, .. } = &mut c.role else { return };
         self.sessions[*speaks as usize] -= 1;
         if *speaks == Speaks::Resp {
             return self.abandon_unacknowledged(conn);
         }
         let Some((client, mailbox)) = *owner else { return };
-        let remains = front.parting();
+        let remains = front.disconnect_state();
         self.clients[client].admitted_conns -= 1;
         let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
         m.outbox.remove_session(conn);
@@ -206,37 +206,37 @@
                 self.schedule_mailbox(mailbox);
             }
         }
-        self.pump(mailbox);
+        self.deliver_owed(mailbox);
     }
 
     /// Ends the session of a connection, and closes the connection once everything is written.
     pub(crate) fn end_session(&mut self, conn: ConnId) {
-        self.client_gone(conn);
+        self.client_disconnected(conn);
         self.finish(conn);
     }
 
     /// Ends a named session. A pending will is sent now. Answers stay owed to a later session with the same
     /// name.
-    fn end_named_session(&mut self, mailbox: BoxId) {
+    fn end_named_session(&mut self, mailbox: MailboxId) {
         self.submit_will(mailbox);
         let kept = self.mailboxes.get_mut(mailbox).and_then(|m| m.kept.as_mut());
         if kept.is_some_and(|k| std::mem::take(&mut k.expiry) > 0) {
             self.write_session(mailbox);
         }
         self.mailboxes.end_session(mailbox);
-        self.timers.clear(Key::Mailbox(mailbox));
-        self.mailboxes.tidy(mailbox);
+        self.timers.clear(TimerKey::Mailbox(mailbox));
+        self.mailboxes.remove_if_unused(mailbox);
     }
 
-    fn schedule_mailbox(&mut self, mailbox: BoxId) {
+    fn schedule_mailbox(&mut self, mailbox: MailboxId) {
         if let Some(m) = self.mailboxes.get(mailbox) {
             let will = m.will.as_ref().map_or(Micros::MAX, |w| w.at);
-            self.timers.set(Key::Mailbox(mailbox), m.expires_at.min(will));
+            self.timers.set(TimerKey::Mailbox(mailbox), m.expires_at.min(will));
         }
     }
 
     /// Handles the timer of a mailbox: the session may have expired, or its will may be due.
-    pub(crate) fn mailbox_due(&mut self, mailbox: BoxId) {
+    pub(crate) fn mailbox_due(&mut self, mailbox: MailboxId) {
         let Some(m) = self.mailboxes.get(mailbox) else { return };
         if m.conn.is_some() {
             return;
@@ -252,13 +252,13 @@
 
     /// Submits the will of a disconnected client. A will that can't be accepted is counted and logged, as no
     /// client is there to be told.
-    fn submit_will(&mut self, mailbox: BoxId) {
+    fn submit_will(&mut self, mailbox: MailboxId) {
         let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
         let Some(will) = m.will.take() else { return };
-        let from = From { conn: None, token: 0, client: m.client, mailbox };
-        let handing = SubmissionContext { reply: will.reply, ..SubmissionContext::default() };
-        match self.check_submission(&from, &will.submission, handing.may_be_lost) {
-            Ok(terms) => self.accept_message(from, *will.submission, &handing, terms),
+        let from = Origin { conn: None, token: 0, client: m.client, mailbox };
+        let context = SubmissionContext { reply: will.reply, ..SubmissionContext::default() };
+        match self.check_submission(&from, &will.submission, context.may_be_lost) {
+            Ok(terms) => self.accept_message(from, *will.submission, &context, terms),
             Err(no) => {
                 self.stats.refused_other += 1;
                 tracing::info!(?no, "a will could not be taken on");
--- a/crates/engine/src/standing.rs
+++ b/crates/engine/src/standing.rs
@@ -2,7 +2,7 @@
 //! have, and what stands still. Free of I/O; `region` acts on it.
 
 use crate::Micros;
-use crate::outbox::Owed;
+use crate::outbox::OwedAnswer;
 use heronroute::MsgId;
 use heronroute_journal::entry::Held;
 use heronroute_journal::heirs::Heirs;
@@ -40,7 +40,7 @@
     /// Of the book, answered and not taken.
     pub(crate) answered: Vec<Open>,
     /// Answers that were about to go out, with whose they are and the mailbox's name; the clients' room bounds them.
-    pub(crate) owed: Vec<(usize, String, Owed)>,
+    pub(crate) owed: Vec<(usize, String, OwedAnswer)>,
     /// What became durable meanwhile.
     pub(crate) effects: Vec<H>,
     /// Whose work was taken over.
--- a/crates/engine/tests/client_orders.rs
+++ b/crates/engine/tests/client_orders.rs
@@ -4,8 +4,8 @@
 mod sender;
 
 use bytes::BytesMut;
-use heronroute_engine::front::{Ask, Front, RespFront};
-use heronroute_engine::{ConnId, Gone};
+use heronroute_engine::front::{ClientRequest, Front, RespFront};
+use heronroute_engine::{CloseReason, ConnId};
 use sender::*;
 
 /// SIGTERM to the moment from which nothing is taken on.
@@ -121,7 +121,7 @@
     fn comes(&mut self, octets: &str, whole: bool) {
         if whole {
             self.read += 1;
-            self.read_in_time += usize::from(!self.w.node.closes_door());
+            self.read_in_time += usize::from(!self.w.node.refuses_connections());
         }
         self.w.node.received(self.w.now, self.conn, octets.as_bytes());
     }
@@ -163,7 +163,7 @@
             Happens::End | Happens::Break if self.gone || self.w.ended.contains(&self.conn) => {}
             Happens::End | Happens::Break => {
                 self.gone = true;
-                let how = if event == Happens::End { Gone::Ended } else { Gone::Broken };
+                let how = if event == Happens::End { CloseReason::Ended } else { CloseReason::Broken };
                 self.w.node.closed(self.w.now, self.conn, how);
             }
             Happens::Freeze => {
@@ -173,7 +173,7 @@
             }
             Happens::SecondLeave => self.w.node.leave(self.w.now),
             Happens::IdleTimeOut => self.w.pass(IDLE),
-            Happens::MakeWay => _ = self.w.node.make_way(),
+            Happens::MakeWay => _ = self.w.node.close_idlest_client(),
         }
     }
 }
@@ -188,7 +188,7 @@
             calls_at_freeze = Some(p.w.node.stats().calls);
         }
     }
-    let frozen = p.w.node.closes_door();
+    let frozen = p.w.node.refuses_connections();
     let accepted = p.w.node.stats().accepted;
     p.w.pass(30 * MS);
     if frozen && p.w.node.stats().accepted != accepted {
@@ -213,7 +213,7 @@
     if taken > p.read_in_time {
         return Err(format!("{taken} taken on, {} read in time", p.read_in_time));
     }
-    if leaves && !(ended && p.w.node.has_left()) {
+    if leaves && !(ended && p.w.node.is_shut_down()) {
         return Err("the connection outlives the sender's service".into());
     }
     Ok(())
@@ -250,7 +250,7 @@
     let mut p = Play::new(State::Begun, true);
     p.happens(Happens::Freeze);
     p.w.pass(50 * MS);
-    assert!(!p.w.ended.contains(&p.conn) && !p.w.node.has_left(), "its rest may be on its way");
+    assert!(!p.w.ended.contains(&p.conn) && !p.w.node.is_shut_down(), "its rest may be on its way");
     p.whole();
     p.w.pass(5 * MS);
     assert!(p.w.told(p.conn).starts_with("-BUSY") && p.w.ended.contains(&p.conn));
@@ -262,7 +262,7 @@
     p.happens(Happens::Freeze);
     p.w.pass(500 * MS);
     assert!(p.w.told(p.conn).starts_with("-BUSY") && p.w.ended.contains(&p.conn));
-    assert!(p.w.node.has_left());
+    assert!(p.w.node.is_shut_down());
 }
 
 #[test]
@@ -277,18 +277,18 @@
     w.node.leave(w.now);
     w.pass(1_900 * MS - 10 * MS);
     w.node.received(w.now, half, b"*1\r\n$4\r\nPI");
-    assert!(!w.node.closes_door());
+    assert!(!w.node.refuses_connections());
     w.pass(20 * MS);
-    assert!(w.node.closes_door() && !w.node.has_left());
+    assert!(w.node.refuses_connections() && !w.node.is_shut_down());
     w.pass(700 * MS);
-    assert!(w.node.has_left(), "with a call out and half a request");
+    assert!(w.node.is_shut_down(), "with a call out and half a request");
 }
 
 #[test]
 fn an_id_that_is_open_is_not_taken_on_again() {
     let mut p = Play::new(State::Rests, false);
     // Its client gave up, and comes again under the same id.
-    p.w.node.closed(p.w.now, p.conn, Gone::Ended);
+    p.w.node.closed(p.w.now, p.conn, CloseReason::Ended);
     p.w.told(p.conn);
     let again = p.w.client();
     p.w.add(again, "m1", SAFE);
@@ -311,7 +311,7 @@
 }
 
 /// What one connection is given, and when it is to be turned to next.
-fn given(front: &mut RespFront, text: &str) -> (Vec<Ask>, i64) {
+fn given(front: &mut RespFront, text: &str) -> (Vec<ClientRequest>, i64) {
     let (mut out, mut asks) = (BytesMut::new(), Vec::new());
     front.receive(0, 0, text.as_bytes(), &mut out, &mut asks);
     (asks, front.wake())
--- a/crates/engine/tests/crash.rs
+++ b/crates/engine/tests/crash.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use heronroute_config::{Config, parse};
 use heronroute_engine::front::Speaks;
-use heronroute_engine::{ConnId, Gone, Node, Output, Start};
+use heronroute_engine::{CloseReason, ConnId, Node, Output, Start};
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::{Entry, Journal};
 use heronroute_smpp::client::{Event, Session as Client};
@@ -111,9 +111,9 @@
                     Output::Write(conn) => self.carry(now, conn, world, dice),
                     Output::Finish(conn) | Output::Drop(conn) => {
                         self.receivers.remove(&conn);
-                        self.node.closed(now, conn, Gone::Ended);
+                        self.node.closed(now, conn, CloseReason::Ended);
                     }
-                    Output::Keep(_)
+                    Output::SaveList(_)
                     | Output::Live(_)
                     | Output::Ask(_)
                     | Output::Copying
--- a/crates/engine/tests/fleet.rs
+++ b/crates/engine/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 use heronroute_engine::front::Speaks;
 use heronroute_engine::platform::config;
-use heronroute_engine::{ConnId, Gone, Node, Output, Start};
+use heronroute_engine::{CloseReason, ConnId, Node, Output, Start};
 use heronroute_http::{Reader, Side};
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::{Journal, Limits};
@@ -182,7 +182,7 @@
                         sender.count += entries.len() as u64;
                         node.durable(now, sender.count, journal.usage());
                     }
-                    Output::Keep(_)
+                    Output::SaveList(_)
                     | Output::Live(_)
                     | Output::Ask(_)
                     | Output::Copying
@@ -416,7 +416,7 @@
             What::Break(s, life, conn) => {
                 if self.conns.get(&(s, life, conn)).is_some_and(|c| c.open) {
                     self.close(s, life, conn);
-                    self.with(s, |node, now| node.closed(now, conn, Gone::Broken));
+                    self.with(s, |node, now| node.closed(now, conn, CloseReason::Broken));
                 }
             }
             What::HandIn(n) => {
@@ -444,7 +444,7 @@
             What::Bored(s, life, conn) => {
                 if self.conns.get(&(s, life, conn)).is_some_and(|c| c.open) {
                     self.close(s, life, conn);
-                    self.with(s, |node, now| node.closed(now, conn, Gone::Ended));
+                    self.with(s, |node, now| node.closed(now, conn, CloseReason::Ended));
                 }
             }
             What::Kill(s) => {
--- a/crates/engine/tests/keeping.rs
+++ b/crates/engine/tests/keeping.rs
@@ -4,7 +4,7 @@
 mod kept;
 mod rig;
 
-use heronroute_engine::{Gone, Output};
+use heronroute_engine::{CloseReason, Output};
 use heronroute_journal::disk::Faults;
 use heronroute_rules::seam::{Apply, Token, Told};
 use heronroute_rules::{Figures, Rule, RuleSet, Turn};
@@ -489,7 +489,7 @@
     assert_eq!(r.asks.len(), 16);
     // The gone wait for nothing.
     let (now, conn) = (r.now, r.clients[0].conn.take().unwrap());
-    r.node().closed(now, conn, Gone::Broken);
+    r.node().closed(now, conn, CloseReason::Broken);
     r.clients[0].core.closed();
     r.enter();
     r.clients[0].heard.clear();
--- a/crates/engine/tests/kept/mod.rs
+++ b/crates/engine/tests/kept/mod.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use heronroute_config::{Config, parse};
 use heronroute_engine::front::Speaks;
-use heronroute_engine::{ConnId, Gone, Node, Output, Start};
+use heronroute_engine::{CloseReason, ConnId, Node, Output, Start};
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::{Entry, Journal};
 use heronroute_rules::seam::{Apply, Ask, Fence, Live};
@@ -200,7 +200,7 @@
     pub fn output(&mut self, output: Output) {
         let now = self.now;
         match output {
-            Output::Connect { conn, .. } if self.down => self.node().closed(now, conn, Gone::Broken),
+            Output::Connect { conn, .. } if self.down => self.node().closed(now, conn, CloseReason::Broken),
             Output::Connect { conn, .. } => {
                 self.receivers.insert(conn, Session::new(0, LIMITS));
                 self.node().connected(now, conn);
@@ -213,9 +213,9 @@
                     c.core.closed();
                     c.conn = None;
                 }
-                self.node().closed(now, conn, Gone::Ended);
+                self.node().closed(now, conn, CloseReason::Ended);
             }
-            Output::Keep(_) => {}
+            Output::SaveList(_) => {}
             Output::Journal(entries) => self.waiting.push(entries),
             Output::Live(live) => self.lives.push(live),
             Output::Ask(ask) => self.asks.push(ask),
--- a/crates/engine/tests/link_orders.rs
+++ b/crates/engine/tests/link_orders.rs
@@ -3,7 +3,7 @@
 
 mod sender;
 
-use heronroute_engine::{ConnId, Gone};
+use heronroute_engine::{CloseReason, ConnId};
 use sender::*;
 use std::collections::BTreeSet;
 
@@ -213,7 +213,7 @@
                 self.begun_answer = true;
             }
             Event::End | Event::Reset => {
-                let gone = if event == Event::End { Gone::Ended } else { Gone::Broken };
+                let gone = if event == Event::End { CloseReason::Ended } else { CloseReason::Broken };
                 self.w.gone(self.conn);
                 self.w.node.closed(self.w.now, self.conn, gone);
                 self.pass(0);
--- a/crates/engine/tests/mqtt.rs
+++ b/crates/engine/tests/mqtt.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use heronroute_config::{Config, parse};
 use heronroute_engine::front::Speaks;
-use heronroute_engine::{ConnId, Gone, Node, Output, Start};
+use heronroute_engine::{CloseReason, ConnId, Node, Output, Start};
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::{Entry, Journal};
 use heronroute_smpp::client::Session as SmppClient;
@@ -160,7 +160,7 @@
 impl Life {
     fn cut(&mut self, now: i64, c: &mut Client) {
         if let Some(conn) = c.conn.take() {
-            self.node.closed(now, conn, Gone::Broken);
+            self.node.closed(now, conn, CloseReason::Broken);
             c.core.closed();
             // What was not heard of a subscription is asked for again.
             (c.inside, c.subscribed) = (false, false);
@@ -229,7 +229,7 @@
             for output in outputs {
                 match output {
                     Output::Connect { conn, .. } if self.down => {
-                        self.node.closed(now, conn, Gone::Broken);
+                        self.node.closed(now, conn, CloseReason::Broken);
                     }
                     Output::Connect { conn, .. } => {
                         self.receivers.insert(conn, Session::new(0, LIMITS));
@@ -243,9 +243,9 @@
                             c.core.closed();
                             (c.conn, c.inside) = (None, false);
                         }
-                        self.node.closed(now, conn, Gone::Ended);
+                        self.node.closed(now, conn, CloseReason::Ended);
                     }
-                    Output::Keep(_)
+                    Output::SaveList(_)
                     | Output::Live(_)
                     | Output::Ask(_)
                     | Output::Copying
@@ -869,7 +869,7 @@
         let cut = r.dice.below(octets.len() as u64) as usize;
         if let Some(conn) = r.life().node.accepted(now, Speaks::Mqtt, &octets[..cut]) {
             r.life().node.received(now, conn, &octets[cut..]);
-            r.life().node.closed(now, conn, Gone::Broken);
+            r.life().node.closed(now, conn, CloseReason::Broken);
         }
         if n % 20 == 0 {
             r.hand_in(0, 2 + n, &hand(2 + n, true, 2, "RESP"));
--- a/crates/engine/tests/node.rs
+++ b/crates/engine/tests/node.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use heronroute_config::parse;
 use heronroute_engine::front::Speaks;
-use heronroute_engine::{ConnId, Gone, Node, Output, Start};
+use heronroute_engine::{CloseReason, ConnId, Node, Output, Start};
 use heronroute_http::write_response;
 use heronroute_smpp::client::{Event, Session};
 use heronroute_smpp::receipt::{Answer, Receipt};
@@ -81,7 +81,7 @@
     let directory = "directory { address: \"127.0.0.1:9000\" }";
     let mut n = node(directory, Some(LIST.to_string()));
     let (conn, _) = connects(&n.outputs())[0];
-    n.closed(1_000, conn, Gone::Broken);
+    n.closed(1_000, conn, CloseReason::Broken);
     hand_in(&mut n);
     let to: Vec<String> = connects(&n.outputs()).iter().map(|c| c.1.to_string()).collect();
     assert_eq!(to, ["127.0.0.1:9001"], "the message goes out by the kept list");
@@ -94,7 +94,7 @@
     let mut n = node("directory { address: \"127.0.0.1:9000\" mode: \"ask\" poll: \"1s\" }", None);
     let (conn, at) = connects(&n.outputs())[0];
     assert_eq!(at.to_string(), "127.0.0.1:9000", "the library subscribes at its start");
-    n.closed(0, conn, Gone::Broken);
+    n.closed(0, conn, CloseReason::Broken);
     n.settle(0);
     assert!(connects(&n.outputs()).is_empty(), "not at once");
     let mut again = Vec::new();
@@ -111,7 +111,7 @@
     n.received(6_000_000, conn, &answer);
     n.settle(6_000_000);
     assert!(n.pending(conn).starts_with(b"GET /endpoints?since=5&"), "the next poll is out");
-    assert!(n.outputs().iter().any(|o| matches!(o, Output::Keep(text) if text.contains("9001"))));
+    assert!(n.outputs().iter().any(|o| matches!(o, Output::SaveList(text) if text.contains("9001"))));
 }
 
 #[test]
--- a/crates/engine/tests/platform.rs
+++ b/crates/engine/tests/platform.rs
@@ -3,7 +3,7 @@
 mod sender;
 
 use heronroute_engine::platform::config;
-use heronroute_engine::{ConnId, Gone};
+use heronroute_engine::{CloseReason, ConnId};
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::{Journal, Storage};
 use heronroute_platform::start::read;
@@ -70,7 +70,7 @@
     w.pass(5 * MS);
     let add = "*5\r\n$7\r\nOUT.ADD\r\n$1\r\n0\r\n$1\r\nm\r\n$24\r\nc=once,t=t,d=7000,dest=1\r\n$1\r\nb\r\n";
     w.node.received(w.now, c, add.as_bytes());
-    w.node.closed(w.now, c, Gone::Ended);
+    w.node.closed(w.now, c, CloseReason::Ended);
     w.pass(50 * MS);
     assert!(w.came(1001).is_empty() && w.node.open() == 0 && w.journal.book().open.is_empty());
 }
@@ -451,9 +451,9 @@
     assert_eq!(w.came(1001).len(), 2);
     w.pass(420 * MS);
     assert!(w.ended.contains(&c) && w.ended.contains(&rests), "their clients go elsewhere at once");
-    assert!(w.node.closes_door() && !w.node.has_left(), "what is out may still be answered");
+    assert!(w.node.refuses_connections() && !w.node.is_shut_down(), "what is out may still be answered");
     w.pass(700 * MS);
-    assert!(w.node.has_left());
+    assert!(w.node.is_shut_down());
     let open = w.journal.book().open.len();
     let mut w = w.restart();
     w.pass(100 * MS);
--- a/crates/engine/tests/replaced.rs
+++ b/crates/engine/tests/replaced.rs
@@ -88,7 +88,11 @@
                 self.count += entries.len() as u64;
                 self.node.durable(self.now, self.count, self.journal.usage());
             }
-            Output::Keep(_) | Output::Live(_) | Output::Ask(_) | Output::Copying | Output::Inherited(_) => {}
+            Output::SaveList(_)
+            | Output::Live(_)
+            | Output::Ask(_)
+            | Output::Copying
+            | Output::Inherited(_) => {}
         }
     }
 
--- a/crates/engine/tests/resp_front.rs
+++ b/crates/engine/tests/resp_front.rs
@@ -1,7 +1,7 @@
 //! A platform client's connection as its front alone sees it: order of answers, time-outs, batches.
 
 use bytes::BytesMut;
-use heronroute_engine::front::{Ask, Front, RespFront};
+use heronroute_engine::front::{ClientRequest, Front, RespFront};
 use heronroute_smpp::receipt::Answer;
 
 /// As the front has them: a first request, and the rest of one that has begun, must come within this.
@@ -15,7 +15,7 @@
     format!("*5\r\n{strings}")
 }
 
-fn given(f: &mut RespFront, now: i64, text: &str) -> (String, Vec<Ask>) {
+fn given(f: &mut RespFront, now: i64, text: &str) -> (String, Vec<ClientRequest>) {
     let (mut out, mut asks) = (BytesMut::new(), Vec::new());
     f.receive(now, now, text.as_bytes(), &mut out, &mut asks);
     (String::from_utf8_lossy(&out).into_owned(), asks)
@@ -28,14 +28,16 @@
     let text = format!("{}*1\r\n$4\r\nPING\r\n{}*1\r\n$4\r\nWHAT\r\n", add("a"), add("b"));
     let (said, asks) = given(&mut f, 1, &text);
     assert_eq!((said.as_str(), asks.len()), ("", 2), "nothing before the first is answered");
-    let tokens: Vec<u32> =
-        asks.iter().map(|a| if let Ask::HandIn { token, .. } = a { *token } else { 99 }).collect();
+    let tokens: Vec<u32> = asks
+        .iter()
+        .map(|a| if let ClientRequest::SubmitForTenant { token, .. } = a { *token } else { 99 })
+        .collect();
     let mut out = BytesMut::new();
     assert!(f.answered(tokens[1], "", Answer::Rejected { retry_after: 1_200 }, &mut out));
     assert!(out.is_empty());
     f.accepted(tokens[0], "", &mut out);
     assert_eq!(&out[..], b"+OK\r\n+PONG\r\n-BUSY 2\r\n-ERR unknown command\r\n");
-    assert_eq!(f.rests(), Some(1));
+    assert_eq!(f.idle_since(), Some(1));
 }
 
 #[test]
@@ -43,7 +45,7 @@
     let ended = |f: &mut RespFront, at| {
         let (mut out, mut asks) = (BytesMut::new(), Vec::new());
         f.tick(at, &mut out, &mut asks);
-        asks.contains(&Ask::Over(None))
+        asks.contains(&ClientRequest::Over(None))
     };
     let mut f = RespFront::new(0);
     assert!(!ended(&mut f, SILENCE - 1) && ended(&mut f, SILENCE), "nothing said");
@@ -53,7 +55,7 @@
     assert!(!ended(&mut f, SILENCE) && ended(&mut f, SILENCE + 5), "half a command");
     let mut f = RespFront::new(0);
     let (said, asks) = given(&mut f, 5, "*1\r\n$60000000\r\nxxxx");
-    assert!(said.starts_with("-ERR") && asks.contains(&Ask::Over(None)));
+    assert!(said.starts_with("-ERR") && asks.contains(&ClientRequest::Over(None)));
 }
 
 #[test]
--- a/crates/engine/tests/sender/mod.rs
+++ b/crates/engine/tests/sender/mod.rs
@@ -145,7 +145,7 @@
                 self.count += entries.len() as u64;
                 self.node.durable(self.now, self.count, self.journal.usage());
             }
-            Output::Journal(_) | Output::Keep(_) | Output::Live(_) | Output::Ask(_) => {}
+            Output::Journal(_) | Output::SaveList(_) | Output::Live(_) | Output::Ask(_) => {}
             Output::Copying | Output::Inherited(_) => {}
         }
     }
--- a/crates/engine/tests/watch_orders.rs
+++ b/crates/engine/tests/watch_orders.rs
@@ -782,7 +782,7 @@
     let (watch, _) = w.came(2).into_iter().find(|(_, t)| t.starts_with("GET /catalog")).unwrap();
     w.silent = Some(2);
     w.gone(watch);
-    w.node.closed(w.now, watch, heronroute_engine::Gone::Broken);
+    w.node.closed(w.now, watch, heronroute_engine::CloseReason::Broken);
     w.pass(500 * MS);
     let coming = w.coming.pop().expect("it connects anew");
     w.node.discovery_moved(w.now, at(3));
--- a/crates/net/src/reactor.rs
+++ b/crates/net/src/reactor.rs
@@ -16,7 +16,7 @@
 use crate::fleet::SenderPort;
 use crate::signals::Signals;
 use crate::socket::{Progress, read_some, write_some};
-use heronroute_engine::{ConnId, Gone, Node, Stats};
+use heronroute_engine::{CloseReason, ConnId, Node, Stats};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use std::collections::{BTreeMap, BTreeSet};
@@ -160,7 +160,7 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(1024);
         self.execute_outputs();
-        while !self.node.has_left() {
+        while !self.node.is_shut_down() {
             let wait = self.poll_timeout();
             match self.poll.poll(&mut events, wait) {
                 // A signal.
@@ -215,7 +215,7 @@
     fn register(&mut self, conn: ConnId, mut stream: TcpStream, connecting: bool) {
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut stream, Token(conn as usize), interest).is_err() {
-            return self.node.closed(self.clock.now(), conn, Gone::Broken);
+            return self.node.closed(self.clock.now(), conn, CloseReason::Broken);
         }
         _ = stream.set_nodelay(true);
         self.sockets.insert(
@@ -237,7 +237,7 @@
             let error = socket.stream.take_error().ok().flatten();
             if error.is_some() {
                 self.sockets.remove(&conn);
-                return self.node.closed(self.clock.now(), conn, Gone::Broken);
+                return self.node.closed(self.clock.now(), conn, CloseReason::Broken);
             }
             match socket.stream.peer_addr() {
                 Ok(_) => {
@@ -247,7 +247,7 @@
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
                 Err(_) => {
                     self.sockets.remove(&conn);
-                    return self.node.closed(self.clock.now(), conn, Gone::Broken);
+                    return self.node.closed(self.clock.now(), conn, CloseReason::Broken);
                 }
             }
         }
@@ -271,8 +271,8 @@
             return;
         }
         // A client that floods is read in smaller pieces, so that others' turns come soon.
-        let turn = self.node.turn(conn).min(self.buffer.len());
-        let progress = read_some(&mut socket.stream, &mut self.buffer[..turn], socket.ending);
+        let read_quota = self.node.read_quota(conn).min(self.buffer.len());
+        let progress = read_some(&mut socket.stream, &mut self.buffer[..read_quota], socket.ending);
         let now = self.clock.now();
         let (n, gone) = match progress {
             Progress::Blocked(n) => {
@@ -283,8 +283,8 @@
                 self.ready.insert(conn);
                 (n, None)
             }
-            Progress::Ended(n) => (n, Some(Gone::Ended)),
-            Progress::Broken => (0, Some(Gone::Broken)),
+            Progress::Ended(n) => (n, Some(CloseReason::Ended)),
+            Progress::Broken => (0, Some(CloseReason::Broken)),
         };
         if n > 0 {
             self.node.received(now, conn, &self.buffer[..n]);
@@ -322,7 +322,7 @@
             }
             Progress::Ended(_) | Progress::Broken => {
                 self.sockets.remove(&conn);
-                self.node.closed(self.clock.now(), conn, Gone::Broken);
+                self.node.closed(self.clock.now(), conn, CloseReason::Broken);
             }
         }
     }
--- a/crates/net/src/reactor/accepting.rs
+++ b/crates/net/src/reactor/accepting.rs
@@ -2,7 +2,7 @@
 
 use super::Reactor;
 use heronroute_engine::front::Speaks;
-use heronroute_engine::{ConnId, Gone};
+use heronroute_engine::{CloseReason, ConnId};
 use mio::net::TcpStream;
 use std::io;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
                 Err(e) => {
                     tracing::warn!(error = %e, "a client could not be accepted");
                     self.full_until = Some(self.clock.now() + ACCEPT_PAUSE);
-                    self.node.make_way();
+                    self.node.close_idlest_client();
                     break;
                 }
             }
@@ -58,13 +58,13 @@
                 self.on_ready(conn, true, true, false);
             }
         }
-        self.closing.keep(self.node.room_to_linger());
+        self.closing.keep(self.node.max_lingering_conns());
     }
 
     /// Stops listening once the sender takes no further client. Guards against clients that see the end of their connection,
     /// come again at once and are reset.
     pub(super) fn close_door(&mut self) {
-        if self.node.closes_door() {
+        if self.node.refuses_connections() {
             self.listener = None;
         }
     }
@@ -75,7 +75,7 @@
             match TcpStream::connect(address) {
                 Ok(stream) => return self.register(conn, stream, true),
                 Err(e) if out_of_descriptors(&e) && self.closing.close_oldest() => {}
-                Err(_) => return self.node.closed(self.clock.now(), conn, Gone::Broken),
+                Err(_) => return self.node.closed(self.clock.now(), conn, CloseReason::Broken),
             }
         }
     }
--- a/crates/net/src/reactor/ending.rs
+++ b/crates/net/src/reactor/ending.rs
@@ -1,7 +1,7 @@
 //! How clients' connections are closed, one by one and when the sender ends.
 
 use super::Reactor;
-use heronroute_engine::{ConnId, Gone};
+use heronroute_engine::{CloseReason, ConnId};
 use mio::Events;
 use std::io;
 use std::time::Duration;
@@ -15,7 +15,7 @@
         if let Some(socket) = self.sockets.remove(&conn).filter(|s| s.accepted) {
             self.closing.begin(conn, socket.stream, self.clock.now());
             // Guards the descriptors of endpoints and the journal.
-            self.closing.keep(self.node.room_to_linger());
+            self.closing.keep(self.node.max_lingering_conns());
         }
     }
 
@@ -33,7 +33,7 @@
         self.closing.turn(now, &mut self.buffer);
         while let Some(conn) = self.closing.unread(now) {
             if self.sockets.remove(&conn).is_some() {
-                self.node.closed(now, conn, Gone::Broken);
+                self.node.closed(now, conn, CloseReason::Broken);
             }
         }
     }
--- a/crates/net/src/reactor/outputs.rs
+++ b/crates/net/src/reactor/outputs.rs
@@ -44,7 +44,7 @@
                     self.node.told(now, told);
                 }
             }
-            Output::Keep(text) => {
+            Output::SaveList(text) => {
                 if let Some(path) = &self.keep
                     && let Err(e) = replace_file(path, &text)
                 {
