--- a/crates/engine/src/desk/keep.rs
+++ b/crates/engine/src/admission/open_messages.rs
@@ -1,11 +1,11 @@
-//! What a message is while it is held: its number, its entry, its part of the room.
+//! Open messages: their numbers, their journal entries, and their share of the room.
 
-use super::From;
+use super::Origin;
 use crate::Micros;
 use crate::entry_codec::to_entry;
-use crate::front::{Handing, Speaks};
+use crate::front::{Speaks, SubmissionContext};
 use crate::ids::ID_SENDER_BITS;
-use crate::node::{Message, Node, Use};
+use crate::node::{ConnRole, Message, Node};
 use crate::standing::Still;
 use heronroute::MsgId;
 use heronroute_held::Trail;
@@ -13,18 +13,20 @@
 use heronroute_smpp::submission::Submission;
 
 impl Node {
+    /// Returns a new message id.
     pub(crate) fn new_id(&mut self) -> MsgId {
         let id = MsgId(self.next_id);
         self.next_id += 1 << ID_SENDER_BITS;
         id
     }
 
-    /// Writes the acceptance; `rest` has what is not the submission's own.
+    /// Writes the acceptance of a message to the journal. `rest` holds the fields that don't come from the
+    /// submission.
     pub(crate) fn write_accepted(
         &mut self,
-        from: &From,
+        from: &Origin,
         submission: &Submission,
-        handing: &Handing,
+        context: &SubmissionContext,
         rest: Accepted,
     ) {
         let (taken, cfg) = (self.wall(), &self.cfg);
@@ -35,20 +37,21 @@
                 taken,
                 forward: submission.forward,
                 again: submission.again,
-                packet: handing.handle.map_or(0, |h| u32::from(h.packet)),
-                digest: handing.handle.map_or(0, |h| h.digest),
+                packet: context.handle.map_or(0, |h| u32::from(h.packet)),
+                digest: context.handle.map_or(0, |h| h.digest),
                 ..rest
             };
-            What::Accepted(to_entry(client, mailbox, submission, &handing.reply, rest))
+            What::Accepted(to_entry(client, mailbox, submission, &context.reply, rest))
         });
     }
 
-    pub(crate) fn message(
+    /// Builds an open message from a submission.
+    pub(crate) fn new_message(
         &self,
-        from: &From,
+        from: &Origin,
         class: usize,
         submission: Submission,
-        handing: &Handing,
+        context: &SubmissionContext,
         deadline: Micros,
     ) -> Message {
         let reply = submission.forward.then_some(from.conn.map(|c| (c, from.token))).flatten();
@@ -60,40 +63,40 @@
             speaks,
             class,
             submission,
-            to: handing.reply.clone(),
+            reply_to: context.reply.clone(),
             taken: self.wall(),
             deadline,
             reply,
             attempts: 0,
             out: None,
-            ran_at: None,
+            may_have_run_since: None,
             answer_for: 0,
             still: Still::No,
-            trail: self.trails(from.client).then(|| Box::new(Trail::new(self.wall(), 0))),
+            trail: self.records_trail(from.client).then(|| Box::new(Trail::new(self.wall(), 0))),
         }
     }
 
-    /// A message is held from now on: it counts wherever room is shared.
-    pub(crate) fn hold(&mut self, id: MsgId, message: Message) {
+    /// Adds an open message, and counts it against every shared limit.
+    pub(crate) fn add_open_message(&mut self, id: MsgId, message: Message) {
         self.clients[message.client].open += 1;
-        self.open_of[message.speaks as usize] += 1;
+        self.open_by_front[message.speaks as usize] += 1;
         if let Some(m) = self.mailboxes.get_mut(message.mailbox) {
             m.open += 1;
         }
-        if let Some(Use::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.what) {
+        if let Some(ConnRole::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.role) {
             *open += 1;
         }
         self.messages.insert(id, message);
     }
 
-    /// It is held no more.
-    pub(crate) fn let_go(&mut self, message: &Message) {
+    /// Removes a message that is no longer open from the counts of every shared limit.
+    pub(crate) fn remove_open_message(&mut self, message: &Message) {
         self.clients[message.client].open -= 1;
-        self.open_of[message.speaks as usize] -= 1;
+        self.open_by_front[message.speaks as usize] -= 1;
         if let Some(m) = self.mailboxes.get_mut(message.mailbox) {
             m.open -= 1;
         }
-        if let Some(Use::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.what) {
+        if let Some(ConnRole::Client { open, .. }) = self.conns.get_mut(&message.conn).map(|c| &mut c.role) {
             *open -= 1;
         }
     }
--- a/crates/engine/src/carry/cancel.rs
+++ b/crates/engine/src/carry/cancel.rs
@@ -2,7 +2,7 @@
 
 use super::{CallEnd, reply_of};
 use crate::calls::outcome_without_answer;
-use crate::node::{Node, Use};
+use crate::node::{ConnRole, Node};
 use heronroute::{EndpointId, MsgId};
 
 impl Node {
@@ -10,7 +10,7 @@
     /// drains, is removed, or announces a wait. Otherwise a call whose connection is established only after
     /// the drain grace period, or during the wait, would still be sent.
     pub(crate) fn cancel_unsent_calls(&mut self, endpoint: EndpointId) {
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         // A call whose intents are not durable yet is cancelled in `start_call`.
         remote.cancelled_up_to = self.calls.last_id();
         let mut calls = remote.pool.waiting_calls();
@@ -22,9 +22,9 @@
     /// announced a wait. Their messages return to the decision library, which takes the wait into account
     /// from its next round on.
     pub(crate) fn cancel_for_announced_wait(&mut self, endpoint: EndpointId) {
-        let remote = &self.remotes[endpoint];
+        let remote = &self.endpoints[endpoint];
         let apart = self.cfg.settings.kinds.get(remote.kind).is_some_and(|k| k.apart);
-        let endpoints = if apart { vec![endpoint] } else { self.remotes.of(remote.dest) };
+        let endpoints = if apart { vec![endpoint] } else { self.endpoints.of(remote.dest) };
         endpoints.into_iter().for_each(|e| self.cancel_unsent_calls(e));
     }
 
@@ -40,7 +40,7 @@
 
     /// Cancels the messages of waiting calls that were not sent before their `send_by` time.
     pub(crate) fn cancel_expired(&mut self, endpoint: EndpointId) {
-        for call in self.remotes[endpoint].pool.waiting_calls() {
+        for call in self.endpoints[endpoint].pool.waiting_calls() {
             for part in self.calls.expired_parts(call, self.now) {
                 self.cancel_unsent(call, part);
             }
@@ -77,7 +77,7 @@
             if (shared && !whole) || !entry.stream.withdraw(range.0, range.1) {
                 return false;
             }
-            if let Use::Receiver { link, .. } = &mut entry.what {
+            if let ConnRole::Receiver { link, .. } = &mut entry.role {
                 link.forget(call, part, true);
             }
             self.calls.shift_ranges(conn, range.0, range.1 - range.0);
--- a/crates/engine/src/carry/connections.rs
+++ b/crates/engine/src/carry/connections.rs
@@ -5,14 +5,14 @@
 use crate::calls::outcome_without_answer;
 use crate::ids::ConnId;
 use crate::link::{Link, LinkEvent};
-use crate::node::{Conn, Gone, Key, LinkEvents, Node, Use};
+use crate::node::{CloseReason, Conn, ConnRole, LinkEvents, Node, TimerKey};
 use crate::stream::Stream;
 use heronroute::{EndpointId, Event, Outcome};
 
 impl Node {
     /// Closes the connections to an endpoint that carry no calls and no probe.
     pub(crate) fn close_idle_connections(&mut self, endpoint: EndpointId) {
-        let Some(remote) = self.remotes.get(endpoint) else { return };
+        let Some(remote) = self.endpoints.get(endpoint) else { return };
         let probe = remote.probe;
         for conn in remote.pool.idle_connections().into_iter().filter(|c| Some(*c) != probe) {
             self.close_link(conn);
@@ -22,8 +22,10 @@
 
     /// Closes a connection whose idle timeout has expired, if it carries no calls.
     pub(crate) fn close_if_idle(&mut self, conn: ConnId) {
-        let Some(Use::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
-        let pool = &self.remotes[*endpoint].pool;
+        let Some(ConnRole::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.role) else {
+            return;
+        };
+        let pool = &self.endpoints[*endpoint].pool;
         if pool.call_count(conn) == 0 {
             self.close_link(conn);
         }
@@ -33,10 +35,10 @@
     pub(crate) fn close_link(&mut self, conn: ConnId) {
         let now = self.now;
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        if let Use::Receiver { link, .. } = &mut entry.what {
+        if let ConnRole::Receiver { link, .. } = &mut entry.role {
             link.close(now, &mut entry.stream);
         }
-        self.remove_link(conn, Gone::Ended);
+        self.remove_link(conn, CloseReason::Ended);
         self.finish(conn);
     }
 
@@ -44,7 +46,7 @@
     fn with_link(&mut self, conn: ConnId, work: impl FnOnce(&mut dyn Link, &mut Stream, &mut LinkEvents)) {
         let mut events = LinkEvents::new();
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        let Use::Receiver { link, .. } = &mut entry.what else { return };
+        let ConnRole::Receiver { link, .. } = &mut entry.role else { return };
         work(link.as_mut(), &mut entry.stream, &mut events);
         self.handle_link_events(conn, events);
     }
@@ -69,21 +71,23 @@
 
     /// Sets the timer for the next tick of a link.
     pub(crate) fn schedule_link_tick(&mut self, conn: ConnId) {
-        if let Some(Use::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.what) {
+        if let Some(ConnRole::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.role) {
             let wake = link.wake();
-            self.timers.set(Key::Conn(conn), wake);
+            self.timers.set(TimerKey::Conn(conn), wake);
         }
     }
 
     fn handle_link_events(&mut self, conn: ConnId, events: LinkEvents) {
-        let Some(Use::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
+        let Some(ConnRole::Receiver { endpoint, .. }) = self.conns.get(&conn).map(|c| &c.role) else {
+            return;
+        };
         let endpoint = *endpoint;
         for event in events {
             match event {
                 LinkEvent::Ready => {
-                    self.timers.clear(Key::Connect(conn));
+                    self.timers.clear(TimerKey::Connect(conn));
                     self.start_idle_timer(conn);
-                    let pool = &mut self.remotes[endpoint].pool;
+                    let pool = &mut self.endpoints[endpoint].pool;
                     pool.mark_ready(conn);
                     if pool.probe_waiting {
                         self.write_probe(endpoint, conn);
@@ -97,11 +101,11 @@
                 LinkEvent::Contradicted => self.handle_contradiction(conn),
                 LinkEvent::WaitAnnounced(wait) => self.handle_announced_wait(endpoint, wait),
                 LinkEvent::PauseUntilConfirmed => self.pause_until_confirmed(endpoint, conn),
-                LinkEvent::NoMoreCalls => self.remotes[endpoint].pool.retire(conn),
+                LinkEvent::NoMoreCalls => self.endpoints[endpoint].pool.retire(conn),
                 LinkEvent::Probed(reply) => self.finish_probe(endpoint, reply),
                 LinkEvent::Unusable(why) => {
                     tracing::debug!(conn, why, "closing a connection to a receiver");
-                    self.remove_link(conn, Gone::Ended);
+                    self.remove_link(conn, CloseReason::Ended);
                     self.finish(conn);
                     return;
                 }
@@ -125,18 +129,18 @@
 
     /// Handles a connection that was not established in time.
     pub(crate) fn drop_link(&mut self, conn: ConnId) {
-        self.remove_link(conn, Gone::Broken);
+        self.remove_link(conn, CloseReason::Broken);
         self.drop_conn(conn);
     }
 
     /// Ends the use of a connection to a receiver. Each message on it gets an outcome according to how much
     /// of it had been sent.
-    pub(crate) fn remove_link(&mut self, conn: ConnId, gone: Gone) {
+    pub(crate) fn remove_link(&mut self, conn: ConnId, gone: CloseReason) {
         tracing::debug!(now = self.now, conn, ?gone, "a connection to a receiver ended");
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        let Use::Receiver { endpoint, link, .. } = &mut entry.what else { return };
+        let ConnRole::Receiver { endpoint, link, .. } = &mut entry.role else { return };
         let endpoint = *endpoint;
-        if gone == Gone::Ended {
+        if gone == CloseReason::Ended {
             // Bytes that arrived before the end may still answer a call.
             let mut events = LinkEvents::new();
             link.ended(self.now, &mut events);
@@ -156,10 +160,10 @@
                 }
             }
         }
-        let window = self.cfg.kinds[self.remotes[endpoint].kind].window;
+        let window = self.cfg.kinds[self.endpoints[endpoint].kind].window;
         // The connection is removed from the pool first, so that calls which its end releases go to other
         // connections.
-        let waiting = self.remotes[endpoint].pool.remove(conn, window);
+        let waiting = self.endpoints[endpoint].pool.remove(conn, window);
         let calls = self.calls.on_connection(conn);
         let mut begun = Vec::new();
         for call in calls.iter().rev() {
@@ -176,7 +180,7 @@
                 entry.stream.withdraw(range.0, range.1);
             }
         }
-        if let Some(Conn { stream, what: Use::Receiver { link, .. }, .. }) = self.conns.get_mut(&conn) {
+        if let Some(Conn { stream, role: ConnRole::Receiver { link, .. }, .. }) = self.conns.get_mut(&conn) {
             link.discard_unsent(stream);
         }
         for (call, part, begun) in begun.into_iter().rev() {
@@ -188,7 +192,7 @@
                 self.record_outcome(call, part, reply_of(Outcome::ConnectFailed));
             }
         }
-        let remote = &self.remotes[endpoint];
+        let remote = &self.endpoints[endpoint];
         if remote.probe == Some(conn) || (remote.pool.probe_waiting && remote.pool.connections().is_empty()) {
             let outcome = if remote.probe.is_some() { Outcome::Reset } else { Outcome::ConnectFailed };
             self.finish_probe(endpoint, reply_of(outcome));
--- a/crates/engine/src/carry/endpoint_state.rs
+++ b/crates/engine/src/carry/endpoint_state.rs
@@ -15,7 +15,7 @@
             return;
         }
         let until = self.wall() + reply.wait;
-        let place = &self.remotes[endpoint].place;
+        let place = &self.endpoints[endpoint].place;
         self.journal_endpoint_state(
             endpoint,
             entry::Place { wait_until: place.wait_until.max(until), ..place.clone() },
@@ -26,16 +26,16 @@
     /// hundreds of senders that restart at once would forget that a destination was down, cold or refusing,
     /// and the first calls and retries of all of them would overload it.
     pub(crate) fn journal_destination_state(&mut self, ended: impl Iterator<Item = EndpointId>) {
-        let dests: BTreeSet<DestId> = ended.filter_map(|e| self.remotes.get(e)).map(|r| r.dest).collect();
+        let dests: BTreeSet<DestId> = ended.filter_map(|e| self.endpoints.get(e)).map(|r| r.dest).collect();
         let clock_offset = self.wall;
         let wall_time = |at: Option<Micros>| at.map_or(0, |at| (at + clock_offset).max(1));
         for dest in dests {
-            for endpoint in self.remotes.of(dest) {
+            for endpoint in self.endpoints.of(dest) {
                 let restart_state = self.dispatcher.restart_state(endpoint);
                 let (bad_since, back_since) =
                     (wall_time(restart_state.bad_since), wall_time(restart_state.back_since));
                 let budget = restart_state.budget.map_or(0, |b| (b * 1e3).clamp(1.0, 1e9) as u32);
-                let place = &self.remotes[endpoint].place;
+                let place = &self.endpoints[endpoint].place;
                 if (place.bad_since, place.back_since, place.budget) == (bad_since, back_since, budget) {
                     continue;
                 }
@@ -46,7 +46,7 @@
     }
 
     fn journal_endpoint_state(&mut self, endpoint: EndpointId, place: entry::Place) {
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         if place != remote.place {
             remote.place = place.clone();
             self.ledger.write(|| What::Place(place));
--- a/crates/engine/src/carry/outcome.rs
+++ b/crates/engine/src/carry/outcome.rs
@@ -5,7 +5,7 @@
 use crate::calls::outcome_without_answer;
 use crate::ids::ConnId;
 use crate::link::Reply;
-use crate::node::{Key, Node, Use};
+use crate::node::{ConnRole, Node, TimerKey};
 use heronroute::{Event, Outcome};
 use heronroute_held::{Known, What as TrailStep};
 use heronroute_journal::entry::{self, What};
@@ -17,7 +17,7 @@
         let Some(open_call) = self.calls.get(call) else { return };
         let (endpoint, began, conn) = (open_call.endpoint, open_call.began, open_call.conn);
         let Some((closed, call_ended)) = self.calls.close_part(call, part) else { return };
-        self.timers.clear(Key::Part(call, part));
+        self.timers.clear(TimerKey::Part(call, part));
         let attempts_index = match reply.outcome {
             Outcome::Done => 0,
             Outcome::Error => 1,
@@ -36,12 +36,13 @@
             Outcome::Busy | Outcome::Crowded | Outcome::Error => Known::Refused,
             _ => Known::NeverWritten,
         };
-        self.step(closed.message, TrailStep::Ended(known));
+        self.add_trail_step(closed.message, TrailStep::Ended(known));
         let mut message_closed = true;
         if let Some(message) = self.messages.get_mut(&closed.message) {
             message.out = None;
             if !reply.outcome.never_ran() && reply.outcome != Outcome::Done {
-                message.ran_at = Some(message.ran_at.map_or(began, |at| at.min(began)));
+                message.may_have_run_since =
+                    Some(message.may_have_run_since.map_or(began, |at| at.min(began)));
             }
             message_closed = reply.over;
             if !message_closed {
@@ -56,7 +57,7 @@
         // Logs the decision library's view of the endpoint before it processes this outcome, for comparison
         // with what happened.
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let remote = &self.remotes[endpoint];
+            let remote = &self.endpoints[endpoint];
             let sent = conn.and_then(|c| self.conns.get(&c)).map_or(0, |c| c.stream.sent);
             tracing::debug!(
                 now = self.now,
@@ -102,14 +103,14 @@
         }
         match conn {
             Some(conn) => {
-                if self.remotes[endpoint].pool.finish_call(conn) {
+                if self.endpoints[endpoint].pool.finish_call(conn) {
                     self.close_when_confirmed(conn);
-                } else if self.remotes[endpoint].pool.call_count(conn) == 0 {
+                } else if self.endpoints[endpoint].pool.call_count(conn) == 0 {
                     self.start_idle_timer(conn);
                 }
                 self.assign_calls(endpoint);
             }
-            None => _ = self.remotes[endpoint].pool.remove_waiting(call),
+            None => _ = self.endpoints[endpoint].pool.remove_waiting(call),
         }
     }
 
@@ -118,14 +119,14 @@
     pub(crate) fn start_idle_timer(&mut self, conn: ConnId) {
         let idle = self.cfg.settings.idle_close;
         let idle = if self.cfg.platform.is_some() { idle * 4 / 5 } else { idle };
-        self.timers.set(Key::Idle(conn), self.now + idle);
+        self.timers.set(TimerKey::Idle(conn), self.now + idle);
     }
 
     /// Handles a message that was not sent in time, or not answered in time.
     pub(crate) fn part_timed_out(&mut self, call: u64, part: usize) {
         let Some(call_part) = self.calls.get(call).and_then(|c| c.parts.get(part)).copied() else { return };
         if self.now < call_part.deadline {
-            self.timers.set(Key::Part(call, part), call_part.deadline);
+            self.timers.set(TimerKey::Part(call, part), call_part.deadline);
             self.withdraw_unsent(call, part, CallEnd::Cancelled, true);
             return;
         }
@@ -141,13 +142,13 @@
             return self.abandon_shared_call(call, part, end);
         }
         if let Some(conn) = conn {
-            self.remotes[endpoint].pool.retire(conn);
+            self.endpoints[endpoint].pool.retire(conn);
         }
         if !self.has_begun(call, part) && self.withdraw_unsent(call, part, end, false) {
             return;
         }
-        if let Some(Use::Receiver { link, .. }) =
-            conn.and_then(|conn| self.conns.get_mut(&conn)).map(|entry| &mut entry.what)
+        if let Some(ConnRole::Receiver { link, .. }) =
+            conn.and_then(|conn| self.conns.get_mut(&conn)).map(|entry| &mut entry.role)
         {
             link.forget(call, part, false);
         }
@@ -167,7 +168,7 @@
         let (conn, endpoint, parts) = (open_call.conn, open_call.endpoint, open_call.parts.clone());
         let begun = self.has_begun(call, part);
         if let Some(conn) = conn {
-            self.remotes[endpoint].pool.retire(conn);
+            self.endpoints[endpoint].pool.retire(conn);
             if let (false, Some(entry)) = (begun, self.conns.get_mut(&conn)) {
                 let (from, to) = parts[part].range;
                 entry.stream.withdraw(from, to);
--- a/crates/engine/src/carry/probe.rs
+++ b/crates/engine/src/carry/probe.rs
@@ -3,24 +3,24 @@
 use super::reply_of;
 use crate::ids::ConnId;
 use crate::link::Reply;
-use crate::node::{Key, Node, Use};
+use crate::node::{ConnRole, Node, TimerKey};
 use heronroute::{EndpointId, Event, Outcome};
 
 impl Node {
     /// Probes an endpoint on an existing connection, or on a new one if none can be used.
     pub(crate) fn probe(&mut self, endpoint: EndpointId) {
-        let Some(remote) = self.remotes.get_mut(endpoint) else { return };
+        let Some(remote) = self.endpoints.get_mut(endpoint) else { return };
         if remote.probing {
             return;
         }
         remote.probing = true;
         self.stats.probes += 1;
-        self.timers.set(Key::Probe(endpoint.0), self.now + 2 * self.cfg.service.connect_timeout);
-        let remote = &self.remotes[endpoint];
+        self.timers.set(TimerKey::Probe(endpoint.0), self.now + 2 * self.cfg.service.connect_timeout);
+        let remote = &self.endpoints[endpoint];
         match remote.pool.probe_connection(self.cfg.kinds[remote.kind].window) {
             Some(conn) => self.write_probe(endpoint, conn),
             None => {
-                self.remotes[endpoint].pool.probe_waiting = true;
+                self.endpoints[endpoint].pool.probe_waiting = true;
                 self.assign_calls(endpoint);
             }
         }
@@ -28,15 +28,15 @@
 
     /// Writes a probe to a connection.
     pub(crate) fn write_probe(&mut self, endpoint: EndpointId, conn: ConnId) {
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         (remote.pool.probe_waiting, remote.probe) = (false, Some(conn));
         // Where a connection carries one call at a time, a probe counts as that call.
         if self.cfg.kinds[remote.kind].window == 1 {
             remote.pool.count_probe(conn);
-            self.timers.clear(Key::Idle(conn));
+            self.timers.clear(TimerKey::Idle(conn));
         }
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        if let Use::Receiver { link, .. } = &mut entry.what {
+        if let ConnRole::Receiver { link, .. } = &mut entry.role {
             link.probe(self.now, &mut entry.stream);
         }
         self.flush(conn);
@@ -45,7 +45,7 @@
 
     /// Ends the open probe of an endpoint and reports its result to the decision library.
     pub(crate) fn finish_probe(&mut self, endpoint: EndpointId, reply: Reply) {
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         if !remote.probing {
             return;
         }
@@ -60,20 +60,20 @@
             }
             self.assign_calls(endpoint);
         }
-        self.timers.clear(Key::Probe(endpoint.0));
+        self.timers.clear(TimerKey::Probe(endpoint.0));
         self.events.push(Event::Probed { endpoint, outcome: reply.outcome, report: reply.report });
     }
 
     /// Handles a probe that was not answered in time.
     pub(crate) fn probe_timed_out(&mut self, endpoint: EndpointId) {
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         let conn = remote.probe;
         // This comes first, so that no call is put on this connection and then takes a late answer to the
         // probe for its own. A late 503 would say that the call never ran, and the message would be sent
         // twice.
         conn.into_iter().for_each(|conn| remote.pool.retire(conn));
         self.finish_probe(endpoint, reply_of(Outcome::TimedOut));
-        if let Some(conn) = conn.filter(|conn| self.remotes[endpoint].pool.call_count(*conn) == 0) {
+        if let Some(conn) = conn.filter(|conn| self.endpoints[endpoint].pool.call_count(*conn) == 0) {
             self.close_link(conn);
         }
     }
--- a/crates/engine/src/carry/send.rs
+++ b/crates/engine/src/carry/send.rs
@@ -5,7 +5,7 @@
 use crate::front::Speaks;
 use crate::ids::{ConnId, format_id};
 use crate::link::{self, OutboundMessage};
-use crate::node::{Effect as Deferred, Key, Node, Output, Use};
+use crate::node::{ConnRole, Effect as Deferred, Node, Output, TimerKey};
 use heronroute::{Action, Effect, EndpointId, MsgId};
 use heronroute_held::What as TrailStep;
 use heronroute_journal::entry::{self, What};
@@ -20,7 +20,7 @@
         for action in actions {
             match action {
                 Action::Send { id, endpoint, timeout } => {
-                    let Some(remote) = self.remotes.get(*endpoint) else { continue };
+                    let Some(remote) = self.endpoints.get(*endpoint) else { continue };
                     let Some(message) = self.messages.get(id) else { continue };
                     let kind = &self.cfg.kinds[remote.kind];
                     let size = link::size_in_call(kind, &message.submission);
@@ -43,19 +43,20 @@
                     // A repeat that was decided in time must not wait for its connection until the receiver
                     // has forgotten its idempotency key.
                     let class = &self.cfg.settings.classes[message.class];
-                    let send_by = match message.ran_at.filter(|_| class.effect == Effect::Guarded) {
-                        Some(ran_at) => ran_at + class.window,
+                    let send_by = match message.may_have_run_since.filter(|_| class.effect == Effect::Guarded)
+                    {
+                        Some(may_have_run_since) => may_have_run_since + class.window,
                         None => Micros::MAX,
                     };
                     let part = self.calls.add_part(call, *id, message.attempts, deadline, send_by);
                     message.attempts += 1;
                     message.out = Some((call, part));
-                    self.timers.set(Key::Part(call, part), deadline.min(send_by));
+                    self.timers.set(TimerKey::Part(call, part), deadline.min(send_by));
                 }
                 Action::Cancel { id, attempt } => self.cancel_attempt(*id, *attempt),
                 Action::Refuse { id, retry_after } => self.answer(*id, MessageEnd::Refused(*retry_after)),
                 Action::Fail { id } => self.answer(*id, MessageEnd::Failed),
-                Action::Timer { at, .. } => self.timers.set(Key::Module, *at),
+                Action::Timer { at, .. } => self.timers.set(TimerKey::Dispatcher, *at),
                 Action::Subscribe => self.subscribe(),
                 Action::Probe { endpoint } => self.probe(*endpoint),
                 Action::Close { endpoint } => self.close_idle_connections(*endpoint),
@@ -66,16 +67,16 @@
         // No byte of a call is sent before its intents are durable.
         for (call, endpoint) in new_calls {
             let Some(open_call) = self.calls.get(call) else { continue };
-            let (name, at) = (&self.remotes[endpoint].name, self.wall());
+            let (name, at) = (&self.endpoints[endpoint].name, self.wall());
             for p in open_call.parts.iter().filter(|p| p.open) {
                 let intent = || entry::Intent { id: p.message.0, endpoint: name.clone(), at };
                 self.ledger.write(|| What::Intent(intent()));
             }
             if self.held.is_some() {
-                let number = self.remotes[endpoint].number;
+                let number = self.endpoints[endpoint].number;
                 let parts: Vec<MsgId> =
                     open_call.parts.iter().filter(|p| p.open).map(|p| p.message).collect();
-                parts.into_iter().for_each(|id| self.step(id, TrailStep::Began(number)));
+                parts.into_iter().for_each(|id| self.add_trail_step(id, TrailStep::Began(number)));
             }
             self.stats.calls += 1;
             self.once_durable(Deferred::Place { call, endpoint });
@@ -87,7 +88,7 @@
         if self.calls.get(call).is_none() {
             return;
         }
-        let remote = &mut self.remotes[endpoint];
+        let remote = &mut self.endpoints[endpoint];
         if call <= remote.cancelled_up_to {
             return self.cancel_unsent_call(call);
         }
@@ -97,20 +98,20 @@
 
     /// Assigns waiting calls to connections, and opens further connections if needed.
     pub(crate) fn assign_calls(&mut self, endpoint: EndpointId) {
-        let window = self.cfg.kinds[self.remotes[endpoint].kind].window;
+        let window = self.cfg.kinds[self.endpoints[endpoint].kind].window;
         self.cancel_expired(endpoint);
-        while let Some((call, conn)) = self.remotes[endpoint].pool.assign_next(window) {
+        while let Some((call, conn)) = self.endpoints[endpoint].pool.assign_next(window) {
             self.write_call(call, conn);
         }
-        for _ in 0..self.remotes[endpoint].pool.missing_connections(window) {
-            let remote = &mut self.remotes[endpoint];
+        for _ in 0..self.endpoints[endpoint].pool.missing_connections(window) {
+            let remote = &mut self.endpoints[endpoint];
             let kind = &self.cfg.kinds[remote.kind];
             let address = remote.address;
             let link = link::new(kind, self.session_limits, address.to_string(), self.index);
-            let conn = self.add_conn(Use::Receiver { endpoint, link });
-            self.remotes[endpoint].pool.add_connecting(conn);
+            let conn = self.add_conn(ConnRole::Receiver { endpoint, link });
+            self.endpoints[endpoint].pool.add_connecting(conn);
             self.stats.connections += 1;
-            self.timers.set(Key::Connect(conn), self.now + self.cfg.service.connect_timeout);
+            self.timers.set(TimerKey::Connect(conn), self.now + self.cfg.service.connect_timeout);
             self.outputs.push(Output::Connect { conn, address });
         }
     }
@@ -136,10 +137,10 @@
             });
         }
         let Some(entry) = self.conns.get_mut(&conn) else { return };
-        let Use::Receiver { link, .. } = &mut entry.what else { return };
+        let ConnRole::Receiver { link, .. } = &mut entry.role else { return };
         let ranges = link.send(self.now, call, &messages, &mut entry.stream);
         self.calls.record_written(call, conn, &ranges);
-        self.timers.clear(Key::Idle(conn));
+        self.timers.clear(TimerKey::Idle(conn));
         self.flush(conn);
         self.schedule_link_tick(conn);
     }
--- a/crates/engine/src/carry/unconfirmed.rs
+++ b/crates/engine/src/carry/unconfirmed.rs
@@ -11,7 +11,7 @@
 use crate::doubts::UnconfirmedOutcome;
 use crate::ids::ConnId;
 use crate::link::{CONFIRMATION_DELAY, Reply};
-use crate::node::{Gone, Key, Node, Use};
+use crate::node::{CloseReason, ConnRole, Node, TimerKey};
 use heronroute::{DestId, Effect, EndpointId, Event, MsgId, Outcome};
 
 /// An unconfirmed delivery that is still unconfirmed this long after its message's deadline is reported as
@@ -30,7 +30,7 @@
         if reply.outcome == Outcome::Done {
             let latest = deadline.max(self.now) + UNCONFIRMED_GRACE;
             let due = latest.min(self.now + CONFIRMATION_DELAY);
-            let dest = self.remotes[endpoint].dest;
+            let dest = self.endpoints[endpoint].dest;
             self.add_unconfirmed(
                 conn,
                 due,
@@ -54,7 +54,7 @@
     fn add_unconfirmed(&mut self, conn: ConnId, due: Micros, outcome: UnconfirmedOutcome) {
         self.doubts.add(conn, due, outcome);
         let next = self.doubts.next(conn).unwrap_or(due);
-        self.timers.set(Key::Confirm(conn), next);
+        self.timers.set(TimerKey::Confirm(conn), next);
     }
 
     /// Returns whether the delivery of a message is still unconfirmed.
@@ -64,9 +64,9 @@
 
     /// Assigns no calls to a connection until its unconfirmed answers are confirmed.
     pub(crate) fn pause_until_confirmed(&mut self, endpoint: EndpointId, conn: ConnId) {
-        self.remotes[endpoint].pool.pause(conn);
+        self.endpoints[endpoint].pool.pause(conn);
         self.doubts.extend(conn, self.now + CONFIRMATION_DELAY);
-        self.timers.set(Key::Confirm(conn), self.now + CONFIRMATION_DELAY);
+        self.timers.set(TimerKey::Confirm(conn), self.now + CONFIRMATION_DELAY);
     }
 
     /// Accepts the unconfirmed answers of a connection that nothing has followed in time.
@@ -80,16 +80,16 @@
                 UnconfirmedOutcome::Delivered { message, .. } => self.answer(message, MessageEnd::Delivered),
             }
         }
-        let receiver = self.conns.get(&conn).and_then(|c| match &c.what {
-            Use::Receiver { endpoint, link } => Some((*endpoint, link.unconfirmed_until())),
+        let receiver = self.conns.get(&conn).and_then(|c| match &c.role {
+            ConnRole::Receiver { endpoint, link } => Some((*endpoint, link.unconfirmed_until())),
             _ => None,
         });
         let unconfirmed_until = receiver.and_then(|(_, until)| until).filter(|until| *until > self.now);
         if let Some(next) = [self.doubts.next(conn), unconfirmed_until].into_iter().flatten().min() {
-            self.timers.set(Key::Confirm(conn), next);
+            self.timers.set(TimerKey::Confirm(conn), next);
         }
         let Some((endpoint, _)) = receiver.filter(|_| unconfirmed_until.is_none()) else { return };
-        let pool = &mut self.remotes[endpoint].pool;
+        let pool = &mut self.endpoints[endpoint].pool;
         pool.resume(conn);
         if pool.is_closable(conn) {
             self.close_link(conn);
@@ -100,7 +100,7 @@
     /// Handles the case that later bytes on a connection show that its unconfirmed answers may belong to
     /// other calls.
     pub(crate) fn handle_contradiction(&mut self, conn: ConnId) {
-        self.timers.clear(Key::Confirm(conn));
+        self.timers.clear(TimerKey::Confirm(conn));
         for outcome in self.doubts.take_due(conn, Micros::MAX) {
             self.stats.contradicted += 1;
             match outcome {
@@ -121,7 +121,7 @@
     /// message this way does no harm.
     fn report_possibly_run(&mut self, message: MsgId, began: Micros) {
         if let Some(entry) = self.messages.get_mut(&message) {
-            entry.ran_at = Some(entry.ran_at.map_or(began, |at| at.min(began)));
+            entry.may_have_run_since = Some(entry.may_have_run_since.map_or(began, |at| at.min(began)));
         }
         self.answer(message, MessageEnd::Failed);
     }
@@ -129,7 +129,7 @@
     /// Reports the unconfirmed deliveries of a connection that this sender closed and that carries no call.
     /// Nothing can contradict or confirm them any more.
     pub(crate) fn report_unconfirmed_deliveries(&mut self, conn: ConnId) {
-        self.timers.clear(Key::Confirm(conn));
+        self.timers.clear(TimerKey::Confirm(conn));
         for outcome in self.doubts.take_due(conn, Micros::MAX) {
             if let UnconfirmedOutcome::Delivered { message, began, .. } = outcome {
                 self.report_possibly_run(message, began);
@@ -139,7 +139,7 @@
 
     /// Handles a connection that the endpoint ended. Its unconfirmed answers count as contradicted, because
     /// one of them may be a copy that was taken for the answer of a call which gets none of its own.
-    pub(crate) fn link_closed(&mut self, conn: ConnId, gone: Gone) {
+    pub(crate) fn link_closed(&mut self, conn: ConnId, gone: CloseReason) {
         self.remove_link(conn, gone);
         self.handle_contradiction(conn);
     }
@@ -153,7 +153,7 @@
     /// way as after a restart.
     fn resume_message(&mut self, id: MsgId, dest: DestId, endpoint: EndpointId, began: Micros) {
         let Some(entry) = self.messages.get_mut(&id) else { return };
-        entry.ran_at = Some(entry.ran_at.map_or(began, |at| at.min(began)));
+        entry.may_have_run_since = Some(entry.may_have_run_since.map_or(began, |at| at.min(began)));
         let class = &self.cfg.settings.classes[entry.class];
         let time_left = entry.deadline - self.now;
         if class.effect == Effect::SingleShot || time_left <= 0 {
@@ -176,11 +176,11 @@
     /// Closes a connection that takes no more calls and carries none, as soon as nothing that arrives on it
     /// can contradict an answer any more.
     pub(crate) fn close_when_confirmed(&mut self, conn: ConnId) {
-        let Some(Use::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.what) else { return };
+        let Some(ConnRole::Receiver { link, .. }) = self.conns.get(&conn).map(|c| &c.role) else { return };
         let Some(until) = link.unconfirmed_until().filter(|until| *until > self.now) else {
             return self.close_link(conn);
         };
         let next = self.doubts.next(conn).map_or(until, |next| next.min(until));
-        self.timers.set(Key::Confirm(conn), next);
+        self.timers.set(TimerKey::Confirm(conn), next);
     }
 }
--- a/crates/engine/src/front/resp.rs
+++ b/crates/engine/src/front/resp.rs
@@ -1,14 +1,14 @@
-//! Clients of the platform: RESP2, one `OUT.ADD` a message, answered in the order of the requests.
+//! The front for platform clients: RESP2, one message per `OUT.ADD`, answered in the order of the requests.
 //!
-//! Guards against clients that send malformed commands, half a command, or nothing: each gets an error line or the end
-//! of its connection within [`REQUEST_TIMEOUT`].
+//! Guards against clients that send malformed commands, half a command, or nothing: each receives an error
+//! line or its connection is closed within [`REQUEST_TIMEOUT`].
 //!
-//! Guards also against a client that pipelines hundreds of commands: at most [`MAX_PIPELINED`] are unanswered at a
-//! time.
+//! Also guards against a client that pipelines hundreds of commands: at most [`MAX_PIPELINED`] are unanswered
+//! at a time.
 
-use super::{Ask, Delivery, Denied, Entered, Front, No};
+use super::{AdmittedSession, ClientRequest, Delivery, Denied, Front, RejectReason};
 use crate::Micros;
-use crate::outbox::Owed;
+use crate::outbox::OwedAnswer;
 use bytes::BytesMut;
 use heronroute_platform::add::{self, Add};
 use heronroute_platform::notice::busy;
@@ -17,39 +17,40 @@
 use rusmpp_core::values::MessageState;
 use std::collections::VecDeque;
 
-/// A body of 64 KiB, and what stands before it.
+/// Room for a body of 64 KiB and the arguments before it.
 const LIMITS: Limits = Limits { args: 8, octets: 66 * 1024 };
-/// Requests of a connection that are processed before the first is answered, at most.
+/// The most requests of a connection that are processed before the first is answered.
 const MAX_PIPELINED: usize = 32;
-/// A first request, and the rest of one that has begun, must come within this.
+/// The time within which a first request, or the rest of a request that has begun, has to arrive.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// A connection without a request is closed after this.
+/// The time after which a connection without requests is closed.
 const IDLE_TIMEOUT: Micros = 8_000_000;
-/// The rest of a request that has begun when the sender ends must come within this. Less than the sender waits for its
-/// last calls.
+/// The time within which the rest of a request that has begun has to arrive while the sender shuts down. It
+/// is shorter than the time that the sender waits for its last calls.
 const SHUTDOWN_TIMEOUT: Micros = 400_000;
 
-/// One client's connection.
+/// The connection of a platform client.
 #[derive(Debug)]
 pub struct RespFront {
     reader: Reader,
-    /// Requests whose reply was not written yet, in order; with the reply once there is one.
+    /// Requests whose reply was not written yet, in order, each with its reply once there is one.
     replies: VecDeque<Option<BytesMut>>,
     /// The token of the first of these requests.
     first_token: u32,
-    /// When the last request was complete, or the next one began.
+    /// When the last request was completed, or the next one began.
     last_activity: Micros,
+    /// Whether a complete request has been processed.
     served: bool,
-    /// Processing stopped at [`MAX_PIPELINED`]: complete requests may stand behind them.
+    /// Processing stopped at [`MAX_PIPELINED`]: more complete requests may be buffered.
     batch_limited: bool,
-    /// Nothing more is read; the connection ends once all is answered.
+    /// Nothing more is read; the connection ends once all requests are answered.
     closing: bool,
-    /// The sender shuts down: the connection ends once it rests, or at this time.
+    /// Set while the sender shuts down: the connection ends once it is idle, or at this time.
     shutdown_deadline: Option<Micros>,
 }
 
 impl RespFront {
-    /// A new connection.
+    /// Creates the front for a new connection.
     pub fn new(now: Micros) -> Self {
         let (reader, replies) = (Reader::new(LIMITS), VecDeque::new());
         RespFront {
@@ -64,14 +65,15 @@
         }
     }
 
-    fn process_commands(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    /// Processes buffered requests, as far as there is room, and writes the replies that are ready.
+    fn process_commands(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.batch_limited = true;
         while !self.closing && self.replies.len() < MAX_PIPELINED {
             match self.reader.next_command() {
                 Ok(Some(command)) => {
                     self.served = true;
                     self.last_activity = now;
-                    self.command(command, asks);
+                    self.handle_command(command, requests);
                 }
                 Ok(None) => {
                     self.batch_limited = false;
@@ -87,26 +89,27 @@
             self.refuse_unfinished();
         }
         self.flush_replies(out);
-        if self.is_over() {
+        if self.is_finished() {
             self.closing = true;
-            asks.push(Ask::Over(None));
+            requests.push(ClientRequest::Over(None));
         }
     }
 
-    /// Whether complete requests may stand behind those that were processed, and there is room for them. Guards against
-    /// a batch that waits although all requests before it are answered. Nothing is processed once the connection is
-    /// being closed, which guards against a thread that wakes again without end.
+    /// Returns whether more complete requests may be buffered and there is room to process them. Guards
+    /// against buffered requests that are never processed although all requests before them are answered.
+    /// Nothing is processed once the connection is closing, which guards against a thread that wakes up in an
+    /// endless loop.
     fn may_continue(&self) -> bool {
         self.batch_limited && !self.closing && self.replies.len() < MAX_PIPELINED
     }
 
-    /// Nothing more is owed on the connection, and nothing more is read from it.
-    fn is_over(&self) -> bool {
+    /// Returns whether no reply is owed on the connection and nothing more is read from it.
+    fn is_finished(&self) -> bool {
         self.replies.is_empty() && (self.closing || self.shutdown_deadline.is_some() && !self.reader.begun())
     }
 
-    /// Refuses the request that has begun, as the sender can't wait for the rest of it. Guards against an end without
-    /// an answer that crosses the request's last octet.
+    /// Refuses the request that has begun, as the sender can't wait for the rest of it. Guards against
+    /// closing the connection without an answer while the request's last byte is in transit.
     fn refuse_unfinished(&mut self) {
         if !self.closing && self.reader.begun() {
             self.queue_reply(|out| error("BUSY", out));
@@ -114,12 +117,12 @@
         self.closing = true;
     }
 
-    fn command(&mut self, mut command: Command, asks: &mut Vec<Ask>) {
+    fn handle_command(&mut self, mut command: Command, requests: &mut Vec<ClientRequest>) {
         let name = command.remove(0);
         if name.eq_ignore_ascii_case(add::NAME) {
             match Add::read(command) {
                 Ok(add) => {
-                    asks.push(Ask::HandIn {
+                    requests.push(ClientRequest::SubmitForTenant {
                         token: self.first_token + self.replies.len() as u32,
                         add: Box::new(add),
                     });
@@ -134,6 +137,7 @@
         }
     }
 
+    /// Adds a request whose reply is known.
     fn queue_reply(&mut self, write: impl FnOnce(&mut BytesMut)) {
         let mut text = BytesMut::new();
         write(&mut text);
@@ -149,7 +153,9 @@
         }
     }
 
-    fn answer(&mut self, token: u32, text: impl FnOnce(&mut BytesMut), out: &mut BytesMut) -> bool {
+    /// Sets the reply to a request, and writes the replies that are ready. Returns false if the request is
+    /// not open.
+    fn write_reply(&mut self, token: u32, text: impl FnOnce(&mut BytesMut), out: &mut BytesMut) -> bool {
         let Some(reply) = self.replies.get_mut(token.wrapping_sub(self.first_token) as usize) else {
             return false;
         };
@@ -162,20 +168,27 @@
 }
 
 impl Front for RespFront {
-    fn receive(&mut self, now: Micros, _: Micros, octets: &[u8], out: &mut BytesMut, asks: &mut Vec<Ask>) {
-        if !octets.is_empty() && !self.reader.begun() {
+    fn receive(
+        &mut self,
+        now: Micros,
+        _: Micros,
+        bytes: &[u8],
+        out: &mut BytesMut,
+        requests: &mut Vec<ClientRequest>,
+    ) {
+        if !bytes.is_empty() && !self.reader.begun() {
             self.last_activity = now;
         }
-        self.reader.push(octets);
-        self.process_commands(now, out, asks);
+        self.reader.push(bytes);
+        self.process_commands(now, out, requests);
     }
 
     fn wake(&self) -> Micros {
-        if self.is_over() || self.may_continue() {
+        if self.is_finished() || self.may_continue() {
             return 0;
         }
         match (self.replies.is_empty(), self.shutdown_deadline) {
-            // An answer is awaited, for which nothing can be done now.
+            // An answer is pending, and the front can do nothing until it comes.
             (false, _) => Micros::MAX,
             (true, Some(at)) => at,
             (true, None) if self.reader.begun() || !self.served => self.last_activity + REQUEST_TIMEOUT,
@@ -183,17 +196,17 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
-        self.process_commands(now, out, asks);
+    fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
+        self.process_commands(now, out, requests);
         if self.replies.is_empty() && !self.closing && !self.may_continue() && now >= self.wake() {
             if self.reader.begun() {
                 error("ERR a request that was not finished", out);
             }
-            asks.push(Ask::Over(None));
+            requests.push(ClientRequest::Over(None));
         }
     }
 
-    fn admitted(&mut self, _: Micros, _: u32, _: Result<Entered, Denied>, _: &mut BytesMut) {}
+    fn admitted(&mut self, _: Micros, _: u32, _: Result<AdmittedSession, Denied>, _: &mut BytesMut) {}
 
     fn entered(&self) -> bool {
         false
@@ -204,20 +217,20 @@
     }
 
     fn accepted(&mut self, token: u32, _: &str, out: &mut BytesMut) {
-        self.answer(token, |out| simple("OK", out), out);
+        self.write_reply(token, |out| simple("OK", out), out);
     }
 
-    fn refused(&mut self, token: u32, no: No, out: &mut BytesMut) {
-        let text = match no {
-            No::NotEntered => "ERR unknown tenant",
-            No::Class => "ERR unknown class",
-            No::Address => "ERR unknown destination",
-            No::Time => "ERR no time left",
-            No::Message => "ERR the id is open already",
-            No::TooLate => "ERR an idempotency key is wanted in this class",
-            No::Rate | No::Share | No::Room | No::Unsure => "BUSY",
+    fn refused(&mut self, token: u32, reason: RejectReason, out: &mut BytesMut) {
+        let text = match reason {
+            RejectReason::NotEntered => "ERR unknown tenant",
+            RejectReason::Class => "ERR unknown class",
+            RejectReason::Address => "ERR unknown destination",
+            RejectReason::Time => "ERR no time left",
+            RejectReason::Message => "ERR the id is open already",
+            RejectReason::TooLate => "ERR an idempotency key is wanted in this class",
+            RejectReason::Rate | RejectReason::Share | RejectReason::Room | RejectReason::Unsure => "BUSY",
         };
-        self.answer(token, |out| error(text, out), out);
+        self.write_reply(token, |out| error(text, out), out);
     }
 
     fn answered(&mut self, token: u32, _: &str, answer: Answer, out: &mut BytesMut) -> bool {
@@ -225,7 +238,7 @@
             Answer::Rejected { retry_after } => busy(retry_after),
             _ => "ERR failed".to_string(),
         };
-        self.answer(token, |out| error(&text, out), out)
+        self.write_reply(token, |out| error(&text, out), out)
     }
 
     fn queried(&mut self, _: u32, _: &str, _: MessageState, _: Option<Micros>, _: &mut BytesMut) {}
@@ -236,25 +249,26 @@
         0
     }
 
-    fn deliver(&mut self, _: Micros, _: &Owed, _: &mut BytesMut) -> Delivery {
-        Delivery::Unwanted
+    fn deliver(&mut self, _: Micros, _: &OwedAnswer, _: &mut BytesMut) -> Delivery {
+        Delivery::NotSubscribed
     }
 
-    fn leave(&mut self, now: Micros, out: &mut BytesMut, asks: &mut Vec<Ask>) {
+    fn leave(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.shutdown_deadline.get_or_insert(now + SHUTDOWN_TIMEOUT);
-        self.process_commands(now, out, asks);
+        self.process_commands(now, out, requests);
     }
 
     fn listens(&self) -> bool {
-        // Of a sender that ends no further request is read: what has not been read is sent again elsewhere.
-        let wanted = self.shutdown_deadline.is_none() || self.reader.begun();
+        // While the sender shuts down, no further request is read: the client sends what was not read to
+        // another sender.
+        let may_read = self.shutdown_deadline.is_none() || self.reader.begun();
         !self.closing
-            && wanted
+            && may_read
             && self.replies.len() < MAX_PIPELINED
             && self.reader.waiting() < 2 * LIMITS.octets
     }
 
-    fn rests(&self) -> Option<Micros> {
+    fn idle_since(&self) -> Option<Micros> {
         (self.replies.is_empty() && !self.reader.begun()).then_some(self.last_activity)
     }
 }
--- a/crates/engine/src/hold/again.rs
+++ b/crates/engine/src/held/resubmit.rs
@@ -1,27 +1,32 @@
-//! A held message is submitted again.
+//! Resubmission of held messages.
 
-use super::STEPS;
-use crate::desk::From;
+use super::MAX_TRAIL_STEPS;
+use crate::admission::Origin;
 use crate::entry_codec;
-use crate::front::Handing;
+use crate::front::SubmissionContext;
 use crate::ids::{format_id, scoped_key};
 use crate::node::Node;
-use crate::outbox::Reply;
+use crate::outbox::ReplyAddress;
 use heronroute::{DestId, Event, MsgId};
 use heronroute_held::{Ask, Decision, Effect, Past, Refusal, Trail, What, decide};
 use heronroute_journal::entry::{self, Accepted};
 use prost::Message as _;
 
 impl Node {
-    /// Hands a held message of this client in again, or says why not.
-    pub(crate) fn again(&mut self, client: usize, id: u64, new_effect: bool) -> (String, &'static str) {
-        let said = |state: &'static str| (format!("id:{} stat:{state}", format_id(MsgId(id))), state);
+    /// Resubmits a held message of this client, or returns why it can't.
+    pub(crate) fn resubmit_held(
+        &mut self,
+        client: usize,
+        id: u64,
+        new_effect: bool,
+    ) -> (String, &'static str) {
+        let reply = |state: &'static str| (format!("id:{} stat:{state}", format_id(MsgId(id))), state);
         let now = self.wall();
-        let filed = self.held.as_ref().and_then(|s| s.get(id)).cloned();
-        let Some(filed) = filed else { return said("NOTFOUND") };
-        let accepted = filed.message.as_deref().and_then(|m| Accepted::decode(m).ok());
-        let (Some(a), Some(trail)) = (accepted, Trail::read(&filed.trail)) else { return said("DELIVRD") };
-        let Some(class) = self.class_names.get(&a.class).copied() else { return said("NOCLASS") };
+        let stored = self.held.as_ref().and_then(|s| s.get(id)).cloned();
+        let Some(stored) = stored else { return reply("NOTFOUND") };
+        let accepted = stored.message.as_deref().and_then(|m| Accepted::decode(m).ok());
+        let (Some(a), Some(trail)) = (accepted, Trail::read(&stored.trail)) else { return reply("DELIVRD") };
+        let Some(class) = self.class_names.get(&a.class).copied() else { return reply("NOCLASS") };
         let settings = &self.cfg.settings.classes[class];
         let (window, deadline, ordered) = (settings.window, settings.deadline, settings.ordered);
         let effect = match settings.effect {
@@ -30,20 +35,20 @@
             heronroute::Effect::SingleShot => Effect::SingleShot,
         };
         let deadline = self.validity_for(client, class, &a).map_or(deadline, |v| v.min(deadline));
-        let ran = trail.may_have_run();
+        let may_have_run = trail.may_have_run();
         let past = Past {
             effect,
-            may_have_run: ran,
+            may_have_run,
             delivered: false,
-            under_way: filed.under_way,
-            not_seen: filed.not_seen,
+            under_way: stored.under_way,
+            not_seen: stored.not_seen,
         };
         let decision = decide(now, past, Ask { new_effect, patience: deadline });
-        let (leave_by, fresh) = match decision {
+        let (leave_by, as_new) = match decision {
             Decision::Again { leave_by } => (leave_by, false),
             Decision::NewEffect { leave_by } => (leave_by, true),
             Decision::Refused(why) => {
-                return said(match why {
+                return reply(match why {
                     Refusal::Delivered => "DELIVRD",
                     Refusal::UnderWay => "UNDERWAY",
                     Refusal::MayHaveRun => "MAYHAVERUN",
@@ -51,41 +56,43 @@
                 });
             }
         };
-        // Guards against the first answer's being taken closing the hand-in in the journal, which has the same
-        // identity: after a crash what it did would not be known.
-        if !fresh && self.unheard.contains(&id) {
-            return said("UNHEARD");
+        // The resubmission has the same id as the first attempt. Acknowledging the first answer would close
+        // the resubmission in the journal too, and after a crash its outcome would be unknown.
+        if !as_new && self.unacknowledged.contains(&id) {
+            return reply("UNHEARD");
         }
-        let Some(dest) = self.routes.find(&a.destination) else { return said("NOROUTE") };
-        // A partner may have it, and hand it in there.
+        let Some(dest) = self.routes.find(&a.destination) else { return reply("NOROUTE") };
+        // A partner may have the message, and resubmit it there.
         if self.stands_still(MsgId(id))
             || self.leaving
             || self.ledger.refuses(self.now, self.messages.len(), a.body.len())
         {
-            return said("BUSY");
+            return reply("BUSY");
         }
-        // Its answer goes where the first one went, whoever asked.
+        // The answer goes to the mailbox of the first answer, whoever asked for the resubmission.
         let mailbox = self.mailboxes.open(client, &a.mailbox);
-        let from = From { conn: None, token: 0, client, mailbox };
+        let from = Origin { conn: None, token: 0, client, mailbox };
         if self.admit(&from, class, false).is_err() {
-            return said("BUSY");
+            return reply("BUSY");
         }
         let party = self.trail_number(&format!("client {}", a.client));
         let begun = self.held.as_mut().map(|s| s.begin(now, id, party, decision));
         if !matches!(begun, Some(Ok(_))) {
-            return said("UNDERWAY");
+            return reply("UNDERWAY");
         }
-        let own = if fresh { self.new_id() } else { MsgId(id) };
-        // What went before counts, unless the destination's owner said that it did not run, or it is a new effect.
-        let ran = ran.filter(|at| !fresh && filed.not_seen.is_none_or(|said| *at >= said));
-        let handing = Handing {
-            reply: Reply { topic: a.reply.clone(), correlation: a.correlation.clone() },
-            ..Handing::default()
+        let new_id = if as_new { self.new_id() } else { MsgId(id) };
+        // An earlier attempt counts as one that may have run, unless the destination's owner reported that it
+        // did not run, or the client asked for a new effect.
+        let may_have_run =
+            may_have_run.filter(|at| !as_new && stored.not_seen.is_none_or(|said| *at >= said));
+        let context = SubmissionContext {
+            reply: ReplyAddress { topic: a.reply.clone(), correlation: a.correlation.clone() },
+            ..SubmissionContext::default()
         };
         let submission = entry_codec::to_submission(&a);
         let key = submission.key.as_ref().filter(|_| ordered).map(|k| scoped_key(client, k));
         self.events.push(Event::Message {
-            id: own,
+            id: new_id,
             class,
             tenant: client,
             key,
@@ -94,49 +101,49 @@
             again: true,
         });
         let rest = Accepted {
-            id: own.0,
+            id: new_id.0,
             class: a.class.clone(),
             dest: dest.0,
             deadline: leave_by,
-            replaces: if fresh { id } else { 0 },
+            replaces: if as_new { id } else { 0 },
             ..Accepted::default()
         };
-        let answer_for = if fresh { 0 } else { self.answer_for(client, class, id, &submission) };
+        let answer_for = if as_new { 0 } else { self.answer_for(client, class, id, &submission) };
         let rest = Accepted { answer_for, ..rest };
-        self.write_accepted(&from, &submission, &handing, rest);
-        if let Some(at) = ran {
+        self.write_accepted(&from, &submission, &context, rest);
+        if let Some(at) = may_have_run {
             let endpoint = trail.steps().find_map(|(t, w)| match w {
                 What::Began(e) if t == at => self.trail_names.get(e as usize).cloned(),
                 _ => None,
             });
             let endpoint = endpoint.unwrap_or_default();
-            let known = self.remotes.named(&endpoint);
+            let known = self.endpoints.named(&endpoint);
             let place = known.unwrap_or(heronroute::EndpointId(u32::MAX));
-            self.events.push(Event::Resumed { id: own, attempts: 0, may_run: Some((place, now - at)) });
-            let intent = entry::Intent { id: own.0, endpoint, at };
+            self.events.push(Event::Resumed { id: new_id, attempts: 0, may_run: Some((place, now - at)) });
+            let intent = entry::Intent { id: new_id.0, endpoint, at };
             self.ledger.write(|| entry::What::Intent(intent));
-            self.ledger.write(|| entry::What::Outcome(entry::Outcome { id: own.0, never_ran: false }));
+            self.ledger.write(|| entry::What::Outcome(entry::Outcome { id: new_id.0, never_ran: false }));
         }
-        let mut message = self.message(&from, class, submission, &handing, self.now + (leave_by - now));
+        let mut message = self.new_message(&from, class, submission, &context, self.now + (leave_by - now));
         message.answer_for = answer_for;
-        message.ran_at = ran.map(|at| self.now - (now - at).max(0));
+        message.may_have_run_since = may_have_run.map(|at| self.now - (now - at).max(0));
         let before = self.held.as_ref().and_then(|s| s.get(id)).and_then(|f| Trail::read(&f.trail));
-        if fresh {
-            // Its own trail begins with the hand-in; the old one stays without its message.
+        if as_new {
+            // The new message's trail begins with the resubmission. The old trail stays, without its message.
             let ended = before.unwrap_or_default();
             let dropped = self.held.as_mut().map(|s| s.end(now, id, &ended, true)).unwrap_or_default();
             self.write_released(&dropped);
             let mut trail = Trail::new(now, 0);
-            trail.add(now, What::HandedIn(party), STEPS);
+            trail.add(now, What::HandedIn(party), MAX_TRAIL_STEPS);
             message.trail = Some(Box::new(trail));
         } else {
             message.trail = before.map(Box::new);
         }
-        self.hold(own, message);
-        if fresh {
-            self.trail_by(own);
+        self.add_open_message(new_id, message);
+        if as_new {
+            self.set_trail_origin(new_id);
         }
         self.stats.accepted += 1;
-        (format!("id:{} stat:ENROUTE", format_id(own)), "ENROUTE")
+        (format!("id:{} stat:ENROUTE", format_id(new_id)), "ENROUTE")
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -16,17 +16,18 @@
 #![forbid(unsafe_code)]
 
 mod acceptance;
+#[path = "admission/mod.rs"]
+mod admission;
 pub mod answers;
 mod applying;
 pub mod calls;
 mod carry;
-mod desk;
 pub mod directory;
 mod doubts;
 mod entry_codec;
 pub mod front;
 pub mod heir;
-mod hold;
+mod held;
 pub use heronroute_rules::home;
 mod ids;
 mod keeping;
@@ -52,7 +53,7 @@
 mod uptime;
 
 pub use ids::ConnId;
-pub use node::{Gone, Node, Output, Start};
+pub use node::{CloseReason, Node, Output, Start};
 pub use restart::Restarted;
 pub use stats::Stats;
 pub use stream::Stream;
--- a/crates/engine/src/node/inputs.rs
+++ b/crates/engine/src/node/inputs.rs
@@ -1,19 +1,19 @@
-//! What happens to connections goes to whatever each is for.
+//! Events of connections, dispatched by each connection's role.
 
 use super::Node;
-use super::api::Gone;
-use super::state::Use;
+use super::api::CloseReason;
+use super::state::ConnRole;
 use crate::Micros;
 use crate::ids::ConnId;
 
 impl Node {
-    /// A connection of ours stands.
+    /// Handles a connection that was established.
     pub fn connected(&mut self, now: Micros, conn: ConnId) {
         self.now = now.max(self.now);
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Receiver { .. }) => self.link_opened(conn),
-            Some(Use::Notices) => self.notices_connected(conn),
-            Some(Use::Directory) => {
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Receiver { .. }) => self.link_opened(conn),
+            Some(ConnRole::Notices) => self.notices_connected(conn),
+            Some(ConnRole::Directory) => {
                 if let Some(c) = self.conns.get_mut(&conn) {
                     self.directory.connected(self.now, &mut c.stream);
                 }
@@ -24,40 +24,40 @@
         }
     }
 
-    /// Octets came.
-    pub fn received(&mut self, now: Micros, conn: ConnId, octets: &[u8]) {
+    /// Handles received bytes.
+    pub fn received(&mut self, now: Micros, conn: ConnId, bytes: &[u8]) {
         self.now = now.max(self.now);
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { .. }) => self.client_received(conn, octets),
-            Some(Use::Receiver { .. }) => self.link_received(conn, octets),
-            Some(Use::Notices) => self.notices_received(conn, octets),
-            Some(Use::Directory) => {
-                let mut heard = Vec::new();
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Client { .. }) => self.client_received(conn, bytes),
+            Some(ConnRole::Receiver { .. }) => self.link_received(conn, bytes),
+            Some(ConnRole::Notices) => self.notices_received(conn, bytes),
+            Some(ConnRole::Directory) => {
+                let mut events = Vec::new();
                 let Some(c) = self.conns.get_mut(&conn) else { return };
-                let goes_on = self.directory.receive(self.now, octets, &mut c.stream, &mut heard);
+                let keep_open = self.directory.receive(self.now, bytes, &mut c.stream, &mut events);
                 self.flush(conn);
-                if !goes_on {
+                if !keep_open {
                     self.directory_conn = None;
                     self.drop_conn(conn);
                 }
-                self.heard(heard);
+                self.handle_directory_events(events);
             }
             _ => {}
         }
     }
 
-    /// A connection is no more; whoever holds the sockets has closed it.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, gone: Gone) {
+    /// Handles the end of a connection, which the owner of the sockets has closed.
+    pub fn closed(&mut self, now: Micros, conn: ConnId, gone: CloseReason) {
         self.now = now.max(self.now);
-        match self.conns.get(&conn).map(|c| &c.what) {
-            Some(Use::Client { .. }) => self.client_gone(conn),
-            Some(Use::Receiver { .. }) => self.link_closed(conn, gone),
-            Some(Use::Notices) => self.notices_gone(conn),
-            Some(Use::Directory) => {
+        match self.conns.get(&conn).map(|c| &c.role) {
+            Some(ConnRole::Client { .. }) => self.client_disconnected(conn),
+            Some(ConnRole::Receiver { .. }) => self.link_closed(conn, gone),
+            Some(ConnRole::Notices) => self.notices_closed(conn),
+            Some(ConnRole::Directory) => {
                 self.directory_conn = None;
-                let mut heard = Vec::new();
-                self.directory.ended(self.now, &mut heard);
-                self.heard(heard);
+                let mut events = Vec::new();
+                self.directory.ended(self.now, &mut events);
+                self.handle_directory_events(events);
             }
             _ => {}
         }
--- a/crates/engine/src/node/members.rs
+++ b/crates/engine/src/node/listing.rs
@@ -1,14 +1,15 @@
-//! The directory's lists, put into the decision library's words.
+//! Directory lists, converted for the decision library.
 
 use super::Node;
 use super::api::Output;
-use super::state::Key;
+use super::state::TimerKey;
 use crate::directory::DirectoryEvent;
 use heronroute::{DestId, EndpointEntry, EndpointId, Event, Status};
 use heronroute_config::Listing;
 use std::collections::BTreeSet;
 
 impl Node {
+    /// Subscribes to the directory's lists.
     pub(crate) fn subscribe(&mut self) {
         if !self.directory.subscribe(self.now) {
             self.events.push(Event::DirectoryFailed);
@@ -16,17 +17,19 @@
         self.schedule_directory();
     }
 
+    /// Sets the directory's timer.
     pub(crate) fn schedule_directory(&mut self) {
-        self.timers.set(Key::Directory, self.directory.wake());
+        self.timers.set(TimerKey::Directory, self.directory.wake());
     }
 
-    pub(crate) fn heard(&mut self, heard: Vec<DirectoryEvent>) {
-        for h in heard {
-            match h {
+    /// Handles lists and failures that the directory reported.
+    pub(crate) fn handle_directory_events(&mut self, events: Vec<DirectoryEvent>) {
+        for event in events {
+            match event {
                 DirectoryEvent::List(listing) => {
                     self.stats.lists += 1;
-                    self.members(&listing);
-                    self.outputs.extend(self.directory.text().map(Output::Keep));
+                    self.apply_listing(&listing);
+                    self.outputs.extend(self.directory.text().map(Output::SaveList));
                 }
                 DirectoryEvent::Failed(why) => {
                     self.stats.list_failures += 1;
@@ -38,8 +41,9 @@
         self.schedule_directory();
     }
 
-    /// Puts a listing into the decision library's words. What names an unknown kind is passed over.
-    pub(crate) fn members(&mut self, listing: &Listing) {
+    /// Applies a directory list: updates the endpoint table and passes the list to the decision library.
+    /// Entries of an unknown kind are skipped.
+    pub(crate) fn apply_listing(&mut self, listing: &Listing) {
         let mut entries = Vec::new();
         for e in &listing.endpoints {
             let Some(kind) = self.cfg.kinds.iter().position(|k| k.name == e.kind) else {
@@ -51,11 +55,11 @@
                 continue;
             };
             let (dest, status) = (DestId(e.destination), e.status);
-            let (endpoint, moved) = self.remotes.entry(&e.name, e.address, kind, dest);
+            let (endpoint, moved) = self.endpoints.upsert(&e.name, e.address, kind, dest);
             if self.held.is_some() {
-                self.remotes[endpoint].number = self.trail_number(&e.name);
+                self.endpoints[endpoint].number = self.trail_number(&e.name);
             }
-            self.remotes.list(endpoint, status != Status::Removed);
+            self.endpoints.set_listed(endpoint, status != Status::Removed);
             if moved {
                 self.close_idle_connections(endpoint);
             }
@@ -72,11 +76,17 @@
             entries.iter().filter(|e| e.status != Status::Up).map(|e| e.endpoint).collect();
         if listing.whole {
             let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
-            let gone: Vec<EndpointId> = self.remotes.listed().filter(|e| !named.contains(e)).collect();
-            gone.iter().for_each(|e| self.remotes.list(*e, false));
+            let gone: Vec<EndpointId> = self.endpoints.listed().filter(|e| !named.contains(e)).collect();
+            gone.iter().for_each(|e| self.endpoints.set_listed(*e, false));
             down.extend(gone);
         }
-        tracing::debug!(now = self.now, whole = listing.whole, changes = entries.len(), ?down, "a list");
+        tracing::debug!(
+            now = self.now,
+            whole = listing.whole,
+            changes = entries.len(),
+            ?down,
+            "applying a directory list"
+        );
         self.events.push(Event::DirectoryUpdate { whole: listing.whole, entries });
         down.into_iter().for_each(|e| self.cancel_unsent_calls(e));
     }
--- a/crates/engine/src/node/round.rs
+++ b/crates/engine/src/node/round.rs
@@ -1,36 +1,37 @@
-//! A turn: timers, rounds of the decision library, and what waits for the journal.
+//! A turn of the event loop: timers, rounds of the decision library, and effects that wait for the journal.
 
 use super::Node;
 use super::api::Output;
-use super::state::{Effect, Key, Use};
+use super::state::{ConnRole, Effect, TimerKey};
 use crate::Micros;
 use crate::directory::ConnectionAction;
 use heronroute::{EndpointId, Event};
 use heronroute_journal::Usage;
 
 impl Node {
-    /// Acts on all that happened and fell due. To be called after a turn of inputs, and at [`Node::wake`].
+    /// Handles due timers and runs the rounds of the decision library. Must be called after a turn of inputs,
+    /// and at [`Node::wake`].
     pub fn settle(&mut self, now: Micros) {
         self.now = now.max(self.now);
         self.lapse_if_due();
-        // Each round may bring outcomes at once (calls that could not be made) and timers that are due; they are
-        // heard in the next.
+        // Each round may produce outcomes at once (calls that could not be made) and due timers; the next
+        // round handles them.
         for _ in 0..64 {
             while let Some(key) = self.timers.due(self.now) {
-                self.fell_due(key);
+                self.handle_timer(key);
             }
             if self.events.is_empty() || self.frozen {
                 break;
             }
             let next = self.last_round + self.cfg.settings.quantum;
             if next > self.now {
-                self.timers.set(Key::Round, next);
+                self.timers.set(TimerKey::Round, next);
                 break;
             }
             self.round();
         }
         if self.leaving {
-            self.go_on_leaving();
+            self.continue_leaving();
         }
         let entries = self.ledger.hand_over(self.now);
         if !entries.is_empty() {
@@ -38,7 +39,8 @@
         }
     }
 
-    /// So many entries since the start are durable. What rested on them is done.
+    /// Reports that `count` entries since the start are durable, and performs the effects that waited for
+    /// them.
     pub fn durable(&mut self, now: Micros, count: u64, usage: Usage) {
         self.now = now.max(self.now);
         (self.stats.entries, self.stats.syncs) = (usage.entries, usage.commits);
@@ -47,23 +49,26 @@
         }
     }
 
-    /// Does what rests on all that was written so far: now, or once that is durable.
+    /// Performs an effect that depends on everything written so far: now, or once that is durable.
     pub(crate) fn once_durable(&mut self, effect: Effect) {
         if let Some(effect) = self.ledger.hold(effect) {
             self.perform(effect);
         }
     }
 
+    /// Performs an effect, unless it is held back while messages are suspended.
     pub(crate) fn perform(&mut self, effect: Effect) {
         let Some(effect) = self.not_now(effect) else { return };
         match effect {
-            Effect::Accept { conn, token, id } => self.tell_accepted(conn, token, id),
-            Effect::Noted { conn, told } => self.tell_noted(conn, &told),
+            Effect::ReportAcceptance { conn, token, id } => self.report_acceptance(conn, token, id),
+            Effect::AcknowledgeNotes { conn, reply } => self.acknowledge_notes(conn, &reply),
             Effect::Place { call, endpoint } => self.start_call(call, endpoint),
-            Effect::Tell { id, message, answer, done } => self.tell(id, *message, answer, done),
+            Effect::ReportAnswer { id, message, answer, done } => {
+                self.report_answer(id, *message, answer, done)
+            }
             Effect::Apply(apply) => self.in_force(&apply),
             Effect::Inherited { origin } => self.estate_durable(origin),
-            Effect::Again { mailbox, id, to } => self.tell_again(mailbox, id, *to),
+            Effect::RepeatAnswer { mailbox, id, reply_to } => self.tell_again(mailbox, id, *reply_to),
         }
     }
 
@@ -74,37 +79,37 @@
         let mut actions = std::mem::take(&mut self.actions);
         actions.clear();
         self.dispatcher.round(self.now, &events, &mut actions);
-        self.accept_fresh(&actions);
+        self.accept_submitted(&actions);
         self.execute_actions(&actions);
         self.journal_destination_state(events.iter().filter_map(|e| match e {
             Event::Outcome { endpoint, .. } => Some(*endpoint),
             _ => None,
         }));
         self.actions = actions;
-        self.forget_gone();
+        self.remove_unlisted_endpoints();
     }
 
-    fn fell_due(&mut self, key: Key) {
+    fn handle_timer(&mut self, key: TimerKey) {
         match key {
-            Key::Module => self.events.push(Event::Timer { token: 0 }),
-            Key::Round => {}
-            Key::Conn(conn) => match self.conns.get(&conn).map(|c| &c.what) {
-                Some(Use::Client { .. }) => self.client_tick(conn),
-                Some(Use::Receiver { .. }) => self.link_tick(conn),
+            TimerKey::Dispatcher => self.events.push(Event::Timer { token: 0 }),
+            TimerKey::Round => {}
+            TimerKey::Conn(conn) => match self.conns.get(&conn).map(|c| &c.role) {
+                Some(ConnRole::Client { .. }) => self.client_tick(conn),
+                Some(ConnRole::Receiver { .. }) => self.link_tick(conn),
                 _ => {}
             },
-            Key::Connect(conn) => self.drop_link(conn),
-            Key::Idle(conn) => self.close_if_idle(conn),
-            Key::Confirm(conn) => self.confirm_due(conn),
-            Key::Part(call, part) => self.part_timed_out(call, part),
-            Key::Probe(endpoint) => self.probe_timed_out(EndpointId(endpoint)),
-            Key::Outbox(mailbox) => self.pump(mailbox),
-            Key::Release(client) => self.release_on(client),
-            Key::Mailbox(mailbox) => self.mailbox_due(mailbox),
-            Key::Keeping => self.keeping_due(),
-            Key::Directory => {
-                let mut heard = Vec::new();
-                let want = self.directory.tick(self.now, &mut heard);
+            TimerKey::Connect(conn) => self.drop_link(conn),
+            TimerKey::Idle(conn) => self.close_if_idle(conn),
+            TimerKey::Confirm(conn) => self.confirm_due(conn),
+            TimerKey::Part(call, part) => self.part_timed_out(call, part),
+            TimerKey::Probe(endpoint) => self.probe_timed_out(EndpointId(endpoint)),
+            TimerKey::Outbox(mailbox) => self.deliver_owed(mailbox),
+            TimerKey::Release(client) => self.continue_release(client),
+            TimerKey::Mailbox(mailbox) => self.mailbox_due(mailbox),
+            TimerKey::Keeping => self.keeping_due(),
+            TimerKey::Directory => {
+                let mut events = Vec::new();
+                let want = self.directory.tick(self.now, &mut events);
                 match want {
                     ConnectionAction::Nothing => {}
                     ConnectionAction::Drop => {
@@ -113,16 +118,16 @@
                         }
                     }
                     ConnectionAction::Connect(address) => {
-                        let conn = self.add_conn(Use::Directory);
+                        let conn = self.add_conn(ConnRole::Directory);
                         self.directory_conn = Some(conn);
                         self.outputs.push(Output::Connect { conn, address });
                     }
                 }
-                self.heard(heard);
+                self.handle_directory_events(events);
             }
-            Key::Notices => self.notices_due(),
-            Key::Leave if self.cfg.platform.is_some() => self.freeze(),
-            Key::Leave => self.abandon_all(),
+            TimerKey::Notices => self.notices_due(),
+            TimerKey::Leave if self.cfg.platform.is_some() => self.freeze(),
+            TimerKey::Leave => self.abandon_all(),
         }
     }
 }
--- a/crates/engine/src/notices.rs
+++ b/crates/engine/src/notices.rs
@@ -1,13 +1,14 @@
-//! Ends that are told to the platform by notices, on a connection of their own.
+//! Notices that report the ends of messages to the platform, on a connection of their own.
 
 use crate::Micros;
 use crate::ids::ConnId;
-use crate::node::{Key, Node, Output, Use};
+use crate::node::{ConnRole, Node, Output, TimerKey};
 use heronroute::MsgId;
 use heronroute_platform::notice::{End, Want};
 use heronroute_smpp::receipt::Answer;
 
 impl Node {
+    /// Adds a notice that reports a message's end.
     pub(crate) fn owe_notice(&mut self, id: MsgId, identity: &str, answer: Answer) {
         let end = answer.retry_after().map_or(End::Failed, End::Returned);
         if let Some(notices) = &mut self.notices {
@@ -18,18 +19,19 @@
 
     fn schedule_notices(&mut self) {
         let wake = self.notices.as_ref().map_or(Micros::MAX, |n| n.wake());
-        self.timers.set(Key::Notices, wake);
+        self.timers.set(TimerKey::Notices, wake);
     }
 
+    /// Handles the timer of the notices.
     pub(crate) fn notices_due(&mut self) {
         let Some(notices) = &mut self.notices else { return };
-        let mut none = bytes::BytesMut::new();
+        let mut no_conn = bytes::BytesMut::new();
         let conn = self.notices_conn;
-        let out = conn.and_then(|c| self.conns.get_mut(&c)).map_or(&mut none, |c| &mut c.stream.out);
+        let out = conn.and_then(|c| self.conns.get_mut(&c)).map_or(&mut no_conn, |c| &mut c.stream.out);
         match notices.tick(self.now, out) {
             Want::Nothing => {}
             Want::Connect(address) => {
-                let conn = self.add_conn(Use::Notices);
+                let conn = self.add_conn(ConnRole::Notices);
                 self.notices_conn = Some(conn);
                 self.outputs.push(Output::Connect { conn, address });
             }
@@ -47,6 +49,7 @@
         self.schedule_notices();
     }
 
+    /// Handles an established notice connection.
     pub(crate) fn notices_connected(&mut self, conn: ConnId) {
         let now = self.now;
         if let (Some(n), Some(c)) = (&mut self.notices, self.conns.get_mut(&conn)) {
@@ -56,28 +59,33 @@
         self.schedule_notices();
     }
 
-    pub(crate) fn notices_received(&mut self, conn: ConnId, octets: &[u8]) {
+    /// Handles bytes received on the notice connection.
+    pub(crate) fn notices_received(&mut self, conn: ConnId, bytes: &[u8]) {
         let now = self.now;
         let (Some(n), Some(c)) = (&mut self.notices, self.conns.get_mut(&conn)) else { return };
-        let (taken, apart) = match n.receive(now, octets, &mut c.stream.out) {
-            Ok(taken) => (taken, n.apart()),
+        let (acknowledged, disconnect) = match n.receive(now, bytes, &mut c.stream.out) {
+            Ok(acknowledged) => (acknowledged, n.apart()),
             Err(why) => {
-                tracing::warn!(why = why.to_string(), "notices could not be told; they are told again");
+                tracing::warn!(
+                    why = why.to_string(),
+                    "notices could not be delivered; they will be sent again"
+                );
                 n.ended(now);
                 (Vec::new(), true)
             }
         };
-        tracing::debug!(now, notices = taken.len(), "notices were taken");
-        taken.into_iter().for_each(|id| self.taken(id));
+        tracing::debug!(now, notices = acknowledged.len(), "notices were acknowledged");
+        acknowledged.into_iter().for_each(|id| self.taken(id));
         self.flush(conn);
-        if apart {
+        if disconnect {
             self.notices_conn = None;
             self.drop_conn(conn);
         }
         self.schedule_notices();
     }
 
-    pub(crate) fn notices_gone(&mut self, conn: ConnId) {
+    /// Handles the end of the notice connection.
+    pub(crate) fn notices_closed(&mut self, conn: ConnId) {
         if self.notices_conn == Some(conn) {
             self.notices_conn = None;
             let now = self.now;
@@ -88,7 +96,7 @@
         self.schedule_notices();
     }
 
-    /// Discovery is elsewhere from now on.
+    /// Handles a new address of the platform's discovery.
     pub fn discovery_moved(&mut self, now: Micros, address: std::net::SocketAddr) {
         self.now = now.max(self.now);
         self.directory.moved(self.now, address);
