--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -16,7 +16,6 @@
 #![forbid(unsafe_code)]
 
 mod acceptance;
-#[path = "admission/mod.rs"]
 mod admission;
 pub mod answers;
 mod applying;
