--- a/crates/engine/src/applying/apply.rs
+++ b/crates/engine/src/client_rules/apply.rs
@@ -1,12 +1,12 @@
-//! A client's rules are taken over: all of a version or nothing, between two rounds.
+//! Applies a version of a client's rules, whole or not at all, between two rounds.
 //!
-//! One entry of the journal has the version whole, and it is in force only once that entry is durable: a crash before
-//! it comes back with the old one, a crash after it with the new one. What it lets go of is dropped after that, and
-//! once more at a restart in between.
+//! One journal entry holds the whole version, which takes effect only once that entry is durable. A crash
+//! before that restores the old version, a crash after it the new one. What the new version discards is
+//! dropped after that, and dropped again if a restart comes in between.
 
 use crate::Micros;
-use crate::keeping::change::destroys;
-use crate::keeping::rules::{self, Rules};
+use crate::keeping::change::first_loss;
+use crate::keeping::rules::{self, ClientRules};
 use crate::node::{Effect, Key, Node};
 use heronroute_held::{PartRoom, Room, Store};
 use heronroute_journal::Book;
@@ -17,41 +17,41 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Rules of a client at most; more can't be told apart by the look-up.
-const MOST: usize = u16::MAX as usize;
+/// The most rules of a client; the look-up can't tell more of them apart.
+const MAX_RULES: usize = u16::MAX as usize;
 
-/// How often it is looked for what has become too old.
-pub(super) const LOOK: Micros = 1_000_000;
+/// How often expired entries are looked for.
+pub(super) const EXPIRY_INTERVAL: Micros = 1_000_000;
 
 impl Node {
-    /// Takes a client's rules over. What comes of it is told by [`crate::node::Output::Live`], once it is durable; where it
-    /// can't be applied that says why, and what was in force still is. Nothing on a node that is in no fleet. To be
-    /// followed by [`Node::settle`], as all inputs.
+    /// Applies a client's rules. The result is reported by [`crate::node::Output::Live`] once it is durable;
+    /// if the rules can't be applied, the output says why and the previous rules stay in force. Does nothing
+    /// on a node outside a fleet. Must be followed by [`Node::settle`], as all inputs.
     pub fn apply(&mut self, now: Micros, mut apply: Apply) {
         self.now = now.max(self.now);
-        apply.set = self.own_part(&apply.client, apply.set, apply.turn);
+        apply.set = self.own_share(&apply.client, apply.set, apply.turn);
         let Some(keeping) = &self.keeping else { return };
         let client = self.client_names.get(&apply.client).copied();
         let Some(client) = client.filter(|c| *c < self.cfg.clients.len()) else {
-            return self.cannot(&apply.client, "no client of that name here".to_string());
+            return self.reject_version(&apply.client, "no client of that name here".to_string());
         };
-        let latest = keeping.latest.get(&client);
-        if latest
+        let last_written = keeping.last_written.get(&client);
+        if last_written
             .is_some_and(|(set, plan, turn)| *set == apply.set && *plan == apply.plan && *turn == apply.turn)
         {
-            // Told again. One that is not durable yet is told when it is.
+            // Sent again. A version that is not yet durable is reported once it is.
             let rules = keeping.rules.get(&client);
             if rules.is_some_and(|r| {
                 r.version == apply.set.version && r.plan == apply.plan && r.turn == apply.turn
             }) {
                 self.keeping.iter_mut().for_each(|k| _ = k.trouble.remove(&apply.client));
-                self.now_applies(&apply.client);
+                self.report_live(&apply.client);
             }
             return;
         }
-        let none = RuleSet::default();
-        if let Err(why) = self.can_apply(&apply, latest.map_or(&none, |(set, ..)| set)) {
-            return self.cannot(&apply.client, why);
+        let empty = RuleSet::default();
+        if let Err(why) = self.check_version(&apply, last_written.map_or(&empty, |(set, ..)| set)) {
+            return self.reject_version(&apply.client, why);
         }
         let entry = || -> Option<Applied> {
             let (rules, plan) =
@@ -61,33 +61,33 @@
             Some(Applied { client, version, rules, plan, place, members, senders })
         };
         let Some(entry) = entry() else {
-            return self.cannot(&apply.client, "it can't be written down".to_string());
+            return self.reject_version(&apply.client, "it can't be written down".to_string());
         };
         if self.ledger.refuses(self.now, self.messages.len(), entry.rules.len() + entry.plan.len()) {
-            return self.cannot(&apply.client, "no room in the journal".to_string());
+            return self.reject_version(&apply.client, "no room in the journal".to_string());
         }
         self.ledger.write(|| What::Applied(entry));
         if let Some(k) = &mut self.keeping {
-            k.latest.insert(client, (apply.set.clone(), apply.plan.clone(), apply.turn));
+            k.last_written.insert(client, (apply.set.clone(), apply.plan.clone(), apply.turn));
         }
         self.once_durable(Effect::Apply(Box::new(apply)));
     }
 
-    /// Of its process's share this sender has all or none.
-    pub(super) fn own_part(&self, client: &str, set: Arc<RuleSet>, turn: Turn) -> Arc<RuleSet> {
+    /// Returns the rules with this sender's part of the process's share, which is all of it or none.
+    pub(super) fn own_share(&self, client: &str, set: Arc<RuleSet>, turn: Turn) -> Arc<RuleSet> {
         if turn.is_home(client, self.index) { set } else { Arc::new(away(&set)) }
     }
 
-    fn can_apply(&self, apply: &Apply, latest: &RuleSet) -> Result<(), String> {
+    fn check_version(&self, apply: &Apply, last_written: &RuleSet) -> Result<(), String> {
         let rules = &apply.set.rules;
-        if rules.len() > MOST {
-            return Err(format!("{} rules, at most {MOST}", rules.len()));
+        if rules.len() > MAX_RULES {
+            return Err(format!("{} rules, at most {MAX_RULES}", rules.len()));
         }
         let names: BTreeSet<&str> = rules.iter().map(|r| r.name.as_str()).collect();
         if names.len() < rules.len() {
             return Err("two rules of one name".to_string());
         }
-        match destroys(latest, &apply.set, &self.common()).filter(|_| !apply.certain) {
+        match first_loss(last_written, &apply.set, &self.common_figures()).filter(|_| !apply.certain) {
             Some((rule, field)) => Err(format!(
                 "rule {rule}: {field} would let go of what is kept, and its approval is not certain"
             )),
@@ -95,8 +95,8 @@
         }
     }
 
-    /// What holds where no rule says otherwise.
-    pub(super) fn common(&self) -> Figures {
+    /// Returns the figures that hold where no rule says otherwise.
+    pub(super) fn common_figures(&self) -> Figures {
         let held = self.cfg.held;
         Figures {
             answer_for: Some(0),
@@ -110,19 +110,19 @@
         }
     }
 
-    fn cannot(&mut self, client: &str, why: String) {
-        tracing::warn!(client, why, "rules can't be applied; those before are in force");
+    fn reject_version(&mut self, client: &str, why: String) {
+        tracing::warn!(client, why, "rules can't be applied; the previous ones stay in force");
         if let Some(k) = &mut self.keeping {
-            // One word for each client that there is, and one for those that there are not.
+            // The map holds at most one reason for each known client; unknown names are not stored.
             let known = self.client_names.contains_key(client);
             if known {
                 k.trouble.insert(client.to_string(), why.clone());
             }
         }
-        self.cannot_apply(client, why);
+        self.report_trouble(client, why);
     }
 
-    /// A version is durable: from here on it is in force.
+    /// Puts a version in force, as its entry is durable.
     pub(crate) fn in_force(&mut self, apply: &Apply) {
         let Some(client) = self.client_names.get(&apply.client).copied() else { return };
         self.put_in_force(client, &apply.set, apply.plan.clone(), apply.turn);
@@ -130,48 +130,50 @@
             k.trouble.remove(&apply.client);
         }
         tracing::info!(client = apply.client, version = apply.set.version, "rules are in force");
-        self.now_applies(&apply.client);
+        self.report_live(&apply.client);
     }
 
     fn put_in_force(&mut self, client: usize, set: &RuleSet, plan: Arc<Plan>, turn: Turn) {
         let Some(keeping) = &mut self.keeping else { return };
         let before = keeping.rules.remove(&client);
-        let after = Rules::new(set, plan, turn, before.as_ref());
-        let stay: BTreeSet<u32> = after.places.iter().map(|p| p.part).collect();
-        let gone = before.iter().flat_map(|b| &b.places).map(|p| p.part).filter(|p| !stay.contains(p));
-        let gone: Vec<u32> = gone.collect();
-        let now_has: Vec<(u32, Figures)> =
-            after.places.iter().zip(&set.rules).map(|(p, r)| (p.part, r.figures.clone())).collect();
+        let after = ClientRules::new(set, plan, turn, before.as_ref());
+        let remaining: BTreeSet<u32> = after.rule_parts.iter().map(|p| p.part).collect();
+        let removed =
+            before.iter().flat_map(|b| &b.rule_parts).map(|p| p.part).filter(|p| !remaining.contains(p));
+        let removed: Vec<u32> = removed.collect();
+        let figures_by_part: Vec<(u32, Figures)> =
+            after.rule_parts.iter().zip(&set.rules).map(|(p, r)| (p.part, r.figures.clone())).collect();
         keeping.rules.insert(client, after);
-        for part in &gone {
+        for part in &removed {
             keeping.names.limit(client, *part, None);
         }
-        for (part, figures) in &now_has {
+        for (part, figures) in &figures_by_part {
             keeping.names.limit(client, *part, figures.remembered);
         }
-        let kept: Vec<(u32, PartRoom)> = gone
+        let rooms: Vec<(u32, PartRoom)> = removed
             .iter()
             .map(|part| (*part, PartRoom::default()))
-            .chain(now_has.iter().map(|(part, f)| (*part, rules::room(f))))
+            .chain(figures_by_part.iter().map(|(part, f)| (*part, rules::part_room(f))))
             .collect();
-        if kept.iter().any(|(_, room)| *room != PartRoom::default()) {
-            self.hold_from_now_on();
+        if rooms.iter().any(|(_, room)| *room != PartRoom::default()) {
+            self.ensure_held_store();
         }
         if let Some(store) = &mut self.held {
-            kept.iter().for_each(|(part, room)| store.limit(client as u32, *part, *room));
+            rooms.iter().for_each(|(part, room)| store.limit(client as u32, *part, *room));
         }
-        now_has.iter().for_each(|(part, _)| self.trim_names(client, *part));
+        figures_by_part.iter().for_each(|(part, _)| self.trim_names(client, *part));
         self.trim_held(client);
-        self.timers.set(Key::Keeping, self.now + LOOK);
+        self.timers.set(Key::Keeping, self.now + EXPIRY_INTERVAL);
     }
 
-    /// A rule keeps messages, where the settings keep none: there is a store from now on, with no room but the rules'.
-    fn hold_from_now_on(&mut self) {
+    /// Adds a held store where the settings have none, as a rule holds messages. It has no room but that of
+    /// the rules.
+    fn ensure_held_store(&mut self) {
         if self.held.is_some() {
             return;
         }
-        let none = Room { age: 0, count: 0, octets: 0 };
-        self.held = Some(Store::new(none, none));
+        let no_room = Room { age: 0, count: 0, octets: 0 };
+        self.held = Some(Store::new(no_room, no_room));
         for endpoint in self.remotes.ids() {
             let name = self.remotes[endpoint].name.clone();
             self.remotes[endpoint].number = self.trail_number(&name);
@@ -184,7 +186,7 @@
         self.write_released(&dropped);
     }
 
-    /// What has become too old under clients' rules is dropped.
+    /// Drops what has expired under clients' rules.
     pub(crate) fn keeping_due(&mut self) {
         let now = self.wall();
         let Some(k) = &mut self.keeping else { return };
@@ -192,12 +194,12 @@
         let clients: BTreeSet<usize> = k.rules.keys().chain(k.fences.keys()).copied().collect();
         clients.into_iter().for_each(|c| self.trim_held(c));
         self.clear_fences();
-        self.timers.set(Key::Keeping, self.now + LOOK);
+        self.timers.set(Key::Keeping, self.now + EXPIRY_INTERVAL);
     }
 
-    /// After a restart: rules are in force before anything that they concern is taken up. What can't be read is as if it
-    /// had never been applied; the process hears of that by what is told to be in force, and sends it again.
-    pub(crate) fn take_up_rules(&mut self, book: &Book) {
+    /// Restores rules after a restart, before anything that they concern. Rules that can't be read count as
+    /// never applied; the process sees that in the report of what is in force, and sends them again.
+    pub(crate) fn restore_rules(&mut self, book: &Book) {
         if self.keeping.is_none() {
             return;
         }
@@ -205,17 +207,17 @@
             let Some(client) = self.client_names.get(&a.client).copied() else { continue };
             let read = (serde_json::from_slice::<RuleSet>(&a.rules), serde_json::from_slice::<Plan>(&a.plan));
             let (Ok(set), Ok(plan)) = read else {
-                self.cannot(&a.client, "what was applied before can't be read".to_string());
+                self.reject_version(&a.client, "what was applied before can't be read".to_string());
                 continue;
             };
             let (set, plan) = (Arc::new(set), Arc::new(plan));
             let turn = Turn { place: a.place, members: a.members, senders: a.senders };
             let turn = if a.members == 0 { Turn::default() } else { turn };
             if let Some(k) = &mut self.keeping {
-                k.latest.insert(client, (set.clone(), plan.clone(), turn));
+                k.last_written.insert(client, (set.clone(), plan.clone(), turn));
             }
             self.put_in_force(client, &set, plan, turn);
-            self.now_applies(&a.client);
+            self.report_live(&a.client);
         }
     }
 }
--- a/crates/engine/src/applying/asks.rs
+++ b/crates/engine/src/client_rules/asks.rs
@@ -1,4 +1,4 @@
-//! Clients' questions about their rules and about the fleet: passed on to the process, and its answers back.
+//! Passes clients' questions about their rules and about the fleet on to the process, and its answers back.
 
 use crate::Micros;
 use crate::front::No;
@@ -6,8 +6,8 @@
 use crate::node::{Node, Output};
 use heronroute_rules::seam::{Ask, Token, Told};
 
-/// Questions of a connection that wait for their answer at most; more are answered at once, that it is busy.
-const ASKS: usize = 16;
+/// The most unanswered questions of a connection; further ones are answered with "busy" at once.
+const MAX_OPEN_ASKS: usize = 16;
 
 impl Node {
     pub(crate) fn asked_of_fleet(&mut self, conn: ConnId, token: u32, words: Vec<String>, body: Vec<u8>) {
@@ -19,7 +19,7 @@
         };
         let Some(k) = &mut self.keeping else { return };
         let open = k.asks.entry(conn).or_default();
-        if open.len() >= ASKS {
+        if open.len() >= MAX_OPEN_ASKS {
             if let Some((front, out)) = self.front(conn) {
                 front.told(token, "{\"state\":\"busy\"}".to_string(), "busy", out);
             }
@@ -31,7 +31,8 @@
         self.outputs.push(Output::Ask(Ask { token, client, words, body }));
     }
 
-    /// The process's answer to an [`Output::Ask`]. One that nobody waits for any more is dropped.
+    /// Handles the process's answer to an [`Output::Ask`]. The answer is dropped if nothing waits for it any
+    /// more.
     pub fn told(&mut self, now: Micros, told: Told) {
         self.now = now.max(self.now);
         let Token { sender, conn, token } = told.token;
--- a/crates/engine/src/applying/live.rs
+++ b/crates/engine/src/client_rules/live.rs
@@ -1,17 +1,17 @@
-//! What a node really applies, read back from the tables that messages meet.
+//! Reads back what a node really applies, from the tables that messages are checked against.
 
 use crate::node::{Node, Output};
 use heronroute_rules::seam::Live;
 
 impl Node {
-    /// What is in force for a client, read from the live tables and not from what was sent; none on a node that is in
-    /// no fleet, and for a client that it does not know.
+    /// Returns what is in force for a client, read from the live tables rather than from what was sent.
+    /// Returns `None` on a node outside a fleet, and for an unknown client.
     pub fn live(&self, client: &str) -> Option<Live> {
         let keeping = self.keeping.as_ref()?;
         let at = *self.client_names.get(client)?;
         let set = keeping.rules.get(&at).map(|rules| {
             let rooms = self.held.as_ref().map(|s| s.rooms(at as u32)).unwrap_or_default();
-            rules.read_back(&rooms, |part| keeping.names.most(at, part))
+            rules.read_back(&rooms, |part| keeping.names.max_names(at, part))
         });
         Some(Live {
             sender: self.index,
@@ -22,13 +22,13 @@
         })
     }
 
-    pub(super) fn now_applies(&mut self, client: &str) {
+    pub(super) fn report_live(&mut self, client: &str) {
         if let Some(live) = self.live(client) {
             self.outputs.push(Output::Live(live));
         }
     }
 
-    pub(super) fn cannot_apply(&mut self, client: &str, why: String) {
+    pub(super) fn report_trouble(&mut self, client: &str, why: String) {
         let (set, turn) = self.live(client).map_or_else(Default::default, |l| (l.set, l.turn));
         let live = Live { sender: self.index, client: client.to_string(), set, turn, trouble: Some(why) };
         self.outputs.push(Output::Live(live));
--- a/crates/engine/src/applying/again.rs
+++ b/crates/engine/src/client_rules/repeat.rs
@@ -1,9 +1,9 @@
-//! Final answers that are kept, and told again when the same named message is submitted once more.
+//! Retains final answers, and repeats them when the same named message is submitted again.
 
 use crate::Micros;
 use crate::desk::From;
 use crate::ids::show_id;
-use crate::keeping::answers::Kept;
+use crate::keeping::answers::RetainedAnswer;
 use crate::mailboxes::BoxId;
 use crate::node::{Message, Node};
 use crate::outbox::Reply;
@@ -14,22 +14,22 @@
 use heronroute_smpp::submission::Submission;
 
 impl Node {
-    /// A final answer is kept for as long as its client's rules say, and in the journal.
+    /// Retains a final answer, also in the journal, for as long as the client's rules say.
     pub(crate) fn keep_answer(&mut self, id: MsgId, m: &Message, answer: Answer) {
         let now = self.wall();
         let until = now.saturating_add(m.answer_for);
         let Some(k) = self.keeping.as_mut().filter(|_| m.answer_for > 0) else { return };
-        let kept = Kept {
+        let kept = RetainedAnswer {
             client: m.client,
             answer,
             source: m.submission.source.clone(),
             destination: m.submission.destination.clone(),
-            taken: m.taken,
-            done: now,
-            until,
-            owed: Some(m.mailbox),
+            accepted_at: m.taken,
+            ended_at: now,
+            retain_until: until,
+            owed_to: Some(m.mailbox),
         };
-        k.answers.keep(now, id.0, kept);
+        k.answers.insert(now, id.0, kept);
         let client = self.cfg.clients.get(m.client).map_or("", |c| c.system_id.as_str());
         self.ledger.write(|| {
             What::Final(Final {
@@ -48,35 +48,35 @@
         });
     }
 
-    /// How long the next answer to a message is kept whose last one still is.
+    /// Returns how long the next answer to a message is retained whose last answer is still retained.
     pub(crate) fn answer_for(&mut self, client: usize, class: usize, id: u64, s: &Submission) -> Micros {
         let now = self.wall();
         let kept = self.keeping.as_mut().and_then(|k| k.answers.get(now, id)).is_some();
         if kept { self.keep_for(client, class, s).answer_for } else { 0 }
     }
 
-    /// An answer was heard: it may be owed once more from now on.
+    /// Records that the client acknowledged an answer, so that it may be repeated from now on.
     pub(crate) fn answer_heard(&mut self, id: MsgId) {
         if let Some(k) = &mut self.keeping {
-            k.answers.heard(id.0);
+            k.answers.acknowledge(id.0);
         }
     }
 
-    /// Whether a kept answer is owed to a message that came before.
+    /// Returns whether a retained answer is to be repeated for a message that was submitted before.
     pub(crate) fn owes_again(&mut self, from: &From, id: MsgId) -> bool {
         let now = self.wall();
-        // It goes on: its answer comes.
+        // The message is still in progress: its answer follows.
         if self.messages.contains_key(&id) {
             return false;
         }
         let c = &self.clients[from.client];
         let full = c.open + c.owed >= self.cfg.service.owed_room;
         let Some(kept) = self.keeping.as_mut().and_then(|k| k.answers.get(now, id.0)) else { return false };
-        // No room: the client hands it in once more.
+        // If there is no room, the client has to submit it again.
         kept.client == from.client && !full
     }
 
-    /// A kept answer is told again, where this hand-in says.
+    /// Sends a retained answer again, to the reply address of this submission.
     pub(crate) fn tell_again(&mut self, mailbox: BoxId, id: MsgId, to: Reply) {
         let now = self.wall();
         let held = self.held.as_ref().and_then(|s| s.get(id.0)).is_some_and(|f| f.message.is_some());
@@ -84,21 +84,22 @@
             return;
         }
         let Some(kept) = self.keeping.as_mut().and_then(|k| k.answers.get(now, id.0)) else { return };
-        // It is on its way there already.
-        if kept.owed == Some(mailbox) {
+        // It is already queued for this mailbox.
+        if kept.owed_to == Some(mailbox) {
             return;
         }
-        kept.owed = Some(mailbox);
+        kept.owed_to = Some(mailbox);
         let receipt = Receipt {
             id: show_id(id),
             answer: kept.answer,
-            taken: kept.taken,
-            done: kept.done,
+            taken: kept.accepted_at,
+            done: kept.ended_at,
             source: kept.source.clone(),
             destination: kept.destination.clone(),
         };
         if held {
-            // Guards against a hand-in of the held message that this answer's being taken would close.
+            // Guards against a submission of the held message being closed when the client acknowledges this
+            // answer.
             self.unheard.insert(id.0);
         }
         self.stats.told_again += 1;
@@ -106,8 +107,9 @@
         self.pump(mailbox);
     }
 
-    /// After a restart: answers that were kept still are. Those that were not taken yet are owed by the book's messages.
-    pub(crate) fn take_up_answers(&mut self, book: &Book) {
+    /// Restores retained answers after a restart. Those not yet acknowledged are owed by the book's open
+    /// messages.
+    pub(crate) fn restore_answers(&mut self, book: &Book) {
         if self.keeping.is_none() {
             return;
         }
@@ -118,18 +120,18 @@
             let owed = book.open.get(&a.id).filter(|o| o.answer.is_some());
             let owed = owed.map(|o| o.accepted.mailbox.clone()).map(|m| self.mailboxes.open(client, &m));
             let wait = Some(a.retry_after).filter(|w| *w >= 0);
-            let kept = Kept {
+            let kept = RetainedAnswer {
                 client,
                 answer: Answer::read(&a.word, wait).unwrap_or(Answer::Unknown { retry_after: None }),
                 source: f.source.clone(),
                 destination: f.destination.clone(),
-                taken: f.taken,
-                done: a.at,
-                until: f.until,
-                owed,
+                accepted_at: f.taken,
+                ended_at: a.at,
+                retain_until: f.until,
+                owed_to: owed,
             };
             if let Some(k) = &mut self.keeping {
-                k.answers.keep(now, a.id, kept);
+                k.answers.insert(now, a.id, kept);
             }
         }
     }
--- a/crates/engine/src/entry_codec.rs
+++ b/crates/engine/src/entry_codec.rs
@@ -1,10 +1,10 @@
-//! Conversion of messages to the journal's entries and back.
+//! Converts messages to journal entries and back.
 
 use crate::outbox::Reply;
 use heronroute_journal::entry::Accepted;
 use heronroute_smpp::submission::{Submission, Wanted};
 
-/// The entry of an accepted message. `rest` holds the fields that are not the submission's own.
+/// Returns the entry of an accepted message. `rest` holds the fields that are not part of the submission.
 pub(crate) fn to_entry(
     client: &str,
     mailbox: &str,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The submission of a message from its entry.
+/// Returns the submission of a message from its entry.
 pub(crate) fn to_submission(a: &Accepted) -> Submission {
     Submission {
         service: a.class.clone(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Where the message's answer goes, from its entry.
+/// Returns the reply address of a message from its entry.
 pub(crate) fn to_reply(a: &Accepted) -> Reply {
     Reply { topic: a.reply.clone(), correlation: a.correlation.clone() }
 }
--- a/crates/engine/src/keeping/answers.rs
+++ b/crates/engine/src/keeping/answers.rs
@@ -1,90 +1,90 @@
-//! Final answers that are kept after they were taken, to be told again when the same named message is submitted once
-//! more. Bounded for each client: beyond it those that would go first are dropped, and such a repeat is acknowledged
-//! and hears nothing.
+//! Final answers retained after the client acknowledged them, to be repeated when the same named message is
+//! submitted again. Each client has a limit; beyond it the answers that expire first are dropped, and such a
+//! repeated submission is acknowledged but gets no answer.
 
 use crate::Micros;
 use crate::mailboxes::BoxId;
 use heronroute_smpp::receipt::Answer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A final answer, with what it is told with.
+/// A final answer, with what is needed to send it again.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Kept {
+pub(crate) struct RetainedAnswer {
     pub client: usize,
     pub answer: Answer,
     pub source: String,
     pub destination: String,
-    pub taken: Micros,
-    pub done: Micros,
-    /// It is kept until then, in time of day.
-    pub until: Micros,
-    /// It is owed here just now, and not heard yet.
-    pub owed: Option<BoxId>,
+    pub accepted_at: Micros,
+    pub ended_at: Micros,
+    /// The time of day until which it is retained.
+    pub retain_until: Micros,
+    /// The mailbox to which it is owed at the moment, until the client acknowledges it.
+    pub owed_to: Option<BoxId>,
 }
 
-/// All of them.
+/// All retained answers of a node.
 #[derive(Debug)]
-pub(crate) struct Answers {
-    most: usize,
-    by_id: BTreeMap<u64, Kept>,
-    ends: BTreeMap<usize, BTreeSet<(Micros, u64)>>,
+pub(crate) struct RetainedAnswers {
+    limit: usize,
+    by_id: BTreeMap<u64, RetainedAnswer>,
+    expiries: BTreeMap<usize, BTreeSet<(Micros, u64)>>,
 }
 
-impl Answers {
-    /// For so many of one client.
-    pub(crate) fn new(most: usize) -> Self {
-        Answers { most: most.max(1), by_id: BTreeMap::new(), ends: BTreeMap::new() }
+impl RetainedAnswers {
+    /// Returns an empty store with a limit for each client.
+    pub(crate) fn new(limit: usize) -> Self {
+        RetainedAnswers { limit: limit.max(1), by_id: BTreeMap::new(), expiries: BTreeMap::new() }
     }
 
-    /// Keeps an answer, in the place of an earlier one to the same message.
-    pub(crate) fn keep(&mut self, now: Micros, id: u64, kept: Kept) {
-        self.drop(id);
-        self.ends.entry(kept.client).or_default().insert((kept.until, id));
+    /// Retains an answer, in place of an earlier one to the same message.
+    pub(crate) fn insert(&mut self, now: Micros, id: u64, kept: RetainedAnswer) {
+        self.remove(id);
+        self.expiries.entry(kept.client).or_default().insert((kept.retain_until, id));
         let client = kept.client;
         self.by_id.insert(id, kept);
         self.trim(now, client);
     }
 
     fn trim(&mut self, now: Micros, client: usize) {
-        while let Some(ends) = self.ends.get(&client) {
-            match ends.first().copied() {
-                Some((until, id)) if until < now || ends.len() > self.most => self.drop(id),
+        while let Some(expiries) = self.expiries.get(&client) {
+            match expiries.first().copied() {
+                Some((until, id)) if until < now || expiries.len() > self.limit => self.remove(id),
                 _ => return,
             }
         }
     }
 
-    /// Drops what has become too old, of all clients.
+    /// Drops expired answers of all clients.
     pub(crate) fn expire(&mut self, now: Micros) {
-        let clients: Vec<usize> = self.ends.keys().copied().collect();
+        let clients: Vec<usize> = self.expiries.keys().copied().collect();
         clients.into_iter().for_each(|c| self.trim(now, c));
     }
 
-    /// Gives an answer up.
-    pub(crate) fn drop(&mut self, id: u64) {
+    /// Drops an answer.
+    pub(crate) fn remove(&mut self, id: u64) {
         let Some(kept) = self.by_id.remove(&id) else { return };
-        if let Some(ends) = self.ends.get_mut(&kept.client) {
-            ends.remove(&(kept.until, id));
-            if ends.is_empty() {
-                self.ends.remove(&kept.client);
+        if let Some(expiries) = self.expiries.get_mut(&kept.client) {
+            expiries.remove(&(kept.retain_until, id));
+            if expiries.is_empty() {
+                self.expiries.remove(&kept.client);
             }
         }
     }
 
-    /// An answer, while it is kept.
-    pub(crate) fn get(&mut self, now: Micros, id: u64) -> Option<&mut Kept> {
-        self.by_id.get_mut(&id).filter(|k| k.until >= now)
+    /// Returns an answer, while it is retained.
+    pub(crate) fn get(&mut self, now: Micros, id: u64) -> Option<&mut RetainedAnswer> {
+        self.by_id.get_mut(&id).filter(|k| k.retain_until >= now)
     }
 
-    /// Whether an answer is kept.
+    /// Returns whether an answer is retained.
     pub(crate) fn has(&self, now: Micros, id: u64) -> bool {
-        self.by_id.get(&id).is_some_and(|k| k.until >= now)
+        self.by_id.get(&id).is_some_and(|k| k.retain_until >= now)
     }
 
-    /// It was heard.
-    pub(crate) fn heard(&mut self, id: u64) {
+    /// Records that the client acknowledged an answer.
+    pub(crate) fn acknowledge(&mut self, id: u64) {
         if let Some(kept) = self.by_id.get_mut(&id) {
-            kept.owed = None;
+            kept.owed_to = None;
         }
     }
 }
--- a/crates/engine/src/keeping/change.rs
+++ b/crates/engine/src/keeping/change.rs
@@ -1,15 +1,16 @@
-//! What a new version of a client's rules would let go of: a shorter keeping time, a smaller store. It errs on one side:
-//! what can't be told to be harmless is named.
+//! Finds what a new version of a client's rules might discard: a shorter holding time, a smaller store. It
+//! errs on the safe side and names every change that is not certain to be harmless.
 
 use heronroute_rules::{Field, Figures, Rule, RuleSet};
 
-/// Figures by which something is kept. Names and answers that are kept already stay for as long as was said when they
-/// were kept, whatever a new version says; validity and pace concern what comes.
-const KEPT: [Field; 5] =
+/// Figures by which something is held. Names and answers that are already retained stay for the time set when
+/// they were stored, whatever a new version says; validity and pace concern only new messages.
+const HOLDING_FIELDS: [Field; 5] =
     [Field::HoldFor, Field::HoldCount, Field::HoldOctets, Field::Trails, Field::Remembered];
 
-/// The first rule and field by which something may be let go, if there is one. `common`: the settings' figures.
-pub(crate) fn destroys(
+/// Returns the first rule and field by which something may be discarded, if there is one. `common` holds the
+/// figures of the settings.
+pub(crate) fn first_loss(
     before: &RuleSet,
     after: &RuleSet,
     common: &Figures,
@@ -19,19 +20,20 @@
     let names = before.rules.iter().chain(&after.rules).map(|r| &r.name);
     for name in names {
         let (old, new) = (find(before, name), find(after, name));
-        let place = |r: &Rule| (r.class.clone(), r.to.clone(), r.key.clone());
-        // Messages that it matched fall under another, whose room may be smaller.
-        let moved = old.is_some() && old.as_ref().map(place) != new.as_ref().map(place);
+        let scope = |r: &Rule| (r.class.clone(), r.to.clone(), r.key.clone());
+        // Messages that the rule matched fall under another one, whose room may be smaller.
+        let scope_changed = old.is_some() && old.as_ref().map(scope) != new.as_ref().map(scope);
         let (old, new) = (old.unwrap_or_default().figures, new.unwrap_or_default().figures);
-        for field in KEPT {
-            let (was, is) = (field.get(&old), field.get(&new));
-            if was.is_none() && is.is_none() {
+        for field in HOLDING_FIELDS {
+            let (old_value, new_value) = (field.get(&old), field.get(&new));
+            if old_value.is_none() && new_value.is_none() {
                 continue;
             }
             let common = field.get(common).unwrap_or(0);
-            // What counted apart counts in the common room, beside what is there.
-            let joins = was.is_some() && is.is_none() && field != Field::HoldFor;
-            if moved || joins || is.unwrap_or(common) < was.unwrap_or(common) {
+            // What counted apart counts in the common room now, in addition to what is there.
+            let joins_common_room = old_value.is_some() && new_value.is_none() && field != Field::HoldFor;
+            if scope_changed || joins_common_room || new_value.unwrap_or(common) < old_value.unwrap_or(common)
+            {
                 return Some((name.clone(), field.name()));
             }
         }
--- a/crates/engine/src/keeping/change/tests.rs
+++ b/crates/engine/src/keeping/change/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the changes of rules.
+//! Tests of what a change of rules may discard.
 
 use super::*;
 
 #[test]
-fn only_what_keeps_less_is_named() {
+fn only_changes_that_hold_less_are_reported() {
     let set = |to: &str, figures: Figures| RuleSet {
         version: 1,
         rules: vec![Rule { name: "r".into(), to: to.into(), figures, ..Rule::default() }],
@@ -22,6 +22,6 @@
         (&set("", hold(5)), &set("", hold(5)), None),
         (&none, &set("", brief), None),
     ] {
-        assert_eq!(destroys(before, after, &common).map(|d| d.1), field, "{before:?} {after:?}");
+        assert_eq!(first_loss(before, after, &common).map(|d| d.1), field, "{before:?} {after:?}");
     }
 }
--- a/crates/engine/src/keeping/fence.rs
+++ b/crates/engine/src/keeping/fence.rs
@@ -1,10 +1,11 @@
-//! A fence around one client: what comes goes by the stricter of its rules as they are applied and as they are approved.
+//! A fence around one client: new messages follow the stricter of its applied and its approved rules.
 //!
-//! What is applied stays as it is, and is read back as it is. What is approved stands beside it with parts of its own, so
-//! that what is accepted under a smaller figure counts there: nothing that was kept before is let go for it. Once
-//! the fence is lifted, that stays under the figures that it was accepted under, until it is gone.
+//! The applied rules stay unchanged and are read back unchanged. The approved rules have parts of their own
+//! beside them, so that what is accepted under a smaller figure counts there, and nothing that was held
+//! before is dropped for it. After the fence is lifted, that stays under the figures under which it was
+//! accepted until it is gone.
 
-use super::rules::{Keep, Rules};
+use super::rules::{ClientRules, Keep};
 use heronroute_held::Parts;
 use heronroute_rules::strict::{Side, stricter};
 use heronroute_rules::{Effective, Field, Figures, RuleSet, Turn};
@@ -14,83 +15,91 @@
 /// A client's fence, or what is left of one.
 #[derive(Debug, Default)]
 pub(crate) struct Fence {
-    /// What is approved, while it stands.
-    pub under: Option<Arc<RuleSet>>,
-    /// The same, made ready; after it was lifted the last one, so that a rule of the same name keeps its part.
-    rules: Option<Rules>,
-    /// Parts that may still have something in them.
+    /// The approved rules, while the fence is set.
+    pub approved: Option<Arc<RuleSet>>,
+    /// The approved rules in compiled form. The last ones stay after the fence is lifted, so that a rule of
+    /// the same name keeps its part.
+    compiled: Option<ClientRules>,
+    /// Parts that may not be empty.
     pub parts: BTreeSet<u32>,
 }
 
 impl Fence {
-    /// Sets it, over what is approved now. Gives the figures of each part, and the parts whose names are not counted any more.
-    pub(crate) fn set(&mut self, under: Arc<RuleSet>, turn: Turn) -> (Vec<(u32, Figures)>, Vec<u32>) {
-        let rules = Rules::fenced(&under, turn, self.rules.as_ref());
-        let has: Vec<(u32, Figures)> =
-            rules.places.iter().zip(&under.rules).map(|(p, r)| (p.part, r.figures.clone())).collect();
-        let gone = self.parts.iter().copied().filter(|p| has.iter().all(|(part, _)| part != p)).collect();
-        self.parts.extend(has.iter().map(|(part, _)| *part));
-        (self.under, self.rules) = (Some(under), Some(rules));
-        (has, gone)
+    /// Sets the fence with the rules approved now. Returns the figures of each part, and the parts whose
+    /// names are not counted any more.
+    pub(crate) fn set(&mut self, approved: Arc<RuleSet>, turn: Turn) -> (Vec<(u32, Figures)>, Vec<u32>) {
+        let rules = ClientRules::fenced(&approved, turn, self.compiled.as_ref());
+        let figures_by_part: Vec<(u32, Figures)> =
+            rules.rule_parts.iter().zip(&approved.rules).map(|(p, r)| (p.part, r.figures.clone())).collect();
+        let removed = self
+            .parts
+            .iter()
+            .copied()
+            .filter(|p| figures_by_part.iter().all(|(part, _)| part != p))
+            .collect();
+        self.parts.extend(figures_by_part.iter().map(|(part, _)| *part));
+        (self.approved, self.compiled) = (Some(approved), Some(rules));
+        (figures_by_part, removed)
     }
 
-    /// Whether it stands over just this.
-    pub(crate) fn is(&self, under: &Arc<RuleSet>, turn: Turn) -> bool {
-        self.under.as_ref() == Some(under) && self.rules.as_ref().is_some_and(|r| r.turn == turn)
+    /// Returns whether the fence is set with just these rules.
+    pub(crate) fn matches(&self, approved: &Arc<RuleSet>, turn: Turn) -> bool {
+        self.approved.as_ref() == Some(approved) && self.compiled.as_ref().is_some_and(|r| r.turn == turn)
     }
 
-    /// What is approved, while the fence stands.
-    pub(crate) fn stands(&self) -> Option<&Rules> {
-        self.rules.as_ref().filter(|_| self.under.is_some())
+    /// Returns the approved rules, while the fence is set.
+    pub(crate) fn active_rules(&self) -> Option<&ClientRules> {
+        self.compiled.as_ref().filter(|_| self.approved.is_some())
     }
 
-    /// The same, to count releases.
-    pub(crate) fn stands_mut(&mut self) -> Option<&mut Rules> {
-        self.rules.as_mut().filter(|_| self.under.is_some())
+    /// Returns the approved rules for counting releases, while the fence is set.
+    pub(crate) fn active_rules_mut(&mut self) -> Option<&mut ClientRules> {
+        self.compiled.as_mut().filter(|_| self.approved.is_some())
     }
 }
 
-/// What holds for one message under a fence.
-pub(crate) struct Strict<'a> {
-    applied: Option<(&'a Rules, Effective)>,
-    approved: (&'a Rules, Effective),
+/// The rules that apply to one message under a fence.
+pub(crate) struct StricterRules<'a> {
+    applied: Option<(&'a ClientRules, Effective)>,
+    approved: (&'a ClientRules, Effective),
     common: &'a Figures,
 }
 
-impl<'a> Strict<'a> {
-    /// For a message as these tables of both rules find it. `common`: what holds where a rule leaves a figure out.
+impl<'a> StricterRules<'a> {
+    /// Looks a message up in one table of both rule sets. `common` holds the figures where a rule leaves one
+    /// out.
     fn new(
-        applied: Option<&'a Rules>,
-        approved: &'a Rules,
+        applied: Option<&'a ClientRules>,
+        approved: &'a ClientRules,
         common: &'a Figures,
-        table: impl Fn(&'a Rules) -> Effective,
+        table: impl Fn(&'a ClientRules) -> Effective,
     ) -> Self {
-        let look = |rules: &'a Rules| (rules, table(rules));
-        Strict { applied: applied.map(look), approved: look(approved), common }
+        let look_up = |rules: &'a ClientRules| (rules, table(rules));
+        StricterRules { applied: applied.map(look_up), approved: look_up(approved), common }
     }
 
-    /// At the hand-in of a message of a class, to an address, under a key.
-    pub(crate) fn at_hand_in(
-        applied: Option<&'a Rules>,
-        approved: &'a Rules,
+    /// Returns the terms of a message at submission, by its class, address and key.
+    pub(crate) fn at_submission(
+        applied: Option<&'a ClientRules>,
+        approved: &'a ClientRules,
         common: &'a Figures,
         (class, to, key): (&str, &str, &str),
     ) -> Keep {
-        Self::new(applied, approved, common, |rules| rules.at_hand_in(class, to, key)).keep()
+        Self::new(applied, approved, common, |rules| rules.at_submission(class, to, key)).terms()
     }
 
-    /// While it is held.
-    pub(crate) fn later(
-        applied: Option<&'a Rules>,
-        approved: &'a Rules,
+    /// Returns the parts in which a message counts while it is held.
+    pub(crate) fn while_held(
+        applied: Option<&'a ClientRules>,
+        approved: &'a ClientRules,
         common: &'a Figures,
         (class, to, key): (&str, &str, &str),
     ) -> Parts {
-        Self::new(applied, approved, common, |rules| rules.later(class, to, key)).parts()
+        Self::new(applied, approved, common, |rules| rules.while_held(class, to, key)).parts()
     }
 
-    /// A figure, and the part in which the message counts for it.
-    fn pick(&self, field: Field) -> (Option<u64>, u32) {
+    /// Returns the stricter value of a figure, and the part in which the message counts for it.
+    fn stricter_figure(&self, field: Field) -> (Option<u64>, u32) {
         let figure = |found: &Effective| field.get(&found.figures);
         let applied = self.applied.as_ref().and_then(|(_, found)| figure(found));
         let approved = figure(&self.approved.1);
@@ -102,22 +111,22 @@
         }
     }
 
-    fn keep(&self) -> Keep {
-        let span = |field| self.pick(field).0.map(|v| i64::try_from(v).unwrap_or(i64::MAX));
+    fn terms(&self) -> Keep {
+        let span = |field| self.stricter_figure(field).0.map(|v| i64::try_from(v).unwrap_or(i64::MAX));
         Keep {
             validity: span(Field::Validity),
             remember: span(Field::Remember),
-            names: self.pick(Field::Remembered).1,
+            names_part: self.stricter_figure(Field::Remembered).1,
             answer_for: span(Field::AnswerFor).unwrap_or(0),
         }
     }
 
     fn parts(&self) -> Parts {
         Parts {
-            age: self.pick(Field::HoldFor).1,
-            count: self.pick(Field::HoldCount).1,
-            octets: self.pick(Field::HoldOctets).1,
-            trails: self.pick(Field::Trails).1,
+            age: self.stricter_figure(Field::HoldFor).1,
+            count: self.stricter_figure(Field::HoldCount).1,
+            octets: self.stricter_figure(Field::HoldOctets).1,
+            trails: self.stricter_figure(Field::Trails).1,
         }
     }
 }
--- a/crates/engine/src/keeping/fence/tests.rs
+++ b/crates/engine/src/keeping/fence/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the fence over rules.
 
 use super::*;
-use crate::keeping::rules::FENCED as PARTS;
+use crate::keeping::rules::FIRST_FENCED_PART;
 use heronroute_rules::{Plan, Rule};
 
 fn set(figures: Figures) -> RuleSet {
@@ -24,42 +24,51 @@
 }
 
 #[test]
-fn each_figure_of_a_message_is_the_stricter_and_counts_with_its_rule() {
+fn each_figure_is_the_stricter_one_and_counts_in_the_part_of_its_rule() {
     let common = Figures::default();
     let of = |applied: Figures, approved: Figures| {
-        let applied = Rules::new(&set(applied), Arc::new(Plan::default()), Turn::default(), None);
+        let applied = ClientRules::new(&set(applied), Arc::new(Plan::default()), Turn::default(), None);
         let mut fence = Fence::default();
         let (has, _) = fence.set(Arc::new(set(approved)), Turn::default());
-        let (mine, theirs) = (applied.places[0].part, has[0].0);
-        assert!(mine < PARTS && theirs >= PARTS);
-        let (approved, at) = (fence.stands().unwrap(), ("RESP", "1", ""));
-        let keep = Strict::at_hand_in(Some(&applied), approved, &common, at);
-        (keep, Strict::later(Some(&applied), approved, &common, at), mine, theirs)
+        let (applied_part, approved_part) = (applied.rule_parts[0].part, has[0].0);
+        assert!(applied_part < FIRST_FENCED_PART && approved_part >= FIRST_FENCED_PART);
+        let (approved, at) = (fence.active_rules().unwrap(), ("RESP", "1", ""));
+        let keep = StricterRules::at_submission(Some(&applied), approved, &common, at);
+        (keep, StricterRules::while_held(Some(&applied), approved, &common, at), applied_part, approved_part)
     };
-    let (keep, parts, _, theirs) = of(all(9), all(5));
-    assert_eq!((keep.validity, keep.answer_for, keep.names), (Some(5), 5, theirs));
-    assert_eq!(keep.remember, Some(9), "a name is new no earlier than either says");
-    assert_eq!(parts, Parts { age: theirs, count: theirs, octets: theirs, trails: theirs });
-    let (keep, parts, mine, _) = of(all(5), all(9));
-    assert_eq!((keep.validity, keep.answer_for, keep.names), (Some(5), 5, mine));
+    let (keep, parts, _, approved_part) = of(all(9), all(5));
+    assert_eq!((keep.validity, keep.answer_for, keep.names_part), (Some(5), 5, approved_part));
+    assert_eq!(keep.remember, Some(9), "a name counts as new no earlier than either rule says");
+    assert_eq!(
+        parts,
+        Parts { age: approved_part, count: approved_part, octets: approved_part, trails: approved_part }
+    );
+    let (keep, parts, applied_part, _) = of(all(5), all(9));
+    assert_eq!((keep.validity, keep.answer_for, keep.names_part), (Some(5), 5, applied_part));
     assert_eq!(keep.remember, Some(9));
-    assert_eq!(parts, Parts { age: mine, count: mine, octets: mine, trails: mine });
-    // Each by itself.
-    let (_, parts, mine, theirs) =
+    assert_eq!(
+        parts,
+        Parts { age: applied_part, count: applied_part, octets: applied_part, trails: applied_part }
+    );
+    // Each figure is compared on its own.
+    let (_, parts, applied_part, approved_part) =
         of(Figures { hold_for: Some(9), ..all(5) }, Figures { hold_for: Some(5), ..all(9) });
-    assert_eq!(parts, Parts { age: theirs, count: mine, octets: mine, trails: mine });
+    assert_eq!(
+        parts,
+        Parts { age: approved_part, count: applied_part, octets: applied_part, trails: applied_part }
+    );
 }
 
 #[test]
-fn a_rule_of_one_name_keeps_its_part_from_fence_to_fence() {
+fn a_rule_keeps_its_part_when_the_fence_is_set_again() {
     let mut fence = Fence::default();
     let first = fence.set(Arc::new(set(all(5))), Turn::default()).0[0].0;
-    fence.under = None;
-    assert!(fence.stands().is_none() && fence.stands_mut().is_none());
+    fence.approved = None;
+    assert!(fence.active_rules().is_none() && fence.active_rules_mut().is_none());
     assert_eq!(fence.set(Arc::new(set(all(6))), Turn::default()).0[0].0, first);
     let mut other = set(all(7));
     other.rules[0].name = "s".into();
     let (has, gone) = fence.set(Arc::new(other), Turn::default());
     assert_eq!((has[0].0 != first, gone), (true, vec![first]));
-    assert!(fence.parts.contains(&first), "something may still count there");
+    assert!(fence.parts.contains(&first), "messages may still count in that part");
 }
--- a/crates/engine/src/keeping/mod.rs
+++ b/crates/engine/src/keeping/mod.rs
@@ -1,9 +1,14 @@
 //! What a client's own rules say of its messages, as plain tables: free of I/O, of the node and of its clock.
 //!
-//! Does: holds each client's rules as they were applied and finds what holds for a message ([`rules`]), counts
-//! names ([`names`]), keeps final answers to be told again ([`answers`]), holds releases to a pace ([`pace`]).
-//! Decides: what a new version would let go of ([`change`]); what holds while its changes are fenced off ([`fence`]).
-//! Guards against a rule that makes a name new: a name beyond its count is unsure until its time, never forgotten.
+//! - [`rules`]: each client's applied rules, and what they say of a message
+//! - [`names`]: the number of remembered names
+//! - [`answers`]: final answers retained to be repeated
+//! - [`pace`]: the rate of releases
+//! - [`change`]: what a new version would discard
+//! - [`fence`]: what holds while a client's changes are fenced off
+//!
+//! Guards against a rule that makes an old name count as new: a name beyond the limit is unsure until its
+//! time is over, and never forgotten.
 
 pub(crate) mod answers;
 pub(crate) mod change;
@@ -17,40 +22,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// All of a node's, where it is one of a fleet.
+/// The rule tables of a node in a fleet.
 #[derive(Debug)]
 pub(crate) struct Keeping {
-    /// Rules by client.
-    pub rules: BTreeMap<usize, rules::Rules>,
-    /// What was written in the journal last, by client: the next one is compared with it.
-    pub latest: BTreeMap<usize, (Arc<RuleSet>, Arc<Plan>, Turn)>,
-    /// Why the last ones could not be applied, by client.
+    /// Applied rules by client.
+    pub rules: BTreeMap<usize, rules::ClientRules>,
+    /// The version last written to the journal by client, with which the next one is compared.
+    pub last_written: BTreeMap<usize, (Arc<RuleSet>, Arc<Plan>, Turn)>,
+    /// Why the last version could not be applied, by client.
     pub trouble: BTreeMap<String, String>,
-    /// Names by client and rule.
-    pub names: names::Names,
-    /// Final answers.
-    pub answers: answers::Answers,
-    /// Fences, by client.
+    /// Remembered names by client and rule.
+    pub names: names::RememberedNames,
+    /// Retained final answers.
+    pub answers: answers::RetainedAnswers,
+    /// Fences by client.
     pub fences: BTreeMap<usize, fence::Fence>,
     /// Questions that wait for the process's answer, by connection.
     pub asks: BTreeMap<ConnId, BTreeSet<u32>>,
 }
 
 impl Keeping {
-    /// A client's rules, and what is approved where a fence stands.
-    pub(crate) fn of(&self, client: usize) -> (Option<&rules::Rules>, Option<&rules::Rules>) {
-        (self.rules.get(&client), self.fences.get(&client).and_then(fence::Fence::stands))
+    /// Returns a client's applied rules, and the approved ones where a fence is set.
+    pub(crate) fn rules_of(
+        &self,
+        client: usize,
+    ) -> (Option<&rules::ClientRules>, Option<&rules::ClientRules>) {
+        (self.rules.get(&client), self.fences.get(&client).and_then(fence::Fence::active_rules))
     }
 
-    /// Nothing applied yet. `names`: the common table has room for so many; each of so many clients may have its part of
-    /// as many final answers kept.
+    /// Returns tables with nothing applied. `names` is the capacity of the common name table; each of the
+    /// `clients` may have its part of as many final answers retained.
     pub(crate) fn new(names: usize, clients: usize) -> Self {
         Keeping {
             rules: BTreeMap::new(),
-            latest: BTreeMap::new(),
+            last_written: BTreeMap::new(),
             trouble: BTreeMap::new(),
-            names: names::Names::new(names),
-            answers: answers::Answers::new(names / clients.max(1)),
+            names: names::RememberedNames::new(names),
+            answers: answers::RetainedAnswers::new(names / clients.max(1)),
             fences: BTreeMap::new(),
             asks: BTreeMap::new(),
         }
--- a/crates/engine/src/keeping/names.rs
+++ b/crates/engine/src/keeping/names.rs
@@ -1,94 +1,94 @@
-//! How many names are remembered under each rule of a client.
+//! Counts the names remembered under each rule of a client.
 //!
-//! The names themselves are in the table that all clients share; here only their order is kept, for rules that set a
-//! number. The oldest beyond it is dropped: it is unsure until its time is over.
+//! The names themselves are in the table that all clients share. This module keeps only their order, for
+//! rules that set a limit. The oldest name beyond the limit is dropped: it is unsure until its time is over.
 
 use crate::Micros;
 use heronroute_seen::Name;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Debug, Default)]
-struct Account {
-    most: u64,
+struct NameQueue {
+    max_names: u64,
     names: VecDeque<(Name, u64, Micros)>,
 }
 
-/// Names by client and part, for rules that set a number.
+/// Remembered names by client and part, for rules that set a limit.
 #[derive(Debug)]
-pub(crate) struct Names {
-    /// Of one rule at most: more names than the common table has room for are not counted.
-    room: u64,
-    accounts: BTreeMap<(usize, u32), Account>,
+pub(crate) struct RememberedNames {
+    /// The limit of any rule: more names than the common table has room for are not counted.
+    capacity: u64,
+    queues: BTreeMap<(usize, u32), NameQueue>,
 }
 
-impl Names {
-    /// Beside a common table for so many names.
-    pub(crate) fn new(room: usize) -> Self {
-        Names { room: room as u64, accounts: BTreeMap::new() }
+impl RememberedNames {
+    /// Returns an empty queue set beside a common table with room for so many names.
+    pub(crate) fn new(capacity: usize) -> Self {
+        RememberedNames { capacity: capacity as u64, queues: BTreeMap::new() }
     }
 
-    /// Sets how many are remembered; none: as many as there is room for.
-    pub(crate) fn limit(&mut self, client: usize, part: u32, most: Option<u64>) {
-        match most {
-            Some(most) => self.accounts.entry((client, part)).or_default().most = most,
-            // What was counted stays in the common table until its time is over.
-            None => _ = self.accounts.remove(&(client, part)),
+    /// Sets how many names are remembered; `None` sets no limit but the room of the common table.
+    pub(crate) fn limit(&mut self, client: usize, part: u32, max_names: Option<u64>) {
+        match max_names {
+            Some(max_names) => self.queues.entry((client, part)).or_default().max_names = max_names,
+            // Names counted so far stay in the common table until their time is over.
+            None => _ = self.queues.remove(&(client, part)),
         }
     }
 
-    /// How many are remembered.
-    pub(crate) fn most(&self, client: usize, part: u32) -> Option<u64> {
-        self.accounts.get(&(client, part)).map(|a| a.most)
+    /// Returns how many names are remembered.
+    pub(crate) fn max_names(&self, client: usize, part: u32) -> Option<u64> {
+        self.queues.get(&(client, part)).map(|q| q.max_names)
     }
 
-    /// A name is remembered as this message's until a time.
+    /// Adds a name that is remembered as this message's until the given time.
     pub(crate) fn add(&mut self, client: usize, part: u32, name: Name, id: u64, until: Micros) {
-        if let Some(account) = self.accounts.get_mut(&(client, part)) {
-            account.names.push_back((name, id, until));
+        if let Some(queue) = self.queues.get_mut(&(client, part)) {
+            queue.names.push_back((name, id, until));
         }
     }
 
-    /// The messages whose names would be dropped if so many were remembered, without dropping them; looks at `looks` names at
-    /// most, and says whether that was not enough.
-    pub(crate) fn weigh(
+    /// Returns the messages whose names would be dropped if `most` names were remembered, without dropping
+    /// them. Examines `looks` names at most, and returns whether that was not enough.
+    pub(crate) fn excess(
         &self,
         now: Micros,
         (client, part): (usize, u32),
-        most: u64,
+        max_names: u64,
         looks: &mut usize,
     ) -> (Vec<u64>, bool) {
-        let mut gone = Vec::new();
-        let Some(account) = self.accounts.get(&(client, part)) else { return (gone, false) };
-        let mut left = account.names.len() as u64;
-        for (_, id, until) in &account.names {
-            if *until >= now && left <= most.min(self.room) {
+        let mut dropped = Vec::new();
+        let Some(queue) = self.queues.get(&(client, part)) else { return (dropped, false) };
+        let mut remaining = queue.names.len() as u64;
+        for (_, id, until) in &queue.names {
+            if *until >= now && remaining <= max_names.min(self.capacity) {
                 break;
             }
             if *looks == 0 {
-                return (gone, true);
+                return (dropped, true);
             }
             *looks -= 1;
-            left -= 1;
-            gone.extend((*until >= now).then_some(*id));
+            remaining -= 1;
+            dropped.extend((*until >= now).then_some(*id));
         }
-        (gone, false)
+        (dropped, false)
     }
 
-    /// Gives up the oldest that are too many, with their messages.
+    /// Drops the oldest names beyond the limit, and returns them with their messages.
     pub(crate) fn trim(&mut self, now: Micros, client: usize, part: u32) -> Vec<(Name, u64)> {
-        let mut gone = Vec::new();
-        let Some(account) = self.accounts.get_mut(&(client, part)) else { return gone };
-        while let Some((name, id, until)) = account.names.front().copied() {
-            let many = account.names.len() as u64 > account.most.min(self.room);
-            if until >= now && !many {
+        let mut dropped = Vec::new();
+        let Some(queue) = self.queues.get_mut(&(client, part)) else { return dropped };
+        while let Some((name, id, until)) = queue.names.front().copied() {
+            let too_many = queue.names.len() as u64 > queue.max_names.min(self.capacity);
+            if until >= now && !too_many {
                 break;
             }
-            account.names.pop_front();
+            queue.names.pop_front();
             if until >= now {
-                gone.push((name, id));
+                dropped.push((name, id));
             }
         }
-        gone
+        dropped
     }
 }
 
--- a/crates/engine/src/keeping/pace.rs
+++ b/crates/engine/src/keeping/pace.rs
@@ -1,53 +1,57 @@
-//! Releases in any second, at most: this member's part of what all of them together may.
+//! Limits releases in any second to this member's part of what all members together may release.
 
 use crate::Micros;
 use heronroute_rules::Turn;
 use std::collections::VecDeque;
 
-/// Times are kept for so many at most; a higher pace is held to this one. It is the most that a release ever has.
-const MOST: u64 = 10_000;
+/// The most release times that are stored. A higher pace is limited to this one, which is the most that a
+/// release ever has.
+const MAX_RELEASES: u64 = 10_000;
 const SECOND: Micros = 1_000_000;
 
-/// The last second's releases under one rule.
+/// The releases of the last second under one rule.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pace {
-    /// In a second at most, of all members together.
-    pub whole: u64,
-    went: VecDeque<Micros>,
+    /// The most releases in a second, of all members together.
+    pub fleet_limit: u64,
+    released: VecDeque<Micros>,
 }
 
 impl Pace {
-    /// Whether one may go now, which is at this time of day, by the turn of this process. In no second of the day
-    /// goes more than the member's part of it, so that the members together keep to the pace; and in no second from any
-    /// moment on, so that what is left of one is not let go at once with what the next one has.
-    pub(crate) fn may(&mut self, now: Micros, wall: Micros, turn: Turn) -> bool {
-        self.in_a_second(now) < turn.part(self.whole, wall).min(MOST)
+    /// Returns whether a release is allowed now, at the time of day `wall`, by this process's turn. In no
+    /// second of the day are there more releases than the member's part of it, so that the members together
+    /// keep to the pace. In no second from any moment on are there more either, so that what is left of one
+    /// second is not used at once with what the next one allows.
+    pub(crate) fn allows(&mut self, now: Micros, wall: Micros, turn: Turn) -> bool {
+        self.in_last_second(now) < turn.part(self.fleet_limit, wall).min(MAX_RELEASES)
     }
 
-    /// Whether one may go by two paces at once. Each has its own turns, and those may never fall on one second: the smaller
-    /// pace is held to its turns, the larger one to its part of a second, rounded up.
-    pub(crate) fn may_by_both(
+    /// Returns whether two paces together allow a release. Each pace has its own turns, which may never fall
+    /// on the same second, so the smaller pace is held to its turns and the larger one to its part of a
+    /// second, rounded up.
+    pub(crate) fn both_allow(
         now: Micros,
         wall: Micros,
         applied: (&mut Pace, Turn),
         approved: (&mut Pace, Turn),
     ) -> bool {
-        let smaller = approved.0.whole < applied.0.whole;
+        let smaller = approved.0.fleet_limit < applied.0.fleet_limit;
         let (strict, loose) = if smaller { (approved, applied) } else { (applied, approved) };
-        let ((strict, turn), (loose, other)) = (strict, loose);
-        let members = u64::from(other.members.max(1));
-        strict.may(now, wall, turn) && loose.in_a_second(now) < loose.whole.div_ceil(members).min(MOST)
+        let ((strict, turn), (loose, loose_turn)) = (strict, loose);
+        let members = u64::from(loose_turn.members.max(1));
+        strict.allows(now, wall, turn)
+            && loose.in_last_second(now) < loose.fleet_limit.div_ceil(members).min(MAX_RELEASES)
     }
 
-    fn in_a_second(&mut self, now: Micros) -> u64 {
-        while self.went.front().is_some_and(|at| *at <= now - SECOND) {
-            self.went.pop_front();
+    fn in_last_second(&mut self, now: Micros) -> u64 {
+        while self.released.front().is_some_and(|at| *at <= now - SECOND) {
+            self.released.pop_front();
         }
-        self.went.len() as u64
+        self.released.len() as u64
     }
 
-    /// One went.
-    pub(crate) fn went(&mut self, now: Micros) {
-        self.went.push_back(now);
+    /// Counts a release.
+    pub(crate) fn record(&mut self, now: Micros) {
+        self.released.push_back(now);
     }
 }
--- a/crates/engine/src/keeping/rules.rs
+++ b/crates/engine/src/keeping/rules.rs
@@ -1,4 +1,4 @@
-//! One client's rules as they were applied, and what they say of a message.
+//! One client's applied rules, and what they say of a message.
 
 use super::pace::Pace;
 use crate::Micros;
@@ -7,29 +7,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Parts from here on are fences': no rule that is applied has one of them.
-pub(crate) const FENCED: u32 = 1 << 31;
+/// Parts from this number on belong to fences; no applied rule has one of them.
+pub(crate) const FIRST_FENCED_PART: u32 = 1 << 31;
 
-/// What holds for a message at its hand-in.
+/// What a client's rules say of a message at its submission.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Keep {
-    /// It expires after this at the latest.
+    /// The longest time until the message expires.
     pub validity: Option<Micros>,
-    /// Its name counts so long.
+    /// How long its name is remembered.
     pub remember: Option<Micros>,
-    /// The part in which its name is counted; 0: in none.
-    pub names: u32,
-    /// Its final answer is kept so long.
+    /// The part in which its name is counted, or 0 for none.
+    pub names_part: u32,
+    /// How long its final answer is retained.
     pub answer_for: Micros,
 }
 
-const AT_HAND_IN: [Field; 4] = [Field::AnswerFor, Field::Remember, Field::Remembered, Field::Validity];
-const LATER: [Field; 5] =
+const SUBMISSION_FIELDS: [Field; 4] = [Field::AnswerFor, Field::Remember, Field::Remembered, Field::Validity];
+const HELD_FIELDS: [Field; 5] =
     [Field::HoldFor, Field::HoldCount, Field::HoldOctets, Field::Trails, Field::Release];
 
-/// A rule without its figures, and the part that it has in the tables beside this one.
+/// What a rule matches, without its figures, and the part that it has in the tables beside this one.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct RulePart {
     name: String,
     class: String,
     to: String,
@@ -37,7 +37,7 @@
     pub part: u32,
 }
 
-impl Place {
+impl RulePart {
     pub(crate) fn name(&self) -> &str {
         &self.name
     }
@@ -45,87 +45,97 @@
 
 /// A client's rules.
 #[derive(Debug)]
-pub(crate) struct Rules {
+pub(crate) struct ClientRules {
     pub version: u64,
     pub plan: Arc<Plan>,
-    /// What counts at a hand-in. Each field stands in one of the two tables, so that a hand-in passes over rules that only
-    /// say something of what is held.
-    at_hand_in: Table,
-    /// What counts later.
-    later: Table,
-    pub places: Vec<Place>,
-    /// Which part of the paces is this process's.
+    /// Figures used at submission. Each field is in one of the two tables, so that a submission skips rules
+    /// that only concern held messages.
+    at_submission: Table,
+    /// Figures used while a message is held.
+    while_held: Table,
+    pub rule_parts: Vec<RulePart>,
+    /// Which part of the paces belongs to this process.
     pub turn: Turn,
-    /// Releases by part.
+    /// Release paces by part.
     pub paces: BTreeMap<u32, Pace>,
-    /// Parts are never used twice, so that what one rule has left is not taken for another's.
-    next: u32,
+    /// The last part given out. Parts are never reused, so that what one rule left is not taken for
+    /// another's.
+    last_part: u32,
 }
 
-impl Rules {
-    /// A version in the place of another. A rule of the same name keeps its part.
-    pub(crate) fn new(set: &RuleSet, plan: Arc<Plan>, turn: Turn, before: Option<&Rules>) -> Self {
-        Self::from(set, plan, turn, before, 1)
+impl ClientRules {
+    /// Compiles a version that replaces another. A rule of the same name keeps its part.
+    pub(crate) fn new(set: &RuleSet, plan: Arc<Plan>, turn: Turn, before: Option<&ClientRules>) -> Self {
+        Self::compile(set, plan, turn, before, 1)
     }
 
-    /// What is approved, beside what is applied: with parts that no applied rule has.
-    pub(crate) fn fenced(set: &RuleSet, turn: Turn, before: Option<&Rules>) -> Self {
-        Self::from(set, Arc::new(Plan::default()), turn, before, FENCED)
+    /// Compiles approved rules beside the applied ones, with parts that no applied rule has.
+    pub(crate) fn fenced(set: &RuleSet, turn: Turn, before: Option<&ClientRules>) -> Self {
+        Self::compile(set, Arc::new(Plan::default()), turn, before, FIRST_FENCED_PART)
     }
 
-    fn from(set: &RuleSet, plan: Arc<Plan>, turn: Turn, before: Option<&Rules>, first: u32) -> Self {
+    fn compile(set: &RuleSet, plan: Arc<Plan>, turn: Turn, before: Option<&ClientRules>, first: u32) -> Self {
         let old: BTreeMap<&str, u32> =
-            before.iter().flat_map(|b| &b.places).map(|p| (p.name.as_str(), p.part)).collect();
-        let mut next = before.map_or(first, |b| b.next);
+            before.iter().flat_map(|b| &b.rule_parts).map(|p| (p.name.as_str(), p.part)).collect();
+        let mut last_part = before.map_or(first, |b| b.last_part);
         let mut paces = BTreeMap::new();
-        let mut place = |r: &Rule| {
+        let mut rule_part = |r: &Rule| {
             let part = old.get(r.name.as_str()).copied().unwrap_or_else(|| {
-                next = next.wrapping_add(1).max(first);
-                next
+                last_part = last_part.wrapping_add(1).max(first);
+                last_part
             });
-            if let Some(most) = r.figures.release {
+            if let Some(limit) = r.figures.release {
                 let mut pace = before.and_then(|b| b.paces.get(&part)).cloned().unwrap_or_default();
-                pace.whole = most;
+                pace.fleet_limit = limit;
                 paces.insert(part, pace);
             }
             let (name, class) = (r.name.clone(), r.class.clone());
-            Place { name, class, to: r.to.clone(), key: r.key.clone(), part }
+            RulePart { name, class, to: r.to.clone(), key: r.key.clone(), part }
         };
-        let places = set.rules.iter().map(&mut place).collect();
+        let rule_parts = set.rules.iter().map(&mut rule_part).collect();
         let table = |fields: &[Field]| Table::of(&set.rules, fields);
-        let (at_hand_in, later) = (table(&AT_HAND_IN), table(&LATER));
-        Rules { version: set.version, plan, at_hand_in, later, places, turn, paces, next }
+        let (at_submission, while_held) = (table(&SUBMISSION_FIELDS), table(&HELD_FIELDS));
+        ClientRules {
+            version: set.version,
+            plan,
+            at_submission,
+            while_held,
+            rule_parts,
+            turn,
+            paces,
+            last_part,
+        }
     }
 
-    /// What its rules say of a message at its hand-in.
-    pub(crate) fn at_hand_in(&self, class: &str, to: &str, key: &str) -> Effective {
-        self.at_hand_in.look(class, to.as_bytes(), key.as_bytes())
+    /// Returns what the rules say of a message at submission.
+    pub(crate) fn at_submission(&self, class: &str, to: &str, key: &str) -> Effective {
+        self.at_submission.look(class, to.as_bytes(), key.as_bytes())
     }
 
-    /// What they say of it later.
-    pub(crate) fn later(&self, class: &str, to: &str, key: &str) -> Effective {
-        self.later.look(class, to.as_bytes(), key.as_bytes())
+    /// Returns what the rules say of a message while it is held.
+    pub(crate) fn while_held(&self, class: &str, to: &str, key: &str) -> Effective {
+        self.while_held.look(class, to.as_bytes(), key.as_bytes())
     }
 
-    /// The part of a rule; 0: of none.
+    /// Returns the part of a rule, or 0 for no rule.
     pub(crate) fn part(&self, rule: Option<u16>) -> u32 {
-        rule.and_then(|r| self.places.get(usize::from(r))).map_or(0, |p| p.part)
+        rule.and_then(|r| self.rule_parts.get(usize::from(r))).map_or(0, |p| p.part)
     }
 
-    /// What holds for a message that is submitted.
-    pub(crate) fn keep(&self, class: &str, to: &str, key: &str) -> Keep {
-        let found = self.at_hand_in.look(class, to.as_bytes(), key.as_bytes());
+    /// Returns the terms of a message that is being submitted.
+    pub(crate) fn terms(&self, class: &str, to: &str, key: &str) -> Keep {
+        let found = self.at_submission.look(class, to.as_bytes(), key.as_bytes());
         Keep {
             validity: found.figures.validity,
             remember: found.figures.remember,
-            names: self.part(found.by(Field::Remembered)),
+            names_part: self.part(found.by(Field::Remembered)),
             answer_for: found.figures.answer_for.unwrap_or(0).max(0),
         }
     }
 
-    /// The parts in which a message counts while it is held.
-    pub(crate) fn parts(&self, class: &str, to: &str, key: &str) -> Parts {
-        let found = self.later.look(class, to.as_bytes(), key.as_bytes());
+    /// Returns the parts in which a message counts while it is held.
+    pub(crate) fn held_parts(&self, class: &str, to: &str, key: &str) -> Parts {
+        let found = self.while_held.look(class, to.as_bytes(), key.as_bytes());
         Parts {
             age: self.part(found.by(Field::HoldFor)),
             count: self.part(found.by(Field::HoldCount)),
@@ -134,18 +144,20 @@
         }
     }
 
-    /// The part whose pace holds a message's release.
-    pub(crate) fn pace(&self, class: &str, to: &str, key: &str) -> u32 {
-        self.part(self.later.look(class, to.as_bytes(), key.as_bytes()).by(Field::Release))
+    /// Returns the part whose pace limits a message's release.
+    pub(crate) fn pace_part(&self, class: &str, to: &str, key: &str) -> u32 {
+        self.part(self.while_held.look(class, to.as_bytes(), key.as_bytes()).by(Field::Release))
     }
 
-    /// The rules as the tables have them: those figures that the look-up finds for exactly what a rule matches, and of
-    /// those that stand in other tables what stands there.
+    /// Reads the rules back from the tables: the figures that the look-up finds for exactly what a rule
+    /// matches, and for figures held in other tables what those have.
     pub(crate) fn read_back(&self, rooms: &[(u32, PartRoom)], names: impl Fn(u32) -> Option<u64>) -> RuleSet {
         let rooms: BTreeMap<u32, PartRoom> = rooms.iter().copied().collect();
-        let rules = self.places.iter().zip(0u16..).map(|(p, at)| {
+        let rules = self.rule_parts.iter().zip(0u16..).map(|(p, at)| {
             let mut figures = Figures::default();
-            for (fields, table) in [(&AT_HAND_IN[..], &self.at_hand_in), (&LATER[..], &self.later)] {
+            for (fields, table) in
+                [(&SUBMISSION_FIELDS[..], &self.at_submission), (&HELD_FIELDS[..], &self.while_held)]
+            {
                 let found: Effective = table.look(&p.class, p.to.as_bytes(), p.key.as_bytes());
                 for field in fields.iter().filter(|f| found.by(**f) == Some(at)) {
                     field.set(&mut figures, field.get(&found.figures));
@@ -157,7 +169,7 @@
             figures.hold_octets = room.octets;
             figures.trails = room.trails.map(|n| n as u64);
             figures.remembered = names(p.part);
-            figures.release = self.paces.get(&p.part).map(|p| p.whole);
+            figures.release = self.paces.get(&p.part).map(|p| p.fleet_limit);
             let (name, class) = (p.name.clone(), p.class.clone());
             Rule { name, class, to: p.to.clone(), key: p.key.clone(), figures }
         });
@@ -165,8 +177,8 @@
     }
 }
 
-/// What a rule gives the held store.
-pub(crate) fn room(figures: &Figures) -> PartRoom {
+/// Returns the room that a rule gives the held store.
+pub(crate) fn part_room(figures: &Figures) -> PartRoom {
     let size = |n: Option<u64>| n.map(|n| usize::try_from(n).unwrap_or(usize::MAX));
     PartRoom {
         age: figures.hold_for,
--- a/crates/engine/src/ledger/tests.rs
+++ b/crates/engine/src/ledger/tests.rs
@@ -4,9 +4,9 @@
 use heronroute_journal::entry::Taken;
 
 #[test]
-fn effects_wait_for_what_they_rest_on() {
+fn effects_wait_for_the_entries_they_depend_on() {
     let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    assert_eq!(l.hold(1), Some(1), "it rests on nothing");
+    assert_eq!(l.hold(1), Some(1), "it depends on no entry");
     l.write(|| What::Taken(Taken { id: 1 }));
     assert_eq!(l.hold(2), None);
     l.write(|| What::Taken(Taken { id: 2 }));
@@ -15,71 +15,82 @@
     assert_eq!(
         [200, 400, 600, 800, 999, 1_000].map(refused),
         [false, false, false, false, false, true],
-        "too slow"
+        "refused once the lag reaches the limit"
     );
-    assert_eq!(l.wake(), Some(1_100), "not before the next look is due");
+    assert_eq!(l.wake(), Some(1_100), "not before the next update is due");
     assert_eq!(l.durable(1, Usage::default()), [2]);
     assert_eq!(l.durable(2, Usage::default()), [3]);
     assert!(l.settled() && l.wake().is_none());
     let mut none: Ledger<u32> = Ledger::new(None, 1);
     none.write(|| unreachable!());
     assert_eq!(none.hold(4), Some(4));
-    none.copies();
-    assert_eq!((none.hold_both(5), none.refuses_both()), (Some(5), false), "no journal, nothing held");
+    none.enable_copy();
+    assert_eq!(
+        (none.hold_both(5), none.refuses_both()),
+        (Some(5), false),
+        "without a journal nothing is held"
+    );
 }
 
-fn taken(l: &mut Ledger<u32>, id: u64) {
+fn write_taken(l: &mut Ledger<u32>, id: u64) {
     l.write(|| What::Taken(Taken { id }));
 }
 
 #[test]
-fn an_effect_may_rest_on_both_regions_and_holds_up_no_other() {
+fn effects_waiting_for_both_regions_delay_no_others() {
     let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    l.copies();
-    assert!(l.refuses_both(), "nothing is known of the other region");
+    l.enable_copy();
+    assert!(l.refuses_both(), "the state of the other region is unknown");
     assert!(l.copied(0, true).is_empty() && !l.refuses_both());
-    assert_eq!(l.hold_both(1), Some(1), "it rests on nothing");
-    taken(&mut l, 1);
+    assert_eq!(l.hold_both(1), Some(1), "it depends on no entry");
+    write_taken(&mut l, 1);
     assert_eq!((l.hold_both(2), l.hold(3)), (None, None));
-    taken(&mut l, 2);
+    write_taken(&mut l, 2);
     assert_eq!((l.hold_both(4), l.hold(5)), (None, None));
     assert_eq!(l.hand_over(0).len(), 2);
-    assert_eq!(l.durable(2, Usage::default()), [3, 5], "what needs this region alone waits for none");
-    assert!(!l.settled(), "two wait for the other region");
+    assert_eq!(
+        l.durable(2, Usage::default()),
+        [3, 5],
+        "effects that need only this region do not wait for the other"
+    );
+    assert!(!l.settled(), "two effects wait for the other region");
     assert_eq!(l.hold(6), Some(6));
     assert_eq!(l.hold_both(7), None);
-    assert_eq!(l.copied(1, true), [2], "in order, one at a time");
-    assert_eq!(l.copied(0, false), [0; 0], "it never goes back");
-    assert!(l.refuses_both() && !l.refuses(0, 1, 0), "only what has to be in both is refused");
-    assert_eq!(l.copied(2, false), [4, 7], "what is there is there, though it lags");
+    assert_eq!(l.copied(1, true), [2], "released in order, one at a time");
+    assert_eq!(l.copied(0, false), [0; 0], "the count never decreases");
+    assert!(
+        l.refuses_both() && !l.refuses(0, 1, 0),
+        "only messages that must be in both regions are refused"
+    );
+    assert_eq!(l.copied(2, false), [4, 7], "entries copied count although the region lags");
     assert!(l.settled());
     assert_eq!(l.hold_both(8), Some(8));
 }
 
 #[test]
-fn the_other_region_alone_is_not_enough() {
+fn being_durable_in_the_other_region_alone_is_not_enough() {
     let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    l.copies();
-    taken(&mut l, 1);
-    taken(&mut l, 2);
+    l.enable_copy();
+    write_taken(&mut l, 1);
+    write_taken(&mut l, 2);
     assert_eq!(l.hold_both(1), None);
-    assert_eq!(l.copied(2, true), [0; 0], "it is not durable here");
+    assert_eq!(l.copied(2, true), [0; 0], "not durable in this region yet");
     assert_eq!(l.durable(1, Usage::default()), [0; 0]);
     assert_eq!(l.hold_both(2), None);
     assert_eq!(l.durable(2, Usage::default()), [1, 2]);
-    // More than was ever written is no promise of what comes.
+    // A count above what was written says nothing of later entries.
     assert_eq!(l.copied(9, true), [0; 0]);
-    taken(&mut l, 3);
+    write_taken(&mut l, 3);
     assert_eq!((l.hold_both(3), l.durable(3, Usage::default())), (None, vec![0; 0]));
     assert_eq!(l.copied(3, true), [3]);
 }
 
 #[test]
-fn without_another_region_nothing_more_is_held() {
+fn without_another_region_effects_wait_for_this_one_only() {
     let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    taken(&mut l, 1);
+    write_taken(&mut l, 1);
     assert_eq!((l.hold_both(1), l.hold(2)), (None, None));
     assert_eq!(l.copied(9, true), [0; 0]);
-    assert_eq!(l.durable(1, Usage::default()), [1, 2], "one line, in order");
+    assert_eq!(l.durable(1, Usage::default()), [1, 2], "one queue, in order");
     assert_eq!((l.hold_both(3), l.refuses_both(), l.settled()), (Some(3), false, true));
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,32 +1,44 @@
-//! The sender's core: one [`Node`] is one sender, with everything but the sockets.
+//! The core of one sender: a [`Node`] is a sender without its sockets.
 //!
-//! Does: takes connections, octets and a clock; speaks SMPP and MQTT with clients and SMPP or HTTP with receivers;
-//! tells the decision library all that happened and carries out its actions; hands each accepted message's final answer
-//! to its client. Holds messages, calls, connections, receipts owed, the directory's list.
-//! Decides (each in a module of its own): which submissions are accepted at all ([`limits`]), which destination an
-//! address belongs to ([`routes`]), on which connection a call goes ([`pool`]), the outcome of a call without an answer
-//! ([`calls`]), which answer a client is told ([`answers`]), in which order answers go out ([`outbox`]), whose
-//! they are and which sessions outlive connections ([`mailboxes`]), how much is read from whom in a turn
-//! ([`read_budget`]), what becomes of a message after a restart ([`resume`]), what waits for the journal ([`ledger`])
-//! and for how long while the node ran (`uptime`), what a client's own rules change of all this, on a node of a fleet
-//! (`keeping`, `applying`), what goes on while a partner in another region may end it (`region`).
-//! Never: touches a socket or a file, reads a clock or a random source of the machine, or decides what
-//! the decision library decides: which message goes where and when, how long to wait, when to give up.
+//! A node takes connections, bytes and a clock. It speaks SMPP and MQTT with clients and SMPP or HTTP with
+//! receivers, reports every event to the decision library and executes the library's actions, and hands the
+//! final answer of each accepted message to its client. It holds messages, calls, connections, receipts not
+//! yet acknowledged and the directory's endpoint list.
+//!
+//! Each decision of the node has a module of its own:
+//!
+//! - [`limits`]: which submissions are accepted at all
+//! - [`routes`]: which destination an address belongs to
+//! - [`pool`]: which connection carries a call
+//! - [`calls`]: the outcome of a call without an answer
+//! - [`answers`]: which answer a client receives
+//! - [`outbox`]: the order in which answers are sent
+//! - [`mailboxes`]: which client answers belong to, and which sessions outlive their connections
+//! - [`read_budget`]: how much is read from each connection in a turn
+//! - [`resume`]: what happens to a message after a restart
+//! - [`takeover`]: what is known of a message taken over from a dead member
+//! - [`ledger`]: what waits for the journal, and for how long while the node ran (`uptime`)
+//! - `rule_tables`, `client_rules`: how a client's own rules change all this, on a node of a fleet
+//! - `region`: what continues while a partner in another region may finish it
+//!
+//! A node never touches a socket or a file and never reads the machine's clock or random source. It does not
+//! decide what the decision library decides: which message goes where and when, how long to wait, and when to
+//! give up.
 
 #![forbid(unsafe_code)]
 
 mod acceptance;
 pub mod answers;
-mod applying;
 pub mod calls;
 mod carry;
+mod client_rules;
 mod desk;
 pub mod directory;
 mod doubts;
 mod entry_codec;
 pub mod front;
-pub mod heir;
 mod hold;
+pub mod takeover;
 pub use heronroute_rules::home;
 mod ids;
 mod keeping;
--- a/crates/engine/src/platform.rs
+++ b/crates/engine/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's words put into the engine's: a sender's start-up as its configuration.
+//! Converts a platform sender's start-up settings to the engine's configuration.
 
 use crate::Micros;
 use crate::directory::listing;
@@ -9,19 +9,21 @@
 use heronroute_journal::Limits;
 use heronroute_platform::start::StartUp;
 
-/// Clients may have this part of the descriptors: a third for requests, as much again for those that rest or say
-/// nothing. The rest is for endpoints, discovery, files, and to accept what is then closed.
-const CLIENTS: f64 = 0.6;
-/// The log and its snapshot may have this part of the disk: while a new snapshot is written both are there, and it is no
-/// larger than what it stands for.
-const DISK: f64 = 0.45;
-/// A snapshot is due once the log has this part of the disk.
-const LOG: f64 = 0.15;
-/// After SIGTERM a sender goes on for so long before it takes on nothing more and waits for its calls. It is killed
-/// 3.7 s after the signal at the earliest.
-const GOES_ON: Micros = 2_900_000;
+/// The part of the descriptors for clients: a third for requests, and as much again for connections that are
+/// idle or silent. The rest is for endpoints, discovery and files, and for accepting connections that are
+/// then closed.
+const CLIENT_DESCRIPTOR_SHARE: f64 = 0.6;
+/// The part of the disk for the log and its snapshot. While a new snapshot is written both exist, and the
+/// snapshot is no larger than what it replaces.
+const JOURNAL_DISK_SHARE: f64 = 0.45;
+/// The part of the disk for the log, at which a snapshot is due.
+const SEGMENT_DISK_SHARE: f64 = 0.15;
+/// How long a sender continues after SIGTERM before it accepts nothing more and waits for its calls. It is
+/// killed 3.7 s after the signal at the earliest.
+const DRAIN_DELAY: Micros = 2_900_000;
 
-/// The configuration of one real sender of the platform. Everything else that the product has is off in it.
+/// Returns the configuration of one real sender of the platform, with all other features of the product
+/// turned off.
 pub fn config(s: &StartUp) -> Config {
     let disk = s.limits.disk_mb * 1e6;
     let client = |name: &String| ClientConfig {
@@ -47,7 +49,7 @@
     Config {
         service: ServiceConfig {
             senders: 1,
-            drain_for: GOES_ON,
+            drain_for: DRAIN_DELAY,
             owed_room: usize::MAX,
             connect_timeout: s.names.connect_timeout.unwrap_or(1_500_000),
         },
@@ -65,17 +67,17 @@
         mqtt: None,
         held: None,
         platform: Some(PlatformConfig {
-            sessions: ((s.limits.sockets as f64 * CLIENTS) as usize).max(1),
+            sessions: ((s.limits.sockets as f64 * CLIENT_DESCRIPTOR_SHARE) as usize).max(1),
             discovery: s.discovery,
         }),
         directory: DirectoryConfig { address: Some(s.discovery), poll: 0, keep: None },
         journal: JournalConfig {
             folder: None,
             limits: Limits {
-                segment: (disk * LOG) as u64,
+                segment: (disk * SEGMENT_DISK_SHARE) as u64,
                 growth: 1,
-                least: (disk * LOG) as u64,
-                most: (disk * DISK) as u64,
+                least: (disk * SEGMENT_DISK_SHARE) as u64,
+                most: (disk * JOURNAL_DISK_SHARE) as u64,
             },
             most_lag: 1_000_000,
             gather: 0,
--- a/crates/engine/src/region/lapse.rs
+++ b/crates/engine/src/region/lapse.rs
@@ -1,4 +1,4 @@
-//! The right ends: what the partner may have stands still.
+//! Handles the end of the lease: suspends what the partner may have.
 
 use crate::calls::End as CallEnd;
 use crate::ids::ConnId;
@@ -14,35 +14,39 @@
         }
     }
 
-    /// Nothing that the partner may have is begun, repeated or answered from here on. What has left whole is heard out; what
-    /// is half written is broken off, so that it can't be completed.
+    /// Suspends all messages that the partner may have: nothing of them is begun, repeated or answered from
+    /// here on. For an attempt that was sent whole the answer is still awaited; one that is partly written is
+    /// cut off, so that it can't be completed.
     pub(super) fn lapse(&mut self) {
         let bound = match &self.region {
-            Some(r) if r.copying => self.next_id,
+            Some(r) if r.copy_active => self.next_id,
             Some(r) => r.copied_below,
             None => return,
         };
         let Some(r) = self.region.as_mut().filter(|r| !r.lapsed) else { return };
         r.lapsed = true;
         let ids: Vec<MsgId> = self.messages.range(..MsgId(bound)).map(|(id, _)| *id).collect();
-        tracing::warn!(messages = ids.len(), "the right to go on with what the partner has is over");
-        let mut half: BTreeSet<ConnId> = BTreeSet::new();
+        tracing::warn!(
+            messages = ids.len(),
+            "the lease ended; messages that the partner may have are suspended"
+        );
+        let mut partly_written: BTreeSet<ConnId> = BTreeSet::new();
         for id in ids {
             let out = self.messages.get(&id).and_then(|m| m.out);
             if let Some((call, part)) = out
                 && !self.cancel_unsent(call, part)
             {
-                half.extend(self.half_written(call, part));
+                partly_written.extend(self.half_written(call, part));
             }
             if let Some(m) = self.messages.get_mut(&id) {
                 m.still = Still::Yes;
-                self.region.iter_mut().for_each(|r| _ = r.still.insert(id));
+                self.region.iter_mut().for_each(|r| _ = r.suspended.insert(id));
                 self.events.push(Event::Left { id });
             }
         }
-        half.into_iter().for_each(|conn| self.link_gone_and_dropped(conn));
-        // Answers that lie in a connection can't be told from each other: guards against one that leaves after the partner
-        // has told another.
+        partly_written.into_iter().for_each(|conn| self.link_gone_and_dropped(conn));
+        // Queued answers of a connection can't be told apart. Guards against one being sent after the partner
+        // has sent another.
         let queued = |c: &crate::node::Conn| matches!(c.what, Use::Client { .. }) && !c.stream.out.is_empty();
         let queued: Vec<ConnId> = self.conns.iter().filter(|(_, c)| queued(c)).map(|(id, _)| *id).collect();
         for conn in queued {
@@ -51,7 +55,7 @@
         }
     }
 
-    /// The connection on which a part of a message's octets has left and a part has not.
+    /// Returns the connection on which part of a message's bytes, but not all, were sent.
     fn half_written(&self, call: u64, part: usize) -> Option<ConnId> {
         let c = self.calls.get(call)?;
         let conn = c.conn?;
@@ -59,8 +63,9 @@
         (self.conns.get(&conn)?.stream.sent < end).then_some(conn)
     }
 
-    /// An attempt of a message that stood still and goes on: two are never out.
-    pub(super) fn break_off(&mut self, id: MsgId) {
+    /// Ends the outstanding attempt of a message that was suspended and continues, so that there are never
+    /// two at once.
+    pub(super) fn cancel_outstanding(&mut self, id: MsgId) {
         if let Some((call, part)) = self.messages.get(&id).and_then(|m| m.out)
             && !self.cancel_unsent(call, part)
         {
--- a/crates/engine/src/region/mod.rs
+++ b/crates/engine/src/region/mod.rs
@@ -1,14 +1,15 @@
-//! A node whose work a partner in another region may take over: until when it goes on with what the partner may have a copy of,
-//! what stands still after that, and what is the partner's once it did take over. Without regions in the settings
-//! nothing of this is ever asked.
+//! Coordinates a node with the partner in another region that may take over its work: how long the node may
+//! continue with what the partner may have a copy of, what is suspended after that, and what belongs to the
+//! partner once it took over. Without regions in the settings none of this is used.
 //!
-//! Guards against two that end one message: what a partner may have is begun, repeated and answered only while this
-//! process's right to do so holds, checked again where octets leave. What the partner can't have goes on whatever happens to
-//! the right: a member that is cut off goes on with all that it takes on from then.
+//! Guards against two members finishing one message. What a partner may have is begun, repeated and answered
+//! only while this process's lease holds, which is checked again where bytes are sent. What the partner can't
+//! have continues whatever happens to the lease: a member that is cut off continues with all that it accepts
+//! from then on.
 
-mod back;
-mod inherit;
 mod lapse;
+mod regain;
+mod takeover;
 
 use crate::Micros;
 use crate::mailboxes::BoxId;
@@ -17,79 +18,82 @@
 use heronroute::MsgId;
 
 impl Node {
-    /// This process may go on with what its partner has a copy of until this time of its clock.
+    /// Extends the lease: until this time of its clock the process may continue with what its partner has a
+    /// copy of.
     pub fn right(&mut self, now: Micros, until: Micros) {
         self.now = now.max(self.now);
-        // One that is over already says nothing; nor does one that came before a pause and is read after it.
+        // A lease that has already ended says nothing; nor does one that arrived before a pause and is read
+        // after it.
         self.lapse_if_due();
         let Some(r) = &mut self.region else { return };
-        r.until = r.until.max(until);
-        self.back_if_due();
+        r.lease_until = r.lease_until.max(until);
+        self.continue_if_leased();
         self.settle(now);
     }
 
-    /// The way to the partner stands and entries are about to be sent, or does no more. The first is answered with
-    /// [`Output::Copying`], and nothing may be sent before that: guards against a copy of what this node believes to be its
-    /// own alone.
-    pub fn copying(&mut self, now: Micros, copying: bool) {
+    /// Reports that the link to the partner is established and entries are about to be sent, or that it no
+    /// longer is. The former is answered with [`Output::Copying`], and nothing may be sent before that.
+    /// Guards against a copy of what this node believes to be its own alone.
+    pub fn copying(&mut self, now: Micros, active: bool) {
         self.now = now.max(self.now);
         let next = self.next_id;
         let Some(r) = &mut self.region else { return };
-        if r.copying || copying {
+        if r.copy_active || active {
             r.copied_below = next;
         }
-        r.copying = copying;
-        if copying {
+        r.copy_active = active;
+        if active {
             self.outputs.push(Output::Copying);
         }
     }
 
-    /// What this process had accepted in an earlier life, or in this one before it was declared dead, is its partner's:
-    /// all with a number below `upto`. None: that is not known yet, and all of it stands still until it is.
+    /// Reports that the partner took over what this process had accepted in an earlier life, or in this one
+    /// before it was declared dead: all messages with a number below `upto`. `None` means that the bound is
+    /// not known yet, and all of it is suspended until it is.
     pub fn fenced(&mut self, now: Micros, upto: Option<u64>) {
         self.now = now.max(self.now);
         self.lapse();
         let Some(r) = &mut self.region else { return };
-        r.unknown = upto.is_none();
+        r.extent_unknown = upto.is_none();
         if let Some(upto) = upto {
-            self.let_partner_have(upto);
-            self.back_if_due();
+            self.cede_messages(upto);
+            self.continue_if_leased();
         }
         self.settle(now);
     }
 
-    /// Whether the right is over and this node has not seen it yet: nothing may be written before [`Node::settle`]. Guards
-    /// against a process that was paused, and has octets queued from before.
+    /// Returns whether the lease has ended and this node has not handled it yet: nothing may be written
+    /// before [`Node::settle`]. Guards against a process that was paused and has bytes queued from before.
     pub fn overdue(&self, now: Micros) -> bool {
-        self.region.as_ref().is_some_and(|r| !r.lapsed && now >= r.until)
+        self.region.as_ref().is_some_and(|r| !r.lapsed && now >= r.lease_until)
     }
 
-    /// Nothing of messages with numbers below this may be done now.
+    /// Returns the number below which messages are suspended now.
     pub(crate) fn still_below(&self) -> Option<u64> {
         let r = self.region.as_ref().filter(|r| r.lapsed)?;
-        Some(if r.copying { u64::MAX } else { r.copied_below })
+        Some(if r.copy_active { u64::MAX } else { r.copied_below })
     }
 
-    /// Whether nothing of this message may be done now.
+    /// Returns whether a message is suspended now.
     pub(crate) fn stands_still(&self, id: MsgId) -> bool {
         self.still_below().is_some_and(|below| id.0 < below)
     }
 
-    /// An answer that may not go out now.
+    /// Defers an answer that may not be sent now.
     pub(crate) fn owe_later(&mut self, mailbox: BoxId, owed: Owed) {
         let Some(m) = self.mailboxes.get(mailbox) else { return };
         let (client, name) = (m.client, m.name.clone());
         if let Some(r) = &mut self.region {
-            r.owed.push((client, name, owed));
+            r.deferred_answers.push((client, name, owed));
         }
     }
 
-    /// What became durable, and may not be done now; given back where it may.
+    /// Defers an effect of a suspended message that became durable; returns any other effect.
     pub(crate) fn not_now(&mut self, effect: Effect) -> Option<Effect> {
         if !effect.about().is_some_and(|id| self.stands_still(id)) {
             return Some(effect);
         }
-        self.region.as_mut()?.effects.push(effect);
+        self.region.as_mut()?.deferred_effects.push(effect);
         None
     }
 }
--- a/crates/engine/src/region/back.rs
+++ b/crates/engine/src/region/regain.rs
@@ -1,4 +1,5 @@
-//! The right is there again, or the partner took over: what stood still goes on, or is the partner's.
+//! Handles the end of a suspension: the lease is extended and suspended messages continue, or the partner
+//! took over and they belong to the partner.
 
 use crate::answers::End;
 use crate::ids::read_id;
@@ -10,28 +11,29 @@
 use heronroute_journal::Open;
 use heronroute_journal::entry::{Accepted, Intent};
 
-/// Held messages looked at at once.
-const PAGE: usize = 1_000;
+/// How many held messages are examined at once.
+const HELD_PAGE_SIZE: usize = 1_000;
 
 impl Node {
-    /// What stood still goes on, where the right is there.
-    pub(super) fn back_if_due(&mut self) {
+    /// Continues what was suspended, if the lease holds.
+    pub(super) fn continue_if_leased(&mut self) {
         let Some(r) = &mut self.region else { return };
-        if !r.lapsed || r.unknown || self.now >= r.until {
+        if !r.lapsed || r.extent_unknown || self.now >= r.lease_until {
             return;
         }
         r.lapsed = false;
-        let still = std::mem::take(&mut r.still);
-        let (answered, owed) = (std::mem::take(&mut r.answered), std::mem::take(&mut r.owed));
-        let effects = std::mem::take(&mut r.effects);
-        tracing::info!(messages = still.len(), "the right to go on is there");
-        for id in still {
-            self.goes_on(id);
+        let suspended = std::mem::take(&mut r.suspended);
+        let (answered, owed) =
+            (std::mem::take(&mut r.unacknowledged), std::mem::take(&mut r.deferred_answers));
+        let effects = std::mem::take(&mut r.deferred_effects);
+        tracing::info!(messages = suspended.len(), "the lease holds again; suspended messages continue");
+        for id in suspended {
+            self.continue_message(id);
         }
         for open in answered {
             let client = self.client_named(&open.accepted.client);
             let mailbox = self.mailboxes.open(client, &open.accepted.mailbox);
-            self.owe_again(mailbox, &open);
+            self.owe_restored_answer(mailbox, &open);
             self.pump(mailbox);
         }
         for (client, name, owed) in owed {
@@ -45,16 +47,16 @@
         effects.into_iter().for_each(|effect| self.perform(effect));
     }
 
-    /// One message goes on as after a restart: by what may have run, and by the time that is left.
-    fn goes_on(&mut self, id: MsgId) {
-        self.break_off(id);
+    /// Continues one message as after a restart: by what may have run, and by the time that is left.
+    fn continue_message(&mut self, id: MsgId) {
+        self.cancel_outstanding(id);
         let wall = self.wall();
         let Some(m) = self.messages.get_mut(&id) else { return };
         let found = std::mem::take(&mut m.still);
         if let Still::Found(answer) = found {
             return self.answer_with(id, answer);
         }
-        // By its name: a class may be gone since the message was accepted.
+        // The class is found by name, as it may have been removed since the message was accepted.
         let class = self.class_names.get(&m.submission.service).copied();
         let class = class.or(m.submission.service.is_empty().then_some(m.class));
         let settings = class.and_then(|c| self.cfg.settings.classes.get(c));
@@ -63,7 +65,7 @@
         let accepted = Accepted { deadline, ..Accepted::default() };
         let open = Open { accepted, attempts: m.attempts, may_run: ran, out: None, answer: None };
         match resume(&open, settings.map(|c| (c.effect, c.window)), wall) {
-            Resume::GoesOn(ran) => {
+            Resume::Continue(ran) => {
                 let ordered = settings.is_some_and(|c| c.ordered);
                 let key = m.submission.key.as_ref().filter(|_| ordered);
                 let key = key.map(|k| crate::ids::key_of(m.client, k));
@@ -77,37 +79,42 @@
                     time_left: m.deadline - self.now,
                     again: true,
                 });
-                // Where it ran is not kept: an endpoint that shares its memory with none.
+                // Where it ran is not stored, so it counts as an endpoint that shares its memory with no
+                // other.
                 let may_run = ran.map(|i| (EndpointId(u32::MAX), wall - i.at));
                 self.events.push(Event::Resumed { id, attempts: open.attempts, may_run });
             }
-            Resume::Over { .. } | Resume::Answered => self.answer(id, End::Failed),
+            Resume::Fail { .. } | Resume::Answered => self.answer(id, End::Failed),
         }
     }
 
-    /// The partner ends what it has: nothing of it is sent or answered here any more, also after a restart.
-    pub(super) fn let_partner_have(&mut self, upto: u64) {
+    /// Leaves the messages below `upto` to the partner: none of them is sent or answered here any more, also
+    /// after a restart.
+    pub(super) fn cede_messages(&mut self, upto: u64) {
         let Some(r) = &mut self.region else { return };
-        let rest = r.still.split_off(&MsgId(upto));
-        let gone = std::mem::replace(&mut r.still, rest);
-        let (theirs, own) = std::mem::take(&mut r.answered).into_iter().partition(|o| o.accepted.id < upto);
-        r.answered = own;
+        let rest = r.suspended.split_off(&MsgId(upto));
+        let ceded = std::mem::replace(&mut r.suspended, rest);
+        let (theirs, own) =
+            std::mem::take(&mut r.unacknowledged).into_iter().partition(|o| o.accepted.id < upto);
+        r.unacknowledged = own;
         let theirs: Vec<Open> = theirs;
-        let (owed, own) =
-            std::mem::take(&mut r.owed).into_iter().partition(|(.., o)| below(&o.receipt.id, upto));
-        r.owed = own;
+        let (owed, own) = std::mem::take(&mut r.deferred_answers)
+            .into_iter()
+            .partition(|(.., o)| is_below(&o.receipt.id, upto));
+        r.deferred_answers = own;
         let owed: Vec<_> = owed;
-        let (_, own) =
-            std::mem::take(&mut r.effects).into_iter().partition(|e| e.about().is_some_and(|id| id.0 < upto));
-        r.effects = own;
+        let (_, own) = std::mem::take(&mut r.deferred_effects)
+            .into_iter()
+            .partition(|e| e.about().is_some_and(|id| id.0 < upto));
+        r.deferred_effects = own;
         tracing::warn!(
             upto,
-            messages = gone.len(),
+            messages = ceded.len(),
             answers = theirs.len() + owed.len(),
             "taken over by the partner"
         );
-        for id in gone {
-            self.break_off(id);
+        for id in ceded {
+            self.cancel_outstanding(id);
             self.over(id);
         }
         theirs.iter().for_each(|open| self.taken(MsgId(open.accepted.id)));
@@ -115,25 +122,25 @@
             self.clients[client].owed -= 1;
             read_id(&owed.receipt.id).into_iter().for_each(|id| self.taken(id));
         }
-        // Those on their way as well: a restart would tell again what was not taken.
+        // Queued answers are withdrawn as well, as a restart would send again what was not acknowledged.
         let mailboxes: Vec<_> = self.mailboxes.all().map(|(id, _)| id).collect();
         for mailbox in mailboxes {
             let Some(m) = self.mailboxes.get_mut(mailbox) else { continue };
-            let (client, ids) = (m.client, m.outbox.withdraw(|o| below(&o.receipt.id, upto)));
+            let (client, ids) = (m.client, m.outbox.withdraw(|o| is_below(&o.receipt.id, upto)));
             self.clients[client].owed -= ids.len();
             ids.iter().filter_map(|id| read_id(id)).for_each(|id| self.taken(id));
             self.mailboxes.tidy(mailbox);
         }
-        self.let_partner_hold(upto);
+        self.cede_held(upto);
     }
 
-    /// Messages held for their clients are the partner's too: guards against one submitted again at both.
-    fn let_partner_hold(&mut self, upto: u64) {
+    /// Leaves held messages to the partner too. Guards against a message being resubmitted at both members.
+    fn cede_held(&mut self, upto: u64) {
         let mut after = None;
         loop {
             let query = Query { held: true, after, ..Query::default() };
             let Some(store) = &mut self.held else { return };
-            let page = store.list(&query, PAGE);
+            let page = store.list(&query, HELD_PAGE_SIZE);
             let theirs: Vec<u64> = page.ids.iter().copied().filter(|id| *id < upto).collect();
             theirs.iter().for_each(|id| _ = store.take(*id));
             self.write_released(&theirs);
@@ -145,6 +152,6 @@
     }
 }
 
-fn below(id: &str, upto: u64) -> bool {
+fn is_below(id: &str, upto: u64) -> bool {
     read_id(id).is_some_and(|id| id.0 < upto)
 }
--- a/crates/engine/src/region/inherit.rs
+++ b/crates/engine/src/region/takeover.rs
@@ -1,13 +1,14 @@
-//! A dead member's work is taken over from a copy of its journals.
+//! Takes over a dead member's work from a copy of its journals.
 //!
-//! Guards against half a take-over: all that comes of it is written under this node's own numbers first, and nothing is done
-//! before the last entry of it is durable; a crash before that leaves nothing, and it is begun anew.
+//! Guards against a partial takeover: everything is first written under this node's own message numbers, and
+//! nothing is done before the last entry is durable. A crash before that leaves nothing, and the takeover is
+//! begun anew.
 
-use crate::heir::heir;
 use crate::home::home;
 use crate::node::{Effect, Node, Output};
 use crate::restart::Restarted;
-use crate::standing::{Estate, Standing};
+use crate::standing::{PendingTakeover, Standing};
+use crate::takeover::as_taken_over;
 use heronroute_journal::book::Kept;
 use heronroute_journal::entry::{
     Accepted, Answer, Final, Heir, Held, Inherited, Intent, Named, Request, Session, Step, What,
@@ -16,103 +17,105 @@
 use std::collections::{BTreeMap, VecDeque};
 
 impl Node {
-    /// Writes down what the books of a dead life's senders have open for clients that have their home at this sender. Answered
-    /// with [`Output::Inherited`] once all of it is durable; nothing of it is done before [`Node::inherited`]. Asked again, it
-    /// is written once.
+    /// Writes down what the books of a dead member's senders have open for clients whose home is this sender.
+    /// Answered with [`Output::Inherited`] once all of it is durable; nothing of it is done before
+    /// [`Node::taken_over`]. Repeated calls write it only once.
     pub fn inherit(&mut self, now: crate::Micros, origin: &str, books: Vec<Book>) {
         self.now = now.max(self.now);
         let Some(r) = &mut self.region else { return };
-        if r.heirs.own(origin) || r.inheriting.get(origin).is_some_and(|e| e.whole) {
+        if r.completed.own(origin) || r.pending.get(origin).is_some_and(|e| e.durable) {
             return self.outputs.push(Output::Inherited(origin.to_string()));
         }
-        if r.inheriting.contains_key(origin) {
+        if r.pending.contains_key(origin) {
             return;
         }
-        self.step_of(origin, Step::Begun);
-        let mut estate = Estate::default();
+        self.write_step(origin, Step::Begun);
+        let mut pending = PendingTakeover::default();
         for book in books {
-            self.inherit_book(origin, book, &mut estate);
+            self.write_book(origin, book, &mut pending);
         }
-        self.step_of(origin, Step::Whole);
+        self.write_step(origin, Step::Whole);
         if let Some(r) = &mut self.region {
-            r.inheriting.insert(origin.to_string(), estate);
+            r.pending.insert(origin.to_string(), pending);
         }
         self.once_durable(Effect::Inherited { origin: origin.to_string() });
         self.settle(now);
     }
 
-    /// What was taken over of this life is this process's by the log: it goes on here, as after a restart.
+    /// Starts the work taken over, as the log assigned it to this process: it continues here as after a
+    /// restart.
     pub fn inherited(&mut self, now: crate::Micros, origin: &str) {
         self.now = now.max(self.now);
-        let whole = |r: &mut Standing<Effect>| {
-            r.inheriting.get(origin).is_some_and(|e| e.whole).then(|| r.inheriting.remove(origin)).flatten()
+        let take_durable = |r: &mut Standing<Effect>| {
+            r.pending.get(origin).is_some_and(|e| e.durable).then(|| r.pending.remove(origin)).flatten()
         };
-        let Some(estate) = self.region.as_mut().and_then(whole) else { return };
-        self.step_of(origin, Step::Own);
+        let Some(pending) = self.region.as_mut().and_then(take_durable) else { return };
+        self.write_step(origin, Step::Own);
         if let Some(r) = &mut self.region {
-            r.heirs.add_own(origin);
+            r.completed.add_own(origin);
         }
-        self.take_up_estate(origin, estate);
+        self.restore_takeover(origin, pending);
         self.settle(now);
     }
 
-    /// It is another's after all, or was its own: nothing of it is done here.
+    /// Abandons a takeover, as the work is another member's or was this member's own: nothing of it is done
+    /// here.
     pub fn disinherited(&mut self, now: crate::Micros, origin: &str) {
         self.now = now.max(self.now);
-        if self.region.as_mut().is_some_and(|r| r.inheriting.remove(origin).is_some()) {
-            self.step_of(origin, Step::Void);
+        if self.region.as_mut().is_some_and(|r| r.pending.remove(origin).is_some()) {
+            self.write_step(origin, Step::Void);
         }
         self.settle(now);
     }
 
-    fn step_of(&mut self, origin: &str, step: Step) {
-        let inherited = || Inherited { origin: origin.to_string(), step: step.into() };
-        self.ledger.write(|| What::Inherited(inherited()));
+    fn write_step(&mut self, origin: &str, step: Step) {
+        let entry = || Inherited { origin: origin.to_string(), step: step.into() };
+        self.ledger.write(|| What::Inherited(entry()));
     }
 
-    fn inherit_book(&mut self, origin: &str, book: Book, estate: &mut Estate) {
+    fn write_book(&mut self, origin: &str, book: Book, pending: &mut PendingTakeover) {
         let (own, senders) = (self.index, self.cfg.service.senders);
-        let mine = |client: &str| home(client, senders) == own;
+        let is_home = |client: &str| home(client, senders) == own;
         let mut ids: BTreeMap<u64, u64> = BTreeMap::new();
-        for (id, open) in book.open.into_iter().filter(|(_, o)| mine(&o.accepted.client)) {
+        for (id, open) in book.open.into_iter().filter(|(_, o)| is_home(&o.accepted.client)) {
             let class = self.class_names.get(&open.accepted.class);
             let effect = class.and_then(|c| self.cfg.settings.classes.get(*c)).map(|c| c.effect);
-            let open = self.renumbered(id, heir(open, effect), &mut ids);
+            let open = self.renumbered(id, as_taken_over(open, effect), &mut ids);
             let (accepted, answer) = (Some(open.accepted.clone()), open.answer.clone());
             let (attempts, may_run) = (open.attempts, open.may_run.clone());
             let origin = origin.to_string();
             self.ledger.write(|| {
                 What::Heir(Box::new(Heir { origin, accepted, attempts, may_run, answer, held: None }))
             });
-            estate.open.push(open);
+            pending.open.push(open);
         }
         for (id, held) in book.held {
-            let Some(accepted) = held.accepted.clone().filter(|a| mine(&a.client)) else { continue };
+            let Some(accepted) = held.accepted.clone().filter(|a| is_home(&a.client)) else { continue };
             let id = *ids.entry(id).or_insert_with(|| self.new_id().0);
             let held = Held { accepted: Some(Accepted { id, ..accepted }), ..held };
             let heir = Heir { origin: origin.to_string(), held: Some(held.clone()), ..Heir::default() };
             self.ledger.write(|| What::Heir(heir.into()));
-            estate.book.held.insert(id, held);
+            pending.book.held.insert(id, held);
         }
-        for (id, f) in book.finals.into_iter().filter(|(_, f)| mine(&f.client)) {
+        for (id, f) in book.finals.into_iter().filter(|(_, f)| is_home(&f.client)) {
             let id = *ids.entry(id).or_insert_with(|| self.new_id().0);
             let Some(answer) = f.answer else { continue };
             let answer = Some(Answer { id, ..answer });
             let kept = Final { answer, ..f };
             self.ledger.write(|| What::Final(kept.clone()));
-            estate.book.finals.insert(id, kept);
+            pending.book.finals.insert(id, kept);
         }
         for named in book.names {
-            // Names are digests: whose they are is not known, so each sender keeps all of them.
+            // Names are digests, so their clients are unknown and each sender keeps all of them.
             let id = *ids.entry(named.id).or_insert_with(|| self.new_id().0);
             let named = Named { id, ..named };
             self.ledger.write(|| What::Named(named));
-            estate.book.names.push_back(named);
+            pending.book.names.push_back(named);
         }
         if book.forgot > 0 {
-            estate.book.forgot = estate.book.forgot.max(book.forgot);
+            pending.book.forgot = pending.book.forgot.max(book.forgot);
         }
-        for (key, kept) in book.sessions.into_iter().filter(|((c, _), _)| mine(c)) {
+        for (key, kept) in book.sessions.into_iter().filter(|((c, _), _)| is_home(c)) {
             if self.has_session(&key.0, &key.1) {
                 continue;
             }
@@ -120,18 +123,18 @@
             let latest: VecDeque<Request> = kept.latest.iter().map(renumbered).collect();
             let session = Session { latest: latest.iter().copied().collect(), ..kept.session.clone() };
             self.ledger.write(|| What::Session(session));
-            estate.book.sessions.insert(key, Kept { latest, ..kept });
+            pending.book.sessions.insert(key, Kept { latest, ..kept });
         }
     }
 
-    /// A session that began here since is the later one.
+    /// Returns whether a session exists here already, which is then the later one.
     fn has_session(&mut self, client: &str, name: &str) -> bool {
         let client = self.client_named(client);
         let mailbox = self.mailboxes.find(client, name).and_then(|m| self.mailboxes.get(m));
         mailbox.is_some_and(|m| m.kept.is_some() || m.conn.is_some())
     }
 
-    /// Under a number of this node's.
+    /// Gives an open message a number of this node.
     fn renumbered(&mut self, id: u64, mut open: Open, ids: &mut BTreeMap<u64, u64>) -> Open {
         let new = self.new_id().0;
         ids.insert(id, new);
@@ -141,25 +144,25 @@
         open
     }
 
-    /// All of it is durable.
+    /// Reports that all entries of a takeover are durable.
     pub(crate) fn estate_durable(&mut self, origin: String) {
-        let estate = self.region.as_mut().and_then(|r| r.inheriting.get_mut(&origin));
-        let Some(estate) = estate else { return };
-        estate.whole = true;
+        let pending = self.region.as_mut().and_then(|r| r.pending.get_mut(&origin));
+        let Some(pending) = pending else { return };
+        pending.durable = true;
         self.outputs.push(Output::Inherited(origin));
     }
 
-    fn take_up_estate(&mut self, origin: &str, mut estate: Estate) {
-        estate.book.sessions.retain(|(client, name), _| !self.has_session(client, name));
-        self.take_up_sessions(&estate.book);
-        self.take_up_held(&estate.book);
-        self.take_up_answers(&estate.book);
+    fn restore_takeover(&mut self, origin: &str, mut pending: PendingTakeover) {
+        pending.book.sessions.retain(|(client, name), _| !self.has_session(client, name));
+        self.restore_sessions(&pending.book);
+        self.take_up_held(&pending.book);
+        self.restore_answers(&pending.book);
         let (wall, mut done) = (self.wall(), Restarted::default());
-        for open in estate.open {
-            self.take_up_open(open, wall, &mut done);
+        for open in pending.open {
+            self.restore_open(open, wall, &mut done);
         }
         let owed: Vec<_> = self.mailboxes.all().map(|(id, _)| id).collect();
         owed.into_iter().for_each(|mailbox| self.pump(mailbox));
-        tracing::warn!(origin, ?done, "taken over");
+        tracing::warn!(origin, ?done, "a dead member's work was taken over");
     }
 }
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -1,4 +1,5 @@
-//! After a restart: what the book says is taken up again. `resume.rs` decides; here it is carried out.
+//! Restores a node's state from the journal's book after a restart. [`crate::resume`] decides about each
+//! message, and this module carries the decision out.
 
 use crate::Micros;
 use crate::answers::End;
@@ -15,10 +16,10 @@
 use heronroute_seen::{Handle, Name, Recent};
 use heronroute_smpp::receipt::{Answer, Receipt};
 
-/// What was taken up, for the log.
+/// What was restored, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Restarted {
-    /// Messages that go on.
+    /// Messages that continue.
     pub go_on: usize,
     /// Messages answered at once.
     pub over: usize,
@@ -27,11 +28,11 @@
 }
 
 impl Node {
-    /// Takes up the book. Messages come to the decision library in the order in which they were accepted, so that
-    /// keys keep theirs; all of them before their class's deadline, or they are answered here.
+    /// Restores the book. Messages go to the decision library in the order in which they were accepted, so
+    /// that keys keep their order; all of them before their class's deadline, or they are answered here.
     pub(crate) fn restart(&mut self, book: Book) {
         let wall = self.wall();
-        // Above all numbers given so far, with this sender's in the low bits.
+        // The next number is above all given so far, with this sender's index in the low bits.
         let (step, own) = (1 << ID_SENDER_BITS, self.next_id % (1 << ID_SENDER_BITS));
         self.next_id = self.next_id.max(book.next_id.next_multiple_of(step) | own);
         for (name, p) in &book.places {
@@ -46,72 +47,73 @@
             }
         }
         let mut done = Restarted::default();
-        // First, as they say where the rest belongs.
-        self.take_up_rules(&book);
-        self.take_up_sessions(&book);
+        // These come first, as they say where the rest belongs.
+        self.restore_rules(&book);
+        self.restore_sessions(&book);
         self.take_up_held(&book);
-        self.take_up_answers(&book);
+        self.restore_answers(&book);
         for open in book.open.into_values() {
-            self.take_up_open(open, wall, &mut done);
+            self.restore_open(open, wall, &mut done);
         }
-        tracing::info!(?done, "taken up after a restart");
+        tracing::info!(?done, "restored after a restart");
     }
 
-    /// One message of a book: what is said of it, and what becomes of it.
-    pub(crate) fn take_up_open(&mut self, open: Open, wall: Micros, done: &mut Restarted) {
+    /// Restores one open message of a book, by what is known of it.
+    pub(crate) fn restore_open(&mut self, open: Open, wall: Micros, done: &mut Restarted) {
         let a = &open.accepted;
         let client = self.client_named(&a.client);
         let mailbox = self.mailboxes.open(client, &a.mailbox);
         let class = self.class_names.get(&a.class).copied();
         if self.stands_still(MsgId(a.id)) {
-            return self.wait_for_right(client, mailbox, class, open);
+            return self.suspend_message(client, mailbox, class, open);
         }
         let settings = class.and_then(|c| self.cfg.settings.classes.get(c));
         match resume(&open, settings.map(|c| (c.effect, c.window)), wall) {
             Resume::Answered => {
-                done.owed += usize::from(self.owe_again(mailbox, &open));
+                done.owed += usize::from(self.owe_restored_answer(mailbox, &open));
             }
-            Resume::GoesOn(ran) => {
+            Resume::Continue(ran) => {
                 done.go_on += 1;
                 let ran_at = ran.as_ref().map(|i| self.now - (wall - i.at).max(0));
-                self.take_up(client, mailbox, class.unwrap_or(0), &open, ran_at);
+                self.restore_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
                 let may_run = ran.map(|i| {
                     let at = self.remotes.named(&i.endpoint);
-                    // An endpoint that is not known any more shares its memory with none that is.
+                    // An endpoint that is no longer known shares its memory with none that is.
                     (at.unwrap_or(heronroute::EndpointId(u32::MAX)), (wall - i.at).max(0))
                 });
                 let id = MsgId(open.accepted.id);
                 self.events.push(Event::Resumed { id, attempts: open.attempts, may_run });
             }
-            Resume::Over { may_run } => {
+            Resume::Fail { may_run } => {
                 done.over += 1;
                 let id = MsgId(a.id);
                 let ran_at = may_run.then_some(self.now);
-                self.hold_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
+                self.insert_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
                 self.answer(id, End::Failed);
             }
         }
     }
 
-    /// A partner may have taken it over meanwhile: it stands still until that is known.
-    fn wait_for_right(&mut self, client: usize, mailbox: BoxId, class: Option<usize>, open: Open) {
+    /// Suspends a message of the book that a partner may have taken over meanwhile, until that is known.
+    fn suspend_message(&mut self, client: usize, mailbox: BoxId, class: Option<usize>, open: Open) {
         if open.answer.is_some() {
-            self.region.iter_mut().for_each(|r| r.wait_answered(open.clone()));
+            self.region.iter_mut().for_each(|r| r.defer_answered(open.clone()));
             return;
         }
         let id = MsgId(open.accepted.id);
         let ran = open.may_run.as_ref().or(open.out.as_ref());
         let ran_at = ran.map(|i| self.now - (self.wall() - i.at).max(0));
-        self.hold_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
+        self.insert_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
         if let Some(m) = self.messages.get_mut(&id) {
-            // What was refused from the start is never sent.
+            // A message refused from the start is never sent.
             let refused = Still::Found(Answer::Rejected { retry_after: 0 });
             m.still = if open.accepted.refused { refused } else { Still::Yes };
         }
-        self.region.iter_mut().for_each(|r| r.wait(id));
+        self.region.iter_mut().for_each(|r| r.suspend(id));
     }
 
-    /// The client's place; one that is not in the settings any more has no session, and is owed all the same.
+    /// Returns a client's index. A client that is no longer in the settings has no session, but is still owed
+    /// its answers.
     pub(crate) fn client_named(&mut self, name: &str) -> usize {
         let next = self.clients.len();
         let at = *self.client_names.entry(name.to_string()).or_insert(next);
@@ -121,8 +123,9 @@
         at
     }
 
-    /// Sessions are kept from now on for as long as was agreed: when their clients left is not known.
-    pub(crate) fn take_up_sessions(&mut self, book: &Book) {
+    /// Restores sessions. They are kept for the agreed time from now on, as it is unknown when their clients
+    /// left.
+    pub(crate) fn restore_sessions(&mut self, book: &Book) {
         let (now, wall) = (self.now, self.wall());
         if self.cfg.mqtt.is_none() {
             return;
@@ -150,7 +153,7 @@
         }
     }
 
-    fn hold_message(
+    fn insert_message(
         &mut self,
         client: usize,
         mailbox: BoxId,
@@ -188,8 +191,15 @@
         self.trail_again(open);
     }
 
-    fn take_up(&mut self, client: usize, mailbox: BoxId, class: usize, open: &Open, ran_at: Option<Micros>) {
-        self.hold_message(client, mailbox, class, open, ran_at);
+    fn restore_message(
+        &mut self,
+        client: usize,
+        mailbox: BoxId,
+        class: usize,
+        open: &Open,
+        ran_at: Option<Micros>,
+    ) {
+        self.insert_message(client, mailbox, class, open, ran_at);
         let a = &open.accepted;
         let ordered = self.cfg.settings.classes.get(class).is_some_and(|c| c.ordered);
         self.events.push(Event::Message {
@@ -199,13 +209,13 @@
             key: (ordered && !a.key.is_empty()).then(|| key_of(client, &a.key)),
             dest: DestId(a.dest),
             time_left: a.deadline - self.wall(),
-            // It counts as no new demand.
+            // It does not count as new demand.
             again: true,
         });
     }
 
-    /// An answer that was not taken is told again, the same.
-    pub(crate) fn owe_again(&mut self, mailbox: BoxId, open: &Open) -> bool {
+    /// Sends an answer that was not acknowledged again, unchanged. Returns whether one is owed.
+    pub(crate) fn owe_restored_answer(&mut self, mailbox: BoxId, open: &Open) -> bool {
         let a = &open.accepted;
         let Some(Answered { word, retry_after, at, .. }) = &open.answer else { return false };
         let wait = Some(*retry_after).filter(|w| *w >= 0);
--- a/crates/engine/src/standing.rs
+++ b/crates/engine/src/standing.rs
@@ -1,5 +1,5 @@
-//! How a node stands to a partner in another region that may take over its work: whether its right holds, what the partner may
-//! have, and what stands still. Free of I/O; `region` acts on it.
+//! The state of a node towards a partner in another region that may take over its work: whether its lease
+//! holds, what the partner may have, and what is suspended. Free of I/O; `region` acts on it.
 
 use crate::Micros;
 use crate::outbox::Owed;
@@ -10,98 +10,99 @@
 use heronroute_smpp::receipt::Answer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether a message goes on.
+/// Whether a message is suspended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Still {
-    /// It does.
+    /// The message continues.
     #[default]
     No,
-    /// A partner may have it, and the right is over: nothing of it is begun or answered.
+    /// A partner may have the message and the lease has ended: it is neither begun nor answered.
     Yes,
-    /// The same, and its answer was found meanwhile; it is told once the right is there again.
+    /// As `Yes`, and its answer was found meanwhile; it is sent once the lease holds again.
     Found(Answer),
 }
 
-/// How a node stands to its partner.
+/// The state of a node towards its partner.
 #[derive(Debug)]
 pub(crate) struct Standing<H> {
-    /// The right ends then.
-    pub(crate) until: Micros,
-    /// What has a number below may be in the partner's copy.
+    /// When the lease ends.
+    pub(crate) lease_until: Micros,
+    /// Messages with a number below this may be in the partner's copy.
     pub(crate) copied_below: u64,
-    /// Entries are sent to the partner: all that is accepted from now on is in its copy as well.
-    pub(crate) copying: bool,
-    /// The right is over, and what the partner may have stands still.
+    /// Whether entries are sent to the partner: all that is accepted from now on is in its copy as well.
+    pub(crate) copy_active: bool,
+    /// Whether the lease has ended and what the partner may have is suspended.
     pub(crate) lapsed: bool,
-    /// The partner took over, and how far its copy went is not known yet.
-    pub(crate) unknown: bool,
-    /// Messages that stand still; the node's room bounds them.
-    pub(crate) still: BTreeSet<MsgId>,
-    /// Of the book, answered and not taken.
-    pub(crate) answered: Vec<Open>,
-    /// Answers that were about to go out, with whose they are and the mailbox's name; the clients' room bounds them.
-    pub(crate) owed: Vec<(usize, String, Owed)>,
-    /// What became durable meanwhile.
-    pub(crate) effects: Vec<H>,
-    /// Whose work was taken over.
-    pub(crate) heirs: Heirs,
-    /// Whose work is being taken over, with what comes of it.
-    pub(crate) inheriting: BTreeMap<String, Estate>,
+    /// Whether the partner took over and the extent of its copy is not known yet.
+    pub(crate) extent_unknown: bool,
+    /// Suspended messages, bounded by the node's room.
+    pub(crate) suspended: BTreeSet<MsgId>,
+    /// Messages of the book with an answer that was not acknowledged.
+    pub(crate) unacknowledged: Vec<Open>,
+    /// Answers that were about to be sent, each with its client and the mailbox's name; bounded by the
+    /// clients' room.
+    pub(crate) deferred_answers: Vec<(usize, String, Owed)>,
+    /// Effects that became durable during the suspension.
+    pub(crate) deferred_effects: Vec<H>,
+    /// The members whose work was taken over.
+    pub(crate) completed: Heirs,
+    /// Takeovers in progress, by the member taken over.
+    pub(crate) pending: BTreeMap<String, PendingTakeover>,
 }
 
-/// What is taken over, until all of it is durable.
+/// The work that is being taken over, until all of it is durable.
 #[derive(Debug, Default)]
-pub(crate) struct Estate {
-    /// All of it is durable.
-    pub(crate) whole: bool,
+pub(crate) struct PendingTakeover {
+    /// Whether all of it is durable.
+    pub(crate) durable: bool,
     pub(crate) open: Vec<Open>,
-    /// Sessions, held messages, kept answers, names.
+    /// Sessions, held messages, retained answers and names.
     pub(crate) book: Book,
 }
 
 impl<H> Standing<H> {
-    /// At a start: all from before may be in a copy, and no right is known.
+    /// Returns the state at a start: all from before may be in a copy, and there is no lease.
     pub(crate) fn new(heirs: Heirs) -> Self {
-        let estate = |(origin, open, held): (&str, Vec<Open>, Vec<Held>)| {
+        let takeover = |(origin, open, held): (&str, Vec<Open>, Vec<Held>)| {
             let id = |h: &Held| h.accepted.as_ref().map(|a| a.id);
             let held = held.into_iter().filter_map(|h| id(&h).map(|id| (id, h))).collect();
             let mut book = Book::default();
             book.held = held;
-            (origin.to_string(), Estate { whole: true, open, book })
+            (origin.to_string(), PendingTakeover { durable: true, open, book })
         };
-        let inheriting = heirs.whole().map(estate).collect();
+        let pending = heirs.whole().map(takeover).collect();
         Standing {
-            until: Micros::MIN,
+            lease_until: Micros::MIN,
             copied_below: u64::MAX,
-            copying: false,
+            copy_active: false,
             lapsed: true,
-            unknown: false,
-            still: BTreeSet::new(),
-            answered: Vec::new(),
-            owed: Vec::new(),
-            effects: Vec::new(),
-            heirs,
-            inheriting,
+            extent_unknown: false,
+            suspended: BTreeSet::new(),
+            unacknowledged: Vec::new(),
+            deferred_answers: Vec::new(),
+            deferred_effects: Vec::new(),
+            completed: heirs,
+            pending,
         }
     }
 
-    /// The number above all from before.
+    /// Sets the number that is above all from before.
     pub(crate) fn began(self, copied_below: u64) -> Self {
         Standing { copied_below, ..self }
     }
 
-    /// A message of the book waits for the right.
-    pub(crate) fn wait(&mut self, id: MsgId) {
-        self.still.insert(id);
+    /// Suspends a message of the book.
+    pub(crate) fn suspend(&mut self, id: MsgId) {
+        self.suspended.insert(id);
     }
 
-    /// An answer of the book that was not taken waits for it.
-    pub(crate) fn wait_answered(&mut self, open: Open) {
-        self.answered.push(open);
+    /// Defers an answer of the book that was not acknowledged.
+    pub(crate) fn defer_answered(&mut self, open: Open) {
+        self.unacknowledged.push(open);
     }
 
-    /// When it has to be looked at next.
+    /// Returns when the node next has to check its lease.
     pub(crate) fn wake(&self) -> Option<Micros> {
-        (!self.lapsed).then_some(self.until)
+        (!self.lapsed).then_some(self.lease_until)
     }
 }
--- a/crates/engine/src/stats.rs
+++ b/crates/engine/src/stats.rs
@@ -1,44 +1,53 @@
-//! Counts of what a sender did, for tables, logs and tests. They decide nothing.
+//! Counts of what a sender did, for tables, logs and tests. No decision depends on them.
 
 use heronroute_smpp::receipt::Answer;
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Submissions accepted, and turned away for rate, for room, or because they could not be read or routed.
+    /// Submissions accepted.
     pub accepted: u64,
+    /// Submissions refused for rate.
     pub refused_rate: u64,
+    /// Submissions refused for room.
     pub refused_room: u64,
+    /// Submissions refused because they could not be read or routed.
     pub refused_other: u64,
-    /// Requests that were the same as one before, and were told so.
+    /// Repeated requests, which were answered as such.
     pub repeated: u64,
-    /// Of those, kept answers that were told again.
+    /// Of those, retained answers that were sent again.
     pub told_again: u64,
     /// Final answers by state, in the order delivered, rejected, undeliverable, unknown, expired, deleted.
     pub answers: [u64; 6],
-    /// Receipts that a client took.
+    /// Receipts that a client acknowledged.
     pub receipts: u64,
     /// Attempts by outcome: done, error, busy, timed out, no connection, reset, cancelled, skipped, crowded.
     pub attempts: [u64; 9],
-    /// Answers that might have been second copies of earlier ones, and of them those that what followed contradicted.
+    /// Answers that might have been second copies of earlier ones.
     pub doubtful: u64,
+    /// Doubtful answers that were contradicted by what followed.
     pub contradicted: u64,
-    /// Calls, probes, connections made to receivers, rounds of decisions.
+    /// Calls to receivers.
     pub calls: u64,
+    /// Probes of receivers.
     pub probes: u64,
+    /// Connections made to receivers.
     pub connections: u64,
+    /// Rounds of decisions.
     pub rounds: u64,
-    /// Lists heard from the directory, and questions that failed.
+    /// Lists received from the directory.
     pub lists: u64,
+    /// Requests to the directory that failed.
     pub list_failures: u64,
-    /// Entries made durable, and the syncs that took.
+    /// Journal entries made durable.
     pub entries: u64,
+    /// Syncs that made them durable.
     pub syncs: u64,
-    /// Spells in which the journal's storage failed.
+    /// Periods in which the journal's storage failed.
     pub storage_failures: u64,
 }
 
-/// Where an answer stands in [`Stats::answers`].
+/// Returns the index of an answer in [`Stats::answers`].
 pub fn place(answer: Answer) -> usize {
     match answer {
         Answer::Delivered => 0,
--- a/crates/engine/src/heir/tests.rs
+++ b/crates/engine/src/takeover/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the heir's decisions.
+//! Tests of what is known of a message that is taken over.
 
 use super::*;
 use heronroute_journal::entry::{Accepted, Answer};
 
 #[test]
-fn what_the_copy_may_lack_may_have_run() {
+fn attempts_missing_from_the_copy_may_have_run() {
     let at = |at| Intent { id: 1, endpoint: "e".into(), at };
     let open = |both, out: Option<Intent>| Open {
         accepted: Accepted { id: 1, taken: 500, both, ..Accepted::default() },
@@ -13,10 +13,11 @@
         out,
         answer: None,
     };
-    let ran = |both, out: Option<i64>, effect| heir(open(both, out.map(at)), effect).may_run.map(|i| i.at);
+    let ran =
+        |both, out: Option<i64>, effect| as_taken_over(open(both, out.map(at)), effect).may_run.map(|i| i.at);
     for effect in [Some(Effect::Guarded), Some(Effect::SingleShot), None] {
-        assert_eq!(ran(false, None, effect), Some(500), "an attempt may be lacking");
-        assert_eq!(ran(false, Some(700), effect), Some(500), "an earlier one too");
+        assert_eq!(ran(false, None, effect), Some(500), "the copy may lack an attempt");
+        assert_eq!(ran(false, Some(700), effect), Some(500), "the copy may lack an earlier attempt");
         assert_eq!((ran(true, None, effect), ran(true, Some(700), effect)), (None, Some(700)));
     }
     assert_eq!(
@@ -24,5 +25,5 @@
         (None, Some(7))
     );
     let answered = Open { answer: Some(Answer::default()), ..open(false, None) };
-    assert_eq!(heir(answered, None).may_run, None, "its answer stands");
+    assert_eq!(as_taken_over(answered, None).may_run, None, "it is answered already");
 }
