--- a/crates/engine/src/client_rules/apply.rs
+++ b/crates/engine/src/client_rules/apply.rs
@@ -203,21 +203,24 @@
         if self.keeping.is_none() {
             return;
         }
-        for a in book.applied.values() {
-            let Some(client) = self.client_names.get(&a.client).copied() else { continue };
-            let read = (serde_json::from_slice::<RuleSet>(&a.rules), serde_json::from_slice::<Plan>(&a.plan));
+        for applied in book.applied.values() {
+            let Some(client) = self.client_names.get(&applied.client).copied() else { continue };
+            let read = (
+                serde_json::from_slice::<RuleSet>(&applied.rules),
+                serde_json::from_slice::<Plan>(&applied.plan),
+            );
             let (Ok(set), Ok(plan)) = read else {
-                self.reject_version(&a.client, "what was applied before can't be read".to_string());
+                self.reject_version(&applied.client, "what was applied before can't be read".to_string());
                 continue;
             };
             let (set, plan) = (Arc::new(set), Arc::new(plan));
-            let turn = Turn { place: a.place, members: a.members, senders: a.senders };
-            let turn = if a.members == 0 { Turn::default() } else { turn };
+            let turn = Turn { place: applied.place, members: applied.members, senders: applied.senders };
+            let turn = if applied.members == 0 { Turn::default() } else { turn };
             if let Some(k) = &mut self.keeping {
                 k.last_written.insert(client, (set.clone(), plan.clone(), turn));
             }
             self.put_in_force(client, &set, plan, turn);
-            self.report_live(&a.client);
+            self.report_live(&applied.client);
         }
     }
 }
--- a/crates/engine/src/client_rules/lookup.rs
+++ b/crates/engine/src/client_rules/lookup.rs
@@ -20,7 +20,7 @@
 
 impl Node {
     /// Returns the terms of a message that is being submitted.
-    pub(crate) fn keep_for(&self, client: usize, class: usize, s: &Submission) -> Keep {
+    pub(crate) fn keep_for(&self, client: usize, class: usize, submission: &Submission) -> Keep {
         let Some(keeping) = self.keeping.as_ref() else { return Keep::default() };
         let (rules, fence) = keeping.rules_of(client);
         if rules.is_none() && fence.is_none() {
@@ -28,7 +28,7 @@
         }
         let ordered = self.cfg.settings.classes.get(class).is_some_and(|c| c.ordered);
         let name = self.cfg.class_names.get(class).map_or("", String::as_str);
-        let at = (name, s.destination.as_str(), ordering_key(ordered, s.key.as_deref()));
+        let at = (name, submission.destination.as_str(), ordering_key(ordered, submission.key.as_deref()));
         match (rules, fence) {
             (rules, Some(fence)) => StricterRules::at_submission(rules, fence, &self.common_figures(), at),
             (Some(rules), None) => rules.terms(at.0, at.1, at.2),
@@ -37,7 +37,7 @@
     }
 
     /// Returns the parts of the client's room in which a message counts while it is held.
-    pub(crate) fn parts_for(&self, client: usize, class: Option<usize>, to: &str, k: &str) -> Parts {
+    pub(crate) fn parts_for(&self, client: usize, class: Option<usize>, to: &str, key: &str) -> Parts {
         let Some(keeping) = self.keeping.as_ref() else { return Parts::default() };
         let (rules, fence) = keeping.rules_of(client);
         if rules.is_none() && fence.is_none() {
@@ -45,7 +45,7 @@
         }
         let ordered = class.and_then(|c| self.cfg.settings.classes.get(c)).is_some_and(|c| c.ordered);
         let name = class.and_then(|c| self.cfg.class_names.get(c)).map_or("", String::as_str);
-        let at = (name, to, ordering_key(ordered, Some(k)));
+        let at = (name, to, ordering_key(ordered, Some(key)));
         match (rules, fence) {
             (rules, Some(fence)) => StricterRules::while_held(rules, fence, &self.common_figures(), at),
             (Some(rules), None) => rules.held_parts(at.0, at.1, at.2),
@@ -54,33 +54,33 @@
     }
 
     /// Returns the longest validity of a held message that is resubmitted.
-    pub(crate) fn validity_for(&self, client: usize, class: usize, a: &Accepted) -> Option<Micros> {
-        let s = Submission {
-            destination: a.destination.clone(),
-            key: Some(a.key.clone()),
+    pub(crate) fn validity_for(&self, client: usize, class: usize, accepted: &Accepted) -> Option<Micros> {
+        let submission = Submission {
+            destination: accepted.destination.clone(),
+            key: Some(accepted.key.clone()),
             ..Submission::default()
         };
-        self.keep_for(client, class, &s).validity
+        self.keep_for(client, class, &submission).validity
     }
 
     /// Counts a remembered name under its rule, and drops the oldest names of that rule beyond its limit.
-    pub(crate) fn count_name(&mut self, client: usize, keep: Keep, name: Name, id: u64, until: Micros) {
-        if keep.names_part == 0 {
+    pub(crate) fn count_name(&mut self, client: usize, terms: Keep, name: Name, id: u64, until: Micros) {
+        if terms.names_part == 0 {
             return;
         }
-        if let Some(k) = &mut self.keeping {
-            k.names.add(client, keep.names_part, name, id, until);
+        if let Some(keeping) = &mut self.keeping {
+            keeping.names.add(client, terms.names_part, name, id, until);
         }
-        self.trim_names(client, keep.names_part);
+        self.trim_names(client, terms.names_part);
     }
 
     /// Drops names beyond a rule's limit. Guards against a dropped name being taken for a new one: it stays
     /// in the table as unsure for as long as it would have counted.
     pub(super) fn trim_names(&mut self, client: usize, part: u32) {
         let now = self.wall();
-        let Some(k) = &mut self.keeping else { return };
-        for (name, id) in k.names.trim(now, client, part) {
-            k.answers.remove(id);
+        let Some(keeping) = &mut self.keeping else { return };
+        for (name, id) in keeping.names.trim(now, client, part) {
+            keeping.answers.remove(id);
             if let Some(seen) = &mut self.seen {
                 seen.give_up(now, name);
             }
@@ -121,12 +121,12 @@
             return None;
         }
         let filed = self.held.as_ref()?.get(id)?;
-        let a = filed.message.as_deref().and_then(|m| Accepted::decode(m).ok())?;
-        let class = self.class_names.get(&a.class).and_then(|c| self.cfg.settings.classes.get(*c));
-        let key = ordering_key(class.is_some_and(|c| c.ordered), Some(&a.key));
+        let accepted = filed.message.as_deref().and_then(|m| Accepted::decode(m).ok())?;
+        let class = self.class_names.get(&accepted.class).and_then(|c| self.cfg.settings.classes.get(*c));
+        let key = ordering_key(class.is_some_and(|c| c.ordered), Some(&accepted.key));
         let paces = [applied, approved].map(|rules| {
             let rules = rules?;
-            let (part, turn) = (rules.pace_part(&a.class, &a.destination, key), rules.turn);
+            let (part, turn) = (rules.pace_part(&accepted.class, &accepted.destination, key), rules.turn);
             rules.paces.get_mut(&part).map(|pace| (pace, turn))
         });
         Some(act(now, paces))
@@ -134,8 +134,8 @@
 
     /// Forgets the questions of a connection that is gone.
     pub(crate) fn forget_asks(&mut self, conn: ConnId) {
-        if let Some(k) = &mut self.keeping {
-            k.asks.remove(&conn);
+        if let Some(keeping) = &mut self.keeping {
+            keeping.asks.remove(&conn);
         }
     }
 }
--- a/crates/engine/src/client_rules/repeat.rs
+++ b/crates/engine/src/client_rules/repeat.rs
@@ -15,22 +15,22 @@
 
 impl Node {
     /// Retains a final answer, also in the journal, for as long as the client's rules say.
-    pub(crate) fn keep_answer(&mut self, id: MsgId, m: &Message, answer: Answer) {
+    pub(crate) fn keep_answer(&mut self, id: MsgId, message: &Message, answer: Answer) {
         let now = self.wall();
-        let until = now.saturating_add(m.answer_for);
-        let Some(k) = self.keeping.as_mut().filter(|_| m.answer_for > 0) else { return };
+        let until = now.saturating_add(message.answer_for);
+        let Some(keeping) = self.keeping.as_mut().filter(|_| message.answer_for > 0) else { return };
         let kept = RetainedAnswer {
-            client: m.client,
+            client: message.client,
             answer,
-            source: m.submission.source.clone(),
-            destination: m.submission.destination.clone(),
-            accepted_at: m.taken,
+            source: message.submission.source.clone(),
+            destination: message.submission.destination.clone(),
+            accepted_at: message.taken,
             ended_at: now,
             retain_until: until,
-            owed_to: Some(m.mailbox),
+            owed_to: Some(message.mailbox),
         };
-        k.answers.insert(now, id.0, kept);
-        let client = self.cfg.clients.get(m.client).map_or("", |c| c.system_id.as_str());
+        keeping.answers.insert(now, id.0, kept);
+        let client = self.cfg.clients.get(message.client).map_or("", |client| client.system_id.as_str());
         self.ledger.write(|| {
             What::Final(Final {
                 client: client.to_string(),
@@ -40,25 +40,31 @@
                     retry_after: answer.retry_after().unwrap_or(-1),
                     at: now,
                 }),
-                source: m.submission.source.clone(),
-                destination: m.submission.destination.clone(),
-                taken: m.taken,
+                source: message.submission.source.clone(),
+                destination: message.submission.destination.clone(),
+                taken: message.taken,
                 until,
             })
         });
     }
 
     /// Returns how long the next answer to a message is retained whose last answer is still retained.
-    pub(crate) fn answer_for(&mut self, client: usize, class: usize, id: u64, s: &Submission) -> Micros {
+    pub(crate) fn answer_for(
+        &mut self,
+        client: usize,
+        class: usize,
+        id: u64,
+        submission: &Submission,
+    ) -> Micros {
         let now = self.wall();
         let kept = self.keeping.as_mut().and_then(|k| k.answers.get(now, id)).is_some();
-        if kept { self.keep_for(client, class, s).answer_for } else { 0 }
+        if kept { self.keep_for(client, class, submission).answer_for } else { 0 }
     }
 
     /// Records that the client acknowledged an answer, so that it may be repeated from now on.
     pub(crate) fn answer_heard(&mut self, id: MsgId) {
-        if let Some(k) = &mut self.keeping {
-            k.answers.acknowledge(id.0);
+        if let Some(keeping) = &mut self.keeping {
+            keeping.answers.acknowledge(id.0);
         }
     }
 
@@ -69,8 +75,8 @@
         if self.messages.contains_key(&id) {
             return false;
         }
-        let c = &self.clients[from.client];
-        let full = c.open + c.owed >= self.cfg.service.owed_room;
+        let client = &self.clients[from.client];
+        let full = client.open + client.owed >= self.cfg.service.owed_room;
         let Some(kept) = self.keeping.as_mut().and_then(|k| k.answers.get(now, id.0)) else { return false };
         // If there is no room, the client has to submit it again.
         kept.client == from.client && !full
@@ -79,7 +85,8 @@
     /// Sends a retained answer again, to the reply address of this submission.
     pub(crate) fn tell_again(&mut self, mailbox: BoxId, id: MsgId, to: Reply) {
         let now = self.wall();
-        let held = self.held.as_ref().and_then(|s| s.get(id.0)).is_some_and(|f| f.message.is_some());
+        let held =
+            self.held.as_ref().and_then(|store| store.get(id.0)).is_some_and(|filed| filed.message.is_some());
         if self.messages.contains_key(&id) || self.mailboxes.get(mailbox).is_none() {
             return;
         }
@@ -114,24 +121,26 @@
             return;
         }
         let now = self.wall();
-        for f in book.finals.values() {
-            let Some(a) = &f.answer else { continue };
-            let client = self.client_named(&f.client);
-            let owed = book.open.get(&a.id).filter(|o| o.answer.is_some());
-            let owed = owed.map(|o| o.accepted.mailbox.clone()).map(|m| self.mailboxes.open(client, &m));
-            let wait = Some(a.retry_after).filter(|w| *w >= 0);
+        for stored in book.finals.values() {
+            let Some(stored_answer) = &stored.answer else { continue };
+            let client = self.client_named(&stored.client);
+            let owed = book.open.get(&stored_answer.id).filter(|o| o.answer.is_some());
+            let owed =
+                owed.map(|o| o.accepted.mailbox.clone()).map(|name| self.mailboxes.open(client, &name));
+            let wait = Some(stored_answer.retry_after).filter(|w| *w >= 0);
             let kept = RetainedAnswer {
                 client,
-                answer: Answer::read(&a.word, wait).unwrap_or(Answer::Unknown { retry_after: None }),
-                source: f.source.clone(),
-                destination: f.destination.clone(),
-                accepted_at: f.taken,
-                ended_at: a.at,
-                retain_until: f.until,
+                answer: Answer::read(&stored_answer.word, wait)
+                    .unwrap_or(Answer::Unknown { retry_after: None }),
+                source: stored.source.clone(),
+                destination: stored.destination.clone(),
+                accepted_at: stored.taken,
+                ended_at: stored_answer.at,
+                retain_until: stored.until,
                 owed_to: owed,
             };
-            if let Some(k) = &mut self.keeping {
-                k.answers.insert(now, a.id, kept);
+            if let Some(keeping) = &mut self.keeping {
+                keeping.answers.insert(now, stored_answer.id, kept);
             }
         }
     }
--- a/crates/engine/src/client_rules/weigh.rs
+++ b/crates/engine/src/client_rules/weigh.rs
@@ -35,18 +35,19 @@
         let mut looks = MAX_LOOKS;
         for (part, figures) in &remaining {
             let Some(most) = figures.remembered else { continue };
-            let (gone, more) = keeping.names.excess(now, (client, *part), most, &mut looks);
-            losses.names += gone.len() as u64;
+            let (dropped, more) = keeping.names.excess(now, (client, *part), most, &mut looks);
+            losses.names += dropped.len() as u64;
             losses.at_least |= more;
             let repeatable: BTreeSet<u64> =
-                gone.into_iter().filter(|id| keeping.answers.has(now, *id)).collect();
+                dropped.into_iter().filter(|id| keeping.answers.has(now, *id)).collect();
             losses.answers += repeatable.len() as u64;
         }
         if let Some(store) = &self.held {
             let known: BTreeSet<u32> = remaining.iter().map(|(part, _)| *part).collect();
-            let gone = rule_parts.iter().filter(|p| !known.contains(&p.part));
-            let gone = gone.map(|p| (p.part, PartRoom::default()));
-            let rooms: Vec<_> = gone.chain(remaining.iter().map(|(part, f)| (*part, part_room(f)))).collect();
+            let dropped = rule_parts.iter().filter(|p| !known.contains(&p.part));
+            let dropped = dropped.map(|p| (p.part, PartRoom::default()));
+            let rooms: Vec<_> =
+                dropped.chain(remaining.iter().map(|(part, f)| (*part, part_room(f)))).collect();
             let held = store.weigh(now, client as u32, &rooms, MAX_LOOKS);
             (losses.messages, losses.octets, losses.trails) = (held.messages, held.octets, held.trails);
             losses.at_least |= held.more;
--- a/crates/engine/src/entry_codec.rs
+++ b/crates/engine/src/entry_codec.rs
@@ -8,19 +8,19 @@
 pub(crate) fn to_entry(
     client: &str,
     mailbox: &str,
-    s: &Submission,
+    submission: &Submission,
     reply: &Reply,
     rest: Accepted,
 ) -> Accepted {
     Accepted {
         client: client.to_string(),
-        source: s.source.clone(),
-        destination: s.destination.clone(),
-        key: s.key.clone().unwrap_or_default(),
-        body: s.body.clone(),
-        wanted: s.wanted.code(),
-        coding: u32::from(s.coding),
-        esm: u32::from(s.esm),
+        source: submission.source.clone(),
+        destination: submission.destination.clone(),
+        key: submission.key.clone().unwrap_or_default(),
+        body: submission.body.clone(),
+        wanted: submission.wanted.code(),
+        coding: u32::from(submission.coding),
+        esm: u32::from(submission.esm),
         mailbox: mailbox.to_string(),
         reply: reply.topic.clone(),
         correlation: reply.correlation.clone(),
@@ -29,24 +29,24 @@
 }
 
 /// Returns the submission of a message from its entry.
-pub(crate) fn to_submission(a: &Accepted) -> Submission {
+pub(crate) fn to_submission(accepted: &Accepted) -> Submission {
     Submission {
-        service: a.class.clone(),
-        source: a.source.clone(),
-        destination: a.destination.clone(),
-        forward: a.forward,
-        wanted: Wanted::from_code(a.wanted),
-        key: Some(a.key.clone()).filter(|k| !k.is_empty()),
-        again: a.again,
-        coding: a.coding as u8,
-        esm: a.esm as u8,
-        body: a.body.clone(),
-        identity: Some(a.identity.clone()).filter(|i| !i.is_empty()),
+        service: accepted.class.clone(),
+        source: accepted.source.clone(),
+        destination: accepted.destination.clone(),
+        forward: accepted.forward,
+        wanted: Wanted::from_code(accepted.wanted),
+        key: Some(accepted.key.clone()).filter(|k| !k.is_empty()),
+        again: accepted.again,
+        coding: accepted.coding as u8,
+        esm: accepted.esm as u8,
+        body: accepted.body.clone(),
+        identity: Some(accepted.identity.clone()).filter(|i| !i.is_empty()),
         ..Submission::default()
     }
 }
 
 /// Returns the reply address of a message from its entry.
-pub(crate) fn to_reply(a: &Accepted) -> Reply {
-    Reply { topic: a.reply.clone(), correlation: a.correlation.clone() }
+pub(crate) fn to_reply(accepted: &Accepted) -> Reply {
+    Reply { topic: accepted.reply.clone(), correlation: accepted.correlation.clone() }
 }
--- a/crates/engine/src/ledger/tests.rs
+++ b/crates/engine/src/ledger/tests.rs
@@ -5,22 +5,22 @@
 
 #[test]
 fn effects_wait_for_the_entries_they_depend_on() {
-    let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    assert_eq!(l.hold(1), Some(1), "it depends on no entry");
-    l.write(|| What::Taken(Taken { id: 1 }));
-    assert_eq!(l.hold(2), None);
-    l.write(|| What::Taken(Taken { id: 2 }));
-    assert_eq!((l.hold(3), l.hand_over(0).len()), (None, 2));
-    let refused = |at| l.refuses(at, 1, 0);
+    let mut ledger: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
+    assert_eq!(ledger.hold(1), Some(1), "it depends on no entry");
+    ledger.write(|| What::Taken(Taken { id: 1 }));
+    assert_eq!(ledger.hold(2), None);
+    ledger.write(|| What::Taken(Taken { id: 2 }));
+    assert_eq!((ledger.hold(3), ledger.hand_over(0).len()), (None, 2));
+    let refused = |at| ledger.refuses(at, 1, 0);
     assert_eq!(
         [200, 400, 600, 800, 999, 1_000].map(refused),
         [false, false, false, false, false, true],
         "refused once the lag reaches the limit"
     );
-    assert_eq!(l.wake(), Some(1_100), "not before the next update is due");
-    assert_eq!(l.durable(1, Usage::default()), [2]);
-    assert_eq!(l.durable(2, Usage::default()), [3]);
-    assert!(l.settled() && l.wake().is_none());
+    assert_eq!(ledger.wake(), Some(1_100), "not before the next update is due");
+    assert_eq!(ledger.durable(1, Usage::default()), [2]);
+    assert_eq!(ledger.durable(2, Usage::default()), [3]);
+    assert!(ledger.settled() && ledger.wake().is_none());
     let mut none: Ledger<u32> = Ledger::new(None, 1);
     none.write(|| unreachable!());
     assert_eq!(none.hold(4), Some(4));
@@ -32,65 +32,65 @@
     );
 }
 
-fn write_taken(l: &mut Ledger<u32>, id: u64) {
-    l.write(|| What::Taken(Taken { id }));
+fn write_taken(ledger: &mut Ledger<u32>, id: u64) {
+    ledger.write(|| What::Taken(Taken { id }));
 }
 
 #[test]
 fn effects_waiting_for_both_regions_delay_no_others() {
-    let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    l.enable_copy();
-    assert!(l.refuses_both(), "the state of the other region is unknown");
-    assert!(l.copied(0, true).is_empty() && !l.refuses_both());
-    assert_eq!(l.hold_both(1), Some(1), "it depends on no entry");
-    write_taken(&mut l, 1);
-    assert_eq!((l.hold_both(2), l.hold(3)), (None, None));
-    write_taken(&mut l, 2);
-    assert_eq!((l.hold_both(4), l.hold(5)), (None, None));
-    assert_eq!(l.hand_over(0).len(), 2);
+    let mut ledger: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
+    ledger.enable_copy();
+    assert!(ledger.refuses_both(), "the state of the other region is unknown");
+    assert!(ledger.copied(0, true).is_empty() && !ledger.refuses_both());
+    assert_eq!(ledger.hold_both(1), Some(1), "it depends on no entry");
+    write_taken(&mut ledger, 1);
+    assert_eq!((ledger.hold_both(2), ledger.hold(3)), (None, None));
+    write_taken(&mut ledger, 2);
+    assert_eq!((ledger.hold_both(4), ledger.hold(5)), (None, None));
+    assert_eq!(ledger.hand_over(0).len(), 2);
     assert_eq!(
-        l.durable(2, Usage::default()),
+        ledger.durable(2, Usage::default()),
         [3, 5],
         "effects that need only this region do not wait for the other"
     );
-    assert!(!l.settled(), "two effects wait for the other region");
-    assert_eq!(l.hold(6), Some(6));
-    assert_eq!(l.hold_both(7), None);
-    assert_eq!(l.copied(1, true), [2], "released in order, one at a time");
-    assert_eq!(l.copied(0, false), [0; 0], "the count never decreases");
+    assert!(!ledger.settled(), "two effects wait for the other region");
+    assert_eq!(ledger.hold(6), Some(6));
+    assert_eq!(ledger.hold_both(7), None);
+    assert_eq!(ledger.copied(1, true), [2], "released in order, one at a time");
+    assert_eq!(ledger.copied(0, false), [0; 0], "the count never decreases");
     assert!(
-        l.refuses_both() && !l.refuses(0, 1, 0),
+        ledger.refuses_both() && !ledger.refuses(0, 1, 0),
         "only messages that must be in both regions are refused"
     );
-    assert_eq!(l.copied(2, false), [4, 7], "entries copied count although the region lags");
-    assert!(l.settled());
-    assert_eq!(l.hold_both(8), Some(8));
+    assert_eq!(ledger.copied(2, false), [4, 7], "entries copied count although the region lags");
+    assert!(ledger.settled());
+    assert_eq!(ledger.hold_both(8), Some(8));
 }
 
 #[test]
 fn being_durable_in_the_other_region_alone_is_not_enough() {
-    let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    l.enable_copy();
-    write_taken(&mut l, 1);
-    write_taken(&mut l, 2);
-    assert_eq!(l.hold_both(1), None);
-    assert_eq!(l.copied(2, true), [0; 0], "not durable in this region yet");
-    assert_eq!(l.durable(1, Usage::default()), [0; 0]);
-    assert_eq!(l.hold_both(2), None);
-    assert_eq!(l.durable(2, Usage::default()), [1, 2]);
+    let mut ledger: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
+    ledger.enable_copy();
+    write_taken(&mut ledger, 1);
+    write_taken(&mut ledger, 2);
+    assert_eq!(ledger.hold_both(1), None);
+    assert_eq!(ledger.copied(2, true), [0; 0], "not durable in this region yet");
+    assert_eq!(ledger.durable(1, Usage::default()), [0; 0]);
+    assert_eq!(ledger.hold_both(2), None);
+    assert_eq!(ledger.durable(2, Usage::default()), [1, 2]);
     // A count above what was written says nothing of later entries.
-    assert_eq!(l.copied(9, true), [0; 0]);
-    write_taken(&mut l, 3);
-    assert_eq!((l.hold_both(3), l.durable(3, Usage::default())), (None, vec![0; 0]));
-    assert_eq!(l.copied(3, true), [3]);
+    assert_eq!(ledger.copied(9, true), [0; 0]);
+    write_taken(&mut ledger, 3);
+    assert_eq!((ledger.hold_both(3), ledger.durable(3, Usage::default())), (None, vec![0; 0]));
+    assert_eq!(ledger.copied(3, true), [3]);
 }
 
 #[test]
 fn without_another_region_effects_wait_for_this_one_only() {
-    let mut l: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
-    write_taken(&mut l, 1);
-    assert_eq!((l.hold_both(1), l.hold(2)), (None, None));
-    assert_eq!(l.copied(9, true), [0; 0]);
-    assert_eq!(l.durable(1, Usage::default()), [1, 2], "one queue, in order");
-    assert_eq!((l.hold_both(3), l.refuses_both(), l.settled()), (Some(3), false, true));
+    let mut ledger: Ledger<u32> = Ledger::new(Some(Limits::default()), 1_000);
+    write_taken(&mut ledger, 1);
+    assert_eq!((ledger.hold_both(1), ledger.hold(2)), (None, None));
+    assert_eq!(ledger.copied(9, true), [0; 0]);
+    assert_eq!(ledger.durable(1, Usage::default()), [1, 2], "one queue, in order");
+    assert_eq!((ledger.hold_both(3), ledger.refuses_both(), ledger.settled()), (Some(3), false, true));
 }
--- a/crates/engine/src/platform.rs
+++ b/crates/engine/src/platform.rs
@@ -24,8 +24,8 @@
 
 /// Returns the configuration of one real sender of the platform, with all other features of the product
 /// turned off.
-pub fn config(s: &StartUp) -> Config {
-    let disk = s.limits.disk_mb * 1e6;
+pub fn config(start_up: &StartUp) -> Config {
+    let disk = start_up.limits.disk_mb * 1e6;
     let client = |name: &String| ClientConfig {
         system_id: name.clone(),
         password: String::new(),
@@ -35,26 +35,26 @@
         plan: None,
         operator: false,
     };
-    let kind = |(name, k): (&String, &heronroute::KindSettings)| KindConfig {
+    let kind = |(name, kind_settings): (&String, &heronroute::KindSettings)| KindConfig {
         name: name.clone(),
         protocol: Protocol::Platform,
-        batch: k.batch.max(1) as usize,
+        batch: kind_settings.batch.max(1) as usize,
         window: 1,
         system_id: String::new(),
         password: String::new(),
         path: String::new(),
         probe_path: String::new(),
     };
-    let known = listing(&s.known);
+    let known = listing(&start_up.known);
     Config {
         service: ServiceConfig {
             senders: 1,
             drain_for: DRAIN_DELAY,
             owed_room: usize::MAX,
-            connect_timeout: s.names.connect_timeout.unwrap_or(1_500_000),
+            connect_timeout: start_up.names.connect_timeout.unwrap_or(1_500_000),
         },
         smpp: SmppConfig {
-            listen: s.listen,
+            listen: start_up.listen,
             session_init: 0,
             enquire_every: 0,
             inactivity: 0,
@@ -67,10 +67,10 @@
         mqtt: None,
         held: None,
         platform: Some(PlatformConfig {
-            sessions: ((s.limits.sockets as f64 * CLIENT_DESCRIPTOR_SHARE) as usize).max(1),
-            discovery: s.discovery,
+            sessions: ((start_up.limits.sockets as f64 * CLIENT_DESCRIPTOR_SHARE) as usize).max(1),
+            discovery: start_up.discovery,
         }),
-        directory: DirectoryConfig { address: Some(s.discovery), poll: 0, keep: None },
+        directory: DirectoryConfig { address: Some(start_up.discovery), poll: 0, keep: None },
         journal: JournalConfig {
             folder: None,
             limits: Limits {
@@ -84,12 +84,12 @@
         },
         fleet: None,
         plans: Vec::new(),
-        clients: s.names.tenants.iter().map(client).collect(),
-        class_names: s.names.classes.clone(),
-        kinds: s.names.kinds.iter().zip(&s.settings.kinds).map(kind).collect(),
-        zones: s.names.zones.clone(),
+        clients: start_up.names.tenants.iter().map(client).collect(),
+        class_names: start_up.names.classes.clone(),
+        kinds: start_up.names.kinds.iter().zip(&start_up.settings.kinds).map(kind).collect(),
+        zones: start_up.names.zones.clone(),
         routes: Vec::new(),
         endpoints: known.endpoints,
-        settings: s.settings.clone(),
+        settings: start_up.settings.clone(),
     }
 }
--- a/crates/engine/src/region/lapse.rs
+++ b/crates/engine/src/region/lapse.rs
@@ -19,12 +19,12 @@
     /// cut off, so that it can't be completed.
     pub(super) fn lapse(&mut self) {
         let bound = match &self.region {
-            Some(r) if r.copy_active => self.next_id,
-            Some(r) => r.copied_below,
+            Some(region) if region.copy_active => self.next_id,
+            Some(region) => region.copied_below,
             None => return,
         };
-        let Some(r) = self.region.as_mut().filter(|r| !r.lapsed) else { return };
-        r.lapsed = true;
+        let Some(region) = self.region.as_mut().filter(|region| !region.lapsed) else { return };
+        region.lapsed = true;
         let ids: Vec<MsgId> = self.messages.range(..MsgId(bound)).map(|(id, _)| *id).collect();
         tracing::warn!(
             messages = ids.len(),
@@ -40,7 +40,7 @@
             }
             if let Some(m) = self.messages.get_mut(&id) {
                 m.still = Still::Yes;
-                self.region.iter_mut().for_each(|r| _ = r.suspended.insert(id));
+                self.region.iter_mut().for_each(|region| _ = region.suspended.insert(id));
                 self.events.push(Event::Left { id });
             }
         }
--- a/crates/engine/src/region/mod.rs
+++ b/crates/engine/src/region/mod.rs
@@ -25,8 +25,8 @@
         // A lease that has already ended says nothing; nor does one that arrived before a pause and is read
         // after it.
         self.lapse_if_due();
-        let Some(r) = &mut self.region else { return };
-        r.lease_until = r.lease_until.max(until);
+        let Some(region) = &mut self.region else { return };
+        region.lease_until = region.lease_until.max(until);
         self.continue_if_leased();
         self.settle(now);
     }
@@ -37,11 +37,11 @@
     pub fn copying(&mut self, now: Micros, active: bool) {
         self.now = now.max(self.now);
         let next = self.next_id;
-        let Some(r) = &mut self.region else { return };
-        if r.copy_active || active {
-            r.copied_below = next;
+        let Some(region) = &mut self.region else { return };
+        if region.copy_active || active {
+            region.copied_below = next;
         }
-        r.copy_active = active;
+        region.copy_active = active;
         if active {
             self.outputs.push(Output::Copying);
         }
@@ -53,8 +53,8 @@
     pub fn fenced(&mut self, now: Micros, upto: Option<u64>) {
         self.now = now.max(self.now);
         self.lapse();
-        let Some(r) = &mut self.region else { return };
-        r.extent_unknown = upto.is_none();
+        let Some(region) = &mut self.region else { return };
+        region.extent_unknown = upto.is_none();
         if let Some(upto) = upto {
             self.cede_messages(upto);
             self.continue_if_leased();
@@ -65,13 +65,13 @@
     /// Returns whether the lease has ended and this node has not handled it yet: nothing may be written
     /// before [`Node::settle`]. Guards against a process that was paused and has bytes queued from before.
     pub fn overdue(&self, now: Micros) -> bool {
-        self.region.as_ref().is_some_and(|r| !r.lapsed && now >= r.lease_until)
+        self.region.as_ref().is_some_and(|region| !region.lapsed && now >= region.lease_until)
     }
 
     /// Returns the number below which messages are suspended now.
     pub(crate) fn still_below(&self) -> Option<u64> {
-        let r = self.region.as_ref().filter(|r| r.lapsed)?;
-        Some(if r.copy_active { u64::MAX } else { r.copied_below })
+        let region = self.region.as_ref().filter(|region| region.lapsed)?;
+        Some(if region.copy_active { u64::MAX } else { region.copied_below })
     }
 
     /// Returns whether a message is suspended now.
@@ -83,8 +83,8 @@
     pub(crate) fn owe_later(&mut self, mailbox: BoxId, owed: Owed) {
         let Some(m) = self.mailboxes.get(mailbox) else { return };
         let (client, name) = (m.client, m.name.clone());
-        if let Some(r) = &mut self.region {
-            r.deferred_answers.push((client, name, owed));
+        if let Some(region) = &mut self.region {
+            region.deferred_answers.push((client, name, owed));
         }
     }
 
--- a/crates/engine/src/region/regain.rs
+++ b/crates/engine/src/region/regain.rs
@@ -17,15 +17,15 @@
 impl Node {
     /// Continues what was suspended, if the lease holds.
     pub(super) fn continue_if_leased(&mut self) {
-        let Some(r) = &mut self.region else { return };
-        if !r.lapsed || r.extent_unknown || self.now >= r.lease_until {
+        let Some(region) = &mut self.region else { return };
+        if !region.lapsed || region.extent_unknown || self.now >= region.lease_until {
             return;
         }
-        r.lapsed = false;
-        let suspended = std::mem::take(&mut r.suspended);
+        region.lapsed = false;
+        let suspended = std::mem::take(&mut region.suspended);
         let (answered, owed) =
-            (std::mem::take(&mut r.unacknowledged), std::mem::take(&mut r.deferred_answers));
-        let effects = std::mem::take(&mut r.deferred_effects);
+            (std::mem::take(&mut region.unacknowledged), std::mem::take(&mut region.deferred_answers));
+        let effects = std::mem::take(&mut region.deferred_effects);
         tracing::info!(messages = suspended.len(), "the lease holds again; suspended messages continue");
         for id in suspended {
             self.continue_message(id);
@@ -38,9 +38,9 @@
         }
         for (client, name, owed) in owed {
             let mailbox = self.mailboxes.open(client, &name);
-            if let Some(m) = self.mailboxes.get_mut(mailbox) {
-                m.outbox.set_aside(owed);
-                m.outbox.ask_again();
+            if let Some(found) = self.mailboxes.get_mut(mailbox) {
+                found.outbox.set_aside(owed);
+                found.outbox.ask_again();
             }
             self.pump(mailbox);
         }
@@ -51,32 +51,32 @@
     fn continue_message(&mut self, id: MsgId) {
         self.cancel_outstanding(id);
         let wall = self.wall();
-        let Some(m) = self.messages.get_mut(&id) else { return };
-        let found = std::mem::take(&mut m.still);
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        let found = std::mem::take(&mut message.still);
         if let Still::Found(answer) = found {
             return self.answer_with(id, answer);
         }
         // The class is found by name, as it may have been removed since the message was accepted.
-        let class = self.class_names.get(&m.submission.service).copied();
-        let class = class.or(m.submission.service.is_empty().then_some(m.class));
+        let class = self.class_names.get(&message.submission.service).copied();
+        let class = class.or(message.submission.service.is_empty().then_some(message.class));
         let settings = class.and_then(|c| self.cfg.settings.classes.get(c));
-        let ran = m.ran_at.map(|at| Intent { at: wall - (self.now - at), ..Intent::default() });
-        let deadline = wall + (m.deadline - self.now);
+        let ran = message.ran_at.map(|at| Intent { at: wall - (self.now - at), ..Intent::default() });
+        let deadline = wall + (message.deadline - self.now);
         let accepted = Accepted { deadline, ..Accepted::default() };
-        let open = Open { accepted, attempts: m.attempts, may_run: ran, out: None, answer: None };
+        let open = Open { accepted, attempts: message.attempts, may_run: ran, out: None, answer: None };
         match resume(&open, settings.map(|c| (c.effect, c.window)), wall) {
             Resume::Continue(ran) => {
                 let ordered = settings.is_some_and(|c| c.ordered);
-                let key = m.submission.key.as_ref().filter(|_| ordered);
-                let key = key.map(|k| crate::ids::key_of(m.client, k));
-                let dest = self.routes.find(&m.submission.destination).unwrap_or(DestId(i64::MAX));
+                let key = message.submission.key.as_ref().filter(|_| ordered);
+                let key = key.map(|k| crate::ids::key_of(message.client, k));
+                let dest = self.routes.find(&message.submission.destination).unwrap_or(DestId(i64::MAX));
                 self.events.push(Event::Message {
                     id,
-                    class: m.class,
-                    tenant: m.client,
+                    class: message.class,
+                    tenant: message.client,
                     key,
                     dest,
-                    time_left: m.deadline - self.now,
+                    time_left: message.deadline - self.now,
                     again: true,
                 });
                 // Where it ran is not stored, so it counts as an endpoint that shares its memory with no
@@ -91,22 +91,22 @@
     /// Leaves the messages below `upto` to the partner: none of them is sent or answered here any more, also
     /// after a restart.
     pub(super) fn cede_messages(&mut self, upto: u64) {
-        let Some(r) = &mut self.region else { return };
-        let rest = r.suspended.split_off(&MsgId(upto));
-        let ceded = std::mem::replace(&mut r.suspended, rest);
+        let Some(region) = &mut self.region else { return };
+        let rest = region.suspended.split_off(&MsgId(upto));
+        let ceded = std::mem::replace(&mut region.suspended, rest);
         let (theirs, own) =
-            std::mem::take(&mut r.unacknowledged).into_iter().partition(|o| o.accepted.id < upto);
-        r.unacknowledged = own;
+            std::mem::take(&mut region.unacknowledged).into_iter().partition(|o| o.accepted.id < upto);
+        region.unacknowledged = own;
         let theirs: Vec<Open> = theirs;
-        let (owed, own) = std::mem::take(&mut r.deferred_answers)
+        let (owed, own) = std::mem::take(&mut region.deferred_answers)
             .into_iter()
             .partition(|(.., o)| is_below(&o.receipt.id, upto));
-        r.deferred_answers = own;
+        region.deferred_answers = own;
         let owed: Vec<_> = owed;
-        let (_, own) = std::mem::take(&mut r.deferred_effects)
+        let (_, own) = std::mem::take(&mut region.deferred_effects)
             .into_iter()
             .partition(|e| e.about().is_some_and(|id| id.0 < upto));
-        r.deferred_effects = own;
+        region.deferred_effects = own;
         tracing::warn!(
             upto,
             messages = ceded.len(),
@@ -125,8 +125,8 @@
         // Queued answers are withdrawn as well, as a restart would send again what was not acknowledged.
         let mailboxes: Vec<_> = self.mailboxes.all().map(|(id, _)| id).collect();
         for mailbox in mailboxes {
-            let Some(m) = self.mailboxes.get_mut(mailbox) else { continue };
-            let (client, ids) = (m.client, m.outbox.withdraw(|o| is_below(&o.receipt.id, upto)));
+            let Some(found) = self.mailboxes.get_mut(mailbox) else { continue };
+            let (client, ids) = (found.client, found.outbox.withdraw(|o| is_below(&o.receipt.id, upto)));
             self.clients[client].owed -= ids.len();
             ids.iter().filter_map(|id| read_id(id)).for_each(|id| self.taken(id));
             self.mailboxes.tidy(mailbox);
--- a/crates/engine/src/region/takeover.rs
+++ b/crates/engine/src/region/takeover.rs
@@ -22,11 +22,11 @@
     /// [`Node::taken_over`]. Repeated calls write it only once.
     pub fn inherit(&mut self, now: crate::Micros, origin: &str, books: Vec<Book>) {
         self.now = now.max(self.now);
-        let Some(r) = &mut self.region else { return };
-        if r.completed.own(origin) || r.pending.get(origin).is_some_and(|e| e.durable) {
+        let Some(region) = &mut self.region else { return };
+        if region.completed.own(origin) || region.pending.get(origin).is_some_and(|e| e.durable) {
             return self.outputs.push(Output::Inherited(origin.to_string()));
         }
-        if r.pending.contains_key(origin) {
+        if region.pending.contains_key(origin) {
             return;
         }
         self.write_step(origin, Step::Begun);
@@ -35,8 +35,8 @@
             self.write_book(origin, book, &mut pending);
         }
         self.write_step(origin, Step::Whole);
-        if let Some(r) = &mut self.region {
-            r.pending.insert(origin.to_string(), pending);
+        if let Some(region) = &mut self.region {
+            region.pending.insert(origin.to_string(), pending);
         }
         self.once_durable(Effect::Inherited { origin: origin.to_string() });
         self.settle(now);
@@ -46,13 +46,18 @@
     /// restart.
     pub fn inherited(&mut self, now: crate::Micros, origin: &str) {
         self.now = now.max(self.now);
-        let take_durable = |r: &mut Standing<Effect>| {
-            r.pending.get(origin).is_some_and(|e| e.durable).then(|| r.pending.remove(origin)).flatten()
+        let take_durable = |region: &mut Standing<Effect>| {
+            region
+                .pending
+                .get(origin)
+                .is_some_and(|e| e.durable)
+                .then(|| region.pending.remove(origin))
+                .flatten()
         };
         let Some(pending) = self.region.as_mut().and_then(take_durable) else { return };
         self.write_step(origin, Step::Own);
-        if let Some(r) = &mut self.region {
-            r.completed.add_own(origin);
+        if let Some(region) = &mut self.region {
+            region.completed.add_own(origin);
         }
         self.restore_takeover(origin, pending);
         self.settle(now);
@@ -62,7 +67,7 @@
     /// here.
     pub fn disinherited(&mut self, now: crate::Micros, origin: &str) {
         self.now = now.max(self.now);
-        if self.region.as_mut().is_some_and(|r| r.pending.remove(origin).is_some()) {
+        if self.region.as_mut().is_some_and(|region| region.pending.remove(origin).is_some()) {
             self.write_step(origin, Step::Void);
         }
         self.settle(now);
@@ -119,7 +124,10 @@
             if self.has_session(&key.0, &key.1) {
                 continue;
             }
-            let renumbered = |r: &Request| Request { id: ids.get(&r.id).copied().unwrap_or(r.id), ..*r };
+            let renumbered = |request: &Request| Request {
+                id: ids.get(&request.id).copied().unwrap_or(request.id),
+                ..*request
+            };
             let latest: VecDeque<Request> = kept.latest.iter().map(renumbered).collect();
             let session = Session { latest: latest.iter().copied().collect(), ..kept.session.clone() };
             self.ledger.write(|| What::Session(session));
@@ -146,7 +154,7 @@
 
     /// Reports that all entries of a takeover are durable.
     pub(crate) fn estate_durable(&mut self, origin: String) {
-        let pending = self.region.as_mut().and_then(|r| r.pending.get_mut(&origin));
+        let pending = self.region.as_mut().and_then(|region| region.pending.get_mut(&origin));
         let Some(pending) = pending else { return };
         pending.durable = true;
         self.outputs.push(Output::Inherited(origin));
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -35,13 +35,13 @@
         // The next number is above all given so far, with this sender's index in the low bits.
         let (step, own) = (1 << ID_SENDER_BITS, self.next_id % (1 << ID_SENDER_BITS));
         self.next_id = self.next_id.max(book.next_id.next_multiple_of(step) | own);
-        for (name, p) in &book.places {
+        for (name, place) in &book.places {
             let Some(endpoint) = self.remotes.named(name) else { continue };
-            self.remotes[endpoint].place = p.clone();
-            let wait = (p.wait_until - wall).max(0);
+            self.remotes[endpoint].place = place.clone();
+            let wait = (place.wait_until - wall).max(0);
             let ago = |at: Micros| (at > 0).then(|| (wall - at).max(0));
-            let (bad_for, back) = (ago(p.bad_since), ago(p.back_since));
-            let budget = (p.budget > 0).then(|| f64::from(p.budget) / 1e3);
+            let (bad_for, back) = (ago(place.bad_since), ago(place.back_since));
+            let budget = (place.budget > 0).then(|| f64::from(place.budget) / 1e3);
             if wait > 0 || bad_for.is_some() || back.is_some() || budget.is_some() {
                 self.events.push(Event::Remembered { endpoint, wait, bad_for, back, budget });
             }
@@ -60,11 +60,11 @@
 
     /// Restores one open message of a book, by what is known of it.
     pub(crate) fn restore_open(&mut self, open: Open, wall: Micros, done: &mut Restarted) {
-        let a = &open.accepted;
-        let client = self.client_named(&a.client);
-        let mailbox = self.mailboxes.open(client, &a.mailbox);
-        let class = self.class_names.get(&a.class).copied();
-        if self.stands_still(MsgId(a.id)) {
+        let accepted = &open.accepted;
+        let client = self.client_named(&accepted.client);
+        let mailbox = self.mailboxes.open(client, &accepted.mailbox);
+        let class = self.class_names.get(&accepted.class).copied();
+        if self.stands_still(MsgId(accepted.id)) {
             return self.suspend_message(client, mailbox, class, open);
         }
         let settings = class.and_then(|c| self.cfg.settings.classes.get(c));
@@ -86,7 +86,7 @@
             }
             Resume::Fail { may_run } => {
                 done.over += 1;
-                let id = MsgId(a.id);
+                let id = MsgId(accepted.id);
                 let ran_at = may_run.then_some(self.now);
                 self.insert_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
                 self.answer(id, End::Failed);
@@ -97,19 +97,19 @@
     /// Suspends a message of the book that a partner may have taken over meanwhile, until that is known.
     fn suspend_message(&mut self, client: usize, mailbox: BoxId, class: Option<usize>, open: Open) {
         if open.answer.is_some() {
-            self.region.iter_mut().for_each(|r| r.defer_answered(open.clone()));
+            self.region.iter_mut().for_each(|region| region.defer_answered(open.clone()));
             return;
         }
         let id = MsgId(open.accepted.id);
         let ran = open.may_run.as_ref().or(open.out.as_ref());
         let ran_at = ran.map(|i| self.now - (self.wall() - i.at).max(0));
         self.insert_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
-        if let Some(m) = self.messages.get_mut(&id) {
+        if let Some(message) = self.messages.get_mut(&id) {
             // A message refused from the start is never sent.
             let refused = Still::Found(Answer::Rejected { retry_after: 0 });
-            m.still = if open.accepted.refused { refused } else { Still::Yes };
+            message.still = if open.accepted.refused { refused } else { Still::Yes };
         }
-        self.region.iter_mut().for_each(|r| r.suspend(id));
+        self.region.iter_mut().for_each(|region| region.suspend(id));
     }
 
     /// Returns a client's index. A client that is no longer in the settings has no session, but is still owed
@@ -131,17 +131,17 @@
             return;
         }
         for kept in book.sessions.values() {
-            let s = &kept.session;
-            let client = self.client_named(&s.client);
-            let mailbox = self.mailboxes.open(client, &s.name);
-            let mut recent = Recent::new(s.window as usize);
-            for r in &kept.latest {
-                let packet = u16::try_from(r.packet).unwrap_or(0);
-                recent.add(Handle { packet, digest: r.digest, again: false }, r.id);
+            let stored = &kept.session;
+            let client = self.client_named(&stored.client);
+            let mailbox = self.mailboxes.open(client, &stored.name);
+            let mut recent = Recent::new(stored.window as usize);
+            for request in &kept.latest {
+                let packet = u16::try_from(request.packet).unwrap_or(0);
+                recent.add(Handle { packet, digest: request.digest, again: false }, request.id);
             }
-            let notes = s.notes.clone();
-            let ends = now.saturating_add(s.expiry);
-            let session = Kept { began: s.began, expiry: s.expiry, notes, recent };
+            let notes = stored.notes.clone();
+            let ends = now.saturating_add(stored.expiry);
+            let session = Kept { began: stored.began, expiry: stored.expiry, notes, recent };
             self.mailboxes.restore(mailbox, session, ends);
             self.timers.set(Key::Mailbox(mailbox), ends);
         }
@@ -161,33 +161,33 @@
         open: &Open,
         ran_at: Option<Micros>,
     ) {
-        let a = &open.accepted;
+        let accepted = &open.accepted;
         let message = Message {
             client,
             mailbox,
             conn: 0,
-            speaks: match a.mailbox.is_empty() {
+            speaks: match accepted.mailbox.is_empty() {
                 _ if self.cfg.platform.is_some() => Speaks::Resp,
                 true => Speaks::Smpp,
                 false => Speaks::Mqtt,
             },
             class,
-            submission: to_submission(a),
-            to: to_reply(a),
-            taken: a.taken,
-            deadline: self.now + (a.deadline - self.wall()),
+            submission: to_submission(accepted),
+            to: to_reply(accepted),
+            taken: accepted.taken,
+            deadline: self.now + (accepted.deadline - self.wall()),
             reply: None,
             attempts: open.attempts,
             out: None,
             ran_at,
             trail: None,
-            answer_for: a.answer_for,
+            answer_for: accepted.answer_for,
             still: Still::No,
         };
         if let Some(identity) = message.submission.identity.clone().filter(|_| self.cfg.platform.is_some()) {
-            self.by_identity.insert(identity, MsgId(a.id));
+            self.by_identity.insert(identity, MsgId(accepted.id));
         }
-        self.hold(MsgId(a.id), message);
+        self.hold(MsgId(accepted.id), message);
         self.trail_again(open);
     }
 
@@ -200,15 +200,15 @@
         ran_at: Option<Micros>,
     ) {
         self.insert_message(client, mailbox, class, open, ran_at);
-        let a = &open.accepted;
+        let accepted = &open.accepted;
         let ordered = self.cfg.settings.classes.get(class).is_some_and(|c| c.ordered);
         self.events.push(Event::Message {
-            id: MsgId(a.id),
+            id: MsgId(accepted.id),
             class,
             tenant: client,
-            key: (ordered && !a.key.is_empty()).then(|| key_of(client, &a.key)),
-            dest: DestId(a.dest),
-            time_left: a.deadline - self.wall(),
+            key: (ordered && !accepted.key.is_empty()).then(|| key_of(client, &accepted.key)),
+            dest: DestId(accepted.dest),
+            time_left: accepted.deadline - self.wall(),
             // It does not count as new demand.
             again: true,
         });
@@ -216,27 +216,27 @@
 
     /// Sends an answer that was not acknowledged again, unchanged. Returns whether one is owed.
     pub(crate) fn owe_restored_answer(&mut self, mailbox: BoxId, open: &Open) -> bool {
-        let a = &open.accepted;
+        let accepted = &open.accepted;
         let Some(Answered { word, retry_after, at, .. }) = &open.answer else { return false };
         let wait = Some(*retry_after).filter(|w| *w >= 0);
         let answer = Answer::read(word, wait).unwrap_or(Answer::Unknown { retry_after: None });
         if self.cfg.platform.is_some() {
-            self.owe_notice(MsgId(a.id), &a.identity, answer);
+            self.owe_notice(MsgId(accepted.id), &accepted.identity, answer);
             return true;
         }
-        if !to_submission(a).owes_receipt(answer == Answer::Delivered) {
-            self.taken(MsgId(a.id));
+        if !to_submission(accepted).owes_receipt(answer == Answer::Delivered) {
+            self.taken(MsgId(accepted.id));
             return false;
         }
         let receipt = Receipt {
-            id: show_id(MsgId(a.id)),
+            id: show_id(MsgId(accepted.id)),
             answer,
-            taken: a.taken,
+            taken: accepted.taken,
             done: *at,
-            source: a.source.clone(),
-            destination: a.destination.clone(),
+            source: accepted.source.clone(),
+            destination: accepted.destination.clone(),
         };
-        self.owe(mailbox, receipt, to_reply(a));
+        self.owe(mailbox, receipt, to_reply(accepted));
         true
     }
 }
