--- a/crates/drill/src/report.rs
+++ b/crates/drill/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::setup::Outcome;
 use heronroute_audit::{RULES, Told, Verdict};
-use heronroute_engine::stats::{ANSWERS, ATTEMPTS};
+use heronroute_engine::stats::{ANSWER_NAMES, ATTEMPT_NAMES};
 use std::fmt::Write as _;
 
 /// A table of the answers that clients got, by class.
@@ -63,8 +63,8 @@
         let pairs = names.iter().zip(counts).filter(|(_, c)| **c > 0);
         pairs.map(|(n, c)| format!("{n} {c}")).collect::<Vec<_>>().join(", ")
     };
-    _ = writeln!(t, "answers: {}", list(&ANSWERS, &s.answers));
-    _ = writeln!(t, "attempts: {}", list(&ATTEMPTS, &s.attempts));
+    _ = writeln!(t, "answers: {}", list(&ANSWER_NAMES, &s.answers));
+    _ = writeln!(t, "attempts: {}", list(&ATTEMPT_NAMES, &s.attempts));
     _ = writeln!(
         t,
         "calls {}, probes {}, connections {}, rounds {}, lists {}, failed questions {}\n",
--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -6,11 +6,11 @@
 
 use crate::Micros;
 use crate::entry_codec::to_entry;
+use crate::failover::Suspension;
 use crate::front::{No, Speaks};
 use crate::ids::ConnId;
 use crate::node::{Effect, Message, Node, Use};
 use crate::outbox::Reply;
-use crate::standing::Still;
 use heronroute::{Action, DestId, Effect as Repeats, Event, MsgId};
 use heronroute_journal::entry::{Accepted, What};
 use heronroute_platform::add::Add;
@@ -77,7 +77,7 @@
             ran_at: None,
             trail: None,
             answer_for: 0,
-            still: Still::No,
+            still: Suspension::No,
         };
         self.hold(id, message);
         self.fresh.push((id, add.dest));
--- a/crates/engine/src/client_rules/apply.rs
+++ b/crates/engine/src/client_rules/apply.rs
@@ -5,9 +5,9 @@
 //! dropped after that, and dropped again if a restart comes in between.
 
 use crate::Micros;
-use crate::keeping::change::first_loss;
-use crate::keeping::rules::{self, ClientRules};
 use crate::node::{Effect, Key, Node};
+use crate::rule_tables::change::first_loss;
+use crate::rule_tables::rules::{self, ClientRules};
 use heronroute_held::{PartRoom, Room, Store};
 use heronroute_journal::Book;
 use heronroute_journal::entry::{Applied, What};
@@ -30,21 +30,21 @@
     pub fn apply(&mut self, now: Micros, mut apply: Apply) {
         self.now = now.max(self.now);
         apply.set = self.own_share(&apply.client, apply.set, apply.turn);
-        let Some(keeping) = &self.keeping else { return };
+        let Some(rule_tables) = &self.rule_tables else { return };
         let client = self.client_names.get(&apply.client).copied();
         let Some(client) = client.filter(|c| *c < self.cfg.clients.len()) else {
             return self.reject_version(&apply.client, "no client of that name here".to_string());
         };
-        let last_written = keeping.last_written.get(&client);
+        let last_written = rule_tables.last_written.get(&client);
         if last_written
             .is_some_and(|(set, plan, turn)| *set == apply.set && *plan == apply.plan && *turn == apply.turn)
         {
             // Sent again. A version that is not yet durable is reported once it is.
-            let rules = keeping.rules.get(&client);
+            let rules = rule_tables.rules.get(&client);
             if rules.is_some_and(|r| {
                 r.version == apply.set.version && r.plan == apply.plan && r.turn == apply.turn
             }) {
-                self.keeping.iter_mut().for_each(|k| _ = k.trouble.remove(&apply.client));
+                self.rule_tables.iter_mut().for_each(|k| _ = k.trouble.remove(&apply.client));
                 self.report_live(&apply.client);
             }
             return;
@@ -67,7 +67,7 @@
             return self.reject_version(&apply.client, "no room in the journal".to_string());
         }
         self.ledger.write(|| What::Applied(entry));
-        if let Some(k) = &mut self.keeping {
+        if let Some(k) = &mut self.rule_tables {
             k.last_written.insert(client, (apply.set.clone(), apply.plan.clone(), apply.turn));
         }
         self.once_durable(Effect::Apply(Box::new(apply)));
@@ -112,7 +112,7 @@
 
     fn reject_version(&mut self, client: &str, why: String) {
         tracing::warn!(client, why, "rules can't be applied; the previous ones stay in force");
-        if let Some(k) = &mut self.keeping {
+        if let Some(k) = &mut self.rule_tables {
             // The map holds at most one reason for each known client; unknown names are not stored.
             let known = self.client_names.contains_key(client);
             if known {
@@ -123,10 +123,10 @@
     }
 
     /// Puts a version in force, as its entry is durable.
-    pub(crate) fn in_force(&mut self, apply: &Apply) {
+    pub(crate) fn rules_durable(&mut self, apply: &Apply) {
         let Some(client) = self.client_names.get(&apply.client).copied() else { return };
         self.put_in_force(client, &apply.set, apply.plan.clone(), apply.turn);
-        if let Some(k) = &mut self.keeping {
+        if let Some(k) = &mut self.rule_tables {
             k.trouble.remove(&apply.client);
         }
         tracing::info!(client = apply.client, version = apply.set.version, "rules are in force");
@@ -134,8 +134,8 @@
     }
 
     fn put_in_force(&mut self, client: usize, set: &RuleSet, plan: Arc<Plan>, turn: Turn) {
-        let Some(keeping) = &mut self.keeping else { return };
-        let before = keeping.rules.remove(&client);
+        let Some(rule_tables) = &mut self.rule_tables else { return };
+        let before = rule_tables.rules.remove(&client);
         let after = ClientRules::new(set, plan, turn, before.as_ref());
         let remaining: BTreeSet<u32> = after.rule_parts.iter().map(|p| p.part).collect();
         let removed =
@@ -143,12 +143,12 @@
         let removed: Vec<u32> = removed.collect();
         let figures_by_part: Vec<(u32, Figures)> =
             after.rule_parts.iter().zip(&set.rules).map(|(p, r)| (p.part, r.figures.clone())).collect();
-        keeping.rules.insert(client, after);
+        rule_tables.rules.insert(client, after);
         for part in &removed {
-            keeping.names.limit(client, *part, None);
+            rule_tables.names.limit(client, *part, None);
         }
         for (part, figures) in &figures_by_part {
-            keeping.names.limit(client, *part, figures.remembered);
+            rule_tables.names.limit(client, *part, figures.remembered);
         }
         let rooms: Vec<(u32, PartRoom)> = removed
             .iter()
@@ -163,7 +163,7 @@
         }
         figures_by_part.iter().for_each(|(part, _)| self.trim_names(client, *part));
         self.trim_held(client);
-        self.timers.set(Key::Keeping, self.now + EXPIRY_INTERVAL);
+        self.timers.set(Key::RuleTables, self.now + EXPIRY_INTERVAL);
     }
 
     /// Adds a held store where the settings have none, as a rule holds messages. It has no room but that of
@@ -187,20 +187,20 @@
     }
 
     /// Drops what has expired under clients' rules.
-    pub(crate) fn keeping_due(&mut self) {
+    pub(crate) fn expire_by_rules(&mut self) {
         let now = self.wall();
-        let Some(k) = &mut self.keeping else { return };
+        let Some(k) = &mut self.rule_tables else { return };
         k.answers.expire(now);
         let clients: BTreeSet<usize> = k.rules.keys().chain(k.fences.keys()).copied().collect();
         clients.into_iter().for_each(|c| self.trim_held(c));
         self.clear_fences();
-        self.timers.set(Key::Keeping, self.now + EXPIRY_INTERVAL);
+        self.timers.set(Key::RuleTables, self.now + EXPIRY_INTERVAL);
     }
 
     /// Restores rules after a restart, before anything that they concern. Rules that can't be read count as
     /// never applied; the process sees that in the report of what is in force, and sends them again.
     pub(crate) fn restore_rules(&mut self, book: &Book) {
-        if self.keeping.is_none() {
+        if self.rule_tables.is_none() {
             return;
         }
         for applied in book.applied.values() {
@@ -216,7 +216,7 @@
             let (set, plan) = (Arc::new(set), Arc::new(plan));
             let turn = Turn { place: applied.place, members: applied.members, senders: applied.senders };
             let turn = if applied.members == 0 { Turn::default() } else { turn };
-            if let Some(k) = &mut self.keeping {
+            if let Some(k) = &mut self.rule_tables {
                 k.last_written.insert(client, (set.clone(), plan.clone(), turn));
             }
             self.put_in_force(client, &set, plan, turn);
--- a/crates/engine/src/client_rules/asks.rs
+++ b/crates/engine/src/client_rules/asks.rs
@@ -10,14 +10,14 @@
 const MAX_OPEN_ASKS: usize = 16;
 
 impl Node {
-    pub(crate) fn asked_of_fleet(&mut self, conn: ConnId, token: u32, words: Vec<String>, body: Vec<u8>) {
+    pub(crate) fn forward_ask(&mut self, conn: ConnId, token: u32, words: Vec<String>, body: Vec<u8>) {
         let Some((client, _)) = self.place_of(conn) else {
             if let Some((front, out)) = self.front(conn) {
                 front.refused(token, No::NotEntered, out);
             }
             return;
         };
-        let Some(k) = &mut self.keeping else { return };
+        let Some(k) = &mut self.rule_tables else { return };
         let open = k.asks.entry(conn).or_default();
         if open.len() >= MAX_OPEN_ASKS {
             if let Some((front, out)) = self.front(conn) {
@@ -36,7 +36,7 @@
     pub fn told(&mut self, now: Micros, told: Told) {
         self.now = now.max(self.now);
         let Token { sender, conn, token } = told.token;
-        let Some(k) = self.keeping.as_mut().filter(|_| sender == self.index) else { return };
+        let Some(k) = self.rule_tables.as_mut().filter(|_| sender == self.index) else { return };
         let Some(open) = k.asks.get_mut(&conn) else { return };
         let waits = open.remove(&token);
         if open.is_empty() {
--- a/crates/engine/src/client_rules/fence.rs
+++ b/crates/engine/src/client_rules/fence.rs
@@ -1,8 +1,8 @@
 //! Fences off a client's changes: new messages follow the stricter of the applied and the approved rules.
 
 use crate::Micros;
-use crate::keeping::rules;
 use crate::node::{Key, Node};
+use crate::rule_tables::rules;
 use heronroute_held::PartRoom;
 use heronroute_rules::seam::Fence;
 
@@ -16,15 +16,15 @@
         let client = self.client_names.get(&fence.client).copied();
         let Some(client) = client.filter(|c| *c < self.cfg.clients.len()) else { return };
         let approved = fence.under.map(|rules| self.own_share(&fence.client, rules, fence.turn));
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(rule_tables) = &mut self.rule_tables else { return };
         let Some(approved) = approved else {
-            if let Some(current) = keeping.fences.get_mut(&client) {
+            if let Some(current) = rule_tables.fences.get_mut(&client) {
                 current.approved = None;
                 tracing::info!(client = fence.client, "fence lifted");
             }
             return;
         };
-        let current = keeping.fences.entry(client).or_default();
+        let current = rule_tables.fences.entry(client).or_default();
         if current.matches(&approved, fence.turn) {
             return;
         }
@@ -34,9 +34,9 @@
             "fence set: the stricter of the applied and the approved rules holds"
         );
         let (figures_by_part, removed) = current.set(approved, fence.turn);
-        removed.iter().for_each(|part| keeping.names.limit(client, *part, None));
+        removed.iter().for_each(|part| rule_tables.names.limit(client, *part, None));
         for (part, figures) in &figures_by_part {
-            keeping.names.limit(client, *part, figures.remembered);
+            rule_tables.names.limit(client, *part, figures.remembered);
         }
         if let Some(store) = &mut self.held {
             figures_by_part
@@ -45,14 +45,14 @@
         }
         figures_by_part.iter().for_each(|(part, _)| self.trim_names(client, *part));
         self.trim_held(client);
-        self.timers.set(Key::Keeping, self.now + EXPIRY_INTERVAL);
+        self.timers.set(Key::RuleTables, self.now + EXPIRY_INTERVAL);
     }
 
     /// Removes what is left of lifted fences once nothing counts in their parts.
     pub(super) fn clear_fences(&mut self) {
-        let Some(keeping) = &mut self.keeping else { return };
-        let (names, store) = (&mut keeping.names, &mut self.held);
-        keeping.fences.retain(|client, fence| {
+        let Some(rule_tables) = &mut self.rule_tables else { return };
+        let (names, store) = (&mut rule_tables.names, &mut self.held);
+        rule_tables.fences.retain(|client, fence| {
             if fence.approved.is_some() {
                 return true;
             }
--- a/crates/engine/src/client_rules/live.rs
+++ b/crates/engine/src/client_rules/live.rs
@@ -7,18 +7,18 @@
     /// Returns what is in force for a client, read from the live tables rather than from what was sent.
     /// Returns `None` on a node outside a fleet, and for an unknown client.
     pub fn live(&self, client: &str) -> Option<Live> {
-        let keeping = self.keeping.as_ref()?;
+        let rule_tables = self.rule_tables.as_ref()?;
         let at = *self.client_names.get(client)?;
-        let set = keeping.rules.get(&at).map(|rules| {
+        let set = rule_tables.rules.get(&at).map(|rules| {
             let rooms = self.held.as_ref().map(|s| s.rooms(at as u32)).unwrap_or_default();
-            rules.read_back(&rooms, |part| keeping.names.max_names(at, part))
+            rules.read_back(&rooms, |part| rule_tables.names.max_names(at, part))
         });
         Some(Live {
             sender: self.index,
             client: client.to_string(),
             set: set.unwrap_or_default(),
-            turn: keeping.rules.get(&at).map(|rules| rules.turn).unwrap_or_default(),
-            trouble: keeping.trouble.get(client).cloned(),
+            turn: rule_tables.rules.get(&at).map(|rules| rules.turn).unwrap_or_default(),
+            trouble: rule_tables.trouble.get(client).cloned(),
         })
     }
 
--- a/crates/engine/src/client_rules/lookup.rs
+++ b/crates/engine/src/client_rules/lookup.rs
@@ -2,10 +2,10 @@
 
 use crate::Micros;
 use crate::ids::ConnId;
-use crate::keeping::fence::StricterRules;
-use crate::keeping::pace::Pace;
-use crate::keeping::rules::{ClientRules, Keep};
 use crate::node::Node;
+use crate::rule_tables::fence::StricterRules;
+use crate::rule_tables::pace::Pace;
+use crate::rule_tables::rules::{ClientRules, RuleTerms};
 use heronroute_held::Parts;
 use heronroute_journal::entry::Accepted;
 use heronroute_rules::Turn;
@@ -20,11 +20,11 @@
 
 impl Node {
     /// Returns the terms of a message that is being submitted.
-    pub(crate) fn keep_for(&self, client: usize, class: usize, submission: &Submission) -> Keep {
-        let Some(keeping) = self.keeping.as_ref() else { return Keep::default() };
-        let (rules, fence) = keeping.rules_of(client);
+    pub(crate) fn rule_terms_for(&self, client: usize, class: usize, submission: &Submission) -> RuleTerms {
+        let Some(rule_tables) = self.rule_tables.as_ref() else { return RuleTerms::default() };
+        let (rules, fence) = rule_tables.rules_of(client);
         if rules.is_none() && fence.is_none() {
-            return Keep::default();
+            return RuleTerms::default();
         }
         let ordered = self.cfg.settings.classes.get(class).is_some_and(|c| c.ordered);
         let name = self.cfg.class_names.get(class).map_or("", String::as_str);
@@ -32,14 +32,14 @@
         match (rules, fence) {
             (rules, Some(fence)) => StricterRules::at_submission(rules, fence, &self.common_figures(), at),
             (Some(rules), None) => rules.terms(at.0, at.1, at.2),
-            (None, None) => Keep::default(),
+            (None, None) => RuleTerms::default(),
         }
     }
 
     /// Returns the parts of the client's room in which a message counts while it is held.
-    pub(crate) fn parts_for(&self, client: usize, class: Option<usize>, to: &str, key: &str) -> Parts {
-        let Some(keeping) = self.keeping.as_ref() else { return Parts::default() };
-        let (rules, fence) = keeping.rules_of(client);
+    pub(crate) fn held_parts_for(&self, client: usize, class: Option<usize>, to: &str, key: &str) -> Parts {
+        let Some(rule_tables) = self.rule_tables.as_ref() else { return Parts::default() };
+        let (rules, fence) = rule_tables.rules_of(client);
         if rules.is_none() && fence.is_none() {
             return Parts::default();
         }
@@ -60,16 +60,16 @@
             key: Some(accepted.key.clone()),
             ..Submission::default()
         };
-        self.keep_for(client, class, &submission).validity
+        self.rule_terms_for(client, class, &submission).validity
     }
 
     /// Counts a remembered name under its rule, and drops the oldest names of that rule beyond its limit.
-    pub(crate) fn count_name(&mut self, client: usize, terms: Keep, name: Name, id: u64, until: Micros) {
+    pub(crate) fn count_name(&mut self, client: usize, terms: RuleTerms, name: Name, id: u64, until: Micros) {
         if terms.names_part == 0 {
             return;
         }
-        if let Some(keeping) = &mut self.keeping {
-            keeping.names.add(client, terms.names_part, name, id, until);
+        if let Some(rule_tables) = &mut self.rule_tables {
+            rule_tables.names.add(client, terms.names_part, name, id, until);
         }
         self.trim_names(client, terms.names_part);
     }
@@ -78,9 +78,9 @@
     /// in the table as unsure for as long as it would have counted.
     pub(super) fn trim_names(&mut self, client: usize, part: u32) {
         let now = self.wall();
-        let Some(keeping) = &mut self.keeping else { return };
-        for (name, id) in keeping.names.trim(now, client, part) {
-            keeping.answers.remove(id);
+        let Some(rule_tables) = &mut self.rule_tables else { return };
+        for (name, id) in rule_tables.names.trim(now, client, part) {
+            rule_tables.answers.remove(id);
             if let Some(seen) = &mut self.seen {
                 seen.give_up(now, name);
             }
@@ -99,7 +99,7 @@
     }
 
     /// Counts a release.
-    pub(crate) fn was_released(&mut self, client: usize, id: u64) {
+    pub(crate) fn record_release(&mut self, client: usize, id: u64) {
         self.with_paces(client, id, |now, paces| {
             paces.into_iter().flatten().for_each(|(pace, _)| pace.record(now));
         });
@@ -113,10 +113,11 @@
         act: impl FnOnce(Micros, [Option<(&mut Pace, Turn)>; 2]) -> T,
     ) -> Option<T> {
         let now = self.now;
-        let keeping = self.keeping.as_mut()?;
+        let rule_tables = self.rule_tables.as_mut()?;
         let has_paces = |rules: &&mut ClientRules| !rules.paces.is_empty();
-        let applied = keeping.rules.get_mut(&client).filter(has_paces);
-        let approved = keeping.fences.get_mut(&client).and_then(|f| f.active_rules_mut()).filter(has_paces);
+        let applied = rule_tables.rules.get_mut(&client).filter(has_paces);
+        let approved =
+            rule_tables.fences.get_mut(&client).and_then(|f| f.active_rules_mut()).filter(has_paces);
         if applied.is_none() && approved.is_none() {
             return None;
         }
@@ -134,8 +135,8 @@
 
     /// Forgets the questions of a connection that is gone.
     pub(crate) fn forget_asks(&mut self, conn: ConnId) {
-        if let Some(keeping) = &mut self.keeping {
-            keeping.asks.remove(&conn);
+        if let Some(rule_tables) = &mut self.rule_tables {
+            rule_tables.asks.remove(&conn);
         }
     }
 }
--- a/crates/engine/src/client_rules/repeat.rs
+++ b/crates/engine/src/client_rules/repeat.rs
@@ -3,10 +3,10 @@
 use crate::Micros;
 use crate::desk::From;
 use crate::ids::show_id;
-use crate::keeping::answers::RetainedAnswer;
 use crate::mailboxes::BoxId;
 use crate::node::{Message, Node};
 use crate::outbox::Reply;
+use crate::rule_tables::answers::RetainedAnswer;
 use heronroute::MsgId;
 use heronroute_journal::Book;
 use heronroute_journal::entry::{self, Final, What};
@@ -18,7 +18,7 @@
     pub(crate) fn keep_answer(&mut self, id: MsgId, message: &Message, answer: Answer) {
         let now = self.wall();
         let until = now.saturating_add(message.answer_for);
-        let Some(keeping) = self.keeping.as_mut().filter(|_| message.answer_for > 0) else { return };
+        let Some(rule_tables) = self.rule_tables.as_mut().filter(|_| message.answer_for > 0) else { return };
         let kept = RetainedAnswer {
             client: message.client,
             answer,
@@ -29,7 +29,7 @@
             retain_until: until,
             owed_to: Some(message.mailbox),
         };
-        keeping.answers.insert(now, id.0, kept);
+        rule_tables.answers.insert(now, id.0, kept);
         let client = self.cfg.clients.get(message.client).map_or("", |client| client.system_id.as_str());
         self.ledger.write(|| {
             What::Final(Final {
@@ -57,19 +57,19 @@
         submission: &Submission,
     ) -> Micros {
         let now = self.wall();
-        let kept = self.keeping.as_mut().and_then(|k| k.answers.get(now, id)).is_some();
-        if kept { self.keep_for(client, class, submission).answer_for } else { 0 }
+        let kept = self.rule_tables.as_mut().and_then(|k| k.answers.get(now, id)).is_some();
+        if kept { self.rule_terms_for(client, class, submission).answer_for } else { 0 }
     }
 
     /// Records that the client acknowledged an answer, so that it may be repeated from now on.
-    pub(crate) fn answer_heard(&mut self, id: MsgId) {
-        if let Some(keeping) = &mut self.keeping {
-            keeping.answers.acknowledge(id.0);
+    pub(crate) fn answer_acknowledged(&mut self, id: MsgId) {
+        if let Some(rule_tables) = &mut self.rule_tables {
+            rule_tables.answers.acknowledge(id.0);
         }
     }
 
     /// Returns whether a retained answer is to be repeated for a message that was submitted before.
-    pub(crate) fn owes_again(&mut self, from: &From, id: MsgId) -> bool {
+    pub(crate) fn has_answer_to_repeat(&mut self, from: &From, id: MsgId) -> bool {
         let now = self.wall();
         // The message is still in progress: its answer follows.
         if self.messages.contains_key(&id) {
@@ -77,20 +77,22 @@
         }
         let client = &self.clients[from.client];
         let full = client.open + client.owed >= self.cfg.service.owed_room;
-        let Some(kept) = self.keeping.as_mut().and_then(|k| k.answers.get(now, id.0)) else { return false };
+        let Some(kept) = self.rule_tables.as_mut().and_then(|k| k.answers.get(now, id.0)) else {
+            return false;
+        };
         // If there is no room, the client has to submit it again.
         kept.client == from.client && !full
     }
 
     /// Sends a retained answer again, to the reply address of this submission.
-    pub(crate) fn tell_again(&mut self, mailbox: BoxId, id: MsgId, to: Reply) {
+    pub(crate) fn repeat_answer(&mut self, mailbox: BoxId, id: MsgId, to: Reply) {
         let now = self.wall();
         let held =
             self.held.as_ref().and_then(|store| store.get(id.0)).is_some_and(|filed| filed.message.is_some());
         if self.messages.contains_key(&id) || self.mailboxes.get(mailbox).is_none() {
             return;
         }
-        let Some(kept) = self.keeping.as_mut().and_then(|k| k.answers.get(now, id.0)) else { return };
+        let Some(kept) = self.rule_tables.as_mut().and_then(|k| k.answers.get(now, id.0)) else { return };
         // It is already queued for this mailbox.
         if kept.owed_to == Some(mailbox) {
             return;
@@ -117,13 +119,13 @@
     /// Restores retained answers after a restart. Those not yet acknowledged are owed by the book's open
     /// messages.
     pub(crate) fn restore_answers(&mut self, book: &Book) {
-        if self.keeping.is_none() {
+        if self.rule_tables.is_none() {
             return;
         }
         let now = self.wall();
         for stored in book.finals.values() {
             let Some(stored_answer) = &stored.answer else { continue };
-            let client = self.client_named(&stored.client);
+            let client = self.client_index(&stored.client);
             let owed = book.open.get(&stored_answer.id).filter(|o| o.answer.is_some());
             let owed =
                 owed.map(|o| o.accepted.mailbox.clone()).map(|name| self.mailboxes.open(client, &name));
@@ -139,8 +141,8 @@
                 retain_until: stored.until,
                 owed_to: owed,
             };
-            if let Some(keeping) = &mut self.keeping {
-                keeping.answers.insert(now, stored_answer.id, kept);
+            if let Some(rule_tables) = &mut self.rule_tables {
+                rule_tables.answers.insert(now, stored_answer.id, kept);
             }
         }
     }
--- a/crates/engine/src/client_rules/weigh.rs
+++ b/crates/engine/src/client_rules/weigh.rs
@@ -2,8 +2,8 @@
 //! concerned.
 
 use crate::Micros;
-use crate::keeping::rules::part_room;
 use crate::node::Node;
+use crate::rule_tables::rules::part_room;
 use heronroute_held::PartRoom;
 use heronroute_rules::check::LetGo;
 use heronroute_rules::seam::{Weigh, Weighed};
@@ -22,9 +22,9 @@
     }
 
     fn losses_of(&self, weigh: &Weigh) -> Option<LetGo> {
-        let (keeping, now) = (self.keeping.as_ref()?, self.wall());
+        let (rule_tables, now) = (self.rule_tables.as_ref()?, self.wall());
         let client = *self.client_names.get(&weigh.client)?;
-        let rule_parts = keeping.rules.get(&client).map(|r| r.rule_parts.as_slice()).unwrap_or_default();
+        let rule_parts = rule_tables.rules.get(&client).map(|r| r.rule_parts.as_slice()).unwrap_or_default();
         let part_by_name: BTreeMap<&str, u32> = rule_parts.iter().map(|p| (p.name(), p.part)).collect();
         // A rule that is new here holds nothing yet, and takes nothing from other rules.
         let set = self.own_share(&weigh.client, weigh.set.clone(), weigh.turn);
@@ -35,11 +35,11 @@
         let mut looks = MAX_LOOKS;
         for (part, figures) in &remaining {
             let Some(most) = figures.remembered else { continue };
-            let (dropped, more) = keeping.names.excess(now, (client, *part), most, &mut looks);
+            let (dropped, more) = rule_tables.names.excess(now, (client, *part), most, &mut looks);
             losses.names += dropped.len() as u64;
             losses.at_least |= more;
             let repeatable: BTreeSet<u64> =
-                dropped.into_iter().filter(|id| keeping.answers.has(now, *id)).collect();
+                dropped.into_iter().filter(|id| rule_tables.answers.has(now, *id)).collect();
             losses.answers += repeatable.len() as u64;
         }
         if let Some(store) = &self.held {
--- a/crates/engine/src/desk/admit.rs
+++ b/crates/engine/src/desk/admit.rs
@@ -19,7 +19,7 @@
         let class = named.or(submission.service.is_empty().then_some(0)).ok_or(No::Class)?;
         let dest = self.routes.find(&submission.destination).ok_or(No::Address)?;
         let deadline = self.cfg.settings.classes[class].deadline;
-        let keep = self.keep_for(from.client, class, submission);
+        let keep = self.rule_terms_for(from.client, class, submission);
         let deadline = keep.validity.map_or(deadline, |v| v.min(deadline));
         let span = submission.validity.map_or(deadline, |v| v.min(deadline));
         if span <= 0 {
--- a/crates/engine/src/desk/fronts.rs
+++ b/crates/engine/src/desk/fronts.rs
@@ -32,7 +32,7 @@
         let front: Box<dyn Front> = match (speaks, self.mqtt_limits) {
             (Speaks::Resp, _) => Box::new(RespFront::new(self.now)),
             (Speaks::Mqtt, Some(limits)) => {
-                Box::new(MqttFront::new(self.now, limits).fleet(self.keeping.is_some()))
+                Box::new(MqttFront::new(self.now, limits).fleet(self.rule_tables.is_some()))
             }
             _ => Box::new(SmppFront::new(self.now, self.session_limits)),
         };
@@ -120,7 +120,7 @@
                 }
                 self.pump(mailbox);
             }
-            Ask::Rules { token, words, body } => self.asked_of_fleet(conn, token, words, body),
+            Ask::Rules { token, words, body } => self.forward_ask(conn, token, words, body),
             Ask::Held { token, words } => self.asked_of_held(conn, token, &words),
             Ask::Notes { notes, told } => self.noted(conn, notes, told),
             Ask::Over(why) => {
--- a/crates/engine/src/desk/keep.rs
+++ b/crates/engine/src/desk/keep.rs
@@ -3,10 +3,10 @@
 use super::From;
 use crate::Micros;
 use crate::entry_codec::to_entry;
+use crate::failover::Suspension;
 use crate::front::{Handing, Speaks};
 use crate::ids::ID_SENDER_BITS;
 use crate::node::{Message, Node, Use};
-use crate::standing::Still;
 use heronroute::MsgId;
 use heronroute_held::Trail;
 use heronroute_journal::entry::{Accepted, What};
@@ -68,7 +68,7 @@
             out: None,
             ran_at: None,
             answer_for: 0,
-            still: Still::No,
+            still: Suspension::No,
             trail: self.trails(from.client).then(|| Box::new(Trail::new(self.wall(), 0))),
         }
     }
--- a/crates/engine/src/desk/mod.rs
+++ b/crates/engine/src/desk/mod.rs
@@ -9,8 +9,8 @@
 
 use crate::Micros;
 use crate::ids::ConnId;
-use crate::keeping::rules::Keep;
 use crate::mailboxes::BoxId;
+use crate::rule_tables::rules::RuleTerms;
 use heronroute::DestId;
 
 /// Where a message comes from.
@@ -31,7 +31,7 @@
     /// It expires after this.
     pub(crate) span: Micros,
     /// What its client's rules say of it.
-    pub(crate) keep: Keep,
+    pub(crate) keep: RuleTerms,
 }
 
 /// Compares without stopping at the first difference.
--- a/crates/engine/src/desk/pump.rs
+++ b/crates/engine/src/desk/pump.rs
@@ -20,7 +20,7 @@
     /// Hands out what is owed to a mailbox, as far as the sessions there have room.
     pub(crate) fn pump(&mut self, mailbox: BoxId) {
         let (mut full, now) = (0, self.now);
-        let still = self.still_below();
+        let still = self.suspended_below();
         loop {
             let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
             let Some(conn) = m.outbox.turn(now) else { break };
@@ -36,7 +36,7 @@
             full = 0;
             let Some(owed) = m.outbox.take() else { break };
             if read_id(&owed.receipt.id).is_some_and(|id| still.is_some_and(|below| id.0 < below)) {
-                self.owe_later(mailbox, owed);
+                self.defer_answer(mailbox, owed);
                 continue;
             }
             match front.deliver(now, &owed, &mut c.stream.out) {
--- a/crates/engine/src/desk/query.rs
+++ b/crates/engine/src/desk/query.rs
@@ -1,10 +1,10 @@
 //! Answers to requests: acceptances, forward mode, what became of a message, withdrawals.
 
 use crate::answers::End;
+use crate::failover::Suspension;
 use crate::front::{No, Speaks};
 use crate::ids::{ConnId, read_id, show_id};
 use crate::node::Node;
-use crate::standing::Still;
 use heronroute::{Event, MsgId};
 use heronroute_smpp::receipt::Answer;
 use rusmpp_core::values::MessageState;
@@ -59,7 +59,7 @@
         let (Some(id), Some(m)) = (id, mine) else {
             return self.refuse(conn, token, No::Message);
         };
-        if m.still != Still::No {
+        if m.still != Suspension::No {
             return self.refuse(conn, token, No::TooLate);
         }
         if let Some((call, part)) = m.out {
--- a/crates/engine/src/desk/submit.rs
+++ b/crates/engine/src/desk/submit.rs
@@ -3,9 +3,9 @@
 use super::From;
 use crate::front::{Handing, No};
 use crate::ids::ConnId;
-use crate::keeping::rules::Keep;
 use crate::mailboxes::BoxId;
 use crate::node::{Effect, Node};
+use crate::rule_tables::rules::RuleTerms;
 use heronroute::MsgId;
 use heronroute_journal::entry::{Accepted, Named};
 use heronroute_seen::{Name, Verdict};
@@ -27,7 +27,7 @@
                 let id = MsgId(id);
                 self.stats.repeated += 1;
                 self.once_durable(Effect::Accept { conn, token, id });
-                if by_name && self.owes_again(&from, id) {
+                if by_name && self.has_answer_to_repeat(&from, id) {
                     self.once_durable(Effect::Again { mailbox, id, to: Box::new(handing.reply) });
                 }
                 return;
@@ -83,7 +83,7 @@
         from: &From,
         handing: &Handing,
         id: MsgId,
-        keep: Keep,
+        keep: RuleTerms,
     ) -> Option<Named> {
         if let Some(handle) = handing.handle
             && let Some(kept) = self.mailboxes.get_mut(from.mailbox).and_then(|m| m.kept.as_mut())
@@ -117,7 +117,7 @@
         let id = self.new_id();
         // Its place in the session is kept, so that it isn't refused twice; its name is free to be tried again.
         let unnamed = Handing { name: None, ..handing.clone() };
-        self.remember(&from, &unnamed, id, Keep::default());
+        self.remember(&from, &unnamed, id, RuleTerms::default());
         let submission = Submission { body: Vec::new(), key: None, ..submission.clone() };
         let (taken, class) = (self.wall(), submission.service.clone());
         self.write_accepted(
--- a/crates/engine/src/standing.rs
+++ b/crates/engine/src/failover.rs
@@ -12,19 +12,19 @@
 
 /// Whether a message is suspended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Still {
+pub(crate) enum Suspension {
     /// The message continues.
     #[default]
     No,
     /// A partner may have the message and the lease has ended: it is neither begun nor answered.
     Yes,
     /// As `Yes`, and its answer was found meanwhile; it is sent once the lease holds again.
-    Found(Answer),
+    WithAnswer(Answer),
 }
 
 /// The state of a node towards its partner.
 #[derive(Debug)]
-pub(crate) struct Standing<H> {
+pub(crate) struct Failover<H> {
     /// When the lease ends.
     pub(crate) lease_until: Micros,
     /// Messages with a number below this may be in the partner's copy.
@@ -60,7 +60,7 @@
     pub(crate) book: Book,
 }
 
-impl<H> Standing<H> {
+impl<H> Failover<H> {
     /// Returns the state at a start: all from before may be in a copy, and there is no lease.
     pub(crate) fn new(heirs: Heirs) -> Self {
         let takeover = |(origin, open, held): (&str, Vec<Open>, Vec<Held>)| {
@@ -71,7 +71,7 @@
             (origin.to_string(), PendingTakeover { durable: true, open, book })
         };
         let pending = heirs.whole().map(takeover).collect();
-        Standing {
+        Failover {
             lease_until: Micros::MIN,
             copied_below: u64::MAX,
             copy_active: false,
@@ -87,8 +87,8 @@
     }
 
     /// Sets the number that is above all from before.
-    pub(crate) fn began(self, copied_below: u64) -> Self {
-        Standing { copied_below, ..self }
+    pub(crate) fn with_copied_below(self, copied_below: u64) -> Self {
+        Failover { copied_below, ..self }
     }
 
     /// Suspends a message of the book.
--- a/crates/engine/src/hold/again.rs
+++ b/crates/engine/src/hold/again.rs
@@ -58,7 +58,7 @@
         }
         let Some(dest) = self.routes.find(&a.destination) else { return said("NOROUTE") };
         // A partner may have it, and hand it in there.
-        if self.stands_still(MsgId(id))
+        if self.is_suspended(MsgId(id))
             || self.leaving
             || self.ledger.refuses(self.now, self.messages.len(), a.body.len())
         {
--- a/crates/engine/src/hold/asked.rs
+++ b/crates/engine/src/hold/asked.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{ConnId, read_id, show_id};
 use crate::node::Node;
-use crate::stats::ANSWERS;
+use crate::stats::ANSWER_NAMES;
 use heronroute::MsgId;
 use heronroute_held::{Deed, Grants, Known, Party, Query, Trail, What};
 
@@ -92,7 +92,7 @@
                 What::Ended(Known::Refused) => "turned away by the receiver".to_string(),
                 What::Ended(Known::Lost) => "lost with a restart".to_string(),
                 What::Restarted => "restart".to_string(),
-                What::Answered(s) => format!("answer {}", ANSWERS.get(s as usize).unwrap_or(&"?")),
+                What::Answered(s) => format!("answer {}", ANSWER_NAMES.get(s as usize).unwrap_or(&"?")),
                 What::Heard => "answer taken".to_string(),
                 What::HandedIn(p) => format!("handed in again by {}", name(p)),
                 What::GivenUp(p) => format!("given up by {}", name(p)),
--- a/crates/engine/src/hold/file.rs
+++ b/crates/engine/src/hold/file.rs
@@ -4,7 +4,7 @@
 use crate::entry_codec::to_entry;
 use crate::ids::show_id;
 use crate::node::{Message, Node};
-use crate::stats::place;
+use crate::stats::answer_index;
 use heronroute::MsgId;
 use heronroute_held::{Trail, What};
 use heronroute_journal::entry::{self, Accepted, Held, Released};
@@ -15,7 +15,7 @@
     /// A message has its answer: its trail is filed, and the message held where it ended undelivered.
     pub(crate) fn file(&mut self, id: MsgId, m: &mut Message, answer: Answer) {
         let (Some(mut trail), now) = (m.trail.take(), self.wall()) else { return };
-        trail.add(now, What::Answered(place(answer) as u32), STEPS);
+        trail.add(now, What::Answered(answer_index(answer) as u32), STEPS);
         // One that was submitted again and not delivered stays its owner's, whatever it ended with.
         let handed_in = trail.steps().filter(|(_, what)| matches!(what, What::HandedIn(_))).last();
         if let (Some((at, _)), Some(r)) = (handed_in, self.releasing.get_mut(&m.client)) {
@@ -35,7 +35,7 @@
             to_entry(client, mailbox, &m.submission, &m.to, rest)
         });
         filed.message = held.as_ref().map(|a| a.encode_to_vec().into());
-        let parts = self.parts_for(m.client, Some(m.class), &m.submission.destination, key);
+        let parts = self.held_parts_for(m.client, Some(m.class), &m.submission.destination, key);
         let dropped = self.held.as_mut().map(|s| s.file_in(now, id.0, filed, parts)).unwrap_or_default();
         if let Some(accepted) = held {
             self.unheard.insert(id.0);
--- a/crates/engine/src/hold/release.rs
+++ b/crates/engine/src/hold/release.rs
@@ -48,7 +48,7 @@
             }
             let (_, state) = self.again(client, id, false);
             if state == "ENROUTE" {
-                self.was_released(client, id);
+                self.record_release(client, id);
             }
             let Some(r) = self.releasing.get_mut(&client) else { return };
             match state {
--- a/crates/engine/src/hold/trail.rs
+++ b/crates/engine/src/hold/trail.rs
@@ -78,7 +78,7 @@
             let (Some(a), Some(mut trail)) = (&held.accepted, Trail::read(&held.trail)) else { continue };
             let numbers: Vec<u32> = held.names.iter().map(|n| self.trail_number(n)).collect();
             trail.rename(|n| numbers.get(n as usize).copied().unwrap_or(0));
-            let client = self.client_named(&a.client);
+            let client = self.client_index(&a.client);
             let class = self.class_names.get(&a.class).copied();
             let mut filed = filed(client, class, a.dest, &a.key, &trail);
             filed.message = Some(a.encode_to_vec().into());
@@ -87,7 +87,7 @@
                 Some(false) => filed.under_way = true,
                 None => {}
             }
-            let parts = self.parts_for(client, class, &a.destination, &a.key);
+            let parts = self.held_parts_for(client, class, &a.destination, &a.key);
             if let Some(store) = &mut self.held {
                 store.file_in(now, *id, filed, parts);
             }
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -145,7 +145,7 @@
     }
 
     /// Returns the entries to hand over, in order. To be called in each turn.
-    pub fn hand_over(&mut self, now: Micros) -> Vec<Entry> {
+    pub fn take_entries(&mut self, now: Micros) -> Vec<Entry> {
         let uptime = self.uptime.advance(now);
         if !self.entries.is_empty() {
             self.handed_over.push_back((self.written, uptime));
--- a/crates/engine/src/ledger/tests.rs
+++ b/crates/engine/src/ledger/tests.rs
@@ -10,7 +10,7 @@
     ledger.write(|| What::Taken(Taken { id: 1 }));
     assert_eq!(ledger.hold(2), None);
     ledger.write(|| What::Taken(Taken { id: 2 }));
-    assert_eq!((ledger.hold(3), ledger.hand_over(0).len()), (None, 2));
+    assert_eq!((ledger.hold(3), ledger.take_entries(0).len()), (None, 2));
     let refused = |at| ledger.refuses(at, 1, 0);
     assert_eq!(
         [200, 400, 600, 800, 999, 1_000].map(refused),
@@ -47,7 +47,7 @@
     assert_eq!((ledger.hold_both(2), ledger.hold(3)), (None, None));
     write_taken(&mut ledger, 2);
     assert_eq!((ledger.hold_both(4), ledger.hold(5)), (None, None));
-    assert_eq!(ledger.hand_over(0).len(), 2);
+    assert_eq!(ledger.take_entries(0).len(), 2);
     assert_eq!(
         ledger.durable(2, Usage::default()),
         [3, 5],
--- a/crates/engine/src/node/answer.rs
+++ b/crates/engine/src/node/answer.rs
@@ -4,12 +4,12 @@
 use super::state::{Effect, Ended, Message};
 use crate::Micros;
 use crate::answers::{self, End};
+use crate::failover::Suspension;
 use crate::front::Speaks;
 use crate::ids::show_id;
 use crate::limits::Held;
 use crate::mailboxes::BoxId;
 use crate::outbox::Reply;
-use crate::standing::Still;
 use crate::stats::{self};
 use heronroute::MsgId;
 use heronroute_journal::entry::{self, What};
@@ -44,12 +44,12 @@
 
     /// The same, with the answer's word.
     pub(crate) fn answer_with(&mut self, id: MsgId, answer: Answer) {
-        if let Some(m) = self.messages.get_mut(&id).filter(|m| m.still != Still::No) {
-            m.still = Still::Found(answer);
+        if let Some(m) = self.messages.get_mut(&id).filter(|m| m.still != Suspension::No) {
+            m.still = Suspension::WithAnswer(answer);
             return;
         }
         let Some(m) = self.messages.remove(&id) else { return };
-        self.stats.answers[stats::place(answer)] += 1;
+        self.stats.answers[stats::answer_index(answer)] += 1;
         let done = self.wall();
         if m.speaks == Speaks::Resp && (m.reply.is_some() || answer == Answer::Delivered) {
             // It was never accepted, or nothing more is owed: no answer to be kept.
@@ -117,7 +117,7 @@
     /// The answer was taken, or none is owed: nothing of the message is needed any more.
     pub(crate) fn taken(&mut self, id: MsgId) {
         self.unheard.remove(&id.0);
-        self.answer_heard(id);
+        self.answer_acknowledged(id);
         self.ledger.write(|| What::Taken(entry::Taken { id: id.0 }));
     }
 }
--- a/crates/engine/src/node/leave.rs
+++ b/crates/engine/src/node/leave.rs
@@ -4,9 +4,9 @@
 use super::state::{Conn, Key, Use};
 use crate::Micros;
 use crate::answers::End;
+use crate::failover::Suspension;
 use crate::front::{FRONTS, Speaks};
 use crate::ids::ConnId;
-use crate::standing::Still;
 use heronroute::{Event, MsgId};
 
 /// A sender that goes out of service waits so long for its calls, once it takes on nothing more.
@@ -84,7 +84,7 @@
     /// The time to leave is up: whatever is still held is answered with what is known of it.
     pub(crate) fn abandon_all(&mut self) {
         // What stands still is in the journal, and its partner may have it.
-        let goes_on = self.messages.iter().filter(|(_, m)| m.still == Still::No);
+        let goes_on = self.messages.iter().filter(|(_, m)| m.still == Suspension::No);
         let open: Vec<MsgId> = goes_on.map(|(id, _)| *id).collect();
         for id in open {
             self.events.push(Event::Left { id });
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -21,15 +21,15 @@
 use crate::calls::Calls;
 use crate::directory::Directory;
 use crate::doubts::Doubts;
+use crate::failover::Failover;
 use crate::front::FRONTS;
 use crate::ids::ConnId;
-use crate::keeping::Keeping;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
 use crate::mailboxes::Mailboxes;
 use crate::read_budget::ReadBudgets;
 use crate::routes::Trie;
-use crate::standing::Standing;
+use crate::rule_tables::RuleTables;
 use crate::stats::Stats;
 use crate::timers::Timers;
 use heronroute::{Action, DestId, Dispatcher, Event, MsgId};
@@ -105,9 +105,9 @@
     /// About to end: nothing is decided any more, only what is out is waited for.
     pub(crate) frozen: bool,
     /// Clients' own rules, on a node of a fleet.
-    pub(crate) keeping: Option<Keeping>,
+    pub(crate) rule_tables: Option<RuleTables>,
     /// Where members stand in regions.
-    pub(crate) region: Option<Standing<Effect>>,
+    pub(crate) region: Option<Failover<Effect>>,
     pub(crate) ledger: Ledger<Effect>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) stats: Stats,
@@ -154,7 +154,7 @@
 
     /// When [`Node::settle`] is next needed without anything having happened.
     pub fn wake(&self) -> Option<Micros> {
-        let region = self.region.as_ref().and_then(Standing::wake);
+        let region = self.region.as_ref().and_then(Failover::wake);
         [self.timers.next(), self.ledger.wake(), region].into_iter().flatten().min()
     }
 }
--- a/crates/engine/src/node/round.rs
+++ b/crates/engine/src/node/round.rs
@@ -32,7 +32,7 @@
         if self.leaving {
             self.go_on_leaving();
         }
-        let entries = self.ledger.hand_over(self.now);
+        let entries = self.ledger.take_entries(self.now);
         if !entries.is_empty() {
             self.outputs.push(Output::Journal(entries));
         }
@@ -55,15 +55,15 @@
     }
 
     pub(crate) fn perform(&mut self, effect: Effect) {
-        let Some(effect) = self.not_now(effect) else { return };
+        let Some(effect) = self.defer_if_suspended(effect) else { return };
         match effect {
             Effect::Accept { conn, token, id } => self.tell_accepted(conn, token, id),
             Effect::Noted { conn, told } => self.tell_noted(conn, &told),
             Effect::Place { call, endpoint } => self.start_call(call, endpoint),
             Effect::Tell { id, message, answer, done } => self.tell(id, *message, answer, done),
-            Effect::Apply(apply) => self.in_force(&apply),
-            Effect::Inherited { origin } => self.estate_durable(origin),
-            Effect::Again { mailbox, id, to } => self.tell_again(mailbox, id, *to),
+            Effect::Apply(apply) => self.rules_durable(&apply),
+            Effect::Inherited { origin } => self.takeover_durable(origin),
+            Effect::Again { mailbox, id, to } => self.repeat_answer(mailbox, id, *to),
         }
     }
 
@@ -101,7 +101,7 @@
             Key::Outbox(mailbox) => self.pump(mailbox),
             Key::Release(client) => self.release_on(client),
             Key::Mailbox(mailbox) => self.mailbox_due(mailbox),
-            Key::Keeping => self.keeping_due(),
+            Key::RuleTables => self.expire_by_rules(),
             Key::Directory => {
                 let mut heard = Vec::new();
                 let want = self.directory.tick(self.now, &mut heard);
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -8,15 +8,15 @@
 use crate::calls::Calls;
 use crate::directory::{Directory, Polled, Watched};
 use crate::doubts::Doubts;
+use crate::failover::Failover;
 use crate::front::FRONTS;
 use crate::ids::ID_SENDER_BITS;
-use crate::keeping::Keeping;
 use crate::ledger::Ledger;
 use crate::limits::{Limits, Part};
 use crate::mailboxes::Mailboxes;
 use crate::read_budget::ReadBudgets;
 use crate::routes::Trie;
-use crate::standing::Standing;
+use crate::rule_tables::RuleTables;
 use crate::stats::Stats;
 use crate::timers::Timers;
 use heronroute::{DestId, Discovery, Dispatcher, SettingsError};
@@ -124,15 +124,15 @@
             fresh_octets: 0,
             by_identity: BTreeMap::new(),
             frozen: false,
-            keeping: start.fleet.then(|| {
+            rule_tables: start.fleet.then(|| {
                 let names = cfg.mqtt.as_ref().map_or(0, |m| m.remembered);
-                Keeping::new(names, cfg.clients.len())
+                RuleTables::new(names, cfg.clients.len())
             }),
             region: cfg
                 .fleet
                 .as_ref()
                 .and_then(|f| f.regions.as_ref())
-                .map(|_| Standing::new(start.book.as_ref().map(|b| b.heirs.clone()).unwrap_or_default())),
+                .map(|_| Failover::new(start.book.as_ref().map(|b| b.heirs.clone()).unwrap_or_default())),
             ledger: Ledger::new(start.book.as_ref().map(|_| cfg.journal.limits), cfg.journal.most_lag),
             outputs: Vec::new(),
             stats: Stats::default(),
@@ -157,7 +157,7 @@
         }
         // All that was accepted before may be in a copy.
         let next = node.next_id;
-        node.region = node.region.map(|r| r.began(next));
+        node.region = node.region.map(|r| r.with_copied_below(next));
         node.schedule_directory();
         node.settle(now);
         Ok(node)
--- a/crates/engine/src/node/state.rs
+++ b/crates/engine/src/node/state.rs
@@ -1,13 +1,13 @@
 //! What a node holds, as plain data: connections, messages, endpoints, clients, timers, effects that wait.
 
 use crate::Micros;
+use crate::failover::Suspension;
 use crate::front::{Front, Speaks};
 use crate::ids::ConnId;
 use crate::link::{Link, LinkEvent};
 use crate::mailboxes::BoxId;
 use crate::outbox::Reply;
 use crate::pool::Pool;
-use crate::standing::Still;
 use crate::stream::Stream;
 use heronroute::{DestId, EndpointId, MsgId};
 use heronroute_held::{Release, Trail};
@@ -42,7 +42,7 @@
     /// A client's backlog may go on.
     Release(usize),
     /// What has become too old under clients' rules.
-    Keeping,
+    RuleTables,
     /// The directory's timer.
     Directory,
     /// Notices are owed, or were not answered.
@@ -139,7 +139,7 @@
     /// Its answer is kept so long, to be told again; 0: it is not.
     pub answer_for: Micros,
     /// Whether it goes on.
-    pub still: Still,
+    pub still: Suspension,
 }
 
 /// A final answer, kept for those who ask.
--- a/crates/engine/src/region/lapse.rs
+++ b/crates/engine/src/region/lapse.rs
@@ -1,15 +1,15 @@
 //! Handles the end of the lease: suspends what the partner may have.
 
 use crate::calls::End as CallEnd;
+use crate::failover::Suspension;
 use crate::ids::ConnId;
 use crate::node::{Node, Use};
-use crate::standing::Still;
 use heronroute::{Event, MsgId};
 use std::collections::BTreeSet;
 
 impl Node {
     pub(crate) fn lapse_if_due(&mut self) {
-        if self.overdue(self.now) {
+        if self.lease_overdue(self.now) {
             self.lapse();
         }
     }
@@ -39,7 +39,7 @@
                 partly_written.extend(self.half_written(call, part));
             }
             if let Some(m) = self.messages.get_mut(&id) {
-                m.still = Still::Yes;
+                m.still = Suspension::Yes;
                 self.region.iter_mut().for_each(|region| _ = region.suspended.insert(id));
                 self.events.push(Event::Left { id });
             }
--- a/crates/engine/src/region/regain.rs
+++ b/crates/engine/src/region/regain.rs
@@ -2,10 +2,10 @@
 //! took over and they belong to the partner.
 
 use crate::answers::End;
+use crate::failover::Suspension;
 use crate::ids::read_id;
 use crate::node::Node;
 use crate::resume::{Resume, resume};
-use crate::standing::Still;
 use heronroute::{DestId, EndpointId, Event, MsgId};
 use heronroute_held::Query;
 use heronroute_journal::Open;
@@ -31,7 +31,7 @@
             self.continue_message(id);
         }
         for open in answered {
-            let client = self.client_named(&open.accepted.client);
+            let client = self.client_index(&open.accepted.client);
             let mailbox = self.mailboxes.open(client, &open.accepted.mailbox);
             self.owe_restored_answer(mailbox, &open);
             self.pump(mailbox);
@@ -53,7 +53,7 @@
         let wall = self.wall();
         let Some(message) = self.messages.get_mut(&id) else { return };
         let found = std::mem::take(&mut message.still);
-        if let Still::Found(answer) = found {
+        if let Suspension::WithAnswer(answer) = found {
             return self.answer_with(id, answer);
         }
         // The class is found by name, as it may have been removed since the message was accepted.
--- a/crates/engine/src/region/takeover.rs
+++ b/crates/engine/src/region/takeover.rs
@@ -4,10 +4,10 @@
 //! nothing is done before the last entry is durable. A crash before that leaves nothing, and the takeover is
 //! begun anew.
 
+use crate::failover::{Failover, PendingTakeover};
 use crate::home::home;
 use crate::node::{Effect, Node, Output};
 use crate::restart::Restarted;
-use crate::standing::{PendingTakeover, Standing};
 use crate::takeover::as_taken_over;
 use heronroute_journal::book::Kept;
 use heronroute_journal::entry::{
@@ -20,7 +20,7 @@
     /// Writes down what the books of a dead member's senders have open for clients whose home is this sender.
     /// Answered with [`Output::Inherited`] once all of it is durable; nothing of it is done before
     /// [`Node::taken_over`]. Repeated calls write it only once.
-    pub fn inherit(&mut self, now: crate::Micros, origin: &str, books: Vec<Book>) {
+    pub fn begin_takeover(&mut self, now: crate::Micros, origin: &str, books: Vec<Book>) {
         self.now = now.max(self.now);
         let Some(region) = &mut self.region else { return };
         if region.completed.own(origin) || region.pending.get(origin).is_some_and(|e| e.durable) {
@@ -44,9 +44,9 @@
 
     /// Starts the work taken over, as the log assigned it to this process: it continues here as after a
     /// restart.
-    pub fn inherited(&mut self, now: crate::Micros, origin: &str) {
+    pub fn taken_over(&mut self, now: crate::Micros, origin: &str) {
         self.now = now.max(self.now);
-        let take_durable = |region: &mut Standing<Effect>| {
+        let take_durable = |region: &mut Failover<Effect>| {
             region
                 .pending
                 .get(origin)
@@ -65,7 +65,7 @@
 
     /// Abandons a takeover, as the work is another member's or was this member's own: nothing of it is done
     /// here.
-    pub fn disinherited(&mut self, now: crate::Micros, origin: &str) {
+    pub fn takeover_revoked(&mut self, now: crate::Micros, origin: &str) {
         self.now = now.max(self.now);
         if self.region.as_mut().is_some_and(|region| region.pending.remove(origin).is_some()) {
             self.write_step(origin, Step::Void);
@@ -137,7 +137,7 @@
 
     /// Returns whether a session exists here already, which is then the later one.
     fn has_session(&mut self, client: &str, name: &str) -> bool {
-        let client = self.client_named(client);
+        let client = self.client_index(client);
         let mailbox = self.mailboxes.find(client, name).and_then(|m| self.mailboxes.get(m));
         mailbox.is_some_and(|m| m.kept.is_some() || m.conn.is_some())
     }
@@ -153,7 +153,7 @@
     }
 
     /// Reports that all entries of a takeover are durable.
-    pub(crate) fn estate_durable(&mut self, origin: String) {
+    pub(crate) fn takeover_durable(&mut self, origin: String) {
         let pending = self.region.as_mut().and_then(|region| region.pending.get_mut(&origin));
         let Some(pending) = pending else { return };
         pending.durable = true;
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -4,12 +4,12 @@
 use crate::Micros;
 use crate::answers::End;
 use crate::entry_codec::{to_reply, to_submission};
+use crate::failover::Suspension;
 use crate::front::Speaks;
 use crate::ids::{ID_SENDER_BITS, key_of, show_id};
 use crate::mailboxes::{BoxId, Kept};
 use crate::node::{Key, Message, Node};
 use crate::resume::{Resume, resume};
-use crate::standing::Still;
 use heronroute::{DestId, Event, MsgId};
 use heronroute_journal::entry::Answer as Answered;
 use heronroute_journal::{Book, Open};
@@ -61,10 +61,10 @@
     /// Restores one open message of a book, by what is known of it.
     pub(crate) fn restore_open(&mut self, open: Open, wall: Micros, done: &mut Restarted) {
         let accepted = &open.accepted;
-        let client = self.client_named(&accepted.client);
+        let client = self.client_index(&accepted.client);
         let mailbox = self.mailboxes.open(client, &accepted.mailbox);
         let class = self.class_names.get(&accepted.class).copied();
-        if self.stands_still(MsgId(accepted.id)) {
+        if self.is_suspended(MsgId(accepted.id)) {
             return self.suspend_message(client, mailbox, class, open);
         }
         let settings = class.and_then(|c| self.cfg.settings.classes.get(c));
@@ -106,15 +106,15 @@
         self.insert_message(client, mailbox, class.unwrap_or(0), &open, ran_at);
         if let Some(message) = self.messages.get_mut(&id) {
             // A message refused from the start is never sent.
-            let refused = Still::Found(Answer::Rejected { retry_after: 0 });
-            message.still = if open.accepted.refused { refused } else { Still::Yes };
+            let refused = Suspension::WithAnswer(Answer::Rejected { retry_after: 0 });
+            message.still = if open.accepted.refused { refused } else { Suspension::Yes };
         }
         self.region.iter_mut().for_each(|region| region.suspend(id));
     }
 
     /// Returns a client's index. A client that is no longer in the settings has no session, but is still owed
     /// its answers.
-    pub(crate) fn client_named(&mut self, name: &str) -> usize {
+    pub(crate) fn client_index(&mut self, name: &str) -> usize {
         let next = self.clients.len();
         let at = *self.client_names.entry(name.to_string()).or_insert(next);
         if at == next {
@@ -132,7 +132,7 @@
         }
         for kept in book.sessions.values() {
             let stored = &kept.session;
-            let client = self.client_named(&stored.client);
+            let client = self.client_index(&stored.client);
             let mailbox = self.mailboxes.open(client, &stored.name);
             let mut recent = Recent::new(stored.window as usize);
             for request in &kept.latest {
@@ -182,7 +182,7 @@
             ran_at,
             trail: None,
             answer_for: accepted.answer_for,
-            still: Still::No,
+            still: Suspension::No,
         };
         if let Some(identity) = message.submission.identity.clone().filter(|_| self.cfg.platform.is_some()) {
             self.by_identity.insert(identity, MsgId(accepted.id));
--- a/crates/engine/src/keeping/fence.rs
+++ b/crates/engine/src/rule_tables/fence.rs
@@ -5,7 +5,7 @@
 //! before is dropped for it. After the fence is lifted, that stays under the figures under which it was
 //! accepted until it is gone.
 
-use super::rules::{ClientRules, Keep};
+use super::rules::{ClientRules, RuleTerms};
 use heronroute_held::Parts;
 use heronroute_rules::strict::{Side, stricter};
 use heronroute_rules::{Effective, Field, Figures, RuleSet, Turn};
@@ -84,7 +84,7 @@
         approved: &'a ClientRules,
         common: &'a Figures,
         (class, to, key): (&str, &str, &str),
-    ) -> Keep {
+    ) -> RuleTerms {
         Self::new(applied, approved, common, |rules| rules.at_submission(class, to, key)).terms()
     }
 
@@ -111,9 +111,9 @@
         }
     }
 
-    fn terms(&self) -> Keep {
+    fn terms(&self) -> RuleTerms {
         let span = |field| self.stricter_figure(field).0.map(|v| i64::try_from(v).unwrap_or(i64::MAX));
-        Keep {
+        RuleTerms {
             validity: span(Field::Validity),
             remember: span(Field::Remember),
             names_part: self.stricter_figure(Field::Remembered).1,
--- a/crates/engine/src/keeping/fence/tests.rs
+++ b/crates/engine/src/rule_tables/fence/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the fence over rules.
 
 use super::*;
-use crate::keeping::rules::FIRST_FENCED_PART;
+use crate::rule_tables::rules::FIRST_FENCED_PART;
 use heronroute_rules::{Plan, Rule};
 
 fn set(figures: Figures) -> RuleSet {
--- a/crates/engine/src/keeping/mod.rs
+++ b/crates/engine/src/rule_tables/mod.rs
@@ -24,7 +24,7 @@
 
 /// The rule tables of a node in a fleet.
 #[derive(Debug)]
-pub(crate) struct Keeping {
+pub(crate) struct RuleTables {
     /// Applied rules by client.
     pub rules: BTreeMap<usize, rules::ClientRules>,
     /// The version last written to the journal by client, with which the next one is compared.
@@ -41,7 +41,7 @@
     pub asks: BTreeMap<ConnId, BTreeSet<u32>>,
 }
 
-impl Keeping {
+impl RuleTables {
     /// Returns a client's applied rules, and the approved ones where a fence is set.
     pub(crate) fn rules_of(
         &self,
@@ -53,7 +53,7 @@
     /// Returns tables with nothing applied. `names` is the capacity of the common name table; each of the
     /// `clients` may have its part of as many final answers retained.
     pub(crate) fn new(names: usize, clients: usize) -> Self {
-        Keeping {
+        RuleTables {
             rules: BTreeMap::new(),
             last_written: BTreeMap::new(),
             trouble: BTreeMap::new(),
--- a/crates/engine/src/keeping/rules.rs
+++ b/crates/engine/src/rule_tables/rules.rs
@@ -12,7 +12,7 @@
 
 /// What a client's rules say of a message at its submission.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Keep {
+pub(crate) struct RuleTerms {
     /// The longest time until the message expires.
     pub validity: Option<Micros>,
     /// How long its name is remembered.
@@ -123,9 +123,9 @@
     }
 
     /// Returns the terms of a message that is being submitted.
-    pub(crate) fn terms(&self, class: &str, to: &str, key: &str) -> Keep {
+    pub(crate) fn terms(&self, class: &str, to: &str, key: &str) -> RuleTerms {
         let found = self.at_submission.look(class, to.as_bytes(), key.as_bytes());
-        Keep {
+        RuleTerms {
             validity: found.figures.validity,
             remember: found.figures.remember,
             names_part: self.part(found.by(Field::Remembered)),
--- a/crates/engine/src/stats.rs
+++ b/crates/engine/src/stats.rs
@@ -48,7 +48,7 @@
 }
 
 /// Returns the index of an answer in [`Stats::answers`].
-pub fn place(answer: Answer) -> usize {
+pub fn answer_index(answer: Answer) -> usize {
     match answer {
         Answer::Delivered => 0,
         Answer::Rejected { .. } => 1,
@@ -60,10 +60,10 @@
 }
 
 /// Names of [`Stats::answers`], in order.
-pub const ANSWERS: [&str; 6] = ["DELIVRD", "REJECTD", "UNDELIV", "UNKNOWN", "EXPIRED", "DELETED"];
+pub const ANSWER_NAMES: [&str; 6] = ["DELIVRD", "REJECTD", "UNDELIV", "UNKNOWN", "EXPIRED", "DELETED"];
 
 /// Names of [`Stats::attempts`], in order.
-pub const ATTEMPTS: [&str; 9] =
+pub const ATTEMPT_NAMES: [&str; 9] =
     ["done", "error", "busy", "timed_out", "connect_failed", "reset", "cancelled", "skipped", "crowded"];
 
 impl Stats {
--- a/crates/engine/tests/kept/mod.rs
+++ b/crates/engine/tests/kept/mod.rs
@@ -67,7 +67,7 @@
     /// Answers of receivers on their way, with when they arrive.
     late: Vec<(i64, ConnId, BytesMut)>,
     /// Whose work the node said that it took over.
-    pub inherited: Vec<String>,
+    pub taken_over: Vec<String>,
 }
 
 impl Rig {
@@ -96,7 +96,7 @@
             slow: 0,
             paused: false,
             late: Vec::new(),
-            inherited: Vec::new(),
+            taken_over: Vec::new(),
         };
         r.start(Disk::new(faults));
         r
@@ -220,7 +220,7 @@
             Output::Live(live) => self.lives.push(live),
             Output::Ask(ask) => self.asks.push(ask),
             Output::Copying => {}
-            Output::Inherited(origin) => self.inherited.push(origin),
+            Output::Inherited(origin) => self.taken_over.push(origin),
         }
     }
 
--- a/crates/engine/tests/region.rs
+++ b/crates/engine/tests/region.rs
@@ -21,16 +21,16 @@
 fn rig(ms: i64) -> Rig {
     let mut r = Rig::with(settings(REGIONS), true, Faults::default());
     r.enter();
-    right(&mut r, ms);
+    extend_lease(&mut r, ms);
     let now = r.now;
-    r.node().copying(now, true);
+    r.node().set_copying(now, true);
     assert!(r.node().outputs().contains(&Output::Copying), "nothing may be copied before it says so");
     r
 }
 
-fn right(r: &mut Rig, ms: i64) {
+fn extend_lease(r: &mut Rig, ms: i64) {
     let (now, until) = (r.now, r.now + ms * 1_000);
-    r.node().right(now, until);
+    r.node().extend_lease(now, until);
 }
 
 /// The last answers told to a session, by their words.
@@ -53,11 +53,11 @@
     assert_eq!((r.ran.len(), told(&r, 0).len()), (0, 0), "nothing of it is begun");
     // From here on the partner gets nothing: what is taken on now is this node's alone.
     let now = r.now;
-    r.node().copying(now, false);
+    r.node().set_copying(now, false);
     let (code, answers) = r.hand(0, "to/1000001/RESP//two", 600);
     assert_eq!((code, field(&answers[0], "stat")), (0, Some("DELIVRD")), "delivering never stops");
     assert_eq!(r.ran, ["to/1000001/RESP//two"]);
-    right(&mut r, 1_000);
+    extend_lease(&mut r, 1_000);
     r.pass(50);
     assert_eq!(r.ran, ["to/1000001/RESP//two", "to/1000001/RESP//one"]);
     assert_eq!(told(&r, 0), ["DELIVRD", "DELIVRD"]);
@@ -70,7 +70,7 @@
     r.hand(0, "to/1000001/PAY", 20);
     r.pass(1_500);
     assert_eq!(told(&r, 0).len(), 0, "its partner may have answered it");
-    right(&mut r, 1_000);
+    extend_lease(&mut r, 1_000);
     r.pass(20);
     assert_eq!((told(&r, 0), r.ran.len()), (vec!["EXPIRED".to_string()], 0));
 }
@@ -85,7 +85,7 @@
     assert_eq!((r.ran.len(), told(&r, 0).len()), (2, 0));
     r.pass(100);
     assert_eq!(told(&r, 0).len(), 0);
-    right(&mut r, 1_000);
+    extend_lease(&mut r, 1_000);
     r.pass(20);
     assert_eq!((told(&r, 0), r.ran.len()), (vec!["DELIVRD".to_string()], 2));
 }
@@ -102,12 +102,12 @@
     assert_eq!(r.ran.len(), 0);
     r.now += SECOND;
     let now = r.now;
-    assert!(r.node().overdue(now), "whoever writes asks before each write");
+    assert!(r.node().lease_overdue(now), "whoever writes asks before each write");
     r.paused = false;
     r.node().settle(now);
     r.pass(100);
     assert_eq!(r.ran.len(), 0);
-    assert!(!r.node().overdue(now + 1));
+    assert!(!r.node().lease_overdue(now + 1));
 }
 
 #[test]
@@ -124,7 +124,7 @@
     assert_eq!(r.ran.len(), 0);
     let (_, answers) = r.hand(0, "to/1000009/RESP", 600);
     assert_eq!(field(&answers[0], "stat"), Some("DELIVRD"), "what comes now goes at once");
-    right(&mut r, 1_000);
+    extend_lease(&mut r, 1_000);
     r.pass(200);
     assert_eq!(r.ran.len(), 4);
 }
@@ -142,7 +142,7 @@
         r.deaf = false;
         r.hand(0, "to/1000000/RESP", 2);
         let now = r.now;
-        r.node().copying(now, false);
+        r.node().set_copying(now, false);
         r.pass(1);
         let upto = r.life.as_ref().unwrap().1.book().next_id;
         if after_start {
@@ -151,8 +151,8 @@
         }
         r.down = false;
         let now = r.now;
-        r.node().fenced(now, None);
-        right(&mut r, 60_000);
+        r.node().partner_took_over(now, None);
+        extend_lease(&mut r, 60_000);
         // The receiver was down for long: it is tried again after a while.
         for n in 0..20 {
             r.hand(1, &format!("to/100010{n}/RESP"), 300);
@@ -163,14 +163,14 @@
         assert!(before >= 2);
         r.clients[0].heard.clear();
         let now = r.now;
-        r.node().fenced(now, Some(upto));
+        r.node().partner_took_over(now, Some(upto));
         r.pass(50);
         let held = r.held(1);
         assert_eq!((told(&r, 0), held), (vec![], before - 2), "answers and held messages are the partner's");
         for _ in 0..2 {
             r.crash();
             r.enter();
-            right(&mut r, 60_000);
+            extend_lease(&mut r, 60_000);
             r.pass(100);
         }
         assert_eq!(
@@ -195,15 +195,15 @@
     (r.life.take().unwrap().1.book().clone(), ran)
 }
 
-fn inherit(r: &mut Rig, book: &Book) {
+fn begin_takeover(r: &mut Rig, book: &Book) {
     let now = r.now;
-    r.node().inherit(now, "a-1", vec![book.clone()]);
+    r.node().begin_takeover(now, "a-1", vec![book.clone()]);
 }
 
 /// The log says that it is this node's.
 fn own(r: &mut Rig) {
     let now = r.now;
-    r.node().inherited(now, "a-1");
+    r.node().taken_over(now, "a-1");
 }
 
 #[test]
@@ -211,17 +211,17 @@
     let (book, _) = legacy();
     assert_eq!((book.open.len(), book.held.len()), (3, 2));
     let mut r = rig(60_000);
-    inherit(&mut r, &book);
+    begin_takeover(&mut r, &book);
     own(&mut r);
     r.pass(30);
-    assert_eq!((r.inherited.len(), r.ran.len()), (1, 0), "written down, and nobody's yet");
+    assert_eq!((r.taken_over.len(), r.ran.len()), (1, 0), "written down, and nobody's yet");
     // A crash between: it is there whole, and written once.
     r.crash();
     r.enter();
-    right(&mut r, 60_000);
-    inherit(&mut r, &book);
+    extend_lease(&mut r, 60_000);
+    begin_takeover(&mut r, &book);
     r.pass(5);
-    assert_eq!(r.inherited, ["a-1", "a-1"]);
+    assert_eq!(r.taken_over, ["a-1", "a-1"]);
     own(&mut r);
     r.pass(30);
     let mut ran = r.ran.clone();
@@ -237,30 +237,30 @@
     assert_eq!(r.hand(0, "to/1000002/RESP//open", 30).0, 0);
     assert_eq!(r.ran.len(), 2, "{:?}", r.ran);
     // Told of it once more, and after a restart: once is enough.
-    inherit(&mut r, &book);
+    begin_takeover(&mut r, &book);
     r.pass(10);
     r.crash();
     r.enter();
-    right(&mut r, 60_000);
-    inherit(&mut r, &book);
+    extend_lease(&mut r, 60_000);
+    begin_takeover(&mut r, &book);
     own(&mut r);
     r.pass(50);
-    assert_eq!((r.ran.len(), r.inherited.len(), r.held(0)), (2, 4, 3));
+    assert_eq!((r.ran.len(), r.taken_over.len(), r.held(0)), (2, 4, 3));
 }
 
 #[test]
 fn what_is_anothers_after_all_is_not_done_here() {
     let (book, _) = legacy();
     let mut r = rig(60_000);
-    inherit(&mut r, &book);
+    begin_takeover(&mut r, &book);
     r.pass(5);
     let now = r.now;
-    r.node().disinherited(now, "a-1");
+    r.node().takeover_revoked(now, "a-1");
     own(&mut r);
     r.pass(50);
     r.crash();
     r.enter();
-    right(&mut r, 60_000);
+    extend_lease(&mut r, 60_000);
     own(&mut r);
     r.pass(50);
     assert_eq!((r.ran.len(), told(&r, 0).len(), r.held(0), r.node().open()), (0, 0, 0, 0));
@@ -276,9 +276,9 @@
         disk.faults.power = disk.steps + step;
         let alive = r.start(disk);
         if alive {
-            right(&mut r, 60_000);
-            inherit(&mut r, &book);
-            if r.pass(10) && r.inherited.len() == 1 {
+            extend_lease(&mut r, 60_000);
+            begin_takeover(&mut r, &book);
+            if r.pass(10) && r.taken_over.len() == 1 {
                 own(&mut r);
                 r.pass(30);
             }
@@ -289,8 +289,8 @@
         }
         r.crash();
         r.enter();
-        right(&mut r, 60_000);
-        inherit(&mut r, &book);
+        extend_lease(&mut r, 60_000);
+        begin_takeover(&mut r, &book);
         r.pass(10);
         own(&mut r);
         r.pass(100);
--- a/crates/net/src/reactor.rs
+++ b/crates/net/src/reactor.rs
@@ -304,7 +304,7 @@
         }
         // Guards against octets from before a pause that leave after it, when another process may have taken over.
         let now = self.clock.now();
-        if self.node.overdue(now) {
+        if self.node.lease_overdue(now) {
             self.node.settle(now);
         }
         let Some(socket) = self.sockets.get_mut(&conn).filter(|s| !s.connecting) else { return };
