--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -8,11 +8,11 @@
 use crate::Micros;
 use crate::admission::RejectReason;
 use crate::entry_codec::to_entry;
+use crate::failover::Suspension;
 use crate::front::Speaks;
 use crate::ids::ConnId;
 use crate::node::{ConnRole, Effect, Message, Node};
 use crate::outbox::ReplyAddress;
-use crate::standing::Still;
 use heronroute::{Action, DestId, Effect as Repeats, Event, MsgId};
 use heronroute_journal::entry::{Accepted, What};
 use heronroute_platform::add::Add;
@@ -80,7 +80,7 @@
             may_have_run_since: None,
             trail: None,
             answer_for: 0,
-            still: Still::No,
+            still: Suspension::No,
         };
         self.add_open_message(id, message);
         self.submitted.push((id, add.dest));
--- a/crates/engine/src/admission/delivery.rs
+++ b/crates/engine/src/admission/delivery.rs
@@ -20,7 +20,7 @@
     /// Sends the answers owed to a mailbox, as far as its sessions have room.
     pub(crate) fn deliver_owed(&mut self, mailbox: MailboxId) {
         let (mut full_sessions, now) = (0, self.now);
-        let suspended_below = self.still_below();
+        let suspended_below = self.suspended_below();
         loop {
             let Some(m) = self.mailboxes.get_mut(mailbox) else { return };
             let Some(conn) = m.outbox.next_session(now) else { break };
@@ -37,7 +37,7 @@
             let Some(owed) = m.outbox.pop() else { break };
             if parse_id(&owed.receipt.id).is_some_and(|id| suspended_below.is_some_and(|below| id.0 < below))
             {
-                self.owe_later(mailbox, owed);
+                self.defer_answer(mailbox, owed);
                 continue;
             }
             match front.deliver(now, &owed, &mut c.stream.out) {
--- a/crates/engine/src/admission/fronts.rs
+++ b/crates/engine/src/admission/fronts.rs
@@ -32,7 +32,7 @@
         let front: Box<dyn Front> = match (speaks, self.mqtt_limits) {
             (Speaks::Resp, _) => Box::new(RespFront::new(self.now)),
             (Speaks::Mqtt, Some(limits)) => {
-                Box::new(MqttFront::new(self.now, limits).fleet(self.keeping.is_some()))
+                Box::new(MqttFront::new(self.now, limits).fleet(self.rule_tables.is_some()))
             }
             _ => Box::new(SmppFront::new(self.now, self.session_limits)),
         };
@@ -131,7 +131,7 @@
                 }
                 self.deliver_owed(mailbox);
             }
-            ClientRequest::Rules { token, words, body } => self.asked_of_fleet(conn, token, words, body),
+            ClientRequest::Rules { token, words, body } => self.forward_ask(conn, token, words, body),
             ClientRequest::Held { token, words } => self.handle_held_command(conn, token, &words),
             ClientRequest::SaveNotes { notes, reply } => self.notes_changed(conn, notes, reply),
             ClientRequest::Over(why) => {
--- a/crates/engine/src/admission/mod.rs
+++ b/crates/engine/src/admission/mod.rs
@@ -11,8 +11,8 @@
 use crate::Micros;
 pub(crate) use crate::front::RejectReason;
 use crate::ids::ConnId;
-use crate::keeping::rules::Keep;
 use crate::mailboxes::MailboxId;
+use crate::rule_tables::rules::RuleTerms;
 use heronroute::DestId;
 
 /// Where a message comes from.
@@ -33,7 +33,7 @@
     /// The time after which the message expires.
     pub(crate) time_left: Micros,
     /// What the client's own rules say about the message.
-    pub(crate) keep: Keep,
+    pub(crate) keep: RuleTerms,
 }
 
 /// Compares two strings without stopping at the first difference, so that the time taken does not reveal
--- a/crates/engine/src/admission/open_messages.rs
+++ b/crates/engine/src/admission/open_messages.rs
@@ -3,10 +3,10 @@
 use super::Origin;
 use crate::Micros;
 use crate::entry_codec::to_entry;
+use crate::failover::Suspension;
 use crate::front::{Speaks, SubmissionContext};
 use crate::ids::ID_SENDER_BITS;
 use crate::node::{ConnRole, Message, Node};
-use crate::standing::Still;
 use heronroute::MsgId;
 use heronroute_held::Trail;
 use heronroute_journal::entry::{Accepted, What};
@@ -71,7 +71,7 @@
             out: None,
             may_have_run_since: None,
             answer_for: 0,
-            still: Still::No,
+            still: Suspension::No,
             trail: self.records_trail(from.client).then(|| Box::new(Trail::new(self.wall(), 0))),
         }
     }
--- a/crates/engine/src/admission/replies.rs
+++ b/crates/engine/src/admission/replies.rs
@@ -2,10 +2,10 @@
 
 use super::RejectReason;
 use crate::answers::MessageEnd;
+use crate::failover::Suspension;
 use crate::front::Speaks;
 use crate::ids::{ConnId, format_id, parse_id};
 use crate::node::Node;
-use crate::standing::Still;
 use heronroute::{Event, MsgId};
 use heronroute_smpp::receipt::Answer;
 use rusmpp_core::values::MessageState;
@@ -68,7 +68,7 @@
         let (Some(id), Some(m)) = (id, own) else {
             return self.refuse(conn, token, RejectReason::Message);
         };
-        if m.still != Still::No {
+        if m.still != Suspension::No {
             return self.refuse(conn, token, RejectReason::TooLate);
         }
         if let Some((call, part)) = m.out {
--- a/crates/engine/src/admission/submit.rs
+++ b/crates/engine/src/admission/submit.rs
@@ -3,9 +3,9 @@
 use super::Origin;
 use crate::front::{RejectReason, SubmissionContext};
 use crate::ids::ConnId;
-use crate::keeping::rules::Keep;
 use crate::mailboxes::MailboxId;
 use crate::node::{Effect, Node};
+use crate::rule_tables::rules::RuleTerms;
 use heronroute::MsgId;
 use heronroute_journal::entry::{Accepted, Named};
 use heronroute_seen::{Name, Verdict};
@@ -34,7 +34,7 @@
                 let id = MsgId(id);
                 self.stats.repeated += 1;
                 self.once_durable(Effect::ReportAcceptance { conn, token, id });
-                if by_name && self.owes_again(&from, id) {
+                if by_name && self.has_answer_to_repeat(&from, id) {
                     self.once_durable(Effect::RepeatAnswer {
                         mailbox,
                         id,
@@ -102,7 +102,7 @@
         from: &Origin,
         context: &SubmissionContext,
         id: MsgId,
-        keep: Keep,
+        keep: RuleTerms,
     ) -> Option<Named> {
         if let Some(handle) = context.handle
             && let Some(session) = self.mailboxes.get_mut(from.mailbox).and_then(|m| m.kept.as_mut())
@@ -143,7 +143,7 @@
         // The session remembers the message, so that it isn't refused twice. Its name is not recorded, so
         // that the client may submit it again.
         let unnamed = SubmissionContext { name: None, ..context.clone() };
-        self.remember_submission(&from, &unnamed, id, Keep::default());
+        self.remember_submission(&from, &unnamed, id, RuleTerms::default());
         let submission = Submission { body: Vec::new(), key: None, ..submission.clone() };
         let (taken, class) = (self.wall(), submission.service.clone());
         self.write_accepted(
--- a/crates/engine/src/held/release.rs
+++ b/crates/engine/src/held/release.rs
@@ -52,7 +52,7 @@
             }
             let (_, state) = self.resubmit_held(client, id, false);
             if state == "ENROUTE" {
-                self.was_released(client, id);
+                self.record_release(client, id);
             }
             let Some(r) = self.releases.get_mut(&client) else { return };
             match state {
--- a/crates/engine/src/held/resubmit.rs
+++ b/crates/engine/src/held/resubmit.rs
@@ -63,7 +63,7 @@
         }
         let Some(dest) = self.routes.find(&a.destination) else { return reply("NOROUTE") };
         // A partner may have the message, and resubmit it there.
-        if self.stands_still(MsgId(id))
+        if self.is_suspended(MsgId(id))
             || self.leaving
             || self.ledger.refuses(self.now, self.messages.len(), a.body.len())
         {
--- a/crates/engine/src/held/store.rs
+++ b/crates/engine/src/held/store.rs
@@ -4,7 +4,7 @@
 use crate::entry_codec::to_entry;
 use crate::ids::format_id;
 use crate::node::{Message, Node};
-use crate::stats::place;
+use crate::stats::answer_index;
 use heronroute::MsgId;
 use heronroute_held::{Trail, What};
 use heronroute_journal::entry::{self, Accepted, Held, Released};
@@ -15,7 +15,7 @@
     /// Stores the trail of an answered message, and holds the message for its client if it ended undelivered.
     pub(crate) fn store_ended(&mut self, id: MsgId, m: &mut Message, answer: Answer) {
         let (Some(mut trail), now) = (m.trail.take(), self.wall()) else { return };
-        trail.add(now, What::Answered(place(answer) as u32), MAX_TRAIL_STEPS);
+        trail.add(now, What::Answered(answer_index(answer) as u32), MAX_TRAIL_STEPS);
         // A resubmitted message that was not delivered stays held, whatever its end.
         let resubmitted = trail.steps().filter(|(_, what)| matches!(what, What::HandedIn(_))).last();
         if let (Some((index, _)), Some(r)) = (resubmitted, self.releases.get_mut(&m.client)) {
@@ -35,7 +35,7 @@
             to_entry(client, mailbox, &m.submission, &m.reply_to, rest)
         });
         stored.message = held.as_ref().map(|a| a.encode_to_vec().into());
-        let parts = self.parts_for(m.client, Some(m.class), &m.submission.destination, key);
+        let parts = self.held_parts_for(m.client, Some(m.class), &m.submission.destination, key);
         let dropped = self.held.as_mut().map(|s| s.file_in(now, id.0, stored, parts)).unwrap_or_default();
         if let Some(accepted) = held {
             self.unacknowledged.insert(id.0);
--- a/crates/engine/src/node/answer.rs
+++ b/crates/engine/src/node/answer.rs
@@ -5,12 +5,12 @@
 use super::state::{Effect, FinishedMessage, Message};
 use crate::Micros;
 use crate::answers::{self, MessageEnd};
+use crate::failover::Suspension;
 use crate::front::Speaks;
 use crate::ids::format_id;
 use crate::limits::Usage;
 use crate::mailboxes::MailboxId;
 use crate::outbox::ReplyAddress;
-use crate::standing::Still;
 use crate::stats::{self};
 use heronroute::MsgId;
 use heronroute_journal::entry::{self, What};
@@ -45,12 +45,12 @@
 
     /// Gives a message this final answer.
     pub(crate) fn answer_with(&mut self, id: MsgId, answer: Answer) {
-        if let Some(m) = self.messages.get_mut(&id).filter(|m| m.still != Still::No) {
-            m.still = Still::Found(answer);
+        if let Some(m) = self.messages.get_mut(&id).filter(|m| m.still != Suspension::No) {
+            m.still = Suspension::WithAnswer(answer);
             return;
         }
         let Some(m) = self.messages.remove(&id) else { return };
-        self.stats.answers[stats::place(answer)] += 1;
+        self.stats.answers[stats::answer_index(answer)] += 1;
         let done = self.wall();
         if m.speaks == Speaks::Resp && (m.reply.is_some() || answer == Answer::Delivered) {
             // The message was never accepted, or nothing more is owed: no answer has to be kept.
@@ -121,7 +121,7 @@
     /// more.
     pub(crate) fn taken(&mut self, id: MsgId) {
         self.unacknowledged.remove(&id.0);
-        self.answer_heard(id);
+        self.answer_acknowledged(id);
         self.ledger.write(|| What::Taken(entry::Taken { id: id.0 }));
     }
 }
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -23,15 +23,15 @@
 use crate::calls::Calls;
 use crate::directory::Directory;
 use crate::doubts::UnconfirmedOutcomes;
+use crate::failover::Failover;
 use crate::front::FRONT_COUNT;
 use crate::ids::ConnId;
-use crate::keeping::Keeping;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
 use crate::mailboxes::Mailboxes;
 use crate::read_budget::ReadBudgets;
 use crate::routes::Trie;
-use crate::standing::Standing;
+use crate::rule_tables::RuleTables;
 use crate::stats::Stats;
 use crate::timers::Timers;
 use heronroute::{Action, DestId, Dispatcher, Event, MsgId};
@@ -113,9 +113,9 @@
     /// flight.
     pub(crate) frozen: bool,
     /// The clients' own rules, on a node of a fleet.
-    pub(crate) keeping: Option<Keeping>,
+    pub(crate) rule_tables: Option<RuleTables>,
     /// The state of the regions that members belong to.
-    pub(crate) region: Option<Standing<Effect>>,
+    pub(crate) region: Option<Failover<Effect>>,
     pub(crate) ledger: Ledger<Effect>,
     /// Operations requested from the owner of the sockets.
     pub(crate) outputs: Vec<Output>,
@@ -166,7 +166,7 @@
 
     /// Returns when [`Node::settle`] is next needed if nothing happens before.
     pub fn wake(&self) -> Option<Micros> {
-        let region = self.region.as_ref().and_then(Standing::wake);
+        let region = self.region.as_ref().and_then(Failover::wake);
         [self.timers.next(), self.ledger.wake(), region].into_iter().flatten().min()
     }
 }
--- a/crates/engine/src/node/round.rs
+++ b/crates/engine/src/node/round.rs
@@ -33,7 +33,7 @@
         if self.leaving {
             self.continue_leaving();
         }
-        let entries = self.ledger.hand_over(self.now);
+        let entries = self.ledger.take_entries(self.now);
         if !entries.is_empty() {
             self.outputs.push(Output::Journal(entries));
         }
@@ -58,7 +58,7 @@
 
     /// Performs an effect, unless it is held back while messages are suspended.
     pub(crate) fn perform(&mut self, effect: Effect) {
-        let Some(effect) = self.not_now(effect) else { return };
+        let Some(effect) = self.defer_if_suspended(effect) else { return };
         match effect {
             Effect::ReportAcceptance { conn, token, id } => self.report_acceptance(conn, token, id),
             Effect::AcknowledgeNotes { conn, reply } => self.acknowledge_notes(conn, &reply),
@@ -66,9 +66,9 @@
             Effect::ReportAnswer { id, message, answer, done } => {
                 self.report_answer(id, *message, answer, done)
             }
-            Effect::Apply(apply) => self.in_force(&apply),
-            Effect::Inherited { origin } => self.estate_durable(origin),
-            Effect::RepeatAnswer { mailbox, id, reply_to } => self.tell_again(mailbox, id, *reply_to),
+            Effect::Apply(apply) => self.rules_durable(&apply),
+            Effect::Inherited { origin } => self.takeover_durable(origin),
+            Effect::RepeatAnswer { mailbox, id, reply_to } => self.repeat_answer(mailbox, id, *reply_to),
         }
     }
 
@@ -106,7 +106,7 @@
             TimerKey::Outbox(mailbox) => self.deliver_owed(mailbox),
             TimerKey::Release(client) => self.continue_release(client),
             TimerKey::Mailbox(mailbox) => self.mailbox_due(mailbox),
-            TimerKey::Keeping => self.keeping_due(),
+            TimerKey::RuleTables => self.expire_by_rules(),
             TimerKey::Directory => {
                 let mut events = Vec::new();
                 let want = self.directory.tick(self.now, &mut events);
--- a/crates/engine/src/node/shutdown.rs
+++ b/crates/engine/src/node/shutdown.rs
@@ -4,9 +4,9 @@
 use super::state::{Conn, ConnRole, TimerKey};
 use crate::Micros;
 use crate::answers::MessageEnd;
+use crate::failover::Suspension;
 use crate::front::{FRONT_COUNT, Speaks};
 use crate::ids::ConnId;
-use crate::standing::Still;
 use heronroute::{Event, MsgId};
 
 /// How long a sender that shuts down waits for its calls, once it accepts nothing more.
@@ -86,7 +86,7 @@
     /// up.
     pub(crate) fn abandon_all(&mut self) {
         // A suspended message is in the journal, and its partner may have it.
-        let not_suspended = self.messages.iter().filter(|(_, m)| m.still == Still::No);
+        let not_suspended = self.messages.iter().filter(|(_, m)| m.still == Suspension::No);
         let open: Vec<MsgId> = not_suspended.map(|(id, _)| *id).collect();
         for id in open {
             self.events.push(Event::Withdrawn { id });
--- a/crates/engine/src/node/state.rs
+++ b/crates/engine/src/node/state.rs
@@ -1,13 +1,13 @@
 //! The state of a node, as plain data: connections, messages, endpoints, clients, timers, deferred effects.
 
 use crate::Micros;
+use crate::failover::Suspension;
 use crate::front::{Front, Speaks};
 use crate::ids::ConnId;
 use crate::link::{Link, LinkEvent};
 use crate::mailboxes::MailboxId;
 use crate::outbox::ReplyAddress;
 use crate::pool::Pool;
-use crate::standing::Still;
 use crate::stream::Stream;
 use heronroute::{DestId, EndpointId, MsgId};
 use heronroute_held::{Release, Trail};
@@ -43,7 +43,7 @@
     /// The next step in the release of a client's backlog.
     Release(usize),
     /// The expiry of what is kept under clients' rules.
-    Keeping,
+    RuleTables,
     /// The directory's timer.
     Directory,
     /// Notices are due, or were not answered.
@@ -145,7 +145,7 @@
     /// How long its answer is kept to be sent again; 0 if it is not kept.
     pub answer_for: Micros,
     /// Whether it is suspended.
-    pub still: Still,
+    pub still: Suspension,
 }
 
 /// A finished message, kept for queries.
