--- a/crates/engine/src/carry/unconfirmed.rs
+++ b/crates/engine/src/delivery/unconfirmed.rs
@@ -8,10 +8,10 @@
 use super::reply_of;
 use crate::Micros;
 use crate::answers::MessageEnd;
-use crate::doubts::UnconfirmedOutcome;
 use crate::ids::ConnId;
 use crate::link::{CONFIRMATION_DELAY, Reply};
 use crate::node::{Gone, Key, Node, Use};
+use crate::unconfirmed::UnconfirmedOutcome;
 use heronroute::{DestId, Effect, EndpointId, Event, MsgId, Outcome};
 
 /// An unconfirmed delivery that is still unconfirmed this long after its message's deadline is reported as
@@ -52,26 +52,26 @@
     }
 
     fn add_unconfirmed(&mut self, conn: ConnId, due: Micros, outcome: UnconfirmedOutcome) {
-        self.doubts.add(conn, due, outcome);
-        let next = self.doubts.next(conn).unwrap_or(due);
+        self.unconfirmed.add(conn, due, outcome);
+        let next = self.unconfirmed.next(conn).unwrap_or(due);
         self.timers.set(Key::Confirm(conn), next);
     }
 
     /// Returns whether the delivery of a message is still unconfirmed.
     pub(crate) fn awaits_confirmation(&self, message: MsgId) -> bool {
-        self.doubts.is_unconfirmed_delivery(message)
+        self.unconfirmed.is_unconfirmed_delivery(message)
     }
 
     /// Assigns no calls to a connection until its unconfirmed answers are confirmed.
     pub(crate) fn pause_until_confirmed(&mut self, endpoint: EndpointId, conn: ConnId) {
         self.remotes[endpoint].pool.pause(conn);
-        self.doubts.extend(conn, self.now + CONFIRMATION_DELAY);
+        self.unconfirmed.extend(conn, self.now + CONFIRMATION_DELAY);
         self.timers.set(Key::Confirm(conn), self.now + CONFIRMATION_DELAY);
     }
 
     /// Accepts the unconfirmed answers of a connection that nothing has followed in time.
     pub(crate) fn confirm_due(&mut self, conn: ConnId) {
-        for outcome in self.doubts.take_due(conn, self.now) {
+        for outcome in self.unconfirmed.take_due(conn, self.now) {
             match outcome {
                 UnconfirmedOutcome::Refused { call, part, reply } => self.record_outcome(call, part, reply),
                 UnconfirmedOutcome::Delivered { message, began, latest, .. } if self.now >= latest => {
@@ -85,7 +85,7 @@
             _ => None,
         });
         let unconfirmed_until = receiver.and_then(|(_, until)| until).filter(|until| *until > self.now);
-        if let Some(next) = [self.doubts.next(conn), unconfirmed_until].into_iter().flatten().min() {
+        if let Some(next) = [self.unconfirmed.next(conn), unconfirmed_until].into_iter().flatten().min() {
             self.timers.set(Key::Confirm(conn), next);
         }
         let Some((endpoint, _)) = receiver.filter(|_| unconfirmed_until.is_none()) else { return };
@@ -101,7 +101,7 @@
     /// other calls.
     pub(crate) fn handle_contradiction(&mut self, conn: ConnId) {
         self.timers.clear(Key::Confirm(conn));
-        for outcome in self.doubts.take_due(conn, Micros::MAX) {
+        for outcome in self.unconfirmed.take_due(conn, Micros::MAX) {
             self.stats.contradicted += 1;
             match outcome {
                 UnconfirmedOutcome::Refused { call, part, .. } => {
@@ -130,7 +130,7 @@
     /// Nothing can contradict or confirm them any more.
     pub(crate) fn report_unconfirmed_deliveries(&mut self, conn: ConnId) {
         self.timers.clear(Key::Confirm(conn));
-        for outcome in self.doubts.take_due(conn, Micros::MAX) {
+        for outcome in self.unconfirmed.take_due(conn, Micros::MAX) {
             if let UnconfirmedOutcome::Delivered { message, began, .. } = outcome {
                 self.report_possibly_run(message, began);
             }
@@ -180,7 +180,7 @@
         let Some(until) = link.unconfirmed_until().filter(|until| *until > self.now) else {
             return self.close_link(conn);
         };
-        let next = self.doubts.next(conn).map_or(until, |next| next.min(until));
+        let next = self.unconfirmed.next(conn).map_or(until, |next| next.min(until));
         self.timers.set(Key::Confirm(conn), next);
     }
 }
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -20,7 +20,6 @@
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::Directory;
-use crate::doubts::UnconfirmedOutcomes;
 use crate::front::FRONTS;
 use crate::ids::ConnId;
 use crate::keeping::Keeping;
@@ -32,6 +31,7 @@
 use crate::standing::Standing;
 use crate::stats::Stats;
 use crate::timers::Timers;
+use crate::unconfirmed::UnconfirmedOutcomes;
 use heronroute::{Action, DestId, Dispatcher, Event, MsgId};
 use heronroute_config::Config;
 use heronroute_held::Store;
@@ -81,7 +81,7 @@
     pub(crate) next_id: u64,
     pub(crate) calls: Calls,
     /// Outcomes by doubtful answers, which wait to be believed.
-    pub(crate) doubts: UnconfirmedOutcomes,
+    pub(crate) unconfirmed: UnconfirmedOutcomes,
     pub(crate) remotes: Remotes,
     /// When it is looked next for endpoints that are gone.
     forget_at: Micros,
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -7,7 +7,6 @@
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::{Directory, Polled, Watched};
-use crate::doubts::UnconfirmedOutcomes;
 use crate::front::FRONTS;
 use crate::ids::ID_SENDER_BITS;
 use crate::keeping::Keeping;
@@ -19,6 +18,7 @@
 use crate::standing::Standing;
 use crate::stats::Stats;
 use crate::timers::Timers;
+use crate::unconfirmed::UnconfirmedOutcomes;
 use heronroute::{DestId, Discovery, Dispatcher, SettingsError};
 use heronroute_config::{Config, Listing, parse_listing};
 use heronroute_held::{Room, Store};
@@ -107,7 +107,7 @@
             // sender takes on a million messages a second for as long as it runs.
             next_id: ((start.wall.max(0) as u64) << ID_SENDER_BITS) | start.index as u64,
             calls: Calls::default(),
-            doubts: UnconfirmedOutcomes::default(),
+            unconfirmed: UnconfirmedOutcomes::default(),
             remotes: Remotes::default(),
             forget_at: now,
             zones: cfg.zones.clone(),
