--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -22,7 +22,6 @@
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::Directory;
-use crate::doubts::UnconfirmedOutcomes;
 use crate::failover::Failover;
 use crate::front::FRONT_COUNT;
 use crate::ids::ConnId;
@@ -34,6 +33,7 @@
 use crate::rule_tables::RuleTables;
 use crate::stats::Stats;
 use crate::timers::Timers;
+use crate::unconfirmed::UnconfirmedOutcomes;
 use heronroute::{Action, DestId, Dispatcher, Event, MsgId};
 use heronroute_config::Config;
 use heronroute_held::Store;
@@ -88,7 +88,7 @@
     pub(crate) next_id: u64,
     pub(crate) calls: Calls,
     /// Outcomes reported by doubtful answers, which wait to be confirmed.
-    pub(crate) doubts: UnconfirmedOutcomes,
+    pub(crate) unconfirmed: UnconfirmedOutcomes,
     pub(crate) endpoints: EndpointTable,
     /// When to check next for endpoints to remove.
     prune_at: Micros,
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -7,7 +7,6 @@
 use crate::Micros;
 use crate::calls::Calls;
 use crate::directory::{Directory, Polled, Watched};
-use crate::doubts::UnconfirmedOutcomes;
 use crate::failover::Failover;
 use crate::front::FRONT_COUNT;
 use crate::ids::ID_SENDER_BITS;
@@ -19,6 +18,7 @@
 use crate::rule_tables::RuleTables;
 use crate::stats::Stats;
 use crate::timers::Timers;
+use crate::unconfirmed::UnconfirmedOutcomes;
 use heronroute::{DestId, Discovery, Dispatcher, SettingsError};
 use heronroute_config::{Config, Listing, parse_listing};
 use heronroute_held::{Room, Store};
@@ -109,7 +109,7 @@
             // as no sender accepts a million messages a second for as long as it runs.
             next_id: ((start.wall.max(0) as u64) << ID_SENDER_BITS) | start.index as u64,
             calls: Calls::default(),
-            doubts: UnconfirmedOutcomes::default(),
+            unconfirmed: UnconfirmedOutcomes::default(),
             endpoints: EndpointTable::default(),
             prune_at: now,
             zones: cfg.zones.clone(),
