--- a/crates/engine/src/admission/fronts.rs
+++ b/crates/engine/src/admission/fronts.rs
@@ -34,7 +34,7 @@
             (Speaks::Mqtt, Some(limits)) => {
                 Box::new(MqttFront::new(self.now, limits).fleet(self.rule_tables.is_some()))
             }
-            _ => Box::new(SmppFront::new(self.now, self.session_limits)),
+            _ => Box::new(SmppFront::new(self.now, self.smpp_limits)),
         };
         self.sessions[speaks as usize] += 1;
         let conn = self.add_conn(ConnRole::Client { front, speaks, owner: None, open: 0, shedding: false });
--- a/crates/engine/src/admission/mod.rs
+++ b/crates/engine/src/admission/mod.rs
@@ -20,15 +20,20 @@
 pub(crate) struct Origin {
     /// The connection of the request; `None` for a message submitted on behalf of a disconnected client.
     pub conn: Option<ConnId>,
+    /// The front's number for the request.
     pub token: u32,
+    /// The client that submitted it.
     pub client: usize,
+    /// The mailbox for its answer.
     pub mailbox: MailboxId,
 }
 
 /// The terms on which a message is accepted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Terms {
+    /// The index of its class.
     pub(crate) class: usize,
+    /// The destination that its address belongs to.
     pub(crate) dest: DestId,
     /// The time after which the message expires.
     pub(crate) time_left: Micros,
--- a/crates/engine/src/delivery/send.rs
+++ b/crates/engine/src/delivery/send.rs
@@ -107,7 +107,7 @@
             let remote = &mut self.endpoints[endpoint];
             let kind = &self.cfg.kinds[remote.kind];
             let address = remote.address;
-            let link = link::new(kind, self.session_limits, address.to_string(), self.index);
+            let link = link::new(kind, self.smpp_limits, address.to_string(), self.index);
             let conn = self.add_conn(ConnRole::Receiver { endpoint, link });
             self.endpoints[endpoint].pool.add_connecting(conn);
             self.stats.connections += 1;
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -47,7 +47,7 @@
 /// One sender, without its sockets.
 pub struct Node {
     pub(crate) cfg: Arc<Config>,
-    pub(crate) session_limits: server::Limits,
+    pub(crate) smpp_limits: server::Limits,
     pub(crate) mqtt_limits: Option<mqtt::Limits>,
     /// The index of this sender within the process.
     pub(crate) index: usize,
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -47,7 +47,7 @@
     /// Returns an error if the decision library rejects the settings.
     pub fn new(cfg: Arc<Config>, start: Start) -> Result<Self, SettingsError> {
         let s = &cfg.smpp;
-        let session_limits = server::Limits {
+        let smpp_limits = server::Limits {
             session_init: s.session_init,
             enquire_every: s.enquire_every,
             inactivity: s.inactivity,
@@ -77,7 +77,7 @@
             cfg.service.owed_room,
         );
         let mut node = Node {
-            session_limits,
+            smpp_limits,
             mqtt_limits,
             index: start.index,
             now,
