--- a/crates/engine/tests/layout.rs
+++ b/crates/engine/tests/layout.rs
@@ -89,7 +89,7 @@
     assert!(files.len() > 40 && arrows.len() > 10, "sources were read: {}", arrows.len());
     assert_eq!(circle(&arrows), None);
     // The data that the acting modules share imports none of them.
-    for acting in ["desk", "hold", "delivery", "sessions", "acceptance", "restart"] {
+    for acting in ["admission", "held", "delivery", "sessions", "acceptance", "restart"] {
         assert!(!arrows["node"].contains(acting), "node imports {acting}");
     }
 }
