--- a/crates/net/src/acceptor.rs
+++ b/crates/net/src/acceptor.rs
@@ -15,13 +15,16 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Sender;
 
+/// The token of the listener.
 const LISTENER: Token = Token(0);
-const WAKE: Token = Token(1);
-/// Clients have their tokens from here.
+/// The token of the waker.
+const WAKER: Token = Token(1);
+/// The first token of a client connection.
 const FIRST_CLIENT: usize = 2;
-/// Connections without a name yet. Beyond this number the oldest are closed.
+/// The maximum number of connections whose client is not identified yet. Beyond it the oldest are closed.
 const MAX_UNIDENTIFIED: usize = 1_024;
-/// The first command must hold the client's name within so many octets. Octets read beyond it are passed on too.
+/// The maximum number of bytes within which the first command must contain the client's name. Bytes that were
+/// read beyond it are passed on too.
 const FIRST_COMMAND_LIMIT: usize = 4_096;
 
 /// A handle to a sender's thread: its command queue, and the waker of its reactor.
@@ -32,55 +35,59 @@
 }
 
 impl SenderHandle {
-    /// Submits a command and wakes the thread. False where the thread is gone.
+    /// Sends a command and wakes the thread. Returns false if the thread has ended.
     pub fn send(&self, command: Command) -> bool {
         self.commands.send(command).is_ok() && self.waker.wake().is_ok()
     }
 }
 
+/// A connection whose client is not identified yet.
 struct Unidentified {
     stream: TcpStream,
-    octets: Vec<u8>,
+    bytes: Vec<u8>,
 }
 
-/// The acceptor's thread: one for each protocol that clients speak.
+/// The acceptor of one client protocol. It runs on a thread of its own.
 pub struct Acceptor {
-    speaks: Speaks,
+    protocol: Speaks,
     listener: TcpListener,
     poll: Poll,
     senders: Vec<SenderHandle>,
     unidentified: BTreeMap<usize, Unidentified>,
-    /// When each must have sent its name, oldest first.
-    due: VecDeque<(i64, usize)>,
-    next: usize,
-    init: i64,
+    /// The time by which each client must have sent its name, oldest first.
+    deadlines: VecDeque<(i64, usize)>,
+    next_token: usize,
+    /// The time in which a client must send its name, in microseconds.
+    identify_timeout: i64,
     clock: Clock,
+    /// Whether the service has stopped accepting clients.
     closing: Arc<AtomicBool>,
 }
 
 impl Acceptor {
+    /// Creates an acceptor, and the waker that makes it check `closing`.
     pub fn new(
-        speaks: Speaks,
+        protocol: Speaks,
         mut listener: TcpListener,
         senders: Vec<SenderHandle>,
-        init: i64,
+        identify_timeout: i64,
         clock: Clock,
         closing: Arc<AtomicBool>,
     ) -> io::Result<(Self, Arc<Waker>)> {
         let poll = Poll::new()?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
-        let (unidentified, due) = (BTreeMap::new(), VecDeque::new());
+        let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
+        let (unidentified, deadlines) = (BTreeMap::new(), VecDeque::new());
         Ok((
             Acceptor {
-                speaks,
+                protocol,
                 listener,
                 poll,
                 senders,
                 unidentified,
-                due,
-                next: FIRST_CLIENT,
-                init,
+                deadlines,
+                next_token: FIRST_CLIENT,
+                identify_timeout,
                 clock,
                 closing,
             },
@@ -92,8 +99,8 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(256);
         loop {
-            let wait = self.due.front().map(|(at, _)| self.clock.until(*at));
-            match self.poll.poll(&mut events, wait) {
+            let timeout = self.deadlines.front().map(|(at, _)| self.clock.until(*at));
+            match self.poll.poll(&mut events, timeout) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 other => other?,
             }
@@ -103,14 +110,14 @@
             for event in &events {
                 match event.token() {
                     LISTENER => self.accept(),
-                    WAKE => {}
-                    Token(n) => self.read_name(n),
+                    WAKER => {}
+                    Token(token) => self.read_name(token),
                 }
             }
             let now = self.clock.now();
-            while let Some((_, n)) = self.due.front().copied().filter(|(at, _)| *at <= now) {
-                self.due.pop_front();
-                self.unidentified.remove(&n);
+            while let Some((_, token)) = self.deadlines.front().copied().filter(|(at, _)| *at <= now) {
+                self.deadlines.pop_front();
+                self.unidentified.remove(&token);
             }
         }
     }
@@ -119,24 +126,25 @@
         loop {
             match self.listener.accept() {
                 Ok((mut stream, _)) => {
-                    let n = self.next;
-                    self.next += 1;
-                    if self.poll.registry().register(&mut stream, Token(n), Interest::READABLE).is_err() {
+                    let token = self.next_token;
+                    self.next_token += 1;
+                    if self.poll.registry().register(&mut stream, Token(token), Interest::READABLE).is_err() {
                         continue;
                     }
-                    // Guards against silent connections that fill the table: the oldest of them are closed.
+                    // Guards against silent connections that fill the table by closing the oldest of them.
                     while self.unidentified.len() >= MAX_UNIDENTIFIED {
-                        let Some((_, old)) = self.due.pop_front() else { break };
-                        self.unidentified.remove(&old);
+                        let Some((_, oldest)) = self.deadlines.pop_front() else { break };
+                        self.unidentified.remove(&oldest);
                     }
-                    self.unidentified.insert(n, Unidentified { stream, octets: Vec::new() });
-                    self.due.push_back((self.clock.now() + self.init, n));
-                    self.read_name(n);
+                    self.unidentified.insert(token, Unidentified { stream, bytes: Vec::new() });
+                    self.deadlines.push_back((self.clock.now() + self.identify_timeout, token));
+                    self.read_name(token);
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) => {
-                    // For example out of descriptors: the listener becomes ready again with the next client.
+                    // For example because no descriptors are left. The listener becomes ready again with the
+                    // next client.
                     tracing::warn!(error = %e, "a client could not be accepted");
                     return;
                 }
@@ -144,34 +152,34 @@
         }
     }
 
-    fn read_name(&mut self, n: usize) {
-        let Some(u) = self.unidentified.get_mut(&n) else { return };
+    fn read_name(&mut self, token: usize) {
+        let Some(client) = self.unidentified.get_mut(&token) else { return };
         let mut buffer = [0; FIRST_COMMAND_LIMIT];
-        let gone = match read_some(&mut u.stream, &mut buffer, true) {
-            Progress::Blocked(m) | Progress::More(m) => {
-                u.octets.extend_from_slice(&buffer[..m]);
+        let is_closed = match read_some(&mut client.stream, &mut buffer, true) {
+            Progress::Blocked(received) | Progress::More(received) => {
+                client.bytes.extend_from_slice(&buffer[..received]);
                 false
             }
             Progress::Ended(_) | Progress::Broken => true,
         };
-        if gone {
-            self.unidentified.remove(&n);
+        if is_closed {
+            self.unidentified.remove(&token);
             return;
         }
-        let named = match self.speaks {
-            Speaks::Smpp => peek_system_id(&u.octets, FIRST_COMMAND_LIMIT),
-            Speaks::Mqtt => user_name(&u.octets, FIRST_COMMAND_LIMIT),
+        let name = match self.protocol {
+            Speaks::Smpp => peek_system_id(&client.bytes, FIRST_COMMAND_LIMIT),
+            Speaks::Mqtt => user_name(&client.bytes, FIRST_COMMAND_LIMIT),
             // RESP clients connect to a sender directly, without an acceptor.
             Speaks::Resp => None,
         };
-        let Some(name) = named else { return };
-        let Some(mut u) = self.unidentified.remove(&n) else { return };
-        self.due.retain(|(_, other)| *other != n);
-        if self.poll.registry().deregister(&mut u.stream).is_err() {
+        let Some(name) = name else { return };
+        let Some(mut client) = self.unidentified.remove(&token) else { return };
+        self.deadlines.retain(|(_, other_token)| *other_token != token);
+        if self.poll.registry().deregister(&mut client.stream).is_err() {
             return;
         }
-        // A client without a name is passed to a sender too, which answers it as the protocol demands.
+        // A client without a name is passed to a sender too, which answers it as the protocol requires.
         let sender = &self.senders[home(&name, self.senders.len())];
-        sender.send(Command::Client(self.speaks, u.stream, u.octets));
+        sender.send(Command::Client(self.protocol, client.stream, client.bytes));
     }
 }
--- a/crates/net/src/closing.rs
+++ b/crates/net/src/closing.rs
@@ -1,9 +1,9 @@
-//! Connections of clients that are being closed: the sending side first (half-close), then the rest once the peer has ended
-//! its own.
+//! Closes client connections gracefully: first the sending side (half-close), then the rest once the peer has
+//! closed its side.
 //!
-//! Guards against a reset: a close over octets that were not read resets the connection, and takes along an answer that its
-//! client has not read yet. What is read here is discarded: nobody could be told of it any more, and its client sends it
-//! again on another connection.
+//! Guards against a reset: closing a connection with unread bytes resets it, and an answer that the client
+//! has not read yet is lost. Bytes that are read here are discarded. They can't be answered any more, and the
+//! client sends them again on another connection.
 
 use crate::socket::{Progress, read_some};
 use heronroute_engine::ConnId;
@@ -11,105 +11,111 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Shutdown;
 
-/// A peer has so long to end its side.
-const LINGER: i64 = 250_000;
-/// What is left to be written on a connection that is then closed must be taken within this.
-const FINISH: i64 = 5_000_000;
-/// So many connections linger at once; beyond these the oldest are closed.
-const MOST: usize = 1_024;
-/// Octets that are discarded of one connection at most: a peer that sends on regardless is not listened to for long.
-const MOST_DISCARDED: usize = 256 * 1024;
+/// The time in which a peer must close its side, in microseconds.
+const LINGER_TIMEOUT: i64 = 250_000;
+/// The time in which a peer must read the rest of the output before its connection is closed, in
+/// microseconds.
+const FINISH_TIMEOUT: i64 = 5_000_000;
+/// The maximum number of lingering connections. Beyond it the oldest are closed.
+const MAX_LINGERING: usize = 1_024;
+/// The maximum number of bytes discarded from one connection, so that a peer that keeps sending is cut off.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
+/// A connection whose sending side is closed.
 struct Lingering {
     stream: TcpStream,
-    until: i64,
+    deadline: i64,
+    /// The number of bytes discarded so far.
     discarded: usize,
 }
 
-/// Connections whose sending side is shut, until their peers end theirs.
+/// The client connections that are being closed.
 #[derive(Default)]
-pub struct Closing {
+pub struct ClosingConns {
     conns: BTreeMap<ConnId, Lingering>,
-    /// The order in which they began to linger, so that the first is due first; some may be closed already.
-    order: VecDeque<ConnId>,
-    /// Those that may have more to read.
+    /// Lingering connections, oldest first. Some may be closed already.
+    by_age: VecDeque<ConnId>,
+    /// Lingering connections that may have more to read.
     ready: BTreeSet<ConnId>,
-    /// Connections that are written out first, with when that must be over.
+    /// Connections whose output must still be written, each with its deadline.
     finishing: VecDeque<(i64, ConnId)>,
 }
 
-impl Closing {
-    /// Shuts the sending side of a connection on which all is written.
-    pub fn begin(&mut self, conn: ConnId, stream: TcpStream, now: i64) {
+impl ClosingConns {
+    /// Closes the sending side of a connection whose output is written, and waits for the peer to close its
+    /// side.
+    pub fn half_close(&mut self, conn: ConnId, stream: TcpStream, now: i64) {
         if stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        self.keep(MOST - 1);
-        self.conns.insert(conn, Lingering { stream, until: now + LINGER, discarded: 0 });
-        self.order.push_back(conn);
-        // What came before is no longer told of by the system.
+        self.close_excess(MAX_LINGERING - 1);
+        self.conns.insert(conn, Lingering { stream, deadline: now + LINGER_TIMEOUT, discarded: 0 });
+        self.by_age.push_back(conn);
+        // The system does not report again the bytes that arrived before.
         self.ready.insert(conn);
     }
 
-    /// A connection is to be closed once all is written on it.
-    pub fn finishing(&mut self, conn: ConnId, now: i64) {
-        self.finishing.push_back((now + FINISH, conn));
+    /// Starts the time limit for a connection that is to be closed once its output is written.
+    pub fn add_finishing(&mut self, conn: ConnId, now: i64) {
+        self.finishing.push_back((now + FINISH_TIMEOUT, conn));
     }
 
-    /// A connection that was to be closed by now, if its peer has not read what was left. Guards against a peer that never
-    /// reads and keeps a descriptor for good.
-    pub fn unread(&mut self, now: i64) -> Option<ConnId> {
+    /// Returns a connection whose time limit for the rest of its output has passed, if there is one. Guards
+    /// against a peer that never reads and so holds a descriptor for good.
+    pub fn take_overdue(&mut self, now: i64) -> Option<ConnId> {
         self.finishing.pop_front_if(|(at, _)| *at <= now).map(|(_, conn)| conn)
     }
 
-    /// Whether nothing lingers.
+    /// Returns whether no connection lingers.
     pub fn is_empty(&self) -> bool {
         self.conns.is_empty()
     }
 
-    /// A connection has something to read, or its peer has ended.
+    /// Handles a connection that has bytes to read, or whose peer has closed its side.
     pub fn on_ready(&mut self, conn: ConnId) {
         if self.conns.contains_key(&conn) {
             self.ready.insert(conn);
         }
     }
 
-    /// When it is to be turned to next though nothing comes.
-    pub fn wake(&self) -> Option<i64> {
+    /// Returns the time of the next timeout.
+    pub fn next_timeout(&self) -> Option<i64> {
         if !self.ready.is_empty() {
             return Some(0);
         }
-        let lingers = self.order.iter().find_map(|conn| self.conns.get(conn)).map(|c| c.until);
-        let finishes = self.finishing.front().map(|(at, _)| *at);
-        [lingers, finishes].into_iter().flatten().min()
+        let linger_deadline =
+            self.by_age.iter().find_map(|conn| self.conns.get(conn)).map(|lingering| lingering.deadline);
+        let finish_deadline = self.finishing.front().map(|(at, _)| *at);
+        [linger_deadline, finish_deadline].into_iter().flatten().min()
     }
 
-    /// Discards what came, and closes connections whose peer has ended or whose time is up.
-    pub fn turn(&mut self, now: i64, buffer: &mut [u8]) {
+    /// Discards received bytes, and closes connections whose peer has closed its side or whose time is up.
+    pub fn advance(&mut self, now: i64, buffer: &mut [u8]) {
         for conn in std::mem::take(&mut self.ready) {
-            let Some(c) = self.conns.get_mut(&conn) else { continue };
-            match read_some(&mut c.stream, buffer, true) {
+            let Some(lingering) = self.conns.get_mut(&conn) else { continue };
+            match read_some(&mut lingering.stream, buffer, true) {
                 Progress::Blocked(_) => {}
-                Progress::More(n) if c.discarded + n < MOST_DISCARDED => {
-                    c.discarded += n;
+                Progress::More(n) if lingering.discarded + n < MAX_DISCARDED_BYTES => {
+                    lingering.discarded += n;
                     self.ready.insert(conn);
                 }
                 Progress::More(_) | Progress::Ended(_) | Progress::Broken => _ = self.conns.remove(&conn),
             }
         }
-        while let Some(conn) = self.order.front() {
+        while let Some(conn) = self.by_age.front() {
             match self.conns.get(conn) {
-                Some(c) if c.until > now => break,
+                Some(lingering) if lingering.deadline > now => break,
                 Some(_) => _ = self.conns.remove(conn),
                 None => {}
             }
-            self.order.pop_front();
+            self.by_age.pop_front();
         }
     }
 
-    /// Closes the one that has lingered longest, for its descriptor. False where none lingers.
+    /// Closes the connection that has lingered longest, to free its descriptor. Returns false if none
+    /// lingers.
     pub fn close_oldest(&mut self) -> bool {
-        while let Some(conn) = self.order.pop_front() {
+        while let Some(conn) = self.by_age.pop_front() {
             if self.conns.remove(&conn).is_some() {
                 return true;
             }
@@ -117,8 +123,8 @@
         false
     }
 
-    /// Keeps no more than so many.
-    pub fn keep(&mut self, most: usize) {
-        while self.conns.len() > most && self.close_oldest() {}
+    /// Closes the oldest connections until at most `most` linger.
+    pub fn close_excess(&mut self, max_conns: usize) {
+        while self.conns.len() > max_conns && self.close_oldest() {}
     }
 }
--- a/crates/net/src/fleet/health.rs
+++ b/crates/net/src/fleet/health.rs
@@ -1,4 +1,5 @@
-//! How this process fares, for the member in charge: it holds those that a rollout has reached against those that it has not.
+//! Measures the health of this process, for the member in charge. That member compares the members that a
+//! rollout has reached with those that it has not.
 
 use heronroute_engine::stats::Stats;
 use heronroute_fleet::Micros;
@@ -8,47 +9,47 @@
 #[cfg(test)]
 mod tests;
 
-/// It is looked at no more often than this.
-const EVERY: Micros = 1_000_000;
+/// The minimum interval between two samples.
+const SAMPLE_INTERVAL: Micros = 1_000_000;
 
-/// Senders' counts, and the process's memory.
+/// Samples the senders' counts and the memory of the process.
 #[derive(Default)]
-pub struct Pulse {
+pub struct HealthSampler {
     senders: Vec<Arc<Mutex<Stats>>>,
-    next: Micros,
+    next_sample: Micros,
 }
 
-impl Pulse {
-    /// Of these senders.
+impl HealthSampler {
+    /// Creates a sampler of these senders' counts.
     pub fn new(senders: Vec<Arc<Mutex<Stats>>>) -> Self {
-        Pulse { senders, next: Micros::MIN }
+        HealthSampler { senders, next_sample: Micros::MIN }
     }
 
-    /// How it fares, once a second at most.
-    pub fn feel(&mut self, now: Micros) -> Option<Health> {
-        if now < self.next || self.senders.is_empty() {
+    /// Returns a new sample, at most once a second, and none without senders.
+    pub fn sample(&mut self, now: Micros) -> Option<Health> {
+        if now < self.next_sample || self.senders.is_empty() {
             return None;
         }
-        self.next = now.saturating_add(EVERY);
-        let mut all = Stats::default();
-        self.senders.iter().filter_map(|sender| sender.lock().ok()).for_each(|sender| all.add(&sender));
-        let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-        Some(health(&all, &status))
+        self.next_sample = now.saturating_add(SAMPLE_INTERVAL);
+        let mut total = Stats::default();
+        self.senders.iter().filter_map(|sender| sender.lock().ok()).for_each(|sender| total.add(&sender));
+        let process_status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+        Some(health(&total, &process_status))
     }
 }
 
-/// Turned away, ended without being delivered, and resident octets. Memory is 0, which is never compared, where the system
-/// does not tell it.
-fn health(stats: &Stats, status: &str) -> Health {
+/// Returns the messages that were refused, those that ended undelivered, and the resident memory in bytes.
+/// The memory is 0, which is never compared, if the system does not report it.
+fn health(stats: &Stats, process_status: &str) -> Health {
     let [_, rejected, undeliverable, unknown, expired, _] = stats.answers;
     Health {
         refused: stats.refused_rate + stats.refused_room + stats.refused_other,
         failed: rejected + undeliverable + unknown + expired,
-        memory: resident(status).unwrap_or(0),
+        memory: resident_memory(process_status).unwrap_or(0),
     }
 }
 
-fn resident(status: &str) -> Option<u64> {
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+fn resident_memory(process_status: &str) -> Option<u64> {
+    let line = process_status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok()?.checked_mul(1024)
 }
--- a/crates/net/src/fleet/mod.rs
+++ b/crates/net/src/fleet/mod.rs
@@ -1,16 +1,19 @@
-//! The thread by which a process belongs to an installation. It is there only where the settings have `fleet`: nothing here
-//! is touched otherwise.
+//! The thread that runs this process's member of an installation. It exists only if the settings contain
+//! `fleet`.
 //!
-//! Does: listens for and dials other members (mio), gives a [`Switch`](heronroute_fleet::link::Switch) its octets, a
-//! [`Member`](heronroute_installation::seam::Member) its messages, clients' questions and the senders' reports; brings
-//! answers and rules back to the senders; tells the member how the process fares, once a second.
-//! Decides: how much is read and written in a turn.
-//! Never: holds up a sender: what does not fit its inbox is answered as busy, and its failure ends no delivery.
+//! The thread listens for and connects to other members (mio), and passes received bytes to a
+//! [`Switch`](heronroute_fleet::link::Switch). It passes messages of other members, client requests, the
+//! senders' reports and, once a second, the health of this process to a
+//! [`Member`](heronroute_installation::seam::Member). It passes the member's answers and rules to the
+//! senders. It limits how much is read and written in a turn.
+//!
+//! It never delays a sender: requests that don't fit its queue are answered as busy, and its failure stops no
+//! delivery.
 
 mod health;
-mod port;
+mod member_handle;
 mod start;
 mod thread;
 
-pub use port::{Port, SenderPort};
-pub use start::{Anew, Answer, Bound, Fleet, Setup};
+pub use member_handle::{MemberHandle, SenderMemberHandle};
+pub use start::{BoundMember, MemberAnswer, MemberFactory, RunningMember, Setup};
--- a/crates/net/src/fleet/start.rs
+++ b/crates/net/src/fleet/start.rs
@@ -1,8 +1,8 @@
-//! Starts the member's thread, and ends it.
+//! Starts and stops the member's thread.
 
-use super::health::Pulse;
-use super::port::{MOST_WORDS, Port, Word};
-use super::thread::Thread;
+use super::health::HealthSampler;
+use super::member_handle::{MAX_QUEUED_COMMANDS, MemberCommand, MemberHandle};
+use super::thread::MemberReactor;
 use crate::clock::Clock;
 use crate::service::StartError;
 use heronroute_fleet::link::{Settings, Stats, Switch};
@@ -19,121 +19,123 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// What a member's thread starts from.
+/// The parameters of a member's thread.
 pub struct Setup {
-    /// Who is linked how.
+    /// The settings of the links to other members.
     pub links: Settings,
-    /// Where other members find this one.
+    /// The address at which other members connect.
     pub listen: SocketAddr,
-    /// The state machine that all messages go to.
+    /// The state machine that handles all messages.
     pub member: Box<dyn Member>,
-    /// Begins the member anew where its life was outlived; none: it keeps still then.
-    pub anew: Option<Anew>,
+    /// Creates the member of a new life if other members have seen a later start number. Without it, the
+    /// member stays inactive in that case.
+    pub anew: Option<MemberFactory>,
 }
 
-/// Raises the member's number on disk above one that others have seen, and makes who is linked how, and the state machine, of
-/// the life that begins. Called on the member's thread with its time and the time of day, both in microseconds, after the
-/// old state machine is gone.
-pub type Anew = Box<dyn FnMut(Micros, Micros, Start) -> Result<(Settings, Box<dyn Member>), String> + Send>;
+/// Creates the link settings and the state machine of the member's new life, after raising the member's start
+/// number on disk above one that other members have seen (the third argument). It is called on the member's
+/// thread with the monotonic time and the wall-clock time, both in microseconds, after the old state machine
+/// was dropped.
+pub type MemberFactory =
+    Box<dyn FnMut(Micros, Micros, Start) -> Result<(Settings, Box<dyn Member>), String> + Send>;
 
-/// What a member says to its process's senders.
+/// A message from a member to its process's senders.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    /// To the sender that asked.
-    Told(Told),
-    /// To all.
+pub enum MemberAnswer {
+    /// The answer to a client's request, for the sender that passed the request on.
+    ClientAnswer(Told),
+    /// Rules to apply, for all senders.
     Apply(Apply),
-    /// To all.
+    /// A fence to set or lift, for all senders.
     Fence(Fence),
-    /// To all.
+    /// A dry run of rules, for all senders.
     DryRun(DryRun),
 }
 
-/// A member that listens and can be told, and does not run yet.
-pub struct Bound {
-    thread: Thread,
-    port: Port,
+/// A member that listens and accepts commands, but does not run yet.
+pub struct BoundMember {
+    reactor: MemberReactor,
+    handle: MemberHandle,
     address: SocketAddr,
 }
 
-/// A running member.
-pub struct Fleet {
-    port: Port,
+/// A member whose thread is running.
+pub struct RunningMember {
+    handle: MemberHandle,
     address: SocketAddr,
     thread: JoinHandle<io::Result<()>>,
 }
 
-impl Bound {
-    /// Listens; others that connect are served once it runs.
+impl BoundMember {
+    /// Starts to listen. Members that connect are served once this one runs.
     ///
     /// # Errors
-    /// Where the address or a poll can't be had, or the members can't be as they are named.
+    /// If it can't listen at the address, no poll can be created, or the list of members is invalid.
     pub fn new(setup: Setup, clock: Clock) -> Result<Self, StartError> {
         let listener = TcpListener::bind(setup.listen).map_err(|e| StartError::Listen(setup.listen, e))?;
         let address = listener.local_addr()?;
         let switch = Switch::new(clock.now(), setup.links)?;
-        let (words, inbox) = sync_channel(MOST_WORDS);
-        let (thread, waker) = Thread::new(switch, (setup.member, setup.anew), clock, listener, inbox)?;
-        let port = Port { words, waker: waker.into() };
-        Ok(Bound { thread, port, address })
+        let (commands, command_queue) = sync_channel(MAX_QUEUED_COMMANDS);
+        let (reactor, waker) =
+            MemberReactor::new(switch, (setup.member, setup.anew), clock, listener, command_queue)?;
+        let handle = MemberHandle { commands, waker: waker.into() };
+        Ok(BoundMember { reactor, handle, address })
     }
 
-    /// The way to it.
-    pub fn port(&self) -> Port {
-        self.port.clone()
+    /// Returns a handle to the member's thread.
+    pub fn handle(&self) -> MemberHandle {
+        self.handle.clone()
     }
 
-    /// The counts of the process's senders, from which the member is told how it fares.
-    pub fn fares(&mut self, senders: Vec<Arc<Mutex<heronroute_engine::stats::Stats>>>) {
-        self.thread.fares(Pulse::new(senders));
+    /// Sets the senders' counts from which the health of the process is measured.
+    pub fn set_health_source(&mut self, senders: Vec<Arc<Mutex<heronroute_engine::stats::Stats>>>) {
+        self.reactor.set_health_source(HealthSampler::new(senders));
     }
 
-    /// Has it run. `answers` is called on its thread and must not block.
+    /// Starts the thread. `on_answer` is called on it and must not block.
     ///
     /// # Errors
-    /// Where there is no thread to be had.
-    pub fn run(self, answers: Box<dyn FnMut(Answer) + Send>) -> io::Result<Fleet> {
-        let Bound { thread, port, address } = self;
+    /// If the thread can't be created.
+    pub fn run(self, on_answer: Box<dyn FnMut(MemberAnswer) + Send>) -> io::Result<RunningMember> {
+        let BoundMember { reactor, handle, address } = self;
         let run = move || {
-            // Delivering goes on without it; peers see its silence.
-            thread
-                .run(answers)
-                .inspect_err(|e| tracing::error!(error = %e, "the member's thread can't go on"))
+            // Delivery continues without the member, and other members notice that it is silent.
+            reactor.run(on_answer).inspect_err(|e| tracing::error!(error = %e, "the member's thread failed"))
         };
         let thread = std::thread::Builder::new().name("fleet".into()).spawn(run)?;
-        Ok(Fleet { port, address, thread })
+        Ok(RunningMember { handle, address, thread })
     }
 }
 
-impl Fleet {
-    /// Where other members find this one.
+impl RunningMember {
+    /// Returns the address at which other members connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The way to it.
-    pub fn port(&self) -> Port {
-        self.port.clone()
+    /// Returns a handle to the member's thread.
+    pub fn handle(&self) -> MemberHandle {
+        self.handle.clone()
     }
 
-    /// Counts of its links; `None` where it does not answer within a second.
+    /// Returns the counts of its links, or `None` if the thread does not answer within a second.
     pub fn stats(&self) -> Option<Stats> {
         let (to, from) = channel();
-        self.port.tell(Word::Stats(to)).ok()?;
+        self.handle.try_send(MemberCommand::Stats(to)).ok()?;
         from.recv_timeout(Duration::from_secs(1)).ok()
     }
 
-    /// What the settings say of clients now. False: there was no room for it.
+    /// Passes on the clients of the reloaded settings. Returns false if there is no room in the queue.
     pub fn clients(&self, clients: BTreeMap<String, Client>) -> bool {
-        self.port.tell(Word::Clients(clients)).is_ok()
+        self.handle.try_send(MemberCommand::Clients(clients)).is_ok()
     }
 
-    /// Ends it: its links end without a word.
+    /// Stops the thread. Its links are closed without notice.
     ///
     /// # Errors
-    /// Where its thread had ended by an error or a panic.
+    /// If the thread ended with an error or a panic.
     pub fn stop(self) -> io::Result<()> {
-        while self.port.tell(Word::Stop).is_err() && !self.thread.is_finished() {
+        while self.handle.try_send(MemberCommand::Stop).is_err() && !self.thread.is_finished() {
             std::thread::sleep(Duration::from_millis(1));
         }
         self.thread.join().map_err(|_| io::Error::other("the member's thread panicked"))?
--- a/crates/net/src/fleet/thread.rs
+++ b/crates/net/src/fleet/thread.rs
@@ -1,8 +1,8 @@
-//! The member's thread: its sockets, its turns.
+//! The event loop of the member's thread, which runs the member, its links and their sockets.
 
-use super::health::Pulse;
-use super::port::Word;
-use super::start::{Anew, Answer};
+use super::health::HealthSampler;
+use super::member_handle::MemberCommand;
+use super::start::{MemberAnswer, MemberFactory};
 use crate::clock::Clock;
 use crate::socket::{Progress, read_some, write_some};
 use heronroute_fleet::link::{self, Conn, Switch};
@@ -16,167 +16,176 @@
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::time::Duration;
 
+/// The token of the listener.
 const LISTENER: Token = Token(0);
-const WAKE: Token = Token(1);
-/// Connections have their tokens from here.
-const FIRST: usize = 2;
-/// Connections accepted in a turn.
-const ACCEPT: usize = 64;
-/// Octets read from one connection in a turn.
+/// The token of the waker.
+const WAKER: Token = Token(1);
+/// The first token of a connection.
+const FIRST_CONN: usize = 2;
+/// The maximum number of connections accepted in a turn.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// The maximum number of bytes read from one connection in a turn.
 const READ_BUDGET: usize = 64 * 1024;
-/// Times that one connection is written in a turn: each time the switch seals some more.
-const WRITES: usize = 16;
-/// Commands from the senders handled in a turn.
-const WORDS: usize = 256;
-/// Rounds between switch and member in a turn.
-const ROUNDS: usize = 64;
-/// After descriptors ran out, accepting is tried again after this time. Guards against a thread that retries without a wait.
-const ACCEPT_PAUSE: Micros = 20_000;
+/// The maximum number of writes to one connection in a turn. The switch seals more bytes for each.
+const MAX_WRITES_PER_TURN: usize = 16;
+/// The maximum number of commands handled in a turn.
+const MAX_COMMANDS_PER_TURN: usize = 256;
+/// The maximum number of times in a turn that the outputs of switch and member are taken.
+const MAX_OUTPUT_ROUNDS: usize = 64;
+/// The delay before accepting is retried after descriptors ran out. Guards against a busy loop.
+const ACCEPT_RETRY_DELAY: Micros = 20_000;
 
+/// A connection to another member.
 struct Socket {
     stream: TcpStream,
     connecting: bool,
     readable: bool,
 }
 
-/// In the place of a member that can't be had: says nothing to others, and tells clients that nothing can be decided.
-struct Still;
+/// Replaces a member that is unavailable. It sends nothing to other members, and answers clients that there
+/// is no majority.
+struct UnavailableMember;
 
-impl Member for Still {
+impl Member for UnavailableMember {
     fn handle(&mut self, _: Micros, _: Micros, input: Input, out: &mut Vec<Output>) {
-        if let Input::ClientRequest(ask) = input {
-            out.push(Output::Told(asks::no_majority(&ask)));
+        if let Input::ClientRequest(request) = input {
+            out.push(Output::Told(asks::no_majority(&request)));
         }
     }
 }
 
-/// One member's reactor.
-pub struct Thread {
+/// The reactor of one member.
+pub struct MemberReactor {
     switch: Switch,
     member: Box<dyn Member>,
-    anew: Option<Anew>,
-    /// What the settings said of clients when they were read again.
+    member_factory: Option<MemberFactory>,
+    /// The clients of the settings that were reloaded last.
     clients: Option<BTreeMap<String, Client>>,
     clock: Clock,
     poll: Poll,
     listener: TcpListener,
-    inbox: Receiver<Word>,
+    command_queue: Receiver<MemberCommand>,
     sockets: BTreeMap<Conn, Socket>,
     /// Connections that may have more to read.
     ready: BTreeSet<Conn>,
-    /// Connections that had more to write than a turn lets out.
-    writes: BTreeSet<Conn>,
-    /// When the member wants a tick.
-    wake: Option<Micros>,
-    said: Vec<Output>,
-    pulse: Pulse,
-    /// There may be more to accept.
+    /// Connections that still had bytes to write when their share of the turn was used up.
+    unfinished_writes: BTreeSet<Conn>,
+    /// The time of the member's next tick.
+    next_tick: Option<Micros>,
+    /// Outputs of the member that were not executed yet.
+    member_outputs: Vec<Output>,
+    health_sampler: HealthSampler,
+    /// More connections may be waiting to be accepted.
     accept_pending: bool,
-    full_until: Option<Micros>,
-    /// There is more to do than a turn takes.
+    /// No connection is accepted before this time, because descriptors ran out.
+    accept_retry_at: Option<Micros>,
+    /// There is more to do than fits in one turn.
     busy: bool,
     stop: bool,
     buffer: Vec<u8>,
 }
 
-impl Thread {
+impl MemberReactor {
+    /// Creates the reactor, and the waker of its thread.
     pub fn new(
         switch: Switch,
-        (member, anew): (Box<dyn Member>, Option<Anew>),
+        (member, member_factory): (Box<dyn Member>, Option<MemberFactory>),
         clock: Clock,
         mut listener: TcpListener,
-        inbox: Receiver<Word>,
+        command_queue: Receiver<MemberCommand>,
     ) -> io::Result<(Self, Waker)> {
         let poll = Poll::new()?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let waker = Waker::new(poll.registry(), WAKE)?;
-        let thread = Thread {
+        let waker = Waker::new(poll.registry(), WAKER)?;
+        let reactor = MemberReactor {
             switch,
             member,
-            anew,
+            member_factory,
             clients: None,
             clock,
             poll,
             listener,
-            inbox,
+            command_queue,
             sockets: BTreeMap::new(),
             ready: BTreeSet::new(),
-            writes: BTreeSet::new(),
-            // The member sets its own from the first tick on.
-            wake: Some(Micros::MIN),
-            said: Vec::new(),
-            pulse: Pulse::default(),
+            unfinished_writes: BTreeSet::new(),
+            // Ticks at once; the member sets the later times.
+            next_tick: Some(Micros::MIN),
+            member_outputs: Vec::new(),
+            health_sampler: HealthSampler::default(),
             accept_pending: true,
-            full_until: None,
+            accept_retry_at: None,
             busy: false,
             stop: false,
             buffer: vec![0; READ_BUDGET],
         };
-        Ok((thread, waker))
+        Ok((reactor, waker))
     }
 
-    pub fn fares(&mut self, pulse: Pulse) {
-        self.pulse = pulse;
+    /// Sets the source of the process's health.
+    pub fn set_health_source(&mut self, health_sampler: HealthSampler) {
+        self.health_sampler = health_sampler;
     }
 
-    /// Runs until it is stopped.
-    pub fn run(mut self, mut answers: Box<dyn FnMut(Answer) + Send>) -> io::Result<()> {
+    /// Runs until the thread is stopped.
+    pub fn run(mut self, mut on_answer: Box<dyn FnMut(MemberAnswer) + Send>) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
         while !self.stop {
-            match self.poll.poll(&mut events, self.wait()) {
+            match self.poll.poll(&mut events, self.poll_timeout()) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => events.clear(),
                 other => other?,
             }
             for event in &events {
                 match event.token() {
                     LISTENER => self.accept_pending = true,
-                    WAKE => {}
+                    WAKER => {}
                     Token(n) => {
-                        let ending = event.is_read_closed() || event.is_error();
-                        let conn = (n - FIRST) as Conn;
-                        self.on_ready(conn, event.is_readable() || ending, event.is_writable());
+                        let is_closed = event.is_read_closed() || event.is_error();
+                        let conn = (n - FIRST_CONN) as Conn;
+                        self.on_ready(conn, event.is_readable() || is_closed, event.is_writable());
                     }
                 }
             }
             self.accept();
             self.handle_commands();
-            for conn in std::mem::take(&mut self.writes) {
+            for conn in std::mem::take(&mut self.unfinished_writes) {
                 self.write(conn);
             }
             for conn in std::mem::take(&mut self.ready) {
                 self.read(conn);
             }
-            // After what came was read: a process that was paused hears first what waited for it.
+            // After reading, so that a process that was paused first handles the messages that arrived
+            // meanwhile.
             let now = self.clock.now();
             self.switch.tick(now);
-            if self.wake.is_some_and(|at| at <= now) {
-                self.wake = None;
-                if let Some(health) = self.pulse.feel(now) {
-                    self.give(Input::Health(health));
+            if self.next_tick.is_some_and(|at| at <= now) {
+                self.next_tick = None;
+                if let Some(health) = self.health_sampler.sample(now) {
+                    self.pass_to_member(Input::Health(health));
                 }
-                self.give(Input::Tick);
+                self.pass_to_member(Input::Tick);
             }
-            self.execute_outputs(&mut answers);
+            self.execute_outputs(&mut on_answer);
         }
         Ok(())
     }
 
-    fn wait(&self) -> Option<Duration> {
-        if self.busy || !self.ready.is_empty() || !self.writes.is_empty() {
+    fn poll_timeout(&self) -> Option<Duration> {
+        if self.busy || !self.ready.is_empty() || !self.unfinished_writes.is_empty() {
             return Some(Duration::ZERO);
         }
-        let knock = self.accept_pending.then(|| self.full_until.unwrap_or(0));
-        let at = [self.switch.wake(), self.wake, knock].into_iter().flatten().min()?;
+        let accept_at = self.accept_pending.then(|| self.accept_retry_at.unwrap_or(0));
+        let at = [self.switch.wake(), self.next_tick, accept_at].into_iter().flatten().min()?;
         Some(self.clock.until(at.max(0)))
     }
 
     fn accept(&mut self) {
         let now = self.clock.now();
-        if !self.accept_pending || self.full_until.is_some_and(|at| now < at) {
+        if !self.accept_pending || self.accept_retry_at.is_some_and(|at| now < at) {
             return;
         }
-        self.full_until = None;
-        for _ in 0..ACCEPT {
+        self.accept_retry_at = None;
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     let conn = self.switch.accepted(now);
@@ -189,7 +198,7 @@
                 }
                 Err(e) => {
                     tracing::warn!(error = %e, "a member could not be accepted");
-                    self.full_until = Some(now + ACCEPT_PAUSE);
+                    self.accept_retry_at = Some(now + ACCEPT_RETRY_DELAY);
                     return;
                 }
             }
@@ -198,17 +207,19 @@
 
     fn handle_commands(&mut self) {
         self.busy = false;
-        for _ in 0..WORDS {
-            match self.inbox.try_recv() {
-                Ok(Word::ClientRequest(ask)) => self.give(Input::ClientRequest(ask)),
-                Ok(Word::Live(live)) => self.give(Input::Live(live)),
-                Ok(Word::DryRunResult(weighed)) => self.give(Input::DryRunResult(weighed)),
-                Ok(Word::Clients(clients)) => {
+        for _ in 0..MAX_COMMANDS_PER_TURN {
+            match self.command_queue.try_recv() {
+                Ok(MemberCommand::ClientRequest(request)) => {
+                    self.pass_to_member(Input::ClientRequest(request))
+                }
+                Ok(MemberCommand::Live(live)) => self.pass_to_member(Input::Live(live)),
+                Ok(MemberCommand::DryRunResult(result)) => self.pass_to_member(Input::DryRunResult(result)),
+                Ok(MemberCommand::Clients(clients)) => {
                     self.clients = Some(clients.clone());
-                    self.give(Input::Clients(clients));
+                    self.pass_to_member(Input::Clients(clients));
                 }
-                Ok(Word::Stats(to)) => _ = to.send(self.switch.stats().clone()),
-                Ok(Word::Stop) | Err(TryRecvError::Disconnected) => {
+                Ok(MemberCommand::Stats(to)) => _ = to.send(self.switch.stats().clone()),
+                Ok(MemberCommand::Stop) | Err(TryRecvError::Disconnected) => {
                     self.stop = true;
                     return;
                 }
@@ -218,13 +229,13 @@
         self.busy = true;
     }
 
-    fn give(&mut self, input: Input) {
-        self.member.handle(self.clock.now(), self.clock.wall(), input, &mut self.said);
+    fn pass_to_member(&mut self, input: Input) {
+        self.member.handle(self.clock.now(), self.clock.wall(), input, &mut self.member_outputs);
     }
 
     fn register(&mut self, conn: Conn, mut stream: TcpStream, connecting: bool) {
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if self.poll.registry().register(&mut stream, Token(conn as usize + FIRST), interest).is_err() {
+        if self.poll.registry().register(&mut stream, Token(conn as usize + FIRST_CONN), interest).is_err() {
             return self.switch.closed(self.clock.now(), conn);
         }
         _ = stream.set_nodelay(true);
@@ -262,9 +273,10 @@
 
     fn read(&mut self, conn: Conn) {
         let Some(socket) = self.sockets.get_mut(&conn).filter(|s| s.readable) else { return };
-        // To its end each time: a closed peer is known at once, without a note of how the system said so.
+        // Always reads up to the end of the stream, so a connection that its peer closed is noticed at once,
+        // without recording which event reported it.
         let progress = read_some(&mut socket.stream, &mut self.buffer, true);
-        let (n, gone) = match progress {
+        let (n, is_closed) = match progress {
             Progress::Blocked(n) => {
                 socket.readable = false;
                 (n, false)
@@ -279,13 +291,13 @@
         if n > 0 {
             self.switch.received(self.clock.now(), conn, self.buffer.get(..n).unwrap_or_default());
         }
-        if gone {
+        if is_closed {
             self.close(conn);
         }
     }
 
     fn write(&mut self, conn: Conn) {
-        for _ in 0..WRITES {
+        for _ in 0..MAX_WRITES_PER_TURN {
             let Some(socket) = self.sockets.get_mut(&conn).filter(|s| !s.connecting) else { return };
             let pending = self.switch.pending(conn);
             if pending.is_empty() {
@@ -297,41 +309,43 @@
                 Progress::Ended(_) | Progress::Broken => return self.close(conn),
             }
         }
-        self.writes.insert(conn);
+        self.unfinished_writes.insert(conn);
     }
 
-    /// Executes the outputs of switch and member until there are no more or the turn's share is used up.
-    fn execute_outputs(&mut self, answers: &mut dyn FnMut(Answer)) {
-        for _ in 0..ROUNDS {
+    /// Executes the outputs of switch and member until there are no more, or the limit for a turn is reached.
+    fn execute_outputs(&mut self, on_answer: &mut dyn FnMut(MemberAnswer)) {
+        for _ in 0..MAX_OUTPUT_ROUNDS {
             let outputs = self.switch.outputs();
-            if outputs.is_empty() && self.said.is_empty() {
+            if outputs.is_empty() && self.member_outputs.is_empty() {
                 return;
             }
-            outputs.into_iter().for_each(|output| self.carry(output));
-            let mut all = std::mem::take(&mut self.said).into_iter();
-            while let Some(said) = all.next() {
-                match said {
+            outputs.into_iter().for_each(|output| self.execute_link_output(output));
+            let mut outputs = std::mem::take(&mut self.member_outputs).into_iter();
+            while let Some(output) = outputs.next() {
+                match output {
                     Output::Send { peer, kind, payload } => {
                         self.switch.send(self.clock.now(), peer, kind, payload);
                     }
-                    Output::Wake(at) => self.wake = Some(self.wake.map_or(at, |other| other.min(at))),
-                    Output::Told(told) => answers(Answer::Told(told)),
-                    Output::Apply(apply) => answers(Answer::Apply(apply)),
-                    Output::Fence(fence) => answers(Answer::Fence(fence)),
-                    Output::DryRun(weigh) => answers(Answer::DryRun(weigh)),
+                    Output::Wake(at) => {
+                        self.next_tick = Some(self.next_tick.map_or(at, |other| other.min(at)))
+                    }
+                    Output::Told(told) => on_answer(MemberAnswer::ClientAnswer(told)),
+                    Output::Apply(apply) => on_answer(MemberAnswer::Apply(apply)),
+                    Output::Fence(fence) => on_answer(MemberAnswer::Fence(fence)),
+                    Output::DryRun(dry_run) => on_answer(MemberAnswer::DryRun(dry_run)),
                     Output::Decided(decided) => {
                         tracing::debug!(index = decided.index, from = %decided.entry.request.from.name, "decided");
                     }
-                    // Without regions in the settings, as here, none of these comes.
+                    // Only sent if the settings have regions, which this thread does not support.
                     Output::Right(_) | Output::Out(_) | Output::List(_) | Output::Fenced(_) => {}
                     Output::TakeUp(_) | Output::TakenUp(_) | Output::GiveUp(_) => {}
                     Output::StartAbove(start) => {
-                        self.begin_anew(start);
-                        // What the life that is over still had to say to members is not said. A client that asked it in
-                        // this very turn is answered: nobody else knows of its question.
-                        for said in all.by_ref() {
-                            if let Output::Told(told) = said {
-                                answers(Answer::Told(told));
+                        self.restart_member(start);
+                        // The old life's remaining messages to members are dropped. A client whose request it
+                        // handled in this turn is still answered, since nothing else knows of the request.
+                        for output in outputs.by_ref() {
+                            if let Output::Told(told) = output {
+                                on_answer(MemberAnswer::ClientAnswer(told));
                             }
                         }
                     }
@@ -341,31 +355,33 @@
         self.busy = true;
     }
 
-    /// The member's life was outlived: another begins, above it. Its links end; the senders go on.
-    fn begin_anew(&mut self, above: Start) {
-        let Some(mut anew) = self.anew.take() else { return };
+    /// Replaces the member by one of a new life, with a start number above `above`, because other members
+    /// have seen that number. All links are closed; the senders continue.
+    fn restart_member(&mut self, above: Start) {
+        let Some(mut member_factory) = self.member_factory.take() else { return };
         let now = self.clock.now();
-        // First: it holds its folder's lock, and the new life needs it.
-        self.member = Box::new(Still);
-        let begun = anew(now, self.clock.wall(), above)
+        // Drops the old member first: it holds the lock of its folder, which the new member needs.
+        self.member = Box::new(UnavailableMember);
+        let restarted = member_factory(now, self.clock.wall(), above)
             .and_then(|(links, member)| Ok((Switch::new(now, links).map_err(|e| e.to_string())?, member)));
-        match begun {
+        match restarted {
             Ok((switch, member)) => {
-                // Connections are numbered anew: nothing of the old ones may be taken for the new.
+                // The new switch numbers connections from the start, so nothing of the old ones may remain.
                 self.sockets.clear();
                 self.ready.clear();
-                self.writes.clear();
-                (self.switch, self.member, self.wake) = (switch, member, Some(Micros::MIN));
+                self.unfinished_writes.clear();
+                (self.switch, self.member, self.next_tick) = (switch, member, Some(Micros::MIN));
                 tracing::warn!(above = above.0, "the member began anew");
                 if let Some(clients) = self.clients.clone() {
-                    self.give(Input::Clients(clients));
+                    self.pass_to_member(Input::Clients(clients));
                 }
             }
-            Err(e) => tracing::error!(error = e, "the member can't begin anew, and keeps still"),
+            Err(e) => tracing::error!(error = e, "the member can't begin anew, and stays inactive"),
         }
     }
 
-    fn carry(&mut self, output: link::Output) {
+    /// Executes an output of the switch.
+    fn execute_link_output(&mut self, output: link::Output) {
         match output {
             link::Output::Connect { conn, address } => match TcpStream::connect(address) {
                 Ok(stream) => self.register(conn, stream, true),
@@ -375,13 +391,15 @@
             link::Output::Drop(conn) => _ = self.sockets.remove(&conn),
             link::Output::Linked { peer, life } => {
                 tracing::info!(peer = %life.name, start = life.start.0, "linked");
-                self.give(Input::Linked { peer, life });
+                self.pass_to_member(Input::Linked { peer, life });
             }
             link::Output::Unlinked { peer, why } => {
                 tracing::info!(peer, ?why, "unlinked");
-                self.give(Input::Unlinked { peer });
+                self.pass_to_member(Input::Unlinked { peer });
+            }
+            link::Output::Message { peer, payload, .. } => {
+                self.pass_to_member(Input::Message { peer, payload })
             }
-            link::Output::Message { peer, payload, .. } => self.give(Input::Message { peer, payload }),
             link::Output::OtherVersion { theirs, refused } => {
                 let ours = link::hello::VERSION;
                 tracing::warn!(
@@ -392,8 +410,11 @@
                 );
             }
             link::Output::Outlived(start) => {
-                tracing::error!(start = start.0, "others heard this member under a later start than its own");
-                self.give(Input::Outlived(start));
+                tracing::error!(
+                    start = start.0,
+                    "other members have seen a later start of this member than its own"
+                );
+                self.pass_to_member(Input::Outlived(start));
             }
         }
     }
--- a/crates/net/src/journal_writer.rs
+++ b/crates/net/src/journal_writer.rs
@@ -1,7 +1,7 @@
-//! The journal writer thread of one sender: commits all waiting entries, again and again (group commit).
+//! The journal writer thread of one sender, which commits all waiting entries together (group commit).
 //!
-//! Entries that arrive during a sync are part of the next commit. The size of a commit thus follows the load and the disk
-//! without a setting, and at low load an entry waits for one sync.
+//! Entries that arrive during a sync are part of the next commit. So the size of a commit adapts to the load
+//! and the disk without a setting, and at low load an entry waits for one sync.
 
 use crate::acceptor::SenderHandle;
 use crate::reactor::Command;
@@ -10,12 +10,12 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// Entries in one commit at most: bounds how long one takes.
+/// The maximum number of entries in one commit, which bounds its duration.
 const MAX_COMMIT_ENTRIES: usize = 20_000;
-/// A failed commit is tried again after this time. No entry is lost meanwhile, and the sender accepts nothing.
+/// The delay before a failed commit is retried. No entry is lost meanwhile, and the sender accepts nothing.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Opens a sender's journal.
+/// Opens a sender's journal in `folder`.
 pub fn open(
     folder: &std::path::Path,
     limits: heronroute_journal::Limits,
@@ -23,23 +23,24 @@
     Journal::open(Dir::open(folder)?, limits)
 }
 
-/// Runs until the sender is gone. Each entry waits for others for the time `gather`, where syncs are expensive.
+/// Runs until the sender has ended. Before each commit, waits `gather` for more entries, which saves syncs
+/// where they are expensive.
 ///
 /// # Errors
-/// Where the journal can't go on: the sender must then end at once.
+/// If the journal can't be used any more. The sender must then end at once.
 pub fn run<S: Storage>(
     mut journal: Journal<S>,
-    inbox: &Receiver<Vec<Entry>>,
+    queue: &Receiver<Vec<Entry>>,
     sender: &SenderHandle,
     gather: Duration,
 ) -> Result<(), JournalError> {
-    let mut count = 0;
-    while let Ok(mut entries) = inbox.recv() {
+    let mut durable = 0;
+    while let Ok(mut entries) = queue.recv() {
         if !gather.is_zero() {
             std::thread::sleep(gather);
         }
         while entries.len() < MAX_COMMIT_ENTRIES {
-            match inbox.try_recv() {
+            match queue.try_recv() {
                 Ok(more) => entries.extend(more),
                 Err(_) => break,
             }
@@ -47,26 +48,26 @@
         if !commit(&mut journal, &entries, sender)? {
             break;
         }
-        count += entries.len() as u64;
-        if !sender.send(Command::Durable(count, journal.usage())) {
+        durable += entries.len() as u64;
+        if !sender.send(Command::Durable(durable, journal.usage())) {
             break;
         }
     }
     Ok(())
 }
 
-/// Commits entries, again and again while the storage fails. False where the sender is gone meanwhile.
+/// Commits entries, and retries while the storage fails. Returns false if the sender ends meanwhile.
 fn commit<S: Storage>(
     journal: &mut Journal<S>,
     entries: &[Entry],
     sender: &SenderHandle,
 ) -> Result<bool, JournalError> {
-    let mut told = false;
+    let mut failing = false;
     loop {
         let error = match journal.commit(entries) {
             Ok(_) => {
-                if told {
-                    tracing::info!("the journal is written again");
+                if failing {
+                    tracing::info!("the journal can be written again");
                 }
                 return Ok(true);
             }
@@ -77,13 +78,13 @@
             Err(error) => error,
         };
         if matches!(error, JournalError::Full) {
-            // A snapshot drops the log; where that doesn't help either, room must come from outside.
+            // A snapshot frees the space of the log. If that is not enough, space must be freed from outside.
             _ = journal.snapshot();
         }
-        if !told {
+        if !failing {
             tracing::error!(%error, "the journal can't be written; nothing is accepted until it can");
         }
-        told = true;
+        failing = true;
         if !sender.send(Command::JournalFailing) {
             return Ok(false);
         }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,11 +1,18 @@
 //! Sockets, clock and threads: the only package of the service that touches them.
 //!
-//! Does: runs a thread for each sender, with its own reactor (mio) and [`Node`](heronroute_engine::Node) and no shared
-//! state; a journal writer thread for each sender; an acceptor thread that assigns each client to its home sender; the
-//! file of the saved directory list. A [`StandaloneSender`] does all of this for one sender on a single thread, signals
-//! included. A further thread holds the links to other members, where there are any ([`fleet`]).
-//! Decides: how much is read and written in a turn, so that no connection delays the others.
-//! Never: looks into the payload, except for the name in a client's first command.
+//! A [`Service`] runs these threads:
+//!
+//! - one for each sender, with its own reactor (mio) and [`Node`](heronroute_engine::Node) and no shared
+//!   state;
+//! - a journal writer for each sender;
+//! - an acceptor for each client protocol, which assigns each client to its home sender;
+//! - one that holds the links to other members, if there are any ([`fleet`]).
+//!
+//! A [`StandaloneSender`] does all of this for one sender on a single thread, and also handles signals.
+//!
+//! This crate saves the directory's list to its file. It limits how much is read and written in a turn, so
+//! that no connection delays the others. It does not interpret payloads, except for the name in a client's
+//! first command.
 
 #![forbid(unsafe_code)]
 
--- a/crates/net/src/reactor.rs
+++ b/crates/net/src/reactor.rs
@@ -1,10 +1,10 @@
-//! One sender's thread: its node, its sockets, its turns.
+//! The event loop of one sender's thread, which runs its node and its sockets.
 
 mod accepting;
 mod commands;
-mod ending;
 mod journal;
 mod outputs;
+mod teardown;
 #[cfg(test)]
 mod tests;
 
@@ -12,8 +12,8 @@
 pub use journal::{JournalSink, OwnJournal};
 
 use crate::clock::Clock;
-use crate::closing::Closing;
-use crate::fleet::SenderPort;
+use crate::closing::ClosingConns;
+use crate::fleet::SenderMemberHandle;
 use crate::signals::Signals;
 use crate::socket::{Progress, read_some, write_some};
 use heronroute_engine::{CloseReason, ConnId, Node, Stats};
@@ -27,154 +27,157 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The waker's token; connections have theirs from 1.
-const WAKE: Token = Token(0);
-/// The token of a listener of its own.
+/// The token of the waker. A connection's token is its id, from 1.
+const WAKER: Token = Token(0);
+/// The token of the reactor's own listener.
 const LISTENER: Token = Token(usize::MAX);
-/// The token of signals.
+/// The token of the signal pipe.
 const SIGNALS: Token = Token(usize::MAX - 1);
-/// Octets read from one connection in a turn, at most.
+/// The maximum number of bytes read from one connection in a turn.
 const READ_BUDGET: usize = 64 * 1024;
 
+/// A connection of the node and its state.
 struct Socket {
     stream: TcpStream,
-    /// Accepted from a client: closed gracefully, see [`Closing`]. An outgoing connection is closed at once, which cancels
-    /// the call on it.
+    /// Accepted from a client, and so closed gracefully (see [`ClosingConns`]). An outgoing connection is
+    /// closed at once, which cancels the call on it.
     accepted: bool,
     connecting: bool,
     readable: bool,
-    /// The peer has closed its side: read on until the end.
-    ending: bool,
-    /// Only to be written out and closed.
-    finishing: bool,
+    /// The peer has closed its side: read until the end of the stream.
+    peer_closed: bool,
+    /// Not read any more: closed once its output is written.
+    closes_when_written: bool,
 }
 
-/// Reads the configuration again on SIGHUP. Gives the address of discovery from now on; `None`: the old one stays.
+/// Reloads the configuration on SIGHUP. Returns the new address of discovery, or `None` to keep the old one.
 pub type ReloadConfig = Box<dyn FnMut() -> Option<SocketAddr> + Send>;
 
-/// One sender's reactor.
+/// The reactor of one sender.
 pub struct Reactor {
     node: Node,
     clock: Clock,
     poll: Poll,
     sockets: BTreeMap<ConnId, Socket>,
-    closing: Closing,
+    closing: ClosingConns,
     /// Connections that may have more to read.
     ready: BTreeSet<ConnId>,
-    inbox: Receiver<Command>,
-    keep: Option<PathBuf>,
+    command_queue: Receiver<Command>,
+    /// The file for the directory's list.
+    list_path: Option<PathBuf>,
     journal: Option<JournalSink>,
     listener: Option<TcpListener>,
-    /// Signals that it takes itself.
+    /// Signals that the reactor handles itself.
     signals: Option<(Signals, ReloadConfig)>,
-    /// There may be more clients to accept.
+    /// More clients may be waiting to be accepted.
     accept_pending: bool,
-    /// Descriptors ran out: none is accepted before then.
-    full_until: Option<i64>,
-    failed: bool,
+    /// No client is accepted before this time, because descriptors ran out.
+    accept_retry_at: Option<i64>,
+    /// The journal can't be used any more.
+    journal_failed: bool,
     published_stats: Arc<Mutex<Stats>>,
     buffer: Vec<u8>,
-    inbox_closed: bool,
-    /// The port to the installation's member, where there is one.
-    fleet: Option<SenderPort>,
+    command_queue_closed: bool,
+    /// The connection to the installation's member, if there is one.
+    fleet: Option<SenderMemberHandle>,
 }
 
 impl Reactor {
-    /// A reactor for a node. `keep`: the file for the directory's list.
+    /// Creates a reactor for a node. `list_path` is the file for the directory's list.
     pub fn new(
         node: Node,
         clock: Clock,
-        inbox: Receiver<Command>,
-        keep: Option<PathBuf>,
+        command_queue: Receiver<Command>,
+        list_path: Option<PathBuf>,
         journal: Option<JournalSink>,
         published_stats: Arc<Mutex<Stats>>,
     ) -> io::Result<(Self, Waker)> {
         let poll = Poll::new()?;
-        let waker = Waker::new(poll.registry(), WAKE)?;
+        let waker = Waker::new(poll.registry(), WAKER)?;
         let reactor = Reactor {
             node,
             clock,
             poll,
             sockets: BTreeMap::new(),
-            closing: Closing::default(),
+            closing: ClosingConns::default(),
             ready: BTreeSet::new(),
-            inbox,
-            keep,
+            command_queue,
+            list_path,
             journal,
             listener: None,
             signals: None,
             accept_pending: false,
-            full_until: None,
-            failed: false,
+            accept_retry_at: None,
+            journal_failed: false,
             published_stats,
             buffer: vec![0; READ_BUDGET],
-            inbox_closed: false,
+            command_queue_closed: false,
             fleet: None,
         };
         Ok((reactor, waker))
     }
 
-    /// Makes it accept clients itself.
-    pub fn listen_at(&mut self, mut listener: TcpListener) -> io::Result<()> {
+    /// Makes the reactor accept clients itself.
+    pub fn set_listener(&mut self, mut listener: TcpListener) -> io::Result<()> {
         self.poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
         self.listener = Some(listener);
         Ok(())
     }
 
-    /// Makes it take signals itself.
-    pub fn take_signals(&mut self, mut signals: Signals, reload: ReloadConfig) -> io::Result<()> {
+    /// Makes the reactor handle signals itself.
+    pub fn set_signals(&mut self, mut signals: Signals, reload: ReloadConfig) -> io::Result<()> {
         self.poll.registry().register(&mut signals.pipe, SIGNALS, Interest::READABLE)?;
         self.signals = Some((signals, reload));
         Ok(())
     }
 
-    /// Makes it pass questions and reports to the installation's member.
-    pub fn report_to(&mut self, fleet: SenderPort) {
+    /// Makes the reactor pass client requests and reports to the installation's member.
+    pub fn set_member(&mut self, fleet: SenderMemberHandle) {
         self.fleet = Some(fleet);
     }
 
     fn handle_signals(&mut self) {
         let Some((signals, reload)) = &mut self.signals else { return };
-        let (leave, reload_asked) = signals.came();
-        if leave {
+        let (shut_down_requested, reload_requested) = signals.take_requests();
+        if shut_down_requested {
             self.node.leave(self.clock.now());
         }
-        if reload_asked && let Some(discovery) = reload() {
+        if reload_requested && let Some(discovery) = reload() {
             self.node.discovery_moved(self.clock.now(), discovery);
         }
     }
 
-    /// How long to wait for the next event.
+    /// Returns the maximum time to wait for the next event.
     fn poll_timeout(&self) -> Option<Duration> {
         if !self.ready.is_empty() {
             return Some(Duration::ZERO);
         }
-        // Clients that wait are accepted at once, or where descriptors ran out a little later.
-        let accept_pending = self.accept_pending.then(|| self.full_until.unwrap_or(0));
-        let wakes = [self.node.wake(), self.closing.wake(), accept_pending, self.journal_wake()];
+        // Waiting clients are accepted at once, or a little later if descriptors ran out.
+        let accept_pending = self.accept_pending.then(|| self.accept_retry_at.unwrap_or(0));
+        let wakes = [self.node.wake(), self.closing.next_timeout(), accept_pending, self.journal_wake()];
         let wake = wakes.into_iter().flatten().min();
         wake.map(|at| self.clock.until(at))
     }
 
-    /// Runs until the sender has gone out of service.
+    /// Runs until the sender is shut down.
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(1024);
         self.execute_outputs();
         while !self.node.is_shut_down() {
-            let wait = self.poll_timeout();
-            match self.poll.poll(&mut events, wait) {
-                // A signal.
+            let timeout = self.poll_timeout();
+            match self.poll.poll(&mut events, timeout) {
+                // Interrupted by a signal.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => events.clear(),
                 other => other?,
             }
             self.handle_events(&events);
-            // After the pipe was emptied, so that no signal is missed.
+            // After emptying the pipe, so that no signal is missed.
             self.handle_signals();
             self.handle_commands();
             self.accept();
-            if self.failed {
+            if self.journal_failed {
                 return Err(io::Error::other(
-                    "the journal failed; what was durable is found at the next start",
+                    "the journal failed; the next start recovers its durable entries",
                 ));
             }
             for conn in std::mem::take(&mut self.ready) {
@@ -182,11 +185,11 @@
             }
             self.retry_journal();
             self.node.settle(self.clock.now());
-            self.close_door();
+            self.stop_listening_if_refused();
             self.execute_outputs();
-            self.go_on_closing();
+            self.handle_closing();
             if let Some(fleet) = &mut self.fleet {
-                fleet.again();
+                fleet.retry_reports();
             }
             if let Ok(mut published) = self.published_stats.lock() {
                 published.clone_from(self.node.stats());
@@ -197,17 +200,17 @@
         self.final_linger(&mut events)
     }
 
-    /// Takes note of what is ready, and writes where a connection takes more.
+    /// Records which connections can be read, and writes to those that can be written.
     fn handle_events(&mut self, events: &Events) {
         for event in events {
             if event.token() == LISTENER {
                 self.accept_pending = true;
             } else if event.token() == SIGNALS {
                 self.signals.iter_mut().for_each(|(signals, _)| signals.drain());
-            } else if event.token() != WAKE {
+            } else if event.token() != WAKER {
                 let conn = event.token().0 as ConnId;
-                let ending = event.is_read_closed() || event.is_error();
-                self.on_ready(conn, event.is_readable() || ending, ending, event.is_writable());
+                let peer_closed = event.is_read_closed() || event.is_error();
+                self.on_ready(conn, event.is_readable() || peer_closed, peer_closed, event.is_writable());
             }
         }
     }
@@ -225,13 +228,13 @@
                 accepted: !connecting,
                 connecting,
                 readable: false,
-                ending: false,
-                finishing: false,
+                peer_closed: false,
+                closes_when_written: false,
             },
         );
     }
 
-    fn on_ready(&mut self, conn: ConnId, readable: bool, ending: bool, writable: bool) {
+    fn on_ready(&mut self, conn: ConnId, readable: bool, peer_closed: bool, writable: bool) {
         let Some(socket) = self.sockets.get_mut(&conn) else { return self.closing.on_ready(conn) };
         if socket.connecting && (writable || readable) {
             let error = socket.stream.take_error().ok().flatten();
@@ -253,7 +256,7 @@
         }
         if readable && let Some(socket) = self.sockets.get_mut(&conn) {
             socket.readable = true;
-            socket.ending |= ending;
+            socket.peer_closed |= peer_closed;
             self.ready.insert(conn);
         }
         if writable {
@@ -265,18 +268,18 @@
         let Some(socket) = self.sockets.get_mut(&conn).filter(|s| s.readable && !s.connecting) else {
             return;
         };
-        // A connection that is only written out, or whose peer does not read, is not read. The first ends by itself;
-        // the second is read again once its peer has read (see `write`).
-        if socket.finishing || !self.node.wants_read(conn) {
+        // Not read: a connection that is closed once its output is written, and a connection whose peer does
+        // not read. The latter is read again once its peer has read (see `write`).
+        if socket.closes_when_written || !self.node.wants_read(conn) {
             return;
         }
-        // A client that floods is read in smaller pieces, so that others' turns come soon.
+        // A client that floods is read in smaller pieces, so that it does not delay the others.
         let read_quota = self.node.read_quota(conn).min(self.buffer.len());
-        let progress = read_some(&mut socket.stream, &mut self.buffer[..read_quota], socket.ending);
+        let progress = read_some(&mut socket.stream, &mut self.buffer[..read_quota], socket.peer_closed);
         let now = self.clock.now();
-        let (n, gone) = match progress {
+        let (n, close_reason) = match progress {
             Progress::Blocked(n) => {
-                (socket.readable, socket.ending) = (false, false);
+                (socket.readable, socket.peer_closed) = (false, false);
                 (n, None)
             }
             Progress::More(n) => {
@@ -289,20 +292,21 @@
         if n > 0 {
             self.node.received(now, conn, &self.buffer[..n]);
         }
-        if let Some(gone) = gone {
+        if let Some(close_reason) = close_reason {
             self.sockets.remove(&conn);
-            self.node.closed(now, conn, gone);
+            self.node.closed(now, conn, close_reason);
         }
     }
 
     fn write(&mut self, conn: ConnId) {
-        // Guards against a second copy of an answer that came since this connection was read: after the next call has
-        // left, it is taken for that call's.
+        // Guards against a second copy of an answer that arrived since this connection was read. Once the
+        // next call is sent, the copy would be taken for the answer to that call.
         if self.node.reads_first(conn) {
             self.sockets.get_mut(&conn).into_iter().for_each(|s| s.readable = true);
             self.read(conn);
         }
-        // Guards against octets from before a pause that leave after it, when another process may have taken over.
+        // Guards against sending, after a pause of this process, bytes from before it: another process may
+        // have taken over.
         let now = self.clock.now();
         if self.node.overdue(now) {
             self.node.settle(now);
--- a/crates/net/src/reactor/accepting.rs
+++ b/crates/net/src/reactor/accepting.rs
@@ -1,4 +1,4 @@
-//! Descriptors of new connections: clients that are accepted, and connections of the sender's own.
+//! Opens connections: accepts clients, and connects to other addresses. Handles a lack of descriptors.
 
 use super::Reactor;
 use heronroute_engine::front::Speaks;
@@ -7,33 +7,33 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Clients accepted in a turn.
-const ACCEPT: usize = 64;
-/// After descriptors ran out, accepting is tried again after this time, or once a connection has ended. Guards against a
-/// thread that retries without a wait.
-const ACCEPT_PAUSE: i64 = 20_000;
-/// The system has no descriptor left (ENFILE), or the process has its most (EMFILE).
-const NO_DESCRIPTOR: [i32; 2] = [23, 24];
+/// The maximum number of clients accepted in a turn.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// The delay before accepting is retried after descriptors ran out, in microseconds. Guards against a busy
+/// loop.
+const ACCEPT_RETRY_DELAY: i64 = 20_000;
+/// The error codes for no descriptor left in the system (ENFILE) or for the process (EMFILE).
+const OUT_OF_DESCRIPTORS: [i32; 2] = [23, 24];
 
 fn out_of_descriptors(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|e| NO_DESCRIPTOR.contains(&e))
+    error.raw_os_error().is_some_and(|e| OUT_OF_DESCRIPTORS.contains(&e))
 }
 
 impl Reactor {
-    /// Accepts clients, a bounded number in a turn. Where descriptors ran out, one that is being closed or the connection
-    /// that was idle longest is closed for it, and accepting is tried again a little later.
+    /// Accepts clients, a bounded number in a turn. If descriptors run out, closes a lingering connection or
+    /// else the connection that has been idle longest, and retries a little later.
     pub(super) fn accept(&mut self) {
-        if self.full_until.is_some_and(|at| self.clock.now() < at) {
+        if self.accept_retry_at.is_some_and(|at| self.clock.now() < at) {
             return;
         }
-        self.full_until = None;
+        self.accept_retry_at = None;
         let Some(listener) = self.listener.as_ref().filter(|_| self.accept_pending) else {
-            // Guards against a wait for a listener that is closed, which would be none.
+            // Guards against polling without a wait after the listener was closed.
             self.accept_pending = false;
             return;
         };
         let mut streams = Vec::new();
-        for _ in 0..ACCEPT {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             match listener.accept() {
                 Ok((stream, _)) => streams.push(stream),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -44,7 +44,7 @@
                 Err(e) if out_of_descriptors(&e) && self.closing.close_oldest() => {}
                 Err(e) => {
                     tracing::warn!(error = %e, "a client could not be accepted");
-                    self.full_until = Some(self.clock.now() + ACCEPT_PAUSE);
+                    self.accept_retry_at = Some(self.clock.now() + ACCEPT_RETRY_DELAY);
                     self.node.close_idlest_client();
                     break;
                 }
@@ -53,23 +53,23 @@
         for stream in streams {
             if let Some(conn) = self.node.accepted(self.clock.now(), Speaks::Resp, &[]) {
                 self.register(conn, stream, false);
-                // What has come with it is read in this turn, an end of its side included: guards against requests that
-                // are accepted and sent for a client that has gone already.
+                // Reads in this turn what has arrived with the connection, up to the end of the stream.
+                // Guards against accepting and sending requests of a client that has already disconnected.
                 self.on_ready(conn, true, true, false);
             }
         }
-        self.closing.keep(self.node.max_lingering_conns());
+        self.closing.close_excess(self.node.max_lingering_conns());
     }
 
-    /// Stops listening once the sender takes no further client. Guards against clients that see the end of their connection,
-    /// come again at once and are reset.
-    pub(super) fn close_door(&mut self) {
+    /// Stops listening once the sender refuses connections. Guards against clients that reconnect at once
+    /// after their connection was closed and then are reset.
+    pub(super) fn stop_listening_if_refused(&mut self) {
         if self.node.refuses_connections() {
             self.listener = None;
         }
     }
 
-    /// Connects; where descriptors ran out one that is being closed is closed first.
+    /// Opens an outgoing connection. If descriptors run out, closes a lingering connection first.
     pub(super) fn connect(&mut self, conn: ConnId, address: SocketAddr) {
         loop {
             match TcpStream::connect(address) {
--- a/crates/net/src/reactor/commands.rs
+++ b/crates/net/src/reactor/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to a sender's thread, and how it handles them.
+//! Commands to a sender's thread, and their handling.
 
 use super::Reactor;
 use heronroute_config::Config;
@@ -12,40 +12,41 @@
 
 /// A command to a sender's thread.
 pub enum Command {
-    /// A new client, with the octets it has sent so far.
+    /// A new client, with its protocol and the bytes that it has sent so far.
     Client(Speaks, TcpStream, Vec<u8>),
     /// New settings. The answer names those that need a restart.
     Reload(Arc<Config>, Sender<Vec<&'static str>>),
-    /// Go out of service.
+    /// Shut down.
     Leave,
-    /// The number of entries that are durable, and the journal's usage.
+    /// The number of durable entries, and the journal's usage.
     Durable(u64, Usage),
     /// The journal's storage has begun to fail. [`Command::Durable`] follows once it works again.
     JournalFailing,
-    /// The journal can't go on: end at once and send nothing more. A restart finds what was durable.
+    /// The journal can't be used any more: end at once and send nothing more. A restart recovers the durable
+    /// entries.
     JournalFailed,
-    /// The installation's member answers a client.
-    Told(Told),
-    /// The installation's member has rules to be applied.
+    /// The answer of the installation's member to a client request.
+    ClientAnswer(Told),
+    /// Rules to apply, from the installation's member.
     Apply(Apply),
-    /// The installation's member sets a fence or lifts it.
+    /// A fence that the installation's member sets or lifts.
     Fence(Fence),
-    /// The installation's member asks what a client's rules would drop.
+    /// A dry run of a client's rules, which reports what they would drop.
     DryRun(DryRun),
-    /// Block the thread for a time, as a stalled machine would. For drills.
+    /// Block the thread for this time, to simulate a stalled machine in drills.
     Stall(Duration),
 }
 
 impl Reactor {
-    /// Handles all waiting commands. Goes out of service once the queue is closed.
+    /// Handles all waiting commands. Shuts down once the queue is closed.
     pub(super) fn handle_commands(&mut self) {
         loop {
-            match self.inbox.try_recv() {
+            match self.command_queue.try_recv() {
                 Ok(command) => self.handle_command(command),
                 Err(TryRecvError::Empty) => return,
                 Err(TryRecvError::Disconnected) => {
-                    if !self.inbox_closed {
-                        self.inbox_closed = true;
+                    if !self.command_queue_closed {
+                        self.command_queue_closed = true;
                         self.node.leave(self.clock.now());
                     }
                     return;
@@ -57,8 +58,8 @@
     fn handle_command(&mut self, command: Command) {
         let now = self.clock.now();
         match command {
-            Command::Client(speaks, stream, octets) => {
-                if let Some(conn) = self.node.accepted(now, speaks, &octets) {
+            Command::Client(protocol, stream, bytes) => {
+                if let Some(conn) = self.node.accepted(now, protocol, &bytes) {
                     self.register(conn, stream, false);
                 }
             }
@@ -68,14 +69,14 @@
             Command::Leave => self.node.leave(now),
             Command::Durable(count, usage) => self.node.durable(now, count, usage),
             Command::JournalFailing => self.node.storage_failed(now),
-            Command::JournalFailed => self.failed = true,
-            Command::Told(told) => self.node.told(now, told),
+            Command::JournalFailed => self.journal_failed = true,
+            Command::ClientAnswer(told) => self.node.told(now, told),
             Command::Apply(apply) => self.node.apply(now, apply),
             Command::Fence(fence) => self.node.fence(now, fence),
-            Command::DryRun(weigh) => {
-                let weighed = self.node.weigh(now, &weigh);
+            Command::DryRun(dry_run) => {
+                let result = self.node.weigh(now, &dry_run);
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.weighed(weighed);
+                    fleet.report_dry_run(result);
                 }
             }
             Command::Stall(span) => std::thread::sleep(span),
--- a/crates/net/src/reactor/journal.rs
+++ b/crates/net/src/reactor/journal.rs
@@ -1,75 +1,82 @@
-//! How a sender's thread writes its journal.
+//! Writes a sender's journal from the sender's thread.
 
 use super::Reactor;
 use heronroute_journal::dir::Dir;
 use heronroute_journal::{Entry, Journal, JournalError, Usage};
 use std::sync::mpsc::Sender;
 
-/// Pause before a failed commit is tried again, in microseconds.
-const RETRY_PAUSE: i64 = 20_000;
+/// The delay before a failed commit is retried, in microseconds.
+const RETRY_DELAY: i64 = 20_000;
 
-/// Where a sender's journal entries are written.
+/// The destination of a sender's journal entries.
 pub enum JournalSink {
-    /// Sent to the journal writer's thread, which reports them durable later.
+    /// The journal writer's thread, which later reports the entries as durable.
     Thread(Sender<Vec<Entry>>),
-    /// Written on the sender's own thread. For a process with a fraction of one core whose journal is not synced: another
-    /// thread would only add cost.
+    /// The sender's own thread. This suits a process with a fraction of one core whose journal is not synced,
+    /// where another thread would only add cost.
     Own(Box<OwnJournal>),
 }
 
 /// A journal that is written on the sender's own thread.
 ///
-/// Entries of a failed commit wait, and those that come meanwhile behind them. Their number is bounded: nothing is
-/// accepted while the storage fails, and each open message has a bounded number of attempts.
+/// Entries of a failed commit are kept, and later entries queue behind them. Their number is bounded: nothing
+/// is accepted while the storage fails, and each open message has a bounded number of attempts.
 pub struct OwnJournal {
     journal: Journal<Dir>,
     /// Entries that are not durable yet.
-    waiting: Vec<Entry>,
-    /// Entries that were there at the start.
-    before: u64,
-    /// Since when commits have failed.
+    pending_entries: Vec<Entry>,
+    /// The number of durable entries at the start.
+    durable_at_start: u64,
+    /// The time since which commits have failed.
     failing_since: Option<i64>,
     retry_at: Option<i64>,
 }
 
-/// What became of a commit.
+/// The result of a commit.
 enum Commit {
-    /// So many entries since the start are durable.
+    /// The number of entries that became durable since the start, and the journal's usage.
     Durable(u64, Usage),
     /// The storage has begun to fail.
     BeganToFail,
-    /// It still fails.
+    /// The storage still fails.
     StillFails,
     /// The journal can't be used any more.
     Unusable,
 }
 
 impl OwnJournal {
-    /// A journal as it was opened.
+    /// Wraps an opened journal.
     pub fn new(journal: Journal<Dir>) -> Self {
-        let before = journal.durable();
-        OwnJournal { journal, waiting: Vec::new(), before, failing_since: None, retry_at: None }
+        let durable_at_start = journal.durable();
+        OwnJournal {
+            journal,
+            pending_entries: Vec::new(),
+            durable_at_start,
+            failing_since: None,
+            retry_at: None,
+        }
     }
 
-    /// Commits all entries that wait.
+    /// Commits all waiting entries.
     fn commit(&mut self, now: i64) -> Commit {
-        let mut result = self.journal.commit(&self.waiting);
+        let mut result = self.journal.commit(&self.pending_entries);
         if matches!(result, Err(JournalError::Full)) {
-            // A snapshot drops the log. Acceptance has stopped long before, so that there is room for ends.
-            result = self.journal.snapshot().and_then(|()| self.journal.commit(&self.waiting));
+            // A snapshot frees the space of the log. Acceptance has stopped long before, which leaves room
+            // for the entries that end open messages.
+            result = self.journal.snapshot().and_then(|()| self.journal.commit(&self.pending_entries));
         }
         match result {
             Ok(count) => {
-                self.waiting.clear();
+                self.pending_entries.clear();
                 self.retry_at = None;
                 if let Some(since) = self.failing_since.take() {
-                    tracing::info!(failed_for_ms = (now - since) / 1_000, "the journal is written again");
+                    tracing::info!(failed_for_ms = (now - since) / 1_000, "the journal can be written again");
                 }
-                Commit::Durable(count - self.before, self.journal.usage())
+                Commit::Durable(count - self.durable_at_start, self.journal.usage())
             }
             Err(JournalError::Failed) => Commit::Unusable,
             Err(error) => {
-                self.retry_at = Some(now + RETRY_PAUSE);
+                self.retry_at = Some(now + RETRY_DELAY);
                 if self.failing_since.is_some() {
                     return Commit::StillFails;
                 }
@@ -82,14 +89,14 @@
 }
 
 impl Reactor {
-    /// Writes entries to the journal, or submits them to its thread.
+    /// Writes entries to the journal, or sends them to its thread.
     pub(super) fn write_journal(&mut self, entries: Vec<Entry>) {
         match &mut self.journal {
             None => {}
-            Some(JournalSink::Thread(journal)) => self.failed |= journal.send(entries).is_err(),
+            Some(JournalSink::Thread(journal)) => self.journal_failed |= journal.send(entries).is_err(),
             Some(JournalSink::Own(own)) => {
-                own.waiting.extend(entries);
-                // While commits fail, the next one is tried at its time.
+                own.pending_entries.extend(entries);
+                // While commits fail, the next one waits for its retry time.
                 if own.retry_at.is_none() {
                     self.commit();
                 }
@@ -97,7 +104,7 @@
         }
     }
 
-    /// The time at which a failed commit is tried again.
+    /// Returns the time at which a failed commit is retried.
     pub(super) fn journal_wake(&self) -> Option<i64> {
         match &self.journal {
             Some(JournalSink::Own(own)) => own.retry_at,
@@ -105,7 +112,7 @@
         }
     }
 
-    /// Tries a failed commit again, where its time has come.
+    /// Retries a failed commit if its time has come.
     pub(super) fn retry_journal(&mut self) {
         let now = self.clock.now();
         if self.journal_wake().is_some_and(|at| at <= now) {
@@ -120,7 +127,7 @@
             Commit::Durable(count, usage) => self.node.durable(now, count, usage),
             Commit::BeganToFail => self.node.storage_failed(now),
             Commit::StillFails => {}
-            Commit::Unusable => self.failed = true,
+            Commit::Unusable => self.journal_failed = true,
         }
     }
 }
--- a/crates/net/src/reactor/outputs.rs
+++ b/crates/net/src/reactor/outputs.rs
@@ -1,17 +1,17 @@
-//! The node's outputs, and how a sender's thread executes them.
+//! Executes the node's outputs on the sender's thread.
 
 use super::Reactor;
 use heronroute_engine::Output;
 use std::io;
 use std::path::Path;
 
-/// Times in a turn that the node's outputs are taken, at most.
-const OUTPUT_ROUNDS: usize = 1_000;
+/// The maximum number of times that the node's outputs are taken in a turn.
+const MAX_OUTPUT_ROUNDS: usize = 1_000;
 
 impl Reactor {
-    /// Executes the node's outputs until it has no more.
+    /// Executes the node's outputs until there are no more.
     pub(super) fn execute_outputs(&mut self) {
-        for _ in 0..OUTPUT_ROUNDS {
+        for _ in 0..MAX_OUTPUT_ROUNDS {
             let outputs = self.node.outputs();
             if outputs.is_empty() {
                 return;
@@ -32,32 +32,32 @@
             Output::Journal(entries) => self.write_journal(entries),
             Output::Live(live) => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.live(live);
+                    fleet.report_live(live);
                 }
             }
             // Nothing is copied to a partner yet.
             Output::Copying | Output::Inherited(_) => {}
-            Output::ClientRequest(ask) => {
+            Output::ClientRequest(request) => {
                 let now = self.clock.now();
-                // Nobody to ask, or no room: answered at once.
-                if let Some(told) = self.fleet.as_mut().and_then(|f| f.ask(ask)) {
-                    self.node.told(now, told);
+                // Without a member, or without room in its queue, the request is answered at once.
+                if let Some(answer) = self.fleet.as_mut().and_then(|member| member.submit_request(request)) {
+                    self.node.told(now, answer);
                 }
             }
             Output::SaveList(text) => {
-                if let Some(path) = &self.keep
+                if let Some(path) = &self.list_path
                     && let Err(e) = replace_file(path, &text)
                 {
-                    tracing::warn!(error = %e, "the directory's list could not be kept");
+                    tracing::warn!(error = %e, "the directory's list could not be saved");
                 }
             }
         }
     }
 }
 
-/// Writes a file so that a reader finds the old text or the new, never a part.
+/// Replaces a file atomically: a reader sees the old text or the new one, never a part.
 fn replace_file(path: &Path, text: &str) -> io::Result<()> {
-    let part = path.with_extension("new");
-    std::fs::write(&part, text)?;
-    std::fs::rename(&part, path)
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text)?;
+    std::fs::rename(&temporary, path)
 }
--- a/crates/net/src/reactor/tests.rs
+++ b/crates/net/src/reactor/tests.rs
@@ -1,5 +1,6 @@
-//! A second copy of an answer that arrives after its connection was read and before the next call leaves on it, on real
-//! sockets: the thread stands still between the two.
+//! Guards against a second copy of an answer that is taken for the answer to the next call. The copy arrives
+//! after its connection was read and before the next call is written, on real sockets: the thread is stalled
+//! in between.
 
 use super::{Command, JournalSink, OwnJournal, Reactor};
 use crate::clock::Clock;
@@ -18,7 +19,7 @@
 const MS: Duration = Duration::from_millis(1);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 
-/// Rounds are a second apart, so that a message handed in waits for one.
+/// Rounds are a second apart, so that a submitted message waits for one.
 const START: &str = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"DISCOVERY","seed":"7",
  "limits":{"memory_mb":32,"sockets":32,"disk_mb":1},
  "known":{"version":4,"full":true,"servers":[
@@ -41,8 +42,8 @@
     client.write_all(format!("*{}\r\n{text}", args.len()).as_bytes()).unwrap();
 }
 
-/// What comes on a connection, until a call is whole or it ends.
-fn hear(stream: &mut TcpStream) -> String {
+/// Reads from a connection until a call is complete or the connection ends.
+fn read_call(stream: &mut TcpStream) -> String {
     stream.set_read_timeout(Some(10_000 * MS)).unwrap();
     let (mut text, mut buffer) = (String::new(), [0; 4_096]);
     while !text.ends_with("body") {
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn what_came_since_it_was_read_is_heard_before_the_next_call_leaves() {
+fn bytes_that_arrived_since_the_last_read_are_read_before_the_next_call_is_written() {
     let ((first, at), (other, other_at), (_discovery, discovery_at)) = (listen(), listen(), listen());
     let start = START.replace("DISCOVERY", &discovery_at).replace("FIRST", &at).replace("OTHER", &other_at);
     let folder = std::env::temp_dir().join(format!("heronroute-copies-{}", std::process::id()));
@@ -73,33 +74,40 @@
         book: Some(journal.book().clone()),
         fleet: false,
     };
-    let (commands, inbox) = channel();
+    let (commands, command_queue) = channel();
     let sink = Some(JournalSink::Own(Box::new(OwnJournal::new(journal))));
     let node = Node::new(cfg, start).unwrap();
-    let (mut reactor, waker) = Reactor::new(node, clock, inbox, None, sink, Arc::default()).unwrap();
+    let (mut reactor, waker) = Reactor::new(node, clock, command_queue, None, sink, Arc::default()).unwrap();
     let listener = mio::net::TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    reactor.listen_at(listener).unwrap();
+    reactor.set_listener(listener).unwrap();
     let thread = spawn(move || reactor.run());
 
     add(&mut client, "m1", 1);
     let mut conn = first.accept().unwrap().0;
-    assert!(hear(&mut conn).contains("X-Call-Id: m1\r\n"));
+    assert!(read_call(&mut conn).contains("X-Call-Id: m1\r\n"));
     conn.write_all(OK).unwrap();
     sleep(1_500 * MS);
-    // This one has a round at once; the next comes a second later.
+    // This message is sent in a round at once; the next round is a second later.
     add(&mut client, "m2", 2);
     let mut silent = other.accept().unwrap().0;
-    assert!(hear(&mut silent).contains("X-Call-Id: m2\r\n"));
+    assert!(read_call(&mut silent).contains("X-Call-Id: m2\r\n"));
     add(&mut client, "m3", 1);
     sleep(200 * MS);
     commands.send(Command::Stall(1_500 * MS)).unwrap();
     waker.wake().unwrap();
     sleep(400 * MS);
     conn.write_all(OK).unwrap();
-    assert_eq!(hear(&mut conn), "", "a call went where another's answer is taken for its own");
+    assert_eq!(
+        read_call(&mut conn),
+        "",
+        "a call was sent where the answer to another one would be taken for its own"
+    );
     let mut conn = first.accept().unwrap().0;
-    assert!(hear(&mut conn).contains("X-Call-Id: m3\r\n"), "it never left, and goes elsewhere");
+    assert!(
+        read_call(&mut conn).contains("X-Call-Id: m3\r\n"),
+        "the call was not sent there, and is sent on another connection"
+    );
 
     commands.send(Command::JournalFailed).unwrap();
     waker.wake().unwrap();
--- a/crates/net/src/service.rs
+++ b/crates/net/src/service.rs
@@ -1,17 +1,17 @@
-//! The service as a whole: its threads, and the handles to them.
+//! The service: starts, controls and joins its threads.
 
 mod launch;
 
 use crate::acceptor::SenderHandle;
 use crate::clock::Clock;
-use crate::fleet::{Answer, Bound, Fleet, Setup};
+use crate::fleet::{BoundMember, MemberAnswer, RunningMember, Setup};
 use crate::journal_writer;
 use crate::reactor::Command;
 use heronroute_config::Config;
 use heronroute_engine::Stats;
 use heronroute_journal::Journal;
 use heronroute_journal::dir::Dir;
-use launch::{Launch, Thread};
+use launch::{SenderLauncher, Thread};
 use mio::Waker;
 use std::io;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 /// Why a service did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The listening address could not be had.
+    /// The service can't listen at an address.
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, io::Error),
     /// The decision library refused the settings.
@@ -33,15 +33,16 @@
     /// The journal can't be used.
     #[error("journal: {0}")]
     Journal(#[from] heronroute_journal::JournalError),
-    /// Another number of senders wrote the journal, and messages in it are open, or with a fleet, held.
+    /// The journal was written by another number of senders and contains open messages, or, with a fleet,
+    /// held messages.
     #[error(
         "journal: written by {0} senders, with messages still open (or with fleet, held); start with as many until it is empty"
     )]
-    Senders(usize),
-    /// The members of the installation can't be as they are named.
+    SenderCount(usize),
+    /// The list of the installation's members is invalid.
     #[error("fleet: {0}")]
-    Fleet(#[from] heronroute_fleet::link::RosterError),
-    /// A thread or poll could not be had.
+    Members(#[from] heronroute_fleet::link::RosterError),
+    /// A thread, a poll or another resource of the system could not be created.
     #[error("cannot start: {0}")]
     Io(#[from] io::Error),
 }
@@ -55,87 +56,89 @@
     threads: Vec<Thread>,
     acceptors: Vec<(Thread, Arc<Waker>)>,
     closing: Arc<AtomicBool>,
-    /// Where it belongs to an installation.
-    fleet: Option<Fleet>,
+    /// The member of an installation that this process is, if it is one.
+    fleet: Option<RunningMember>,
 }
 
 impl Service {
     /// Starts the service: its acceptors, and a thread for each sender.
     ///
     /// # Errors
-    /// Where something it needs can't be had.
+    /// If the settings or the journal can't be used, or a resource of the system is missing.
     pub fn start(cfg: Arc<Config>, seed: u64) -> Result<Self, StartError> {
         Self::start_with(cfg, seed, Arc::new(|| ()))
     }
 
-    /// The same; `failed` is called where a sender's journal fails, so that the process can end.
+    /// Starts the service. `on_journal_failure` is called if a sender's journal fails, so that the process
+    /// can end.
     ///
     /// # Errors
     /// As [`Service::start`].
     pub fn start_with(
         cfg: Arc<Config>,
         seed: u64,
-        failed: Arc<dyn Fn() + Send + Sync>,
+        on_journal_failure: Arc<dyn Fn() + Send + Sync>,
     ) -> Result<Self, StartError> {
-        Self::start_in(cfg, seed, failed, None)
+        Self::start_in(cfg, seed, on_journal_failure, None)
     }
 
-    /// The same, as a member of an installation where there is a `fleet`.
+    /// Starts the service, as a member of an installation if `fleet` is given. `on_journal_failure` is called
+    /// if a sender's journal fails.
     ///
     /// # Errors
     /// As [`Service::start`].
     pub fn start_in(
         cfg: Arc<Config>,
         seed: u64,
-        failed: Arc<dyn Fn() + Send + Sync>,
+        on_journal_failure: Arc<dyn Fn() + Send + Sync>,
         fleet: Option<Setup>,
     ) -> Result<Self, StartError> {
         let clock = Clock::start_ahead(cfg.fleet.as_ref().map_or(0, |fleet| fleet.clock_ahead));
-        let fleet = fleet.map(|setup| Bound::new(setup, clock)).transpose()?;
+        let fleet = fleet.map(|setup| BoundMember::new(setup, clock)).transpose()?;
         let journals = journals(&cfg)?;
         let listeners = launch::listeners(&cfg)?;
         let address = listeners[0].1.local_addr()?;
         let mqtt = listeners.get(1).map(|l| l.1.local_addr()).transpose()?;
-        let keep = cfg.directory.keep.as_ref().map(PathBuf::from);
-        let kept = keep.as_ref().and_then(|path| std::fs::read_to_string(path).ok());
-        let port = fleet.as_ref().map(Bound::port);
-        let launch = Launch { cfg, seed, clock, keep, kept, port, failed };
+        let list_path = cfg.directory.keep.as_ref().map(PathBuf::from);
+        let saved_list = list_path.as_ref().and_then(|path| std::fs::read_to_string(path).ok());
+        let member = fleet.as_ref().map(BoundMember::handle);
+        let launcher = SenderLauncher { cfg, seed, clock, list_path, saved_list, member, on_journal_failure };
         let (mut senders, mut published_stats, mut threads) = (Vec::new(), Vec::new(), Vec::new());
         let mut journal_writers = Vec::new();
         for (index, journal) in journals.into_iter().enumerate() {
-            let launched = launch.sender(index, journal)?;
-            senders.push(launched.handle);
-            published_stats.push(launched.stats);
-            threads.push(launched.thread);
-            journal_writers.extend(launched.journal_writer);
+            let running = launcher.start_sender(index, journal)?;
+            senders.push(running.handle);
+            published_stats.push(running.stats);
+            threads.push(running.thread);
+            journal_writers.extend(running.journal_writer);
         }
         threads.extend(journal_writers);
         let closing = Arc::new(AtomicBool::new(false));
         let acceptors = launch::acceptors(listeners, &senders, clock, &closing)?;
-        let run = |mut fleet: Bound| {
-            fleet.fares(published_stats.clone());
+        let run = |mut fleet: BoundMember| {
+            fleet.set_health_source(published_stats.clone());
             fleet.run(answers(senders.clone()))
         };
         let fleet = fleet.map(run).transpose()?;
         Ok(Service { address, mqtt, senders, published_stats, threads, acceptors, closing, fleet })
     }
 
-    /// Where clients that speak SMPP connect.
+    /// Returns the address at which SMPP clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where clients that speak MQTT connect, if it is spoken.
+    /// Returns the address at which MQTT clients connect, if MQTT is enabled.
     pub fn mqtt_address(&self) -> Option<SocketAddr> {
         self.mqtt
     }
 
-    /// The member of an installation that this process is, if it is one.
-    pub fn fleet(&self) -> Option<&Fleet> {
+    /// Returns the member of an installation that this process is, if it is one.
+    pub fn fleet(&self) -> Option<&RunningMember> {
         self.fleet.as_ref()
     }
 
-    /// Counts of all senders together.
+    /// Returns the sum of the counts of all senders.
     pub fn stats(&self) -> Stats {
         let mut all = Stats::default();
         for s in &self.published_stats {
@@ -146,13 +149,14 @@
         all
     }
 
-    /// Applies new settings. Gives those that differ and need a restart; then none was applied.
+    /// Applies new settings. Returns the changed settings that need a restart; if there are any, none is
+    /// applied.
     pub fn reload(&self, cfg: &Arc<Config>) -> Vec<&'static str> {
         let mut all = Vec::new();
         for sender in &self.senders {
-            let (answer, told) = channel();
+            let (answer, changed) = channel();
             if sender.send(Command::Reload(cfg.clone(), answer)) {
-                all.extend(told.recv_timeout(Duration::from_secs(10)).unwrap_or_default());
+                all.extend(changed.recv_timeout(Duration::from_secs(10)).unwrap_or_default());
             }
         }
         all.sort_unstable();
@@ -160,14 +164,14 @@
         all
     }
 
-    /// Blocks a sender's thread for a time. For drills.
+    /// Blocks a sender's thread for a time, to simulate a stalled machine in drills.
     pub fn stall(&self, index: usize, span: Duration) {
         if let Some(sender) = self.senders.get(index) {
             sender.send(Command::Stall(span));
         }
     }
 
-    /// Begins to go out of service: no new clients; what is held is answered, then sessions are unbound.
+    /// Begins to shut down: accepts no new clients, answers open messages, and then unbinds the sessions.
     pub fn leave(&self) {
         self.closing.store(true, Ordering::Release);
         for (_, waker) in &self.acceptors {
@@ -178,10 +182,10 @@
         }
     }
 
-    /// Waits until the service is out.
+    /// Waits until the service is shut down, and returns the final counts.
     ///
     /// # Errors
-    /// Where a thread ended by an error or a panic.
+    /// If a thread ended with an error or a panic.
     pub fn join(mut self) -> io::Result<Stats> {
         let panicked = |_| io::Error::other("a thread panicked");
         for thread in self.threads.drain(..) {
@@ -190,7 +194,8 @@
         for (acceptor, _) in self.acceptors.drain(..) {
             acceptor.join().map_err(panicked)??;
         }
-        // Last: what the senders still say reaches it. Its failure was logged, and delayed no sender.
+        // Last, so that the final reports of the senders reach it. A failure of it was logged, and delayed no
+        // sender.
         if let Some(fleet) = self.fleet.take() {
             _ = fleet.stop();
         }
@@ -198,54 +203,56 @@
     }
 }
 
-/// Passes a member's answers to the senders.
-fn answers(senders: Vec<SenderHandle>) -> Box<dyn FnMut(Answer) + Send> {
+/// Returns the function that passes a member's answers to the senders.
+fn answers(senders: Vec<SenderHandle>) -> Box<dyn FnMut(MemberAnswer) + Send> {
     Box::new(move |answer| match answer {
-        Answer::Told(told) => {
-            if let Some(sender) = senders.get(told.token.sender) {
-                sender.send(Command::Told(told));
+        MemberAnswer::ClientAnswer(client_answer) => {
+            if let Some(sender) = senders.get(client_answer.token.sender) {
+                sender.send(Command::ClientAnswer(client_answer));
             }
         }
-        Answer::Apply(apply) => {
+        MemberAnswer::Apply(apply) => {
             for sender in &senders {
                 sender.send(Command::Apply(apply.clone()));
             }
         }
-        Answer::Fence(fence) => {
+        MemberAnswer::Fence(fence) => {
             for sender in &senders {
                 sender.send(Command::Fence(fence.clone()));
             }
         }
-        Answer::DryRun(weigh) => {
+        MemberAnswer::DryRun(dry_run) => {
             for sender in &senders {
-                sender.send(Command::DryRun(weigh.clone()));
+                sender.send(Command::DryRun(dry_run.clone()));
             }
         }
     })
 }
 
-/// The senders' journals, one folder each, or none.
+/// Opens the senders' journals, one folder each, or none if the settings have no journal.
 fn journals(cfg: &Config) -> Result<Vec<Option<Journal<Dir>>>, StartError> {
     let n = cfg.service.senders;
     let Some(folder) = &cfg.journal.folder else { return Ok((0..n).map(|_| None).collect()) };
     let folder = PathBuf::from(folder);
     std::fs::create_dir_all(&folder)?;
-    // Clients have their homes by the number of senders: with another number, what is open would be owed by a
-    // sender to which its client never comes.
-    let count = folder.join("senders");
-    let before =
-        std::fs::read_to_string(&count).ok().and_then(|t| t.trim().parse::<usize>().ok()).unwrap_or(n);
+    // The home sender of a client depends on the number of senders. With another number, an open message
+    // would be answered by a sender to which its client never connects.
+    let count_file = folder.join("senders");
+    let previous_count =
+        std::fs::read_to_string(&count_file).ok().and_then(|t| t.trim().parse::<usize>().ok()).unwrap_or(n);
     let mut list = Vec::new();
-    for index in 0..n.max(before) {
+    for index in 0..n.max(previous_count) {
         list.push(Some(journal_writer::open(&folder.join(format!("sender-{index}")), cfg.journal.limits)?));
     }
-    // Under clients' rules a sender that is not the home has no room: what it holds from before would be let go.
-    let keeps =
-        |j: &Journal<Dir>| !j.book().open.is_empty() || (cfg.fleet.is_some() && !j.book().held.is_empty());
-    if before != n && list.iter().flatten().any(keeps) {
-        return Err(StartError::Senders(before));
+    // Under clients' rules, only the home sender has room for held messages. Another sender would drop those
+    // that it held before.
+    let needs_same_count = |journal: &Journal<Dir>| {
+        !journal.book().open.is_empty() || (cfg.fleet.is_some() && !journal.book().held.is_empty())
+    };
+    if previous_count != n && list.iter().flatten().any(needs_same_count) {
+        return Err(StartError::SenderCount(previous_count));
     }
     list.truncate(n);
-    std::fs::write(&count, n.to_string())?;
+    std::fs::write(&count_file, n.to_string())?;
     Ok(list)
 }
--- a/crates/net/src/service/launch.rs
+++ b/crates/net/src/service/launch.rs
@@ -3,7 +3,7 @@
 use super::StartError;
 use crate::acceptor::{Acceptor, SenderHandle};
 use crate::clock::Clock;
-use crate::fleet::{Port, SenderPort};
+use crate::fleet::{MemberHandle, SenderMemberHandle};
 use crate::journal_writer;
 use crate::reactor::{JournalSink, Reactor};
 use heronroute_config::Config;
@@ -25,75 +25,81 @@
 /// A thread of the service.
 pub type Thread = JoinHandle<io::Result<()>>;
 
-/// What all senders of a service start from.
-pub struct Launch {
+/// The common parameters of all senders of a service.
+pub struct SenderLauncher {
     pub cfg: Arc<Config>,
     pub seed: u64,
     pub clock: Clock,
     /// The file of the saved directory list, which the first sender writes.
-    pub keep: Option<PathBuf>,
-    /// The list as it was saved before.
-    pub kept: Option<String>,
-    /// The port to the installation's member, where there is one.
-    pub port: Option<Port>,
-    /// Called where a sender's journal fails.
-    pub failed: Arc<dyn Fn() + Send + Sync>,
+    pub list_path: Option<PathBuf>,
+    /// The saved directory list.
+    pub saved_list: Option<String>,
+    /// The handle to the installation's member, if there is one.
+    pub member: Option<MemberHandle>,
+    /// Called if a sender's journal fails.
+    pub on_journal_failure: Arc<dyn Fn() + Send + Sync>,
 }
 
-/// A sender whose threads run.
-pub struct Launched {
+/// A sender whose threads are running.
+pub struct RunningSender {
     pub handle: SenderHandle,
     pub stats: Arc<Mutex<Stats>>,
     pub thread: Thread,
     pub journal_writer: Option<Thread>,
 }
 
-impl Launch {
+impl SenderLauncher {
     /// Starts one sender and its journal writer.
-    pub fn sender(&self, index: usize, journal: Option<Journal<Dir>>) -> Result<Launched, StartError> {
-        let node = Node::new(self.cfg.clone(), self.start(index, journal.as_ref()))?;
+    pub fn start_sender(
+        &self,
+        index: usize,
+        journal: Option<Journal<Dir>>,
+    ) -> Result<RunningSender, StartError> {
+        let node = Node::new(self.cfg.clone(), self.node_start(index, journal.as_ref()))?;
         let (commands, inbox) = channel();
         let stats = Arc::new(Mutex::new(Stats::default()));
-        let keep = self.keep.clone().filter(|_| index == 0);
+        let list_path = self.list_path.clone().filter(|_| index == 0);
         let (to_journal, entries) = channel();
         let sink = journal.is_some().then_some(JournalSink::Thread(to_journal));
-        let (mut reactor, waker) = Reactor::new(node, self.clock, inbox, keep, sink, stats.clone())?;
-        if let Some(port) = &self.port {
-            reactor.report_to(SenderPort::new(port.clone()));
+        let (mut reactor, waker) = Reactor::new(node, self.clock, inbox, list_path, sink, stats.clone())?;
+        if let Some(member) = &self.member {
+            reactor.set_member(SenderMemberHandle::new(member.clone()));
         }
         let handle = SenderHandle { commands, waker: Arc::new(waker) };
-        let writer = |journal| self.journal_writer(index, journal, entries, handle.clone());
+        let writer = |journal| self.start_journal_writer(index, journal, entries, handle.clone());
         let journal_writer = journal.map(writer).transpose()?;
         let thread = Builder::new().name(format!("sender-{index}")).spawn(move || reactor.run())?;
-        Ok(Launched { handle, stats, thread, journal_writer })
+        Ok(RunningSender { handle, stats, thread, journal_writer })
     }
 
-    fn start(&self, index: usize, journal: Option<&Journal<Dir>>) -> Start {
+    /// Returns the start parameters of a sender's node.
+    fn node_start(&self, index: usize, journal: Option<&Journal<Dir>>) -> Start {
         Start {
             index,
             seed: self.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15).wrapping_add(index as u64 + 1),
             now: self.clock.now(),
             wall: self.clock.wall(),
             list: 0,
-            kept: self.kept.clone(),
+            kept: self.saved_list.clone(),
             book: journal.map(|j| j.book().clone()),
-            fleet: self.port.is_some(),
+            fleet: self.member.is_some(),
         }
     }
 
-    fn journal_writer(
+    /// Starts the journal writer thread of a sender.
+    fn start_journal_writer(
         &self,
         index: usize,
         journal: Journal<Dir>,
         entries: Receiver<Vec<Entry>>,
         sender: SenderHandle,
     ) -> io::Result<Thread> {
-        let failed = self.failed.clone();
+        let on_journal_failure = self.on_journal_failure.clone();
         let gather = Duration::from_micros(self.cfg.journal.gather as u64);
         let writer = move || {
             journal_writer::run(journal, &entries, &sender, gather).map_err(|e| {
                 tracing::error!(error = %e, "the journal can't go on");
-                failed();
+                on_journal_failure();
                 io::Error::other(e.to_string())
             })
         };
@@ -101,15 +107,15 @@
     }
 }
 
-/// A listener with the protocol that is spoken on it, and the time in which a client must send its first command.
+/// A listener with its protocol, and the time in which a client must send its first command, in microseconds.
 pub type Listener = (Speaks, TcpListener, i64);
 
-/// Listens for SMPP, and for MQTT where the settings have it.
+/// Opens the listeners: SMPP, and MQTT if the settings enable it.
 pub fn listeners(cfg: &Config) -> Result<Vec<Listener>, StartError> {
     let listen = |at: SocketAddr| TcpListener::bind(at).map_err(|e| StartError::Listen(at, e));
     let mut listeners = vec![(Speaks::Smpp, listen(cfg.smpp.listen)?, cfg.smpp.session_init)];
-    if let Some(m) = &cfg.mqtt {
-        listeners.push((Speaks::Mqtt, listen(m.listen)?, m.connect_within));
+    if let Some(mqtt) = &cfg.mqtt {
+        listeners.push((Speaks::Mqtt, listen(mqtt.listen)?, mqtt.connect_within));
     }
     Ok(listeners)
 }
@@ -122,10 +128,10 @@
     closing: &Arc<AtomicBool>,
 ) -> io::Result<Vec<(Thread, Arc<Waker>)>> {
     let mut acceptors = Vec::new();
-    for (speaks, listener, init) in listeners {
+    for (protocol, listener, identify_timeout) in listeners {
         let (acceptor, waker) =
-            Acceptor::new(speaks, listener, senders.to_vec(), init, clock, closing.clone())?;
-        let name = format!("door-{speaks:?}").to_lowercase();
+            Acceptor::new(protocol, listener, senders.to_vec(), identify_timeout, clock, closing.clone())?;
+        let name = format!("door-{protocol:?}").to_lowercase();
         acceptors.push((Builder::new().name(name).spawn(move || acceptor.run())?, waker));
     }
     Ok(acceptors)
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals, taken by a reactor itself: a note of which came, and a pipe that ends its wait.
+//! Signal handling for a reactor: a flag for each kind of request, and a pipe that wakes the reactor.
 //!
-//! No thread waits for them. The note is made before the pipe is written, and a wait that a signal cuts short is followed
-//! by a look at the notes, so that a signal is handled even where the pipe reports nothing.
+//! No thread waits for signals. The flag is set before the pipe is written, and the reactor checks the flags
+//! after a wait that a signal interrupted, so a signal is handled even if the pipe reports nothing.
 
 use mio::unix::pipe::{Receiver, new};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -13,43 +13,43 @@
 #[cfg(test)]
 mod tests;
 
-/// Signals of this process, from now on.
+/// The signals that this process has received.
 #[derive(Debug)]
 pub struct Signals {
-    leave: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
     pub(crate) pipe: Receiver,
 }
 
 impl Signals {
-    /// Takes SIGTERM, SIGINT and SIGHUP: none of them ends the process any more.
+    /// Installs handlers for SIGTERM, SIGINT and SIGHUP, which then no longer end the process.
     ///
     /// # Errors
-    /// Where the system has no pipe or takes no handler.
+    /// If the pipe can't be created or a handler can't be installed.
     pub fn take() -> io::Result<Self> {
         let (sender, pipe) = new()?;
-        let end: OwnedFd = sender.as_fd().try_clone_to_owned()?;
-        let (leave, reload) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        for (signal, note) in [(SIGTERM, &leave), (SIGINT, &leave), (SIGHUP, &reload)] {
-            signal_hook::flag::register(signal, note.clone())?;
-            signal_hook::low_level::pipe::register(signal, end.try_clone()?)?;
+        let write_end: OwnedFd = sender.as_fd().try_clone_to_owned()?;
+        let (shutdown, reload) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        for (signal, flag) in [(SIGTERM, &shutdown), (SIGINT, &shutdown), (SIGHUP, &reload)] {
+            signal_hook::flag::register(signal, flag.clone())?;
+            signal_hook::low_level::pipe::register(signal, write_end.try_clone()?)?;
         }
-        Ok(Signals { leave, reload, pipe })
+        Ok(Signals { shutdown, reload, pipe })
     }
 
-    /// Empties the pipe, which then wakes again.
+    /// Empties the pipe, so that the next signal wakes the reactor.
     pub(crate) fn drain(&mut self) {
-        let mut letters = [0; 64];
-        while matches!(self.pipe.read(&mut letters), Ok(n) if n > 0) {}
+        let mut discarded = [0; 64];
+        while matches!(self.pipe.read(&mut discarded), Ok(n) if n > 0) {}
     }
 
-    /// Whether a signal to leave has come that was not looked at yet.
-    pub(crate) fn asks_to_leave(&self) -> bool {
-        self.leave.load(Ordering::Acquire)
+    /// Returns whether a signal to shut down was received and not taken yet.
+    pub(crate) fn is_shutdown_requested(&self) -> bool {
+        self.shutdown.load(Ordering::Acquire)
     }
 
-    /// What came since the last look: to leave, and to read the configuration again.
-    pub(crate) fn came(&self) -> (bool, bool) {
-        (self.leave.swap(false, Ordering::AcqRel), self.reload.swap(false, Ordering::AcqRel))
+    /// Takes the received requests: whether to shut down, and whether to reload the configuration.
+    pub(crate) fn take_requests(&self) -> (bool, bool) {
+        (self.shutdown.swap(false, Ordering::AcqRel), self.reload.swap(false, Ordering::AcqRel))
     }
 }
--- a/crates/net/src/signals/tests.rs
+++ b/crates/net/src/signals/tests.rs
@@ -1,4 +1,4 @@
-//! Signals that a process raises to itself.
+//! Tests with signals that the process raises itself.
 
 use super::*;
 use mio::{Events, Interest, Poll, Token};
@@ -9,11 +9,11 @@
     let mut signals = Signals::take().unwrap();
     let (mut poll, mut events) = (Poll::new().unwrap(), Events::with_capacity(4));
     poll.registry().register(&mut signals.pipe, Token(1), Interest::READABLE).unwrap();
-    assert_eq!(signals.came(), (false, false));
+    assert_eq!(signals.take_requests(), (false, false));
     for (signal, wanted) in [(SIGHUP, (false, true)), (SIGTERM, (true, false)), (SIGINT, (true, false))] {
         signal_hook::low_level::raise(signal).unwrap();
         _ = poll.poll(&mut events, Some(Duration::from_secs(5)));
         signals.drain();
-        assert_eq!((signals.came(), signals.came()), (wanted, (false, false)), "{signal}");
+        assert_eq!((signals.take_requests(), signals.take_requests()), (wanted, (false, false)), "{signal}");
     }
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,56 +1,58 @@
-//! Reading and writing as far as a socket goes.
+//! Reads from and writes to non-blocking sockets.
 
 use std::io::{ErrorKind, Read, Write};
 
-/// How far it went.
+/// The result of reading or writing, with the number of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// So many octets, and the socket has no more or takes no more.
+    /// The socket would block after this many bytes.
     Blocked(usize),
-    /// So many octets, and the turn's share is used up; there may be more.
+    /// The buffer was filled, or written, completely; there may be more.
     More(usize),
-    /// So many octets, then the peer closed its side.
+    /// The peer closed its side after this many bytes.
     Ended(usize),
     /// The connection is broken.
     Broken,
 }
 
-/// Reads into a buffer until it is full, or the socket has no more. A read that gives less than there was room for
-/// has emptied the socket (epoll(7)), which saves the call that would say so; with `to_end`, the peer having closed
-/// its side, it is read on until the end shows.
+/// Reads into a buffer until it is full or the socket has no more.
+///
+/// A read that returns less than fits the buffer has emptied the socket (epoll(7)), so the call that would
+/// block is saved. With `to_end`, reading continues until the socket would block or the end of the stream is
+/// found; for use when the peer may have closed its side.
 pub fn read_some(socket: &mut impl Read, buffer: &mut [u8], to_end: bool) -> Progress {
-    let mut n = 0;
-    while n < buffer.len() {
-        match socket.read(&mut buffer[n..]) {
-            Ok(0) => return Progress::Ended(n),
-            Ok(m) => {
-                n += m;
-                if n < buffer.len() && !to_end {
-                    return Progress::Blocked(n);
+    let mut done = 0;
+    while done < buffer.len() {
+        match socket.read(&mut buffer[done..]) {
+            Ok(0) => return Progress::Ended(done),
+            Ok(count) => {
+                done += count;
+                if done < buffer.len() && !to_end {
+                    return Progress::Blocked(done);
                 }
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Progress::Blocked(n),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return Progress::Blocked(done),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            // What came before the break is still to be heard; the break shows again at the next read.
-            Err(_) if n > 0 => return Progress::More(n),
+            // The bytes before the error still count; the error is found again at the next read.
+            Err(_) if done > 0 => return Progress::More(done),
             Err(_) => return Progress::Broken,
         }
     }
-    Progress::More(n)
+    Progress::More(done)
 }
 
-/// Writes until all is written, or the socket takes no more.
-pub fn write_some(socket: &mut impl Write, octets: &[u8]) -> Progress {
-    let mut n = 0;
-    while n < octets.len() {
-        match socket.write(&octets[n..]) {
-            // What went before counts as gone out, whatever follows: it may have run.
-            Ok(0) => return if n > 0 { Progress::Blocked(n) } else { Progress::Broken },
-            Ok(m) => n += m,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Progress::Blocked(n),
+/// Writes until all bytes are written or the socket would block.
+pub fn write_some(socket: &mut impl Write, bytes: &[u8]) -> Progress {
+    let mut done = 0;
+    while done < bytes.len() {
+        match socket.write(&bytes[done..]) {
+            // Bytes that were written before count as sent, whatever follows: their request may have run.
+            Ok(0) => return if done > 0 { Progress::Blocked(done) } else { Progress::Broken },
+            Ok(count) => done += count,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return Progress::Blocked(done),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return if n > 0 { Progress::Blocked(n) } else { Progress::Broken },
+            Err(_) => return if done > 0 { Progress::Blocked(done) } else { Progress::Broken },
         }
     }
-    Progress::More(n)
+    Progress::More(done)
 }
--- a/crates/net/src/standalone.rs
+++ b/crates/net/src/standalone.rs
@@ -1,6 +1,8 @@
-//! One sender of the platform on a single thread, which accepts, serves, writes its journal and takes signals itself.
+//! One sender of the platform on a single thread, which accepts and serves clients, writes its journal and
+//! handles signals.
 //!
-//! It starts no other thread: on a fraction of one core each costs wake-ups, and none can delay it.
+//! It starts no other thread: on a fraction of one core each thread costs wake-ups, and another thread could
+//! delay it.
 
 use crate::clock::Clock;
 use crate::reactor::{Command, JournalSink, OwnJournal, Reactor, ReloadConfig};
@@ -19,35 +21,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A folder that fails is tried again for this long. A sender must be ready 30 s after its start.
-const OPEN_PATIENCE: Duration = Duration::from_secs(25);
-/// Pause before a folder that failed is tried again.
-const OPEN_PAUSE: Duration = Duration::from_millis(100);
+/// The time for which opening a failing folder is retried. A sender must be ready 30 s after its start.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(25);
+/// The delay before opening a folder is retried.
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Opens the journal and continues its time, again and again while the folder fails and nothing tells the process to end.
+/// Opens the journal and continues its clock. Retries while the folder fails, until a signal asks the process
+/// to end.
 fn open_journal(
     folder: &Path,
     limits: Limits,
     signals: &Signals,
     clock: Clock,
 ) -> Result<(Journal<Dir>, Clock), StartError> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let opened = Dir::open_unsynced(folder).map_err(JournalError::from);
         let opened = opened.and_then(|dir| Journal::open(dir, limits)).and_then(|journal| {
-            let time = timeline::start(folder, clock.wall(), journal.book())?;
+            let time = timeline::resume(folder, clock.wall(), journal.book())?;
             Ok((journal, clock.with_wall(time)))
         });
         let error = match opened {
             Ok(opened) => return Ok(opened),
             Err(error) => error,
         };
-        let is_passing = matches!(error, JournalError::Storage(_));
-        if !is_passing || began.elapsed() > OPEN_PATIENCE || signals.asks_to_leave() {
+        let is_temporary = matches!(error, JournalError::Storage(_));
+        if !is_temporary || started.elapsed() > OPEN_TIMEOUT || signals.is_shutdown_requested() {
             return Err(error.into());
         }
-        tracing::warn!(%error, "the journal can't be opened; it is tried again");
-        std::thread::sleep(OPEN_PAUSE);
+        tracing::warn!(%error, "the journal can't be opened; retrying");
+        std::thread::sleep(OPEN_RETRY_DELAY);
     }
 }
 
@@ -55,16 +58,17 @@
 pub struct StandaloneSender {
     reactor: Reactor,
     published_stats: Arc<Mutex<Stats>>,
-    /// Never used. It stays open, since the reactor goes out of service once its command queue is closed.
+    /// Unused, but kept open: the reactor shuts down once its command queue is closed.
     _commands: Sender<Command>,
 }
 
 impl StandaloneSender {
-    /// Reads the journal in `folder` and listens. SIGTERM makes it leave; SIGHUP calls `reload` for the address of discovery.
-    /// Clients that connect from here on are served once it runs.
+    /// Reads the journal in `folder` and listens. SIGTERM and SIGINT shut the sender down; SIGHUP calls
+    /// `reload` for the address of discovery. Clients that connect from now on are served once the sender
+    /// runs.
     ///
     /// # Errors
-    /// Where something it needs can't be had.
+    /// If the settings or the journal can't be used, or a resource of the system is missing.
     pub fn start(
         start_up: &StartUp,
         folder: &Path,
@@ -86,19 +90,19 @@
         let node = Node::new(cfg, start)?;
         let listener =
             TcpListener::bind(start_up.listen).map_err(|e| StartError::Listen(start_up.listen, e))?;
-        let (commands, inbox) = channel();
+        let (commands, command_queue) = channel();
         let published_stats = Arc::new(Mutex::new(Stats::default()));
         let sink = Some(JournalSink::Own(Box::new(OwnJournal::new(journal))));
-        let (mut reactor, _) = Reactor::new(node, clock, inbox, None, sink, published_stats.clone())?;
-        reactor.listen_at(listener)?;
-        reactor.take_signals(signals, reload)?;
+        let (mut reactor, _) = Reactor::new(node, clock, command_queue, None, sink, published_stats.clone())?;
+        reactor.set_listener(listener)?;
+        reactor.set_signals(signals, reload)?;
         Ok(StandaloneSender { reactor, published_stats, _commands: commands })
     }
 
-    /// Runs until it has gone out of service.
+    /// Runs until the sender is shut down, and returns the final counts.
     ///
     /// # Errors
-    /// Where it could not go on.
+    /// If the journal or the poll fails.
     pub fn run(self) -> io::Result<Stats> {
         self.reactor.run()?;
         Ok(self.published_stats.lock().map(|s| s.clone()).unwrap_or_default())
--- a/crates/net/src/timeline.rs
+++ b/crates/net/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Continues the time of a journal's entries over restarts of the process.
+//! Continues the time of a journal's entries across restarts of the process.
 
 use heronroute_journal::Book;
 use heronroute_journal::timeline::{Anchor, Clocks, journal_time};
@@ -6,22 +6,23 @@
 use std::io;
 use std::path::Path;
 
-/// The file with the anchor, in the journal's folder.
-const ANCHOR: &str = "clock";
-/// Where Linux tells the identity of the machine's run.
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
+/// The name of the anchor file in the journal's folder.
+const ANCHOR_FILE: &str = "clock";
+/// The file in which Linux gives the id of the current boot.
+const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
-/// The journal's time now, in microseconds. The first process of a run of the machine writes the anchor that the later ones go
-/// by. `wall` is the wall clock.
+/// Returns the journal's current time, in microseconds. `wall` is the wall-clock time.
+///
+/// The first process after a boot writes an anchor; later processes of that boot continue from it.
 ///
 /// # Errors
-/// If the anchor can't be written, or the monotonic clock can't be read.
-pub fn start(folder: &Path, wall: i64, book: &Book) -> io::Result<i64> {
+/// If the anchor can't be read or written, or the monotonic clock can't be read.
+pub fn resume(folder: &Path, wall: i64, book: &Book) -> io::Result<i64> {
     let now = clock_gettime(ClockId::CLOCK_MONOTONIC).map_err(io::Error::from)?;
     let monotonic = now.tv_sec() * 1_000_000 + now.tv_nsec() / 1_000;
-    let boot = std::fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_string());
+    let boot = std::fs::read_to_string(BOOT_ID_FILE).ok().map(|id| id.trim().to_string());
     let clocks = Clocks { boot: boot.filter(|id| !id.is_empty()), monotonic, wall };
-    let file = folder.join(ANCHOR);
+    let file = folder.join(ANCHOR_FILE);
     let anchor = match std::fs::read_to_string(&file) {
         Ok(text) => Anchor::read(&text),
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
@@ -31,10 +32,10 @@
     let is_current =
         anchor.is_some_and(|a| Some(&a.boot) == clocks.boot.as_ref() && a.monotonic <= monotonic);
     if !is_current && let Some(boot) = clocks.boot {
-        let part = folder.join(format!("{ANCHOR}.new"));
-        std::fs::write(&part, Anchor { boot, monotonic, journal }.text())?;
-        std::fs::rename(&part, &file)?;
+        let temporary = folder.join(format!("{ANCHOR_FILE}.new"));
+        std::fs::write(&temporary, Anchor { boot, monotonic, journal }.text())?;
+        std::fs::rename(&temporary, &file)?;
     }
-    tracing::info!(journal, wall, monotonic, ahead_of_wall = journal - wall, "the journal's time goes on");
+    tracing::info!(journal, wall, monotonic, ahead_of_wall = journal - wall, "continuing the journal's time");
     Ok(journal)
 }
--- a/crates/net/tests/fleet.rs
+++ b/crates/net/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Members' threads on real sockets.
+//! Tests of members' threads on real sockets.
 
 use heronroute_engine::stats::Stats;
 use heronroute_fleet::key::Key;
@@ -6,7 +6,7 @@
 use heronroute_fleet::{Kind, Life, Name, Peer, Start};
 use heronroute_installation::seam::{Health, Input, Member, Output};
 use heronroute_net::Clock;
-use heronroute_net::fleet::{Answer, Bound, Fleet, SenderPort, Setup};
+use heronroute_net::fleet::{BoundMember, MemberAnswer, RunningMember, SenderMemberHandle, Setup};
 use heronroute_rules::seam::{ClientRequest, DryRun, DryRunResult, Live, Token, Told};
 use heronroute_rules::{RuleSet, Turn};
 use std::io::{Read, Write};
@@ -19,66 +19,67 @@
 const MS: Duration = Duration::from_millis(1);
 const KEY: &str = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
 
-/// What a member heard.
+/// The inputs that a member received.
 #[derive(Default)]
-struct Heard {
+struct Received {
     linked: Vec<(usize, Life)>,
     unlinked: Vec<usize>,
     messages: Vec<(usize, Vec<u8>)>,
     lives: Vec<Live>,
-    weighed: Vec<DryRunResult>,
-    outlived: Vec<Start>,
+    dry_run_results: Vec<DryRunResult>,
+    outlived_by: Vec<Start>,
     health: Vec<Health>,
 }
 
-/// Notes what it hears; answers each question; sends `burst` numbered messages to a peer once it is linked.
-struct Noter {
-    heard: Arc<Mutex<Heard>>,
+/// Records its inputs, answers each request, and sends `burst` numbered messages to a peer once it is linked.
+struct RecordingMember {
+    received: Arc<Mutex<Received>>,
     burst: u32,
-    /// Held by the test: the member stands still meanwhile.
-    hold: Arc<Mutex<()>>,
+    /// Locked by the test to stall the member.
+    stall_lock: Arc<Mutex<()>>,
 }
 
-impl Member for Noter {
+impl Member for RecordingMember {
     fn handle(&mut self, _now: i64, wall: i64, input: Input, out: &mut Vec<Output>) {
         assert!(wall > 1_600_000_000_000_000);
-        drop(self.hold.lock().unwrap());
-        let mut heard = self.heard.lock().unwrap();
+        drop(self.stall_lock.lock().unwrap());
+        let mut received = self.received.lock().unwrap();
         match input {
             Input::Linked { peer, life } => {
-                heard.linked.push((peer, life));
+                received.linked.push((peer, life));
                 let send =
                     |n: u32| Output::Send { peer, kind: Kind::Log, payload: n.to_be_bytes().repeat(100) };
                 out.extend((0..self.burst).map(send));
             }
-            Input::Unlinked { peer } => heard.unlinked.push(peer),
-            Input::Message { peer, payload } => heard.messages.push((peer, payload)),
-            Input::ClientRequest(ask) if ask.words.contains(&"check".to_string()) => {
+            Input::Unlinked { peer } => received.unlinked.push(peer),
+            Input::Message { peer, payload } => received.messages.push((peer, payload)),
+            Input::ClientRequest(request) if request.words.contains(&"check".to_string()) => {
                 let set = Arc::new(RuleSet::default());
                 out.push(Output::DryRun(DryRun {
                     number: 12,
-                    client: ask.client,
+                    client: request.client,
                     set,
                     turn: Turn::default(),
                 }));
             }
-            Input::DryRunResult(weighed) => heard.weighed.push(weighed),
-            Input::ClientRequest(ask) => {
-                out.push(Output::Told(Told { token: ask.token, text: ask.client, state: "shown" }));
+            Input::DryRunResult(result) => received.dry_run_results.push(result),
+            Input::ClientRequest(request) => {
+                out.push(Output::Told(Told { token: request.token, text: request.client, state: "shown" }));
             }
-            Input::Live(live) => heard.lives.push(live),
-            Input::Outlived(start) => heard.outlived.push(start),
-            Input::Health(health) => heard.health.push(health),
+            Input::Live(live) => received.lives.push(live),
+            Input::Outlived(start) => received.outlived_by.push(start),
+            Input::Health(health) => received.health.push(health),
             Input::Clients(_) | Input::Tick | Input::TookUp(_) | Input::Copies(_) => {}
         }
     }
 }
 
-struct Place {
-    fleet: Fleet,
-    heard: Arc<Mutex<Heard>>,
-    hold: Arc<Mutex<()>>,
-    answers: Receiver<Answer>,
+/// A running member under test.
+struct TestMember {
+    thread: RunningMember,
+    received: Arc<Mutex<Received>>,
+    stall_lock: Arc<Mutex<()>>,
+    answers: Receiver<MemberAnswer>,
 }
 
 fn addresses(n: usize) -> Vec<SocketAddr> {
@@ -90,7 +91,7 @@
     Name::new(&format!("m{n}")).unwrap()
 }
 
-fn start(n: usize, at: &[SocketAddr], start: u64, burst: u32) -> Place {
+fn start(n: usize, at: &[SocketAddr], start: u64, burst: u32) -> TestMember {
     let peer =
         |(i, a): (usize, &SocketAddr)| Peer { name: name(i), zone: "z".into(), address: *a, keeper: true };
     let links = Settings {
@@ -100,14 +101,16 @@
         key: Key::read(KEY).unwrap(),
         seed: start * 10 + n as u64,
     };
-    let (heard, hold) = (Arc::<Mutex<Heard>>::default(), Arc::<Mutex<()>>::default());
-    let member = Box::new(Noter { heard: heard.clone(), burst, hold: hold.clone() });
-    let (to, answers): (Sender<Answer>, _) = channel();
-    let mut bound = Bound::new(Setup { links, listen: at[n], member, anew: None }, Clock::start()).unwrap();
+    let (received, stall_lock) = (Arc::<Mutex<Received>>::default(), Arc::<Mutex<()>>::default());
+    let member =
+        Box::new(RecordingMember { received: received.clone(), burst, stall_lock: stall_lock.clone() });
+    let (to, answers): (Sender<MemberAnswer>, _) = channel();
+    let mut bound =
+        BoundMember::new(Setup { links, listen: at[n], member, anew: None }, Clock::start()).unwrap();
     let sender = |room| Stats { refused_room: room, answers: [9, 0, 1, 0, 0, 0], ..Stats::default() };
-    bound.fares([3, 4].map(|room| Arc::new(Mutex::new(sender(room)))).to_vec());
-    let fleet = bound.run(Box::new(move |answer| _ = to.send(answer))).unwrap();
-    Place { fleet, heard, hold, answers }
+    bound.set_health_source([3, 4].map(|room| Arc::new(Mutex::new(sender(room)))).to_vec());
+    let thread = bound.run(Box::new(move |answer| _ = to.send(answer))).unwrap();
+    TestMember { thread, received, stall_lock, answers }
 }
 
 fn until(what: &str, mut is: impl FnMut() -> bool) {
@@ -123,73 +126,82 @@
 }
 
 #[test]
-fn members_link_and_messages_come_in_order() {
+fn members_link_and_messages_arrive_in_order() {
     let at = addresses(3);
-    let all: Vec<Place> = (0..3).map(|n| start(n, &at, 1, 2_000)).collect();
-    until("all is heard", || all.iter().all(|p| p.heard.lock().unwrap().messages.len() == 4_000));
-    for (n, place) in all.iter().enumerate() {
-        let heard = place.heard.lock().unwrap();
-        assert_eq!((heard.linked.len(), heard.unlinked.len()), (2, 0));
+    let all: Vec<TestMember> = (0..3).map(|n| start(n, &at, 1, 2_000)).collect();
+    until("all messages are received", || {
+        all.iter().all(|p| p.received.lock().unwrap().messages.len() == 4_000)
+    });
+    for (n, member) in all.iter().enumerate() {
+        let received = member.received.lock().unwrap();
+        assert_eq!((received.linked.len(), received.unlinked.len()), (2, 0));
         for from in (0..3).filter(|from| *from != n) {
-            let mine: Vec<_> = heard.messages.iter().filter(|m| m.0 == from).map(|m| m.1.clone()).collect();
+            let mine: Vec<_> =
+                received.messages.iter().filter(|m| m.0 == from).map(|m| m.1.clone()).collect();
             let wanted: Vec<_> = (0..2_000_u32).map(|n| n.to_be_bytes().repeat(100)).collect();
             assert!(mine == wanted, "{from} to {n}");
         }
     }
-    all.into_iter().for_each(|p| p.fleet.stop().unwrap());
+    all.into_iter().for_each(|p| p.thread.stop().unwrap());
 }
 
 #[test]
-fn a_member_is_told_how_its_process_fares() {
+fn the_health_of_a_process_is_reported_to_its_member() {
     let at = addresses(1);
-    let place = start(0, &at, 1, 0);
-    until("its health", || !place.heard.lock().unwrap().health.is_empty());
-    let health = place.heard.lock().unwrap().health[0];
-    assert_eq!((health.refused, health.failed), (7, 2), "of both senders");
+    let member = start(0, &at, 1, 0);
+    until("the health is reported", || !member.received.lock().unwrap().health.is_empty());
+    let health = member.received.lock().unwrap().health[0];
+    assert_eq!((health.refused, health.failed), (7, 2), "the sum of both senders");
     assert!(!cfg!(target_os = "linux") || health.memory > 0);
-    place.fleet.stop().unwrap();
+    member.thread.stop().unwrap();
 }
 
 #[test]
-fn one_that_ends_is_missed_and_comes_back_as_another_life() {
+fn a_stopped_member_is_unlinked_and_returns_as_another_life() {
     let at = addresses(3);
-    let mut all: Vec<Place> = (0..3).map(|n| start(n, &at, 5, 1)).collect();
-    let linked = |p: &Place, n| p.heard.lock().unwrap().linked.iter().any(|(at, l)| (*at, l.start.0) == n);
+    let mut all: Vec<TestMember> = (0..3).map(|n| start(n, &at, 5, 1)).collect();
+    let linked =
+        |p: &TestMember, n| p.received.lock().unwrap().linked.iter().any(|(at, l)| (*at, l.start.0) == n);
     until("linked", || linked(&all[0], (1, 5)) && linked(&all[2], (1, 5)));
-    all.remove(1).fleet.stop().unwrap();
-    until("missed", || all.iter().all(|p| p.heard.lock().unwrap().unlinked == [1]));
-    let back = start(1, &at, 6, 1);
-    until("back", || all.iter().all(|p| linked(p, (1, 6))));
-    back.fleet.stop().unwrap();
-    // From an old folder: nobody takes it for the one that lived, and it is told.
-    let old = start(1, &at, 3, 1);
-    until("outlived", || old.heard.lock().unwrap().outlived.contains(&Start(6)));
+    all.remove(1).thread.stop().unwrap();
+    until("unlinked", || all.iter().all(|p| p.received.lock().unwrap().unlinked == [1]));
+    let returned = start(1, &at, 6, 1);
+    until("linked to its new life", || all.iter().all(|p| linked(p, (1, 6))));
+    returned.thread.stop().unwrap();
+    // A member that starts from an old folder, with a lower start number: nobody links to it, and it is
+    // notified.
+    let outlived = start(1, &at, 3, 1);
+    until("outlived", || outlived.received.lock().unwrap().outlived_by.contains(&Start(6)));
     assert!(all.iter().all(|p| !linked(p, (1, 3))));
-    old.fleet.stop().unwrap();
-    all.into_iter().for_each(|p| p.fleet.stop().unwrap());
+    outlived.thread.stop().unwrap();
+    all.into_iter().for_each(|p| p.thread.stop().unwrap());
 }
 
 #[test]
-fn strangers_are_thrown_out_and_counted_and_harm_nobody() {
+fn connections_of_non_members_are_closed_and_counted_and_do_no_harm() {
     let at = addresses(2);
-    let all: Vec<Place> = (0..2).map(|n| start(n, &at, 1, 10)).collect();
+    let all: Vec<TestMember> = (0..2).map(|n| start(n, &at, 1, 10)).collect();
     let mut silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at[1]).unwrap()).collect();
     let mut loud = TcpStream::connect(at[1]).unwrap();
     loud.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert!(matches!(loud.read(&mut [0; 9]), Ok(0) | Err(_)), "it is closed");
-    until("the oldest went", || ended(&all[1].fleet.stats().unwrap(), Reason::Crowded) >= 44);
-    assert_eq!(ended(&all[1].fleet.stats().unwrap(), Reason::Length), 1);
-    assert!(matches!(silent[0].read(&mut [0; 9]), Ok(0) | Err(_)), "it is closed");
-    until("linked all the same", || all.iter().all(|p| p.heard.lock().unwrap().messages.len() == 10));
-    all.into_iter().for_each(|p| p.fleet.stop().unwrap());
+    assert!(matches!(loud.read(&mut [0; 9]), Ok(0) | Err(_)), "the connection is closed");
+    until("the oldest connections are closed", || {
+        ended(&all[1].thread.stats().unwrap(), Reason::Crowded) >= 44
+    });
+    assert_eq!(ended(&all[1].thread.stats().unwrap(), Reason::Length), 1);
+    assert!(matches!(silent[0].read(&mut [0; 9]), Ok(0) | Err(_)), "the connection is closed");
+    until("the members are linked and exchange messages", || {
+        all.iter().all(|p| p.received.lock().unwrap().messages.len() == 10)
+    });
+    all.into_iter().for_each(|p| p.thread.stop().unwrap());
 }
 
 #[test]
-fn questions_are_answered_and_one_too_many_is_told_so_at_once() {
+fn requests_are_answered_and_those_without_room_are_answered_as_busy_at_once() {
     let at = addresses(2);
-    let place = start(0, &at, 1, 0);
-    let mut port = SenderPort::new(place.fleet.port());
-    let ask = |n| ClientRequest {
+    let member = start(0, &at, 1, 0);
+    let mut port = SenderMemberHandle::new(member.thread.handle());
+    let request = |n| ClientRequest {
         token: Token { sender: 3, conn: 4, token: n },
         client: "oduya".into(),
         words: vec!["rules".into(), "show".into()],
@@ -202,29 +214,35 @@
         turn: Default::default(),
         trouble: None,
     };
-    assert_eq!(port.ask(ask(1)), None);
-    let Answer::Told(told) = place.answers.recv_timeout(5_000 * MS).unwrap() else { panic!() };
-    assert_eq!((told.token, told.state), (ask(1).token, "shown"));
-    assert_eq!(port.ask(ClientRequest { words: vec!["rules".into(), "check".into()], ..ask(2) }), None);
-    let Answer::DryRun(weigh) = place.answers.recv_timeout(5_000 * MS).unwrap() else { panic!() };
-    let weighed = DryRunResult { number: weigh.number, sender: 3, would: Default::default() };
-    port.weighed(weighed);
-    until("what was weighed", || place.heard.lock().unwrap().weighed == [weighed]);
-    // The member stands still: its inbox is bounded, and the sender is not held up.
-    let held = place.hold.lock().unwrap();
-    let begun = Instant::now();
-    let busy = (0..10_000).filter(|n| port.ask(ask(*n)).is_some_and(|t| t.state == "busy")).count();
+    assert_eq!(port.submit_request(request(1)), None);
+    let MemberAnswer::ClientAnswer(told) = member.answers.recv_timeout(5_000 * MS).unwrap() else { panic!() };
+    assert_eq!((told.token, told.state), (request(1).token, "shown"));
+    assert_eq!(
+        port.submit_request(ClientRequest { words: vec!["rules".into(), "check".into()], ..request(2) }),
+        None
+    );
+    let MemberAnswer::DryRun(dry_run) = member.answers.recv_timeout(5_000 * MS).unwrap() else { panic!() };
+    let result = DryRunResult { number: dry_run.number, sender: 3, would: Default::default() };
+    port.report_dry_run(result);
+    until("the result of the dry run is received", || {
+        member.received.lock().unwrap().dry_run_results == [result]
+    });
+    // The member is stalled: its queue is bounded, and the sender is not delayed.
+    let stall_guard = member.stall_lock.lock().unwrap();
+    let started = Instant::now();
+    let busy =
+        (0..10_000).filter(|n| port.submit_request(request(*n)).is_some_and(|t| t.state == "busy")).count();
     assert!((5_900..=5_910).contains(&busy), "{busy}");
     for version in 0..1_000 {
-        port.live(live(version as usize % 10, version));
+        port.report_live(live(version as usize % 10, version));
     }
-    assert!(begun.elapsed() < 2_000 * MS);
-    drop(held);
-    until("reports that found no room come later", || {
-        port.again();
-        place.heard.lock().unwrap().lives.len() == 10
+    assert!(started.elapsed() < 2_000 * MS);
+    drop(stall_guard);
+    until("reports that found no room are sent later", || {
+        port.retry_reports();
+        member.received.lock().unwrap().lives.len() == 10
     });
-    let newest: Vec<_> = place.heard.lock().unwrap().lives.iter().map(|l| l.set.version).collect();
+    let newest: Vec<_> = member.received.lock().unwrap().lives.iter().map(|l| l.set.version).collect();
     assert_eq!(newest, (990..1_000).collect::<Vec<_>>(), "the newest of each client");
-    place.fleet.stop().unwrap();
+    member.thread.stop().unwrap();
 }
