--- a/crates/http/src/batch.rs
+++ b/crates/http/src/batch.rs
@@ -1,6 +1,6 @@
 //! The protobuf body of a call that carries several messages.
 
-/// Content type of a batch.
+/// The content type of a batch.
 pub const BATCH_TYPE: &str = "application/x-protobuf; messageType=\"heronroute.receiver.Batch\"";
 
 /// Several messages in one call, which share its outcome.
@@ -14,16 +14,17 @@
 /// One message of a batch.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Item {
-    /// Identity of the message, which is the same for each attempt. Repeats are dropped within the class's window.
+    /// The id of the message, which is the same for each attempt. The receiver drops repeats within the
+    /// class's window.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Class, as its service_type.
+    /// The class, in the form of its service_type.
     #[prost(string, tag = "2")]
     pub class: String,
-    /// Source address.
+    /// The source address.
     #[prost(string, tag = "3")]
     pub source: String,
-    /// Destination address.
+    /// The destination address.
     #[prost(string, tag = "4")]
     pub destination: String,
     /// The ordering key, in classes that keep order.
--- a/crates/http/src/read.rs
+++ b/crates/http/src/read.rs
@@ -1,9 +1,9 @@
-//! Parses octets into requests or responses.
+//! Parses bytes into requests or responses.
 
-use crate::MOST_HEAD;
+use crate::MAX_HEAD_BYTES;
 use bytes::{Buf, BytesMut};
 
-/// The kind of messages on a stream.
+/// The kind of messages that a stream carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The stream carries requests.
@@ -38,50 +38,58 @@
     pub fields: Vec<(String, String)>,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection is closed after it.
+    /// Whether the connection is closed after this message.
     pub last: bool,
 }
 
 impl Message {
-    /// The first header field with this name, which is in lower case.
+    /// Returns the first header field with this name, which must be in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The wait in `Retry-After`, in seconds; decimals are accepted. A date is ignored, as the receiver's clock may differ.
+    /// Returns the wait in `Retry-After`, in seconds; decimals are accepted. A date is ignored, since the
+    /// receiver's clock may differ.
     pub fn retry_after(&self) -> Option<f64> {
         let seconds = self.field("retry-after")?.trim().parse::<f64>().ok()?;
         (seconds.is_finite() && seconds >= 0.0).then(|| seconds.min(1e6))
     }
 
-    /// The status of a response, 0 for requests.
+    /// Returns the status of a response, or 0 for a request.
     pub fn status(&self) -> u16 {
         if let Start::Response { status } = self.start { status } else { 0 }
     }
 }
 
-/// The stream can't be read any further, for this reason.
+/// Why a stream can't be parsed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Unreadable(pub &'static str);
+pub struct ParseError(pub &'static str);
 
+/// The part of a message that is parsed next. `head` is the message so far.
 #[derive(Clone, Debug)]
 enum State {
+    /// The head of the next message.
     Head,
-    Sized { head: Message, left: usize },
+    /// A body with a Content-Length, of which `remaining` bytes are missing.
+    FixedLength { head: Message, remaining: usize },
+    /// The line with the size of a chunk.
     ChunkSize { head: Message },
-    Chunk { head: Message, left: usize },
+    /// A chunk, of which `remaining` bytes are missing, its end of line included.
+    Chunk { head: Message, remaining: usize },
+    /// The trailer after the last chunk.
     Trailer { head: Message },
-    ToEnd { head: Message },
+    /// A body that extends to the end of the connection.
+    UntilClose { head: Message },
 }
 
 /// The result of one step of the parser.
 enum Step {
     /// The message is complete.
     Complete(Message),
-    /// Go on in this state.
+    /// Continue in this state.
     Next(State),
-    /// Wait in this state for more octets.
+    /// Wait for more bytes in this state.
     Wait(State),
 }
 
@@ -89,42 +97,45 @@
 #[derive(Debug)]
 pub struct Reader {
     side: Side,
-    most_body: usize,
+    /// The maximum size of a body, in bytes.
+    max_body_bytes: usize,
     buffer: BytesMut,
     state: State,
+    /// The stream has ended.
     closed: bool,
-    /// The status of the current response, once its head was read.
+    /// The status of the current response, once its head has been read.
     status: Option<u16>,
-    /// The wait in its head, likewise.
-    wait: Option<f64>,
+    /// The wait in the head of the current response, in seconds.
+    retry_after_in_head: Option<f64>,
 }
 
 impl Reader {
-    /// Creates a reader that accepts bodies of up to `most_body` octets.
-    pub fn new(side: Side, most_body: usize) -> Self {
+    /// Creates a reader that accepts bodies of up to `max_body_bytes`.
+    pub fn new(side: Side, max_body_bytes: usize) -> Self {
         let (buffer, state) = (BytesMut::new(), State::Head);
-        Reader { side, most_body, buffer, state, closed: false, status: None, wait: None }
+        Reader { side, max_body_bytes, buffer, state, closed: false, status: None, retry_after_in_head: None }
     }
 
-    /// Accepts octets from the stream.
-    pub fn push(&mut self, octets: &[u8]) {
-        self.buffer.extend_from_slice(octets);
+    /// Appends bytes received from the stream.
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The stream has ended.
+    /// Records the end of the stream.
     pub fn end(&mut self) {
         self.closed = true;
     }
 
-    /// Whether the stream holds octets of a message that was not returned yet.
+    /// Returns whether the stream contains bytes of a message that has not been returned yet.
     pub fn begun(&self) -> bool {
         !self.buffer.is_empty() || !matches!(self.state, State::Head)
     }
 
-    /// The status of the current response, as soon as its start line has arrived, even if the rest can't be read.
+    /// Returns the status of the current response as soon as its start line has arrived, even if the rest is
+    /// unreadable.
     pub fn status_so_far(&self) -> Option<u16> {
         self.status.or_else(|| {
-            let end = self.buffer.iter().take(MOST_HEAD).position(|b| *b == b'\n')?;
+            let end = self.buffer.iter().take(MAX_HEAD_BYTES).position(|b| *b == b'\n')?;
             let line = std::str::from_utf8(&self.buffer[..end]).ok()?.trim_end();
             let mut words = line.strip_prefix("HTTP/1.")?.split(' ');
             words.next().filter(|minor| minor.len() == 1)?;
@@ -132,32 +143,33 @@
         })
     }
 
-    /// The wait in the current response, in seconds, as soon as its head has arrived, even if its body can't be read.
-    pub fn wait_so_far(&self) -> Option<f64> {
-        self.wait
+    /// Returns the wait in the current response, in seconds, as soon as its head has arrived, even if its
+    /// body is unreadable.
+    pub fn retry_after_so_far(&self) -> Option<f64> {
+        self.retry_after_in_head
     }
 
-    /// The next message, if it is complete.
+    /// Returns the next message, if it is complete.
     ///
     /// # Errors
-    /// If the stream can't be read any further.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Unreadable> {
-        let next = self.cut();
+    /// If the stream can't be parsed any further.
+    pub fn next_message(&mut self) -> Result<Option<Message>, ParseError> {
+        let next = self.parse_next();
         if matches!(next, Ok(Some(_))) {
-            (self.status, self.wait) = (None, None);
+            (self.status, self.retry_after_in_head) = (None, None);
         }
         next
     }
 
-    fn cut(&mut self) -> Result<Option<Message>, Unreadable> {
+    fn parse_next(&mut self) -> Result<Option<Message>, ParseError> {
         loop {
             let step = match std::mem::replace(&mut self.state, State::Head) {
                 State::Head => self.head()?.map_or(Step::Wait(State::Head), Step::Next),
-                State::Sized { head, left } => self.sized(head, left),
-                State::ChunkSize { head } => self.chunk_size(head)?,
-                State::Chunk { head, left } => self.chunk(head, left)?,
-                State::Trailer { head } => self.trailer(head)?,
-                State::ToEnd { head } => self.until_end(head)?,
+                State::FixedLength { head, remaining } => self.read_fixed_length(head, remaining),
+                State::ChunkSize { head } => self.read_chunk_size(head)?,
+                State::Chunk { head, remaining } => self.read_chunk(head, remaining)?,
+                State::Trailer { head } => self.read_trailer(head)?,
+                State::UntilClose { head } => self.read_until_close(head)?,
             };
             match step {
                 Step::Complete(message) => return Ok(Some(message)),
@@ -170,66 +182,76 @@
         }
     }
 
-    fn sized(&mut self, mut head: Message, left: usize) -> Step {
-        let n = left.min(self.buffer.len());
+    fn read_fixed_length(&mut self, mut head: Message, remaining: usize) -> Step {
+        let n = remaining.min(self.buffer.len());
         head.body.extend_from_slice(&self.buffer[..n]);
         self.buffer.advance(n);
-        if n == left { Step::Complete(head) } else { Step::Wait(State::Sized { head, left: left - n }) }
+        if n == remaining {
+            Step::Complete(head)
+        } else {
+            Step::Wait(State::FixedLength { head, remaining: remaining - n })
+        }
     }
 
-    fn chunk_size(&mut self, head: Message) -> Result<Step, Unreadable> {
-        let Some(line) = self.line()? else { return Ok(Step::Wait(State::ChunkSize { head })) };
+    fn read_chunk_size(&mut self, head: Message) -> Result<Step, ParseError> {
+        let Some(line) = self.take_line()? else { return Ok(Step::Wait(State::ChunkSize { head })) };
         let size = line.split(';').next().unwrap_or_default().trim();
-        let size = usize::from_str_radix(size, 16).map_err(|_| Unreadable("bad chunk size"))?;
-        if size > self.most_body.saturating_sub(head.body.len()) {
-            return Err(Unreadable("body too large"));
+        let size = usize::from_str_radix(size, 16).map_err(|_| ParseError("bad chunk size"))?;
+        if size > self.max_body_bytes.saturating_sub(head.body.len()) {
+            return Err(ParseError("body too large"));
         }
         Ok(Step::Next(match size {
             0 => State::Trailer { head },
-            _ => State::Chunk { head, left: size + 2 },
+            _ => State::Chunk { head, remaining: size + 2 },
         }))
     }
 
-    fn chunk(&mut self, mut head: Message, left: usize) -> Result<Step, Unreadable> {
-        // The two octets of the end of line are read with the chunk and removed.
-        if self.buffer.len() < left {
-            return Ok(Step::Wait(State::Chunk { head, left }));
+    fn read_chunk(&mut self, mut head: Message, remaining: usize) -> Result<Step, ParseError> {
+        // The chunk is read together with the two bytes of its end of line.
+        if self.buffer.len() < remaining {
+            return Ok(Step::Wait(State::Chunk { head, remaining }));
         }
-        if &self.buffer[left - 2..left] != b"\r\n" {
-            return Err(Unreadable("a chunk without its end"));
+        if &self.buffer[remaining - 2..remaining] != b"\r\n" {
+            return Err(ParseError("missing end of line after a chunk"));
         }
-        head.body.extend_from_slice(&self.buffer[..left - 2]);
-        self.buffer.advance(left);
+        head.body.extend_from_slice(&self.buffer[..remaining - 2]);
+        self.buffer.advance(remaining);
         Ok(Step::Next(State::ChunkSize { head }))
     }
 
-    fn trailer(&mut self, head: Message) -> Result<Step, Unreadable> {
-        Ok(match self.line()? {
+    fn read_trailer(&mut self, head: Message) -> Result<Step, ParseError> {
+        Ok(match self.take_line()? {
             Some(line) if line.is_empty() => Step::Complete(head),
             Some(_) => Step::Next(State::Trailer { head }),
             None => Step::Wait(State::Trailer { head }),
         })
     }
 
-    fn until_end(&mut self, mut head: Message) -> Result<Step, Unreadable> {
-        if head.body.len() + self.buffer.len() > self.most_body {
-            return Err(Unreadable("body too large"));
+    fn read_until_close(&mut self, mut head: Message) -> Result<Step, ParseError> {
+        if head.body.len() + self.buffer.len() > self.max_body_bytes {
+            return Err(ParseError("body too large"));
         }
         head.body.extend_from_slice(&self.buffer);
         self.buffer.clear();
-        Ok(if self.closed { Step::Complete(head) } else { Step::Wait(State::ToEnd { head }) })
+        Ok(if self.closed { Step::Complete(head) } else { Step::Wait(State::UntilClose { head }) })
     }
 
-    fn line(&mut self) -> Result<Option<String>, Unreadable> {
+    /// Takes a line of the chunked coding, if it is complete.
+    fn take_line(&mut self) -> Result<Option<String>, ParseError> {
         let Some(at) = self.buffer.iter().position(|b| *b == b'\n') else {
-            return if self.buffer.len() > MOST_HEAD { Err(Unreadable("a line too long")) } else { Ok(None) };
+            return if self.buffer.len() > MAX_HEAD_BYTES {
+                Err(ParseError("line too long"))
+            } else {
+                Ok(None)
+            };
         };
         let line = String::from_utf8_lossy(&self.buffer[..at]).trim_end_matches('\r').to_string();
         self.buffer.advance(at + 1);
         Ok(Some(line))
     }
 
-    fn head(&mut self) -> Result<Option<State>, Unreadable> {
+    /// Parses a head, if it is complete, and returns the state in which its body is parsed.
+    fn head(&mut self) -> Result<Option<State>, ParseError> {
         if self.buffer.is_empty() {
             return Ok(None);
         }
@@ -241,10 +263,10 @@
                     Ok(httparse::Status::Complete(n)) => {
                         let method = request.method.unwrap_or_default().to_string();
                         let target = request.path.unwrap_or_default().to_string();
-                        (n, Start::Request { method, target }, request.version, own(request.headers))
+                        (n, Start::Request { method, target }, request.version, owned_fields(request.headers))
                     }
-                    Ok(httparse::Status::Partial) => return self.partial(),
-                    Err(_) => return Err(Unreadable("no HTTP request")),
+                    Ok(httparse::Status::Partial) => return self.incomplete_head(),
+                    Err(_) => return Err(ParseError("not an HTTP request")),
                 }
             }
             Side::Responses => {
@@ -252,10 +274,10 @@
                 match response.parse(&self.buffer) {
                     Ok(httparse::Status::Complete(n)) => {
                         let status = response.code.unwrap_or(0);
-                        (n, Start::Response { status }, response.version, own(response.headers))
+                        (n, Start::Response { status }, response.version, owned_fields(response.headers))
                     }
-                    Ok(httparse::Status::Partial) => return self.partial(),
-                    Err(_) => return Err(Unreadable("no HTTP response")),
+                    Ok(httparse::Status::Partial) => return self.incomplete_head(),
+                    Err(_) => return Err(ParseError("not an HTTP response")),
                 }
             }
         };
@@ -264,52 +286,55 @@
             self.status = Some(status);
         }
         let mut head = Message { start, fields, body: Vec::new(), last: false };
-        self.wait = head.retry_after();
+        self.retry_after_in_head = head.retry_after();
         let connection = head.field("connection").unwrap_or_default().to_ascii_lowercase();
         head.last = connection.split(',').any(|w| w.trim() == "close")
             || (minor == Some(0) && !connection.contains("keep-alive"));
-        self.framing(head).map(Some)
+        self.body_state(head).map(Some)
     }
 
-    /// Determines the length of the body as in RFC 9112, section 6.3.
-    fn framing(&self, mut head: Message) -> Result<State, Unreadable> {
+    /// Determines how the body ends, as in RFC 9112, section 6.3.
+    fn body_state(&self, mut head: Message) -> Result<State, ParseError> {
         let status = head.status();
         if (100..200).contains(&status) || status == 204 || status == 304 {
-            return Ok(State::Sized { head, left: 0 });
+            return Ok(State::FixedLength { head, remaining: 0 });
         }
         let lengths: Vec<&str> =
             head.fields.iter().filter(|(n, _)| n == "content-length").map(|(_, v)| v.as_str()).collect();
         if let Some(coding) = head.field("transfer-encoding") {
             // Guards against request smuggling, which uses both at once.
             if !coding.eq_ignore_ascii_case("chunked") || !lengths.is_empty() {
-                return Err(Unreadable("a transfer coding that is not served"));
+                return Err(ParseError("unsupported transfer coding"));
             }
             return Ok(State::ChunkSize { head });
         }
         match lengths.as_slice() {
             [] if self.side == Side::Responses => {
                 head.last = true;
-                Ok(State::ToEnd { head })
+                Ok(State::UntilClose { head })
             }
-            [] => Ok(State::Sized { head, left: 0 }),
+            [] => Ok(State::FixedLength { head, remaining: 0 }),
             [first, rest @ ..] => {
                 let digits = !first.is_empty() && first.bytes().all(|b| b.is_ascii_digit());
-                let left = first.parse::<usize>().ok().filter(|_| digits && rest.iter().all(|r| r == first));
-                let left = left.ok_or(Unreadable("bad Content-Length"))?;
-                if left > self.most_body {
-                    return Err(Unreadable("body too large"));
+                let remaining =
+                    first.parse::<usize>().ok().filter(|_| digits && rest.iter().all(|r| r == first));
+                let remaining = remaining.ok_or(ParseError("bad Content-Length"))?;
+                if remaining > self.max_body_bytes {
+                    return Err(ParseError("body too large"));
                 }
-                Ok(State::Sized { head, left })
+                Ok(State::FixedLength { head, remaining })
             }
         }
     }
 
-    fn partial(&self) -> Result<Option<State>, Unreadable> {
-        if self.buffer.len() > MOST_HEAD { Err(Unreadable("head too large")) } else { Ok(None) }
+    /// Handles an incomplete head, which must not become too large.
+    fn incomplete_head(&self) -> Result<Option<State>, ParseError> {
+        if self.buffer.len() > MAX_HEAD_BYTES { Err(ParseError("head too large")) } else { Ok(None) }
     }
 }
 
-fn own(fields: &[httparse::Header<'_>]) -> Vec<(String, String)> {
+/// Copies header fields, with their names in lower case.
+fn owned_fields(fields: &[httparse::Header<'_>]) -> Vec<(String, String)> {
     let plain = |h: &httparse::Header<'_>| {
         (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).trim().to_string())
     };
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes requests and responses as octets.
+//! Writes requests and responses.
 
 use bytes::BytesMut;
 use std::fmt::Write;
@@ -33,9 +33,10 @@
     write_rest(fields, body, out);
 }
 
+/// Writes the header fields, the Content-Length and the body.
 fn write_rest(fields: &[(&str, &str)], body: &[u8], out: &mut BytesMut) {
     for (name, value) in fields {
-        // Guards against an end of line within a value, which would start another field.
+        // Guards against an end of line in a value, which would start another field.
         let clean: String = value.chars().filter(|c| !c.is_control()).collect();
         _ = write!(out, "{name}: {clean}\r\n");
     }
--- a/crates/net/src/reactor/commands.rs
+++ b/crates/net/src/reactor/commands.rs
@@ -17,7 +17,7 @@
     /// New settings. The answer names those that need a restart.
     Reload(Arc<Config>, Sender<Vec<&'static str>>),
     /// Shut down.
-    Leave,
+    Shutdown,
     /// The number of durable entries, and the journal's usage.
     Durable(u64, Usage),
     /// The journal's storage has begun to fail. [`Command::Durable`] follows once it works again.
@@ -66,7 +66,7 @@
             Command::Reload(cfg, answer) => {
                 _ = answer.send(self.node.reload(now, cfg));
             }
-            Command::Leave => self.node.leave(now),
+            Command::Shutdown => self.node.leave(now),
             Command::Durable(count, usage) => self.node.durable(now, count, usage),
             Command::JournalFailing => self.node.storage_failed(now),
             Command::JournalFailed => self.journal_failed = true,
--- a/crates/net/src/service.rs
+++ b/crates/net/src/service.rs
@@ -66,7 +66,7 @@
     /// # Errors
     /// If the settings or the journal can't be used, or a resource of the system is missing.
     pub fn start(cfg: Arc<Config>, seed: u64) -> Result<Self, StartError> {
-        Self::start_with(cfg, seed, Arc::new(|| ()))
+        Self::start_with_failure_handler(cfg, seed, Arc::new(|| ()))
     }
 
     /// Starts the service. `on_journal_failure` is called if a sender's journal fails, so that the process
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// As [`Service::start`].
-    pub fn start_with(
+    pub fn start_with_failure_handler(
         cfg: Arc<Config>,
         seed: u64,
         on_journal_failure: Arc<dyn Fn() + Send + Sync>,
@@ -178,7 +178,7 @@
             _ = waker.wake();
         }
         for sender in &self.senders {
-            sender.send(Command::Leave);
+            sender.send(Command::Shutdown);
         }
     }
 
--- a/crates/platform/src/add.rs
+++ b/crates/platform/src/add.rs
@@ -9,13 +9,13 @@
     pub class: String,
     /// Its tenant, by name.
     pub tenant: String,
-    /// Milliseconds that remain to deliver it.
+    /// The time that remains to deliver it, in milliseconds.
     pub left_ms: u64,
-    /// Its destination.
+    /// Its destination, by number.
     pub dest: i64,
-    /// The idempotency key.
+    /// Its idempotency key.
     pub key: Option<String>,
-    /// The client submits it again after a refusal.
+    /// Whether the client submits it again after a refusal.
     pub again: bool,
     /// Its body.
     pub body: Vec<u8>,
@@ -24,29 +24,30 @@
 /// The command's name.
 pub const NAME: &[u8] = b"OUT.ADD";
 
-/// Octets of an id or a key at most.
-const MOST_NAME: usize = 64;
+/// The maximum length of an id or a key, in bytes.
+const MAX_ID_BYTES: usize = 64;
 
-/// An id or a key. They are sent in header fields and in JSON, so only letters, digits and `-_.:` are accepted.
-fn plain(text: &[u8]) -> Option<String> {
-    let fits = (1..=MOST_NAME).contains(&text.len());
-    let sign = |b: &u8| b.is_ascii_alphanumeric() || b"-_.:".contains(b);
-    (fits && text.iter().all(sign)).then(|| String::from_utf8_lossy(text).into_owned())
+/// Parses an id or a key. They are sent in header fields and in JSON, so only letters, digits and `-_.:` are
+/// accepted.
+fn parse_id(text: &[u8]) -> Option<String> {
+    let has_valid_length = (1..=MAX_ID_BYTES).contains(&text.len());
+    let is_allowed = |b: &u8| b.is_ascii_alphanumeric() || b"-_.:".contains(b);
+    (has_valid_length && text.iter().all(is_allowed)).then(|| String::from_utf8_lossy(text).into_owned())
 }
 
 /// Why the arguments of a command can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddError {
-    /// Not four arguments.
+    /// The number of arguments is not four.
     #[error("OUT.ADD takes a key, an id, names and values, and a body")]
     Arguments,
-    /// The id is empty, too long, or holds other characters than ids may.
+    /// The id is empty or too long, or contains a character that is not allowed.
     #[error("the id can't be read")]
     Id,
     /// The names and values are not UTF-8.
     #[error("names and values are no text")]
     Pairs,
-    /// A name stands without `=`.
+    /// A name has no `=`.
     #[error("a name without a value")]
     NameWithoutValue,
     /// The deadline is not a whole number of milliseconds.
@@ -55,13 +56,13 @@
     /// The destination is not a whole number.
     #[error("the destination is no number")]
     Destination,
-    /// The idempotency key is empty, too long, or holds other characters than keys may.
+    /// The idempotency key is empty or too long, or contains a character that is not allowed.
     #[error("the idempotency key can't be read")]
     Key,
-    /// There is no deadline, or it is 0.
+    /// The deadline is missing or 0.
     #[error("a deadline is wanted")]
     NoDeadline,
-    /// There is no destination.
+    /// The destination is missing.
     #[error("a destination is wanted")]
     NoDestination,
 }
@@ -70,26 +71,26 @@
     /// Parses the arguments that follow the command's name.
     ///
     /// # Errors
-    /// The first argument that is missing or can't be read.
+    /// If an argument is missing or invalid. The error names the first one.
     pub fn read(args: Vec<Vec<u8>>) -> Result<Add, AddError> {
         let [_, id, pairs, body]: [Vec<u8>; 4] = args.try_into().map_err(|_| AddError::Arguments)?;
-        let mut add = Add { id: plain(&id).ok_or(AddError::Id)?, body, ..Add::default() };
+        let mut add = Add { id: parse_id(&id).ok_or(AddError::Id)?, body, ..Add::default() };
         let pairs = std::str::from_utf8(&pairs).map_err(|_| AddError::Pairs)?;
-        let (mut left, mut dest) = (None, None);
+        let (mut deadline_ms, mut dest) = (None, None);
         for pair in pairs.split(',') {
             let (name, value) = pair.split_once('=').ok_or(AddError::NameWithoutValue)?;
             match name {
                 "c" => add.class = value.to_string(),
                 "t" => add.tenant = value.to_string(),
-                "d" => left = Some(value.parse().map_err(|_| AddError::Deadline)?),
+                "d" => deadline_ms = Some(value.parse().map_err(|_| AddError::Deadline)?),
                 "dest" => dest = Some(value.parse().map_err(|_| AddError::Destination)?),
-                "k" => add.key = Some(plain(value.as_bytes()).ok_or(AddError::Key)?),
+                "k" => add.key = Some(parse_id(value.as_bytes()).ok_or(AddError::Key)?),
                 "r" => add.again = value == "1",
-                // Unknown names are ignored: later clients may send more.
+                // Unknown names are ignored, since later clients may send more.
                 _ => {}
             }
         }
-        add.left_ms = left.filter(|l| *l > 0).ok_or(AddError::NoDeadline)?;
+        add.left_ms = deadline_ms.filter(|l| *l > 0).ok_or(AddError::NoDeadline)?;
         add.dest = dest.ok_or(AddError::NoDestination)?;
         Ok(add)
     }
--- a/crates/platform/src/call/answers.rs
+++ b/crates/platform/src/call/answers.rs
@@ -1,14 +1,14 @@
-//! Reads the answers on one connection from octets as they arrive.
+//! Parses the answers on one connection from bytes as they arrive.
 
-use super::outcome::{MessageOutcome, in_micros, message_outcomes, names_its_call};
+use super::outcome::{MessageOutcome, message_outcomes, names_its_call, seconds_to_micros};
 use heronroute::{Micros, Outcome};
-use heronroute_http::{Message, Reader, Side, Unreadable};
+use heronroute_http::{Message, ParseError, Reader, Side};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Octets of an answer's body at most.
-const MAX_BODY: usize = 64 * 1024;
+/// The maximum size of an answer's body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What the octets received on a connection mean for the call in flight.
+/// An event that the bytes received on a connection cause for the call in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerEvent {
     /// The call, or the probe, is answered.
@@ -24,20 +24,20 @@
     Unusable(&'static str),
 }
 
-/// What an answer shows of the call that it belongs to.
+/// The evidence in an answer of which call it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Identity {
-    /// It names the messages of its call.
+    /// The answer names the messages of its call.
     Named,
-    /// It names none, and ends the connection.
+    /// The answer names no messages, and closes the connection.
     Closing,
-    /// It names none. A second copy of it has the same digest.
+    /// The answer names no messages. A second copy of it has this same digest.
     Plain(u64),
 }
 
 impl Identity {
-    fn of(answer: &Message, names_its_call: bool) -> Self {
-        if names_its_call {
+    fn of(answer: &Message, names_messages: bool) -> Self {
+        if names_messages {
             return Identity::Named;
         }
         if answer.last {
@@ -47,6 +47,7 @@
     }
 }
 
+/// Returns a digest of an answer's status, fields and body.
 fn digest(answer: &Message) -> u64 {
     let mut hasher = DefaultHasher::new();
     answer.status().hash(&mut hasher);
@@ -61,72 +62,75 @@
     reader: Reader,
     /// Ids of the messages of the call in flight; empty for a probe.
     in_flight: Option<Vec<String>>,
-    /// The wait that the current answer demands was reported.
+    /// The wait that the current answer demands has been reported.
     retry_after_reported: bool,
-    /// No complete answer was read on this connection yet.
+    /// No complete answer has been read on this connection yet.
     is_new: bool,
-    /// What the last complete answer showed of its call.
+    /// The identity of the last complete answer.
     identity: Option<Identity>,
-    /// A first line with status 200 is waited for until its answer is complete.
-    waits_for_the_end: bool,
+    /// An answer with status 200 counts only once it is complete.
+    waits_for_complete_answer: bool,
 }
 
 impl Default for AnswerReader {
     fn default() -> Self {
         AnswerReader {
-            reader: Reader::new(Side::Responses, MAX_BODY),
+            reader: Reader::new(Side::Responses, MAX_BODY_BYTES),
             in_flight: None,
             retry_after_reported: false,
             is_new: true,
             identity: None,
-            waits_for_the_end: false,
+            waits_for_complete_answer: false,
         }
     }
 }
 
 impl AnswerReader {
-    /// A call with these messages was written, or a probe (no messages).
+    /// Records that a call with these messages was written, or a probe (no messages).
     pub fn request_sent(&mut self, ids: Vec<String>) {
         self.in_flight = Some(ids);
         self.retry_after_reported = false;
     }
 
-    /// The call was withdrawn before any of its octets left.
+    /// Records that the call was withdrawn before any of its bytes was sent.
     pub fn request_withdrawn(&mut self) {
         self.in_flight = None;
     }
 
-    /// Whether a call, or a probe, is in flight.
+    /// Returns whether a call or a probe is in flight.
     pub fn awaits_answer(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Whether a part of an answer was received.
+    /// Returns whether a part of an answer has been received.
     pub fn has_begun(&self) -> bool {
         self.reader.begun()
     }
 
-    /// No complete answer was read on this connection yet.
+    /// Returns whether no complete answer has been read on this connection yet.
     pub fn is_new(&self) -> bool {
         self.is_new
     }
 
-    /// What the answer that was reported last showed of its call; nothing where it was not read whole.
+    /// Takes the identity of the answer that was reported last, or `None` if that answer was not read
+    /// completely.
     pub fn take_identity(&mut self) -> Option<Identity> {
         self.identity.take()
     }
 
-    /// Whether a first line with status 200 is waited for until its answer is complete. Otherwise it is an outcome at once.
+    /// Sets whether an answer with status 200 counts only once it is complete. Otherwise its status line is
+    /// the outcome at once.
     pub fn wait_for_the_end(&mut self, waits: bool) {
-        self.waits_for_the_end = waits;
+        self.waits_for_complete_answer = waits;
     }
 
-    /// Accepts octets that follow an answer while no call is in flight. Gives the digest of each whole answer among them.
+    /// Processes bytes that follow an answer while no call is in flight. Returns the digest of each complete
+    /// answer among them.
     ///
     /// # Errors
-    /// If they are no answer.
-    pub fn receive_surplus(&mut self, octets: &[u8]) -> Result<Vec<u64>, Unreadable> {
-        self.reader.push(octets);
+    /// If the bytes are not an answer.
+    pub fn receive_surplus(&mut self, bytes: &[u8]) -> Result<Vec<u64>, ParseError> {
+        self.reader.push(bytes);
         let mut digests = Vec::new();
         while let Some(answer) = self.reader.next_message()? {
             digests.push(digest(&answer));
@@ -134,13 +138,13 @@
         Ok(digests)
     }
 
-    /// An answer with status 200 to a single message has begun, and is not complete.
+    /// Returns whether an incomplete answer with status 200 to a single message has been received.
     pub fn has_begun_200(&self) -> bool {
         let single = self.in_flight.as_ref().is_some_and(|ids| ids.len() == 1);
         single && self.reader.status_so_far() == Some(200)
     }
 
-    /// Takes the first line with status 200 for the outcome, though its answer is not complete.
+    /// Takes the status line with status 200 as the outcome although the answer is not complete.
     pub fn give_up_the_end(&mut self) -> Option<AnswerEvent> {
         self.has_begun_200().then(|| self.delivered_without_end())
     }
@@ -151,19 +155,19 @@
         AnswerEvent::Answered { outcomes, unusable: true }
     }
 
-    /// The wait that the head of the current answer demands, or 0.
+    /// Returns the wait that the head of the current answer demands, or 0.
     fn retry_after(&self) -> Micros {
-        self.reader.wait_so_far().map_or(0, in_micros)
+        self.reader.retry_after_so_far().map_or(0, seconds_to_micros)
     }
 
-    /// Accepts octets. `closed`: the endpoint closed its side behind them.
-    pub fn receive(&mut self, octets: &[u8], closed: bool) -> Option<AnswerEvent> {
-        // Guards against a second copy of an answer that arrives in pieces: the part of it that arrives before the next
-        // call would be taken, with the rest, for the answer to that call.
-        if self.in_flight.is_none() && !octets.is_empty() {
-            return Some(AnswerEvent::Unusable("octets that nobody asked for"));
+    /// Processes received bytes. `closed` means that the endpoint closed its side after them.
+    pub fn receive(&mut self, bytes: &[u8], closed: bool) -> Option<AnswerEvent> {
+        // Guards against a second copy of an answer that arrives in pieces: a part of it that arrives before
+        // the next call would, with the rest, be taken for the answer to that call.
+        if self.in_flight.is_none() && !bytes.is_empty() {
+            return Some(AnswerEvent::Unusable("unrequested bytes"));
         }
-        self.reader.push(octets);
+        self.reader.push(bytes);
         if closed {
             self.reader.end();
         }
@@ -178,31 +182,32 @@
         }
     }
 
-    /// The answer is complete.
+    /// Handles a complete answer.
     fn complete(&mut self, answer: &Message, closed: bool) -> AnswerEvent {
         let Some(ids) = self.in_flight.take() else {
-            return AnswerEvent::Unusable("an answer that nobody asked for");
+            return AnswerEvent::Unusable("unrequested answer");
         };
-        // Guards against a second copy, or noise, behind a good answer: what follows on this connection belongs to no
-        // call.
+        // Guards against a second copy or noise after a good answer: further bytes on this connection belong
+        // to no call.
         let mut unusable = answer.last || closed || self.reader.begun();
         let closed_at_once = std::mem::take(&mut self.is_new) && answer.last;
         let named = names_its_call(answer, &ids);
         self.identity = Some(Identity::of(answer, named));
         let outcomes = message_outcomes(answer, &ids, closed_at_once);
-        // The answer to this call is still to come, and would be taken for the answer to the next one.
+        // The real answer to this call may still arrive, and would be taken for the answer to the next one.
         unusable |= ids.len() > 1 && answer.status() == 200 && !named;
         AnswerEvent::Answered { outcomes, unusable }
     }
 
-    /// The answer is not complete yet, or never will be.
+    /// Handles an answer that is not complete yet, or never will be.
     fn incomplete(&mut self, closed: bool) -> Option<AnswerEvent> {
-        // Guards against an answer with status 200 that never completes: its message has been delivered all the same.
-        if self.has_begun_200() && (closed || !self.waits_for_the_end) {
+        // Guards against an answer with status 200 that never completes: its message has been delivered all
+        // the same.
+        if self.has_begun_200() && (closed || !self.waits_for_complete_answer) {
             return Some(self.delivered_without_end());
         }
-        // Guards against a wait that binds from the head on, but would be reported only with the last octet, or never if
-        // the answer breaks off.
+        // Guards against reporting a wait, which applies as soon as the head is read, only with the last byte
+        // of the answer, or never if the answer breaks off.
         if !self.retry_after_reported && self.in_flight.is_some() && self.retry_after() > 0 {
             self.retry_after_reported = true;
             return Some(AnswerEvent::RetryAfter(self.retry_after()));
@@ -210,8 +215,8 @@
         closed.then_some(AnswerEvent::Unusable("closed by the endpoint"))
     }
 
-    /// The answer can't be read. The request has run, and only the status line can still be true.
-    fn unreadable(&mut self, error: Unreadable) -> AnswerEvent {
+    /// Handles an unreadable answer. The request has run, and only the status line may still be valid.
+    fn unreadable(&mut self, error: ParseError) -> AnswerEvent {
         let Some(ids) = self.in_flight.take() else { return AnswerEvent::Unusable(error.0) };
         let delivered = ids.len() == 1 && self.reader.status_so_far() == Some(200);
         let outcome = if delivered { Outcome::Done } else { Outcome::Error };
--- a/crates/platform/src/call/outcome.rs
+++ b/crates/platform/src/call/outcome.rs
@@ -12,27 +12,29 @@
     pub outcome: Outcome,
     /// The wait that the answer demands before the next attempt, or 0.
     pub retry_after: Micros,
-    /// No further attempt is needed.
+    /// Whether the message needs no further attempt.
     pub is_final: bool,
 }
 
 impl MessageOutcome {
+    /// Returns an outcome that is final only if the message was delivered.
     pub(super) fn of(outcome: Outcome, retry_after: Micros) -> Self {
         MessageOutcome { outcome, retry_after, is_final: outcome == Outcome::Done }
     }
 
-    /// The endpoint will never accept the message.
+    /// Returns the outcome of a message that the endpoint will never accept.
     fn gone(retry_after: Micros) -> Self {
         MessageOutcome { outcome: Outcome::Skipped, retry_after, is_final: true }
     }
 }
 
 /// Converts seconds into microseconds, rounded up.
-pub(super) fn in_micros(seconds: f64) -> Micros {
+pub(super) fn seconds_to_micros(seconds: f64) -> Micros {
     (seconds * 1e6).ceil() as Micros
 }
 
-/// Whether an answer names the messages of the call, and no others. Guards against a second copy of an earlier answer.
+/// Returns whether a batch answer names the messages of the call, and no others. Guards against a second copy
+/// of an earlier answer.
 pub(super) fn names_its_call(answer: &Message, ids: &[String]) -> bool {
     if answer.status() != 200 || ids.len() < 2 {
         return false;
@@ -43,24 +45,24 @@
     named == ids.iter().map(String::as_str).collect()
 }
 
-/// The outcome of each message, in the order of `ids`.
+/// Returns the outcome of each message, in the order of `ids`.
 ///
-/// `closed_at_once`: the answer is the first on its connection and closes it. A 503 then concerns the connection: the
-/// endpoint's table of connections is full. A 503 that concerns the call (limit, queue, drain) leaves the connection
-/// open. Guards against a full table being taken for a limit: senders that hold idle connections would never release
-/// them.
+/// `closed_at_once` means that the answer is the first on its connection and closes it. A 503 then concerns
+/// the connection: the endpoint's connection table is full. A 503 that concerns the call (limit, queue,
+/// drain) leaves the connection open. Guards against taking a full table for a limit: senders with idle
+/// connections would never close them.
 pub(super) fn message_outcomes(
     answer: &Message,
     ids: &[String],
     closed_at_once: bool,
 ) -> Vec<MessageOutcome> {
-    let retry_after = answer.retry_after().map_or(0, in_micros);
-    let no_slot = answer.field("x-no-slot").is_some_and(|value| value.trim() == "1");
+    let retry_after = answer.retry_after().map_or(0, seconds_to_micros);
+    let has_no_slot = answer.field("x-no-slot").is_some_and(|value| value.trim() == "1");
     let outcome = match answer.status() {
         200 if ids.len() > 1 => return batch_outcomes(&answer.body, ids, retry_after),
         200 => MessageOutcome::of(Outcome::Done, retry_after),
         429 => MessageOutcome::of(Outcome::Busy, retry_after),
-        503 if no_slot => MessageOutcome::of(Outcome::Skipped, retry_after),
+        503 if has_no_slot => MessageOutcome::of(Outcome::Skipped, retry_after),
         503 if closed_at_once && retry_after == 0 => MessageOutcome::of(Outcome::Crowded, 0),
         503 => MessageOutcome::of(Outcome::Busy, retry_after),
         504 => MessageOutcome::of(Outcome::Skipped, retry_after),
@@ -70,8 +72,8 @@
     vec![outcome; ids.len().max(1)]
 }
 
-/// The outcomes of a batch, whose answer states one for each message. A message that is missing, or whose state is
-/// unknown, may have run.
+/// Returns the outcomes of a batch, whose answer states one for each message. A message that is missing, or
+/// whose state is unknown, may have run.
 fn batch_outcomes(body: &[u8], ids: &[String], retry_after: Micros) -> Vec<MessageOutcome> {
     let answer: Value = serde_json::from_slice(body).unwrap_or_default();
     let entries = answer.as_array().map(Vec::as_slice).unwrap_or_default();
--- a/crates/platform/src/call/request.rs
+++ b/crates/platform/src/call/request.rs
@@ -7,10 +7,10 @@
 use heronroute_http::write_request;
 use serde_json::{Value, json};
 
-/// Octets that the JSON of a batch adds to a message: names of its fields, quotes, commas and braces.
-const BATCH_ENTRY_OVERHEAD: usize = 32;
-/// Octets of one octet of a JSON string when it is escaped as `\u00XX`.
-const JSON_ESCAPE: usize = 6;
+/// The number of bytes that the JSON of a batch adds to a message: field names, quotes, commas and braces.
+const BATCH_ENTRY_OVERHEAD_BYTES: usize = 32;
+/// The size of one byte of a JSON string that is escaped as `\u00XX`.
+const JSON_ESCAPE_BYTES: usize = 6;
 
 /// A message to be sent.
 #[derive(Clone, Copy, Debug)]
@@ -23,10 +23,10 @@
     pub body: &'a [u8],
 }
 
-/// The upper bound of the octets that a message takes up in a batch. The body is in Base64; each octet of the id and of
-/// the key may be escaped.
+/// Returns an upper bound of the size of a message in a batch, in bytes, for an id, key and body of these
+/// sizes. The body is in Base64; each byte of the id and of the key may be escaped.
 pub fn max_batch_entry_size(id: usize, key: usize, body: usize) -> usize {
-    body.div_ceil(3) * 4 + JSON_ESCAPE * (id + key) + BATCH_ENTRY_OVERHEAD
+    body.div_ceil(3) * 4 + JSON_ESCAPE_BYTES * (id + key) + BATCH_ENTRY_OVERHEAD_BYTES
 }
 
 /// Writes a call that carries one message or a batch. `timeout` is how long the caller waits for the answer.
--- a/crates/platform/src/catalog.rs
+++ b/crates/platform/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Lists of endpoints, as the platform's discovery sends them.
+//! The lists of endpoints that the platform's discovery sends.
 
 use heronroute::Status;
 use serde_json::Value;
@@ -9,7 +9,7 @@
 pub struct Entry {
     /// Its id, which is the same for all senders.
     pub id: String,
-    /// The address under which this sender reaches it.
+    /// The address at which this sender reaches it.
     pub addr: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -28,61 +28,61 @@
 pub struct List {
     /// Its version.
     pub version: u64,
-    /// The list is full: endpoints that it does not name are removed.
+    /// Whether the list is full. Endpoints that a full list does not name are removed.
     pub full: bool,
     /// Its entries.
     pub entries: Vec<Entry>,
-    /// The number of entries that could not be read. Among changes they have no effect; a full list counts as not naming
+    /// The number of unreadable entries. Among changes they have no effect; a full list counts as not naming
     /// them.
     pub passed_over: usize,
 }
 
 /// Why a document is not a list.
 #[derive(Debug, thiserror::Error)]
-pub enum Unreadable {
+pub enum ListError {
     /// It is not JSON.
     #[error("{0}")]
     Json(serde_json::Error),
     /// A field is missing or of the wrong type.
-    #[error("{name}: should be {should_be}")]
+    #[error("{name}: should be {expected}")]
     Field {
         /// The name of the field.
         name: &'static str,
         /// The expected value.
-        should_be: &'static str,
+        expected: &'static str,
     },
 }
 
-fn invalid_field(name: &'static str, should_be: &'static str) -> Unreadable {
-    Unreadable::Field { name, should_be }
+fn invalid_field(name: &'static str, expected: &'static str) -> ListError {
+    ListError::Field { name, expected }
 }
 
 impl List {
-    /// Parses a list. A single entry that can't be read is skipped: the others are still valid.
+    /// Parses a list. An unreadable entry is skipped; the others are still valid.
     ///
     /// # Errors
     /// If the document is not a list.
-    pub fn read(text: &[u8]) -> Result<Self, Unreadable> {
-        Self::of(&serde_json::from_slice(text).map_err(Unreadable::Json)?)
+    pub fn read(text: &[u8]) -> Result<Self, ListError> {
+        Self::from_json(&serde_json::from_slice(text).map_err(ListError::Json)?)
     }
 
     /// Converts a list from parsed JSON.
     ///
     /// # Errors
     /// As [`List::read`].
-    pub fn of(value: &Value) -> Result<Self, Unreadable> {
+    pub fn from_json(value: &Value) -> Result<Self, ListError> {
         let version = value["version"].as_u64().ok_or(invalid_field("version", "a whole number"))?;
         let full = value["full"].as_bool().ok_or(invalid_field("full", "true or false"))?;
-        let lines = value["servers"].as_array().ok_or(invalid_field("servers", "a list"))?;
-        let entries: Vec<Entry> = lines.iter().filter_map(entry).collect();
-        let passed_over = lines.len() - entries.len();
+        let values = value["servers"].as_array().ok_or(invalid_field("servers", "a list"))?;
+        let entries: Vec<Entry> = values.iter().filter_map(parse_entry).collect();
+        let passed_over = values.len() - entries.len();
         Ok(List { version, full, entries, passed_over })
     }
 }
 
-fn entry(v: &Value) -> Option<Entry> {
-    let text = |name: &str| v[name].as_str().map(str::to_string);
-    let status = match v["state"].as_str()? {
+fn parse_entry(value: &Value) -> Option<Entry> {
+    let text = |name: &str| value[name].as_str().map(str::to_string);
+    let status = match value["state"].as_str()? {
         "SERVING" => Status::Up,
         "DRAINING" => Status::Draining,
         "DELETED" => Status::Removed,
@@ -90,11 +90,11 @@
     };
     Some(Entry {
         id: text("id")?,
-        addr: v["addr"].as_str()?.parse().ok()?,
+        addr: value["addr"].as_str()?.parse().ok()?,
         zone: text("zone")?,
         kind: text("kind")?,
-        cell: v["cell"].as_i64()?,
+        cell: value["cell"].as_i64()?,
         status,
-        weight: v["weight"].as_f64(),
+        weight: value["weight"].as_f64(),
     })
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,12 @@
-//! The protocols of the users' platform, without I/O. The RESP2 that its clients speak is in `heronroute-resp`.
+//! The protocols of the users' platform, without I/O. The RESP2 that its clients speak is in
+//! `heronroute-resp`.
 //!
-//! - Reads a sender's configuration and settings, the arguments of `OUT.ADD`, and lists of endpoints.
-//! - Writes calls to endpoints, and derives from the answers what happened to each message ([`call`]).
-//! - Writes notices of messages that were not delivered.
+//! - Parses a sender's configuration ([`start`]) and settings ([`settings`]), the arguments of `OUT.ADD`
+//!   ([`add`]), and lists of endpoints ([`catalog`], [`watch`]).
+//! - Writes calls to endpoints, and derives the outcome of each message from the answers ([`call`]).
+//! - Writes notices of messages that were not delivered ([`notice`]).
 //!
-//! This crate opens no sockets, reads no clock, and takes no decision about a message.
+//! This crate opens no sockets, reads no clock, and makes no decision about a message.
 
 #![forbid(unsafe_code)]
 
--- a/crates/platform/src/objects.rs
+++ b/crates/platform/src/objects.rs
@@ -1,10 +1,11 @@
-//! Splits a stream of octets into JSON objects, which follow one another with or without white space. Without I/O.
+//! Splits a stream of bytes into JSON objects, which follow one another with or without white space. Without
+//! I/O.
 //!
-//! The end of an object is found by its nesting, not by lines: it may stand on one line or be indented over several, and
-//! may arrive in pieces of any size. Only its extent is determined here; the caller parses it.
+//! The end of an object is found by its nesting, not by lines: an object may be on one line or indented over
+//! several, and may arrive in pieces of any size. Only its extent is determined here; the caller parses it.
 
-/// Octets of an object at most.
-pub const MOST_OBJECT: usize = 4 << 20;
+/// The maximum size of an object, in bytes.
+pub const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// An element of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,67 +16,70 @@
     Object(Vec<u8>),
 }
 
-/// Why a stream can't be read any further.
+/// Why a stream can't be parsed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Spoilt {
-    /// An octet other than white space between two objects.
-    #[error("an octet {0:#04x} between two objects")]
-    Stray(u8),
-    /// An object of more than [`MOST_OBJECT`] octets.
-    #[error("an object of more than {MOST_OBJECT} octets")]
+pub enum StreamError {
+    /// A byte other than white space between two objects.
+    #[error("unexpected byte {0:#04x} between two objects")]
+    UnexpectedByte(u8),
+    /// An object of more than [`MAX_OBJECT_BYTES`] bytes.
+    #[error("an object of more than {MAX_OBJECT_BYTES} bytes")]
     TooLong,
 }
 
 /// The position of the parser within an object.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Place {
+enum Position {
     #[default]
-    Structure,
-    Text,
+    /// Outside of strings.
+    Structural,
+    /// In a string.
+    InString,
     /// After a backslash in a string.
     Escape,
 }
 
-/// The state of a stream and its incomplete object.
+/// Splits a stream into objects.
 #[derive(Debug, Default)]
-pub struct Objects {
+pub struct ObjectSplitter {
+    /// The bytes of the incomplete object.
     object: Vec<u8>,
-    /// Depth of nesting; 0 between two objects.
+    /// The depth of nesting, 0 between two objects.
     depth: usize,
-    place: Place,
+    position: Position,
 }
 
-impl Objects {
-    /// Whether an object is incomplete.
+impl ObjectSplitter {
+    /// Returns whether an object is incomplete.
     pub fn has_begun(&self) -> bool {
         self.depth > 0
     }
 
-    /// Accepts octets, and appends the pieces that they complete.
+    /// Processes received bytes, and appends the pieces that they complete.
     ///
     /// # Errors
-    /// If the stream can't be read any further. `pieces` holds what was complete before.
-    pub fn push(&mut self, octets: &[u8], pieces: &mut Vec<Piece>) -> Result<(), Spoilt> {
-        octets.iter().try_for_each(|octet| self.octet(*octet, pieces))
+    /// If the stream can't be parsed any further. `pieces` then contains the pieces before the error.
+    pub fn push(&mut self, bytes: &[u8], pieces: &mut Vec<Piece>) -> Result<(), StreamError> {
+        bytes.iter().try_for_each(|byte| self.process_byte(*byte, pieces))
     }
 
-    fn octet(&mut self, octet: u8, pieces: &mut Vec<Piece>) -> Result<(), Spoilt> {
+    fn process_byte(&mut self, byte: u8, pieces: &mut Vec<Piece>) -> Result<(), StreamError> {
         if self.depth == 0 {
-            return self.between(octet, pieces);
+            return self.process_outside_object(byte, pieces);
         }
-        if self.object.len() == MOST_OBJECT {
-            return Err(Spoilt::TooLong);
+        if self.object.len() == MAX_OBJECT_BYTES {
+            return Err(StreamError::TooLong);
         }
-        self.object.push(octet);
-        self.place = match (self.place, octet) {
-            (Place::Structure, b'"') | (Place::Escape, _) => Place::Text,
-            (Place::Text, b'"') => Place::Structure,
-            (Place::Text, b'\\') => Place::Escape,
-            (place, _) => place,
+        self.object.push(byte);
+        self.position = match (self.position, byte) {
+            (Position::Structural, b'"') | (Position::Escape, _) => Position::InString,
+            (Position::InString, b'"') => Position::Structural,
+            (Position::InString, b'\\') => Position::Escape,
+            (position, _) => position,
         };
-        match (self.place, octet) {
-            (Place::Structure, b'{') => self.depth += 1,
-            (Place::Structure, b'}') => self.depth -= 1,
+        match (self.position, byte) {
+            (Position::Structural, b'{') => self.depth += 1,
+            (Position::Structural, b'}') => self.depth -= 1,
             _ => {}
         }
         if self.depth == 0 {
@@ -84,15 +88,15 @@
         Ok(())
     }
 
-    fn between(&mut self, octet: u8, pieces: &mut Vec<Piece>) -> Result<(), Spoilt> {
-        match octet {
+    fn process_outside_object(&mut self, byte: u8, pieces: &mut Vec<Piece>) -> Result<(), StreamError> {
+        match byte {
             b'\n' => pieces.push(Piece::EndOfLine),
             b' ' | b'\t' | b'\r' => {}
             b'{' => {
-                self.object.push(octet);
-                (self.depth, self.place) = (1, Place::Structure);
+                self.object.push(byte);
+                (self.depth, self.position) = (1, Position::Structural);
             }
-            stray => return Err(Spoilt::Stray(stray)),
+            unexpected => return Err(StreamError::UnexpectedByte(unexpected)),
         }
         Ok(())
     }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,5 +1,6 @@
-//! The settings that the platform gives a sender. The simulator's protocol and a real sender's configuration share this
-//! one parser, so that they can't diverge.
+//! The settings that the platform gives a sender.
+//!
+//! The simulator's protocol and a real sender's configuration share this parser, so that they can't diverge.
 
 use heronroute::{
     ClassSettings, DedupScope, Discovery, Effect, KindSettings, LateDecay, Micros, Settings, TenantSettings,
@@ -122,7 +123,7 @@
     quota_rps: f64,
 }
 
-/// The settings as they are written.
+/// The settings in the platform's format.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ProfileData {
@@ -142,23 +143,23 @@
     zone: usize,
 }
 
-/// Names and values that a real sender needs beside the settings of the decision library.
+/// Names and values that a real sender needs besides the settings of the decision library.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Classes, by index.
+    /// The classes, by index.
     pub classes: Vec<String>,
-    /// Tenants, by index.
+    /// The tenants, by index.
     pub tenants: Vec<String>,
-    /// Kinds of destination, by index.
+    /// The kinds of endpoints, by index.
     pub kinds: Vec<String>,
-    /// Zones, by index.
+    /// The zones, by index.
     pub zones: Vec<String>,
-    /// Timeout of a connection attempt.
+    /// The timeout of a connection attempt.
     pub connect_timeout: Option<Micros>,
 }
 
 impl ProfileData {
-    /// Names, by the indexes that the decision library uses.
+    /// Returns the names, by the indexes that the decision library uses.
     pub fn names(&self) -> Names {
         Names {
             classes: self.profiles.iter().map(|p| p.name.clone()).collect(),
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Converts to the decision library's settings. A setting that is not given has the library's default.
+    /// Converts to the decision library's settings. A missing setting has the library's default.
     pub fn settings(self) -> Settings {
         let d = Settings::default();
         let f = self.family_info;
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -1,19 +1,19 @@
-//! A sender's configuration.
+//! The configuration that a sender starts with.
 
-use crate::catalog::{List, Unreadable};
+use crate::catalog::{List, ListError};
 use crate::settings::{Names, ProfileData};
 use heronroute::{Settings, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Limits on a sender's resources.
+/// The limits on a sender's resources.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Megabytes of memory.
+    /// The memory, in megabytes.
     pub memory_mb: f64,
-    /// File descriptors of the process.
+    /// The number of file descriptors of the process.
     pub sockets: usize,
-    /// Megabytes on disk, in the directory that outlives the process.
+    /// The disk space in the directory that outlives the process, in megabytes.
     pub disk_mb: f64,
 }
 
@@ -26,18 +26,19 @@
     pub listen: SocketAddr,
     /// The address of discovery, which sends lists and receives notices.
     pub discovery: SocketAddr,
-    /// The seed of random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Its limits.
+    /// The limits on its resources.
     pub limits: Limits,
-    /// The last known endpoints.
+    /// The endpoints that are known at the start.
     pub known: List,
-    /// Settings of the decision library.
+    /// The settings of the decision library.
     pub settings: Settings,
-    /// Names that belong to the settings.
+    /// The names that belong to the settings.
     pub names: Names,
 }
 
+/// The configuration in JSON.
 #[derive(Deserialize)]
 struct Raw {
     name: String,
@@ -55,12 +56,12 @@
     /// Not JSON, or a field is missing or of another type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The seed can't be read.
+    /// The seed is not a hexadecimal number.
     #[error("seed: should be a hexadecimal number")]
     Seed,
     /// The list of known endpoints can't be read.
     #[error("known: {0}")]
-    Known(#[source] Unreadable),
+    Known(#[source] ListError),
     /// The decision library rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -75,11 +76,11 @@
 /// Parses a configuration.
 ///
 /// # Errors
-/// Names the field that is missing or wrong.
+/// If the configuration is invalid. The error names the field that is missing or wrong.
 pub fn read(text: &str) -> Result<StartUp, StartUpError> {
     let raw: Raw = serde_json::from_str(text)?;
     let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| StartUpError::Seed)?;
-    let known = raw.known.as_ref().map(List::of).transpose().map_err(StartUpError::Known)?;
+    let known = raw.known.as_ref().map(List::from_json).transpose().map_err(StartUpError::Known)?;
     let names = raw.settings.names();
     let settings = raw.settings.settings();
     settings.validate()?;
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,18 +1,19 @@
-//! A watch: an HTTP answer that stays open and carries lists as JSON objects, with empty lines between them.
+//! A watch of the list of endpoints: an HTTP answer that stays open and carries lists as JSON objects, with
+//! empty lines between them.
 //!
-//! An object may stand on one line or be indented over several, and may arrive in pieces of any size (see
+//! An object may be on one line or be indented over several, and may arrive in pieces of any size (see
 //! [`crate::objects`]). Without I/O and without a clock: timeouts are up to the caller.
 
-use crate::catalog::{List, Unreadable};
-use crate::objects::{Objects, Piece, Spoilt};
+use crate::catalog::{List, ListError};
+use crate::objects::{ObjectSplitter, Piece, StreamError};
 use bytes::{Buf, BytesMut};
 
-/// Octets of a head at most.
-const MOST_HEAD: usize = 16 * 1024;
-/// Octets of a line that declares the size of a chunk, at most.
-const MOST_SIZE: usize = 64;
+/// The maximum size of a head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The maximum size of a line that declares the size of a chunk, in bytes.
+const MAX_SIZE_LINE_BYTES: usize = 64;
 
-/// Writes the request for a watch on changes after a version.
+/// Writes the request for a watch of changes after a version.
 pub fn ask(version: u64, host: &str, out: &mut BytesMut) {
     let target = format!("/catalog/members?follow=1&since={version}");
     heronroute_http::write_request("GET", &target, host, &[], b"", out);
@@ -23,9 +24,9 @@
 pub enum Said {
     /// The head of the answer was read.
     Head,
-    /// An empty line, or the end of the line after a list. It shows that the watch is alive.
+    /// An empty line, or the end of the line after a list, was read. It shows that the watch is alive.
     EndOfLine,
-    /// A full list, or changes.
+    /// A full list or changes were read.
     List(List),
 }
 
@@ -36,93 +37,96 @@
     #[error("status {0}")]
     Status(u16),
     /// The answer is not HTTP, or its head is too long.
-    #[error("no answer that can be read")]
+    #[error("not an HTTP response")]
     Head,
     /// The chunked coding is invalid.
-    #[error("chunks that can't be told apart")]
+    #[error("invalid chunked coding")]
     Chunk,
     /// The answer is complete.
-    #[error("the watch was ended")]
+    #[error("the watch has ended")]
     Ended,
     /// The body is not a sequence of objects.
     #[error("{0}")]
-    Spoilt(Spoilt),
+    Stream(StreamError),
     /// An object is not a list.
-    #[error("no list: {0}")]
-    Unreadable(Unreadable),
+    #[error("invalid list: {0}")]
+    Unreadable(ListError),
 }
 
-/// Writes the request for the full list, which is answered once and without a watch.
+/// Writes the request for the full list, without a watch.
 pub fn ask_whole(host: &str, out: &mut BytesMut) {
     heronroute_http::write_request("GET", "/catalog/members", host, &[], b"", out);
 }
 
+/// The position of the parser in the answer.
 #[derive(Clone, Copy, Debug)]
 enum State {
+    /// Reading the head.
     Head,
     /// Reading the line with a chunk's size.
     Size,
+    /// Reading a chunk, of which this many bytes remain.
     Chunk(usize),
     /// Reading the end of line after a chunk.
-    Behind,
-    /// Not chunked: the body extends to the end of the connection.
-    Plain,
+    ChunkEnd,
+    /// Reading a body without chunks, which extends to the end of the connection.
+    UntilClose,
 }
 
-/// Reads the answer to a watch.
+/// Parses the answer to a watch.
 #[derive(Debug)]
 pub struct Watch {
     state: State,
     buffer: BytesMut,
-    objects: Objects,
+    splitter: ObjectSplitter,
 }
 
 impl Default for Watch {
     fn default() -> Self {
-        Watch { state: State::Head, buffer: BytesMut::new(), objects: Objects::default() }
+        Watch { state: State::Head, buffer: BytesMut::new(), splitter: ObjectSplitter::default() }
     }
 }
 
 impl Watch {
-    /// Whether a list is incomplete.
+    /// Returns whether a list is incomplete.
     pub fn has_begun_list(&self) -> bool {
-        self.objects.has_begun()
+        self.splitter.has_begun()
     }
 
-    /// Accepts octets, and appends the events that they complete.
+    /// Processes received bytes, and appends the events that they complete.
     ///
     /// # Errors
-    /// If the watch has ended or can't be read any further. `said` holds the events before that.
-    pub fn receive(&mut self, octets: &[u8], said: &mut Vec<Said>) -> Result<(), Over> {
-        self.buffer.extend_from_slice(octets);
+    /// If the watch has ended or can't be parsed any further. `events` then contains the events before that.
+    pub fn receive(&mut self, bytes: &[u8], events: &mut Vec<Said>) -> Result<(), Over> {
+        self.buffer.extend_from_slice(bytes);
         loop {
-            let goes_on = match self.state {
-                State::Head => self.head(said)?,
+            let made_progress = match self.state {
+                State::Head => self.head(events)?,
                 State::Size => self.size()?,
-                State::Behind => self.behind()?,
+                State::ChunkEnd => self.chunk_end()?,
                 State::Chunk(0) => {
-                    self.state = State::Behind;
+                    self.state = State::ChunkEnd;
                     true
                 }
-                State::Chunk(left) => {
-                    let n = left.min(self.buffer.len());
-                    self.take(n, said)?;
-                    self.state = State::Chunk(left - n);
+                State::Chunk(remaining) => {
+                    let n = remaining.min(self.buffer.len());
+                    self.split_body(n, events)?;
+                    self.state = State::Chunk(remaining - n);
                     n > 0
                 }
-                State::Plain => {
-                    self.take(self.buffer.len(), said)?;
+                State::UntilClose => {
+                    self.split_body(self.buffer.len(), events)?;
                     false
                 }
             };
-            if !goes_on {
+            if !made_progress {
                 return Ok(());
             }
         }
     }
 
-    /// Reads the head; returns whether it is complete.
-    fn head(&mut self, said: &mut Vec<Said>) -> Result<bool, Over> {
+    /// Parses the head. Returns whether it is complete.
+    fn head(&mut self, events: &mut Vec<Said>) -> Result<bool, Over> {
         let mut fields = [httparse::EMPTY_HEADER; 64];
         let mut head = httparse::Response::new(&mut fields);
         match head.parse(&self.buffer) {
@@ -134,26 +138,27 @@
                     h.name.eq_ignore_ascii_case("transfer-encoding")
                         && h.value.to_ascii_lowercase().ends_with(b"chunked")
                 });
-                self.state = if chunked { State::Size } else { State::Plain };
+                self.state = if chunked { State::Size } else { State::UntilClose };
                 self.buffer.advance(n);
-                said.push(Said::Head);
+                events.push(Said::Head);
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if self.buffer.len() <= MOST_HEAD => Ok(false),
+            Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_HEAD_BYTES => Ok(false),
             _ => Err(Over::Head),
         }
     }
 
-    /// A line of the chunked coding, if it is complete.
+    /// Takes a line of the chunked coding, if it is complete.
     fn line(&mut self) -> Result<Option<String>, Over> {
-        let Some(end) = self.buffer.iter().take(MOST_SIZE).position(|b| *b == b'\n') else {
-            return if self.buffer.len() >= MOST_SIZE { Err(Over::Chunk) } else { Ok(None) };
+        let Some(end) = self.buffer.iter().take(MAX_SIZE_LINE_BYTES).position(|b| *b == b'\n') else {
+            return if self.buffer.len() >= MAX_SIZE_LINE_BYTES { Err(Over::Chunk) } else { Ok(None) };
         };
         let line = String::from_utf8_lossy(&self.buffer[..end]).trim().to_string();
         self.buffer.advance(end + 1);
         Ok(Some(line))
     }
 
+    /// Parses the line with a chunk's size. Returns whether it is complete.
     fn size(&mut self) -> Result<bool, Over> {
         let Some(line) = self.line()? else { return Ok(false) };
         let size = line.split(';').next().unwrap_or("").trim();
@@ -167,7 +172,8 @@
         }
     }
 
-    fn behind(&mut self) -> Result<bool, Over> {
+    /// Parses the end of line after a chunk. Returns whether it is complete.
+    fn chunk_end(&mut self) -> Result<bool, Over> {
         match self.line()? {
             None => Ok(false),
             Some(line) if line.is_empty() => {
@@ -178,16 +184,17 @@
         }
     }
 
-    fn take(&mut self, n: usize, said: &mut Vec<Said>) -> Result<(), Over> {
+    /// Passes the next `n` bytes of the body to the splitter, and appends the events that they complete.
+    fn split_body(&mut self, n: usize, events: &mut Vec<Said>) -> Result<(), Over> {
         let mut pieces = Vec::new();
-        let result = self.objects.push(&self.buffer[..n], &mut pieces);
+        let result = self.splitter.push(&self.buffer[..n], &mut pieces);
         self.buffer.advance(n);
         for piece in pieces {
-            said.push(match piece {
+            events.push(match piece {
                 Piece::EndOfLine => Said::EndOfLine,
                 Piece::Object(text) => Said::List(List::read(&text).map_err(Over::Unreadable)?),
             });
         }
-        result.map_err(Over::Spoilt)
+        result.map_err(Over::Stream)
     }
 }
--- a/crates/platform/tests/add.rs
+++ b/crates/platform/tests/add.rs
@@ -1,4 +1,4 @@
-//! The arguments of `OUT.ADD`: those that are read, and those that are refused.
+//! Tests of the arguments of `OUT.ADD`: which are accepted, and which are rejected.
 
 use heronroute_platform::add::{Add, AddError};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said() {
+fn invalid_arguments_are_rejected() {
     let a = read("9b1f", "c=notice,t=acme,d=8000,k=5c0f,dest=7,r=1,new=x").unwrap();
     assert_eq!((a.class.as_str(), a.tenant.as_str(), a.left_ms, a.dest), ("notice", "acme", 8000, 7));
     assert_eq!((a.key.as_deref(), a.again, a.body.as_slice()), (Some("5c0f"), true, b"body".as_slice()));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_error_has_its_text_as_clients_read_it() {
+fn each_error_has_the_text_that_clients_receive() {
     for (id, pairs, text) in [
         ("", "d=8,dest=7", "the id can't be read"),
         ("a", "junk", "a name without a value"),
@@ -44,8 +44,8 @@
     }
     let error = Add::read(vec![b"k".to_vec()]).unwrap_err();
     assert_eq!(error.to_string(), "OUT.ADD takes a key, an id, names and values, and a body");
-    let no_utf8 = ["k", "a", "", "body"].map(|a| a.as_bytes().to_vec());
-    let [key, id, _, body] = no_utf8;
+    let not_utf8 = ["k", "a", "", "body"].map(|a| a.as_bytes().to_vec());
+    let [key, id, _, body] = not_utf8;
     let error = Add::read(vec![key, id, vec![0xff], body]).unwrap_err();
     assert_eq!(error.to_string(), "names and values are no text");
 }
--- a/crates/platform/tests/call.rs
+++ b/crates/platform/tests/call.rs
@@ -1,4 +1,4 @@
-//! Requests to endpoints as they are written, and what each answer proves.
+//! Tests of the requests to endpoints, and of the outcomes that their answers prove.
 
 use bytes::BytesMut;
 use heronroute::{Micros, Outcome};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_answer_proves_its_own() {
+fn each_status_has_its_outcome() {
     use Outcome::*;
     let plain = |status: &str| one(&format!("HTTP/1.1 {status}\r\ncontent-length: 0\r\n\r\n"));
     assert_eq!(plain("200 OK"), (Done, 0, true, false));
@@ -39,12 +39,20 @@
 }
 
 #[test]
-fn a_503_that_closes_a_new_connection_tells_of_a_full_table_and_no_other_does() {
+fn only_a_503_that_closes_a_new_connection_means_a_full_connection_table() {
     let no = |more: &str| format!("HTTP/1.1 503 No\r\ncontent-length: 0\r\n{more}\r\n");
     let close = no("X-Rejected: 1\r\nConnection: close\r\n");
     assert_eq!(one(&close), (Outcome::Crowded, 0, false, true));
-    assert_eq!(one(&no("X-Rejected: 1\r\n")).0, Outcome::Busy, "it stays open: the call's own");
-    assert_eq!(one(&no("Connection: close\r\nRetry-After: 0.5\r\n")).0, Outcome::Busy, "a wait is told");
+    assert_eq!(
+        one(&no("X-Rejected: 1\r\n")).0,
+        Outcome::Busy,
+        "the connection stays open, so it concerns the call"
+    );
+    assert_eq!(
+        one(&no("Connection: close\r\nRetry-After: 0.5\r\n")).0,
+        Outcome::Busy,
+        "the answer states a wait"
+    );
     assert_eq!(one(&no("Connection: close\r\nX-No-Slot: 1\r\n")).0, Outcome::Skipped);
     let mut a = AnswerReader::default();
     a.request_sent(vec!["a".into()]);
@@ -52,14 +60,14 @@
     a.request_sent(vec!["b".into()]);
     match a.receive(close.as_bytes(), false) {
         Some(AnswerEvent::Answered { outcomes, .. }) => {
-            assert_eq!(outcomes[0].outcome, Outcome::Busy, "it had its place")
+            assert_eq!(outcomes[0].outcome, Outcome::Busy, "the connection was already in the table")
         }
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_unless_its_first_line_says_200() {
+fn the_call_of_an_unreadable_answer_may_have_run_unless_its_status_is_200() {
     for (text, outcome) in [
         ("\u{1}\u{2}garbage\r\n\r\n", Outcome::Error),
         ("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nxxxx", Outcome::Done),
@@ -82,35 +90,38 @@
 }
 
 #[test]
-fn a_wait_is_heard_with_the_head_also_of_an_answer_that_breaks_off_or_is_spoilt() {
+fn a_wait_is_reported_with_the_head_even_if_the_answer_breaks_off_or_is_unreadable() {
     let mut a = AnswerReader::default();
     a.request_sent(vec!["a".into(), "b".into()]);
     let head = b"HTTP/1.1 429 No\r\nretry-after: 0.7\r\ncontent-length: 9\r\n\r\nbo";
     assert_eq!(a.receive(head, false), Some(AnswerEvent::RetryAfter(700_000)));
-    assert_eq!(a.receive(b"dy", false), None, "once");
+    assert_eq!(a.receive(b"dy", false), None, "it is reported once");
     assert!(matches!(a.receive(b"", true), Some(AnswerEvent::Answered { .. } | AnswerEvent::Unusable(_))));
     for text in [
         "HTTP/1.1 429 No\r\nretry-after: 0.7\r\ncontent-length: many\r\n\r\n",
         "HTTP/1.1 429 No\r\nretry-after: 0.7\r\ncontent-length: 3000000000\r\n\r\nxx",
     ] {
         let (outcome, wait, ..) = one(text);
-        assert_eq!((outcome, wait), (Outcome::Error, 700_000), "it may have run, and the wait binds");
+        assert_eq!((outcome, wait), (Outcome::Error, 700_000), "the call may have run, and the wait applies");
     }
 }
 
 #[test]
-fn what_follows_a_good_answer_makes_the_connection_unusable() {
+fn bytes_after_a_good_answer_make_the_connection_unusable() {
     let good = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
     assert_eq!(one(good), (Outcome::Done, 0, true, false));
     assert_eq!(one(&format!("{good}{good}")), (Outcome::Done, 0, true, true));
     assert_eq!(one(&format!("{good}noise")), (Outcome::Done, 0, true, true));
     let mut a = AnswerReader::default();
-    assert!(matches!(a.receive(good.as_bytes(), false), Some(AnswerEvent::Unusable(_))), "nobody asked");
+    assert!(
+        matches!(a.receive(good.as_bytes(), false), Some(AnswerEvent::Unusable(_))),
+        "no call is in flight"
+    );
     assert!(matches!(AnswerReader::default().receive(b"", true), Some(AnswerEvent::Unusable(_))));
 }
 
 #[test]
-fn what_comes_while_no_call_is_in_flight_makes_the_connection_unusable_from_its_first_octet_on() {
+fn the_first_byte_received_while_no_call_is_in_flight_makes_the_connection_unusable() {
     let good = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
     for cut in 1..good.len() {
         let mut a = AnswerReader::default();
@@ -119,26 +130,26 @@
             a.receive(good.as_bytes(), false),
             Some(AnswerEvent::Answered { unusable: false, .. })
         ));
-        // Also where the copy is cut anywhere, or interim answers come.
+        // Also for a copy that is cut anywhere, and for interim answers.
         for stray in [&good[..cut], "\r\n", "HTTP/1.1 103 Hints\r\n\r\n"] {
             assert!(
                 matches!(a.receive(stray.as_bytes(), false), Some(AnswerEvent::Unusable(_))),
                 "{stray:?}"
             );
         }
-        // Behind a good answer in one read, likewise.
+        // Likewise after a good answer in the same read.
         let (_, _, _, unusable) = one(&format!("{good}{}", &good[..cut]));
         assert!(unusable, "{cut}");
     }
     let mut a = AnswerReader::default();
     a.request_sent(vec!["a".into()]);
     a.request_withdrawn();
-    assert!(matches!(a.receive(b"H", false), Some(AnswerEvent::Unusable(_))), "asked, and taken back");
+    assert!(matches!(a.receive(b"H", false), Some(AnswerEvent::Unusable(_))), "the call was withdrawn");
 }
 
 #[test]
-fn an_answer_that_names_others_than_were_asked_proves_nothing_and_makes_the_connection_unusable() {
-    let said = |body: &str| {
+fn a_batch_answer_that_names_other_messages_proves_nothing_and_makes_the_connection_unusable() {
+    let batch_result = |body: &str| {
         let text = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
         let Some(AnswerEvent::Answered { outcomes, unusable }) = answer(&["a", "b"], &text) else {
             panic!("{body}")
@@ -148,15 +159,15 @@
     use Outcome::*;
     let line = |id: &str| format!(r#"{{"id":"{id}","state":"ok"}}"#);
     let (a, b, c) = (line("a"), line("b"), line("c"));
-    assert_eq!(said(&format!("[{b},{a}]")), (vec![Done, Done], false));
-    assert_eq!(said(&format!("[{c}]")), (vec![Error, Error], true), "another call's answer");
-    assert_eq!(said(&format!("[{a}]")), (vec![Done, Error], true), "a message is missing");
-    assert_eq!(said(&format!("[{a},{b},{c}]")), (vec![Done, Done], true));
-    assert_eq!(said("ok"), (vec![Error, Error], true), "the answer to a single call");
+    assert_eq!(batch_result(&format!("[{b},{a}]")), (vec![Done, Done], false));
+    assert_eq!(batch_result(&format!("[{c}]")), (vec![Error, Error], true), "the answer to another call");
+    assert_eq!(batch_result(&format!("[{a}]")), (vec![Done, Error], true), "a message is missing");
+    assert_eq!(batch_result(&format!("[{a},{b},{c}]")), (vec![Done, Done], true));
+    assert_eq!(batch_result("ok"), (vec![Error, Error], true), "the answer to a single call");
 }
 
 #[test]
-fn the_end_of_each_of_several() {
+fn each_message_of_a_batch_has_its_outcome() {
     let body = r#"[{"id":"b","state":"later"},{"id":"a","state":"ok"},{"id":"c","state":"gone"}]"#;
     let text = format!("HTTP/1.1 200 OK\r\nretry-after: 1.5\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let Some(AnswerEvent::Answered { outcomes, .. }) = answer(&["a", "b", "c", "d"], &text) else { panic!() };
@@ -167,7 +178,7 @@
 }
 
 #[test]
-fn calls_as_the_protocol_has_them() {
+fn calls_are_written_as_the_protocol_defines() {
     let mut out = BytesMut::new();
     let item = |id| OutgoingMessage { id, key: Some("k1"), body: b"hello" };
     write_call(&[item("a")], 1_500_900, "h:1", &mut out);
--- a/crates/platform/tests/notices.rs
+++ b/crates/platform/tests/notices.rs
@@ -1,21 +1,22 @@
-//! Notices are owed until they were taken, and reach the platform in time whatever happens to their connection.
+//! Tests that notices are pending until they are acknowledged, and reach the platform in time whatever
+//! happens to their connection.
 
 use bytes::BytesMut;
 use heronroute::Micros;
 use heronroute_platform::notice::{End, Notices, Want};
 use std::net::SocketAddr;
 
-/// A message's end must be heard so soon after its time is up.
-const SLACK: Micros = 300_000;
+/// The time in which the end of a message must be reported after its deadline, in microseconds.
+const MAX_REPORT_DELAY: Micros = 300_000;
 
 fn at(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 #[test]
-fn owed_until_taken_also_over_a_break_and_a_move() {
+fn a_notice_is_pending_until_acknowledged_across_a_broken_connection_and_a_new_address() {
     let (mut n, mut out) = (Notices::new(at(1)), BytesMut::new());
-    assert_eq!(n.wake(), Micros::MAX, "nothing is owed");
+    assert_eq!(n.wake(), Micros::MAX, "no notice is pending");
     n.owe(1, "a", End::Failed);
     n.owe(2, "b", End::Returned(1_500));
     assert_eq!(n.tick(0, &mut out), Want::Connect(at(1)));
@@ -26,16 +27,20 @@
     assert!(text.contains("\"after_ms\":2") && text.contains("\"state\":\"returned\""));
     out.clear();
     n.moved(10, at(2));
-    assert_eq!((n.owed(), n.tick(10, &mut out)), (2, Want::Connect(at(2))), "said again at the new address");
+    assert_eq!(
+        (n.owed(), n.tick(10, &mut out)),
+        (2, Want::Connect(at(2))),
+        "they are sent again to the new address"
+    );
     n.connected(11, &mut out);
     assert!(out.len() > text.len() - 8);
     n.owe(3, "c", End::Failed);
     out.clear();
-    let taken = n.receive(12, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap();
-    assert_eq!((taken, n.owed()), (vec![1, 2], 1));
-    assert!(!out.is_empty(), "the next goes on the same connection");
+    let acknowledged = n.receive(12, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap();
+    assert_eq!((acknowledged, n.owed()), (vec![1, 2], 1));
+    assert!(!out.is_empty(), "the next one is sent on the same connection");
     let unanswered = n.wake();
-    assert_eq!(n.tick(unanswered, &mut out), Want::Drop, "no answer");
+    assert_eq!(n.tick(unanswered, &mut out), Want::Drop, "the answer timed out");
     let again = n.wake();
     assert!(again > unanswered);
     assert_eq!(n.tick(again, &mut out), Want::Connect(at(2)));
@@ -44,79 +49,84 @@
     assert_eq!(n.owed(), 1);
 }
 
-/// What becomes of an attempt to tell a notice.
+/// The failure of an attempt to send a notice.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    /// The connection never comes up.
-    Hangs,
-    /// It is refused.
+enum Failure {
+    /// The connection is never established.
+    NeverConnected,
+    /// The connection is refused.
     Refused,
-    /// It stands, and nothing answers.
-    Silent,
-    /// It breaks after the notice was written.
-    Breaks,
-    /// The answer is none of the protocol's.
-    Spoilt,
+    /// The connection is established, but no answer arrives.
+    Unanswered,
+    /// The connection breaks after the notice was written.
+    ConnectionLost,
+    /// The answer is not one that the protocol allows.
+    InvalidAnswer,
 }
 
-const TROUBLES: [Trouble; 5] =
-    [Trouble::Hangs, Trouble::Refused, Trouble::Silent, Trouble::Breaks, Trouble::Spoilt];
+const FAILURES: [Failure; 5] = [
+    Failure::NeverConnected,
+    Failure::Refused,
+    Failure::Unanswered,
+    Failure::ConnectionLost,
+    Failure::InvalidAnswer,
+];
 
-/// Plays an attempt that begins now, up to the moment in which it is given up.
-fn attempt(n: &mut Notices<u32>, now: &mut Micros, trouble: Trouble) {
+/// Simulates a failing attempt that begins now, and advances `now` to the time of the next attempt.
+fn failing_attempt(n: &mut Notices<u32>, now: &mut Micros, failure: Failure) {
     let mut out = BytesMut::new();
     assert_eq!(n.tick(*now, &mut out), Want::Connect(at(1)));
-    if !matches!(trouble, Trouble::Hangs | Trouble::Refused) {
+    if !matches!(failure, Failure::NeverConnected | Failure::Refused) {
         n.connected(*now, &mut out);
         assert!(!out.is_empty(), "the notice is written at once");
     }
-    match trouble {
-        Trouble::Refused | Trouble::Breaks => n.ended(*now),
-        Trouble::Spoilt => {
+    match failure {
+        Failure::Refused | Failure::ConnectionLost => n.ended(*now),
+        Failure::InvalidAnswer => {
             assert!(n.receive(*now, b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n", &mut out).is_err());
             n.ended(*now);
         }
-        Trouble::Hangs | Trouble::Silent => {
+        Failure::NeverConnected | Failure::Unanswered => {
             *now = n.wake();
             assert_eq!(n.tick(*now, &mut out), Want::Drop);
         }
     }
-    assert_eq!(n.owed(), 1, "nothing is forgotten");
+    assert_eq!(n.owed(), 1, "the notice is still pending");
     *now = n.wake();
 }
 
 #[test]
-fn an_end_is_told_in_time_though_any_two_attempts_fail() {
-    for first in TROUBLES {
-        for second in TROUBLES {
+fn a_notice_is_sent_in_time_even_if_any_two_attempts_fail() {
+    for first in FAILURES {
+        for second in FAILURES {
             let (mut n, mut now, mut out) = (Notices::new(at(1)), 0, BytesMut::new());
             n.owe(1, "a", End::Failed);
-            attempt(&mut n, &mut now, first);
-            attempt(&mut n, &mut now, second);
+            failing_attempt(&mut n, &mut now, first);
+            failing_attempt(&mut n, &mut now, second);
             assert_eq!(n.tick(now, &mut out), Want::Connect(at(1)));
             n.connected(now, &mut out);
-            assert!(now < SLACK, "{first:?}, then {second:?}: told after {now} us");
+            assert!(now < MAX_REPORT_DELAY, "{first:?}, then {second:?}: sent after {now} us");
             assert_eq!(n.receive(now, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap(), [1]);
         }
     }
 }
 
 #[test]
-fn while_nothing_can_be_told_it_is_tried_a_bounded_number_of_times() {
-    let (mut n, mut now, mut tries) = (Notices::new(at(1)), 0, 0);
+fn the_number_of_attempts_is_bounded_while_all_fail() {
+    let (mut n, mut now, mut attempts) = (Notices::new(at(1)), 0, 0);
     n.owe(1, "a", End::Failed);
     while now < 10_000_000 {
-        attempt(&mut n, &mut now, Trouble::Refused);
-        tries += 1;
+        failing_attempt(&mut n, &mut now, Failure::Refused);
+        attempts += 1;
     }
-    assert!((50..=120).contains(&tries), "{tries} in 10 s");
+    assert!((50..=120).contains(&attempts), "{attempts} in 10 s");
 }
 
 #[test]
 fn each_error_of_a_connection_has_its_text() {
     for (answer, text) in [
         ("HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n", "notices were answered 400"),
-        ("noise\r\n\r\n", "no HTTP response"),
+        ("noise\r\n\r\n", "not an HTTP response"),
     ] {
         let (mut notices, mut out) = (Notices::new(at(1)), BytesMut::new());
         notices.owe(1, "a", End::Failed);
@@ -127,40 +137,45 @@
     }
 }
 
-const TAKEN: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+const ACKNOWLEDGED: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// Notices of which one was acknowledged, and a second one is in flight on the same connection.
+/// Returns notices of which the first is acknowledged and the second is in flight on the same connection.
 fn second_in_flight() -> (Notices<u64>, BytesMut) {
     let (mut n, mut out) = (Notices::new(at(1)), BytesMut::new());
     n.owe(1, "a", End::Failed);
     assert_eq!(n.tick(0, &mut out), Want::Connect(at(1)));
     n.connected(0, &mut out);
-    assert_eq!(n.receive(10, TAKEN, &mut out).unwrap(), [1]);
+    assert_eq!(n.receive(10, ACKNOWLEDGED, &mut out).unwrap(), [1]);
     n.owe(2, "b", End::Failed);
     assert_eq!(n.tick(20, &mut out), Want::Nothing);
     (n, out)
 }
 
-/// Guards against a message whose end is never told, as a copy of an earlier answer acknowledged its notice.
+/// Guards against a message whose end is never reported because a copy of an earlier answer acknowledged its
+/// notice.
 #[test]
-fn a_copied_answer_acknowledges_no_notice_that_was_not_taken() {
+fn a_copy_of_an_answer_does_not_acknowledge_the_next_notice() {
     for own in [&b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n"[..], b"noise\r\n\r\n"] {
         let (mut n, mut out) = second_in_flight();
-        assert_eq!(n.receive(30, TAKEN, &mut out).unwrap(), [0_u64; 0], "it may be the first answer's copy");
+        assert_eq!(
+            n.receive(30, ACKNOWLEDGED, &mut out).unwrap(),
+            [0_u64; 0],
+            "it may be a copy of the first answer"
+        );
         assert!(n.receive(50, own, &mut out).is_err());
         n.ended(50);
-        assert_eq!((n.owed(), n.take_confirmed(10_000_000)), (1, vec![]), "it is told again");
+        assert_eq!((n.owed(), n.take_confirmed(10_000_000)), (1, vec![]), "it is sent again");
     }
 }
 
 #[test]
-fn an_acknowledgement_that_nothing_contradicts_counts() {
+fn an_acknowledgement_that_is_not_contradicted_counts() {
     let (mut n, mut out) = second_in_flight();
-    assert!(n.receive(30, TAKEN, &mut out).unwrap().is_empty());
-    assert_eq!(n.owed(), 0, "it is not told again meanwhile");
+    assert!(n.receive(30, ACKNOWLEDGED, &mut out).unwrap().is_empty());
+    assert_eq!(n.owed(), 0, "it is not sent again meanwhile");
     let due = n.wake();
     assert!(n.take_confirmed(due - 1).is_empty());
-    // The connection's end contradicts nothing.
+    // The end of the connection is no contradiction.
     n.ended(due - 1);
     assert_eq!((n.take_confirmed(due), n.wake()), (vec![2], Micros::MAX));
 }
--- a/crates/platform/tests/objects.rs
+++ b/crates/platform/tests/objects.rs
@@ -1,9 +1,9 @@
-//! JSON objects cut out of a stream.
+//! Tests of splitting a stream into JSON objects.
 
-use heronroute_platform::objects::{MOST_OBJECT, Objects, Piece, Spoilt};
+use heronroute_platform::objects::{MAX_OBJECT_BYTES, ObjectSplitter, Piece, StreamError};
 
-fn cut(text: &[u8], size: usize) -> (Vec<Piece>, Result<(), Spoilt>, bool) {
-    let (mut objects, mut pieces) = (Objects::default(), Vec::new());
+fn split(text: &[u8], size: usize) -> (Vec<Piece>, Result<(), StreamError>, bool) {
+    let (mut objects, mut pieces) = (ObjectSplitter::default(), Vec::new());
     for piece in text.chunks(size) {
         if let Err(e) = objects.push(piece, &mut pieces) {
             return (pieces, Err(e), objects.has_begun());
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn objects_are_cut_by_nesting_however_split_and_written() {
+fn objects_are_found_by_nesting_however_split_and_indented() {
     let all = [
         r#"{"a":1}"#,
         "{\n  \"a\": {\n\n    \"b\": [{}, {\"c\": \"}\"}]\n  }\n}",
@@ -22,37 +22,40 @@
     ];
     let text = format!("\n {}\r\n{}{}\n\n\t{}", all[0], all[1], all[2], all[3]);
     for size in 1..text.len() {
-        let (pieces, result, begun) = cut(text.as_bytes(), size);
+        let (pieces, result, begun) = split(text.as_bytes(), size);
         let objects: Vec<&[u8]> = pieces
             .iter()
             .filter_map(|p| if let Piece::Object(o) = p { Some(&o[..]) } else { None })
             .collect();
         assert_eq!(objects, all.map(str::as_bytes), "pieces of {size}");
         let ends = pieces.iter().filter(|p| **p == Piece::EndOfLine).count();
-        assert_eq!((ends, result, begun), (4, Ok(()), false), "line ends within an object are its own");
+        assert_eq!((ends, result, begun), (4, Ok(()), false), "line ends within an object are part of it");
     }
 }
 
 #[test]
-fn what_lies_between_objects_spoils_the_stream() {
+fn a_byte_between_objects_other_than_white_space_is_an_error() {
     for text in ["}", "x", "\"", "[1]", "{} null", "{}\n,{}"] {
-        let (_, result, _) = cut(text.as_bytes(), 1);
-        assert!(matches!(result, Err(Spoilt::Stray(_))), "{text:?}: {result:?}");
+        let (_, result, _) = split(text.as_bytes(), 1);
+        assert!(matches!(result, Err(StreamError::UnexpectedByte(_))), "{text:?}: {result:?}");
     }
-    // What was whole before is still given.
-    let (pieces, result, _) = cut(b"{}}", 3);
-    assert_eq!((pieces, result), (vec![Piece::Object(b"{}".to_vec())], Err(Spoilt::Stray(b'}'))));
+    // Objects before the error are still returned.
+    let (pieces, result, _) = split(b"{}}", 3);
+    assert_eq!(
+        (pieces, result),
+        (vec![Piece::Object(b"{}".to_vec())], Err(StreamError::UnexpectedByte(b'}')))
+    );
 }
 
 #[test]
-fn an_object_that_never_ends_is_bounded() {
-    let mut text = vec![b' '; MOST_OBJECT];
+fn the_size_of_an_object_is_bounded() {
+    let mut text = vec![b' '; MAX_OBJECT_BYTES];
     text[0] = b'{';
-    assert!(matches!(cut(&text, 4096), (p, Ok(()), true) if p.is_empty()), "as long as it may be");
+    assert!(matches!(split(&text, 4096), (p, Ok(()), true) if p.is_empty()), "the maximum size");
     text.push(b'}');
-    assert_eq!(cut(&text, 4096).1, Err(Spoilt::TooLong));
+    assert_eq!(split(&text, 4096).1, Err(StreamError::TooLong));
     text.remove(1);
-    assert!(matches!(cut(&text, 4096), (p, Ok(()), false) if p.len() == 1));
-    // And white space between objects is not kept.
-    assert!(matches!(cut(&vec![b' '; MOST_OBJECT + 9], 4096), (p, Ok(()), false) if p.is_empty()));
+    assert!(matches!(split(&text, 4096), (p, Ok(()), false) if p.len() == 1));
+    // White space between objects is not buffered.
+    assert!(matches!(split(&vec![b' '; MAX_OBJECT_BYTES + 9], 4096), (p, Ok(()), false) if p.is_empty()));
 }
--- a/crates/platform/tests/start.rs
+++ b/crates/platform/tests/start.rs
@@ -1,4 +1,4 @@
-//! A sender's configuration: fields by name, and errors that name the field at fault.
+//! Tests of a sender's configuration: its fields, and errors that name the invalid field.
 
 use heronroute_platform::start::read;
 
@@ -9,11 +9,11 @@
     "FamilyInfo":{"Workers":2},"Limits":{"MaxOpen":9,"MaxAttempts":3}}}"#;
 
 #[test]
-fn fields_by_name() {
+fn fields_are_parsed_and_errors_name_the_invalid_field() {
     let s = read(GOOD).unwrap();
     assert_eq!((s.seed, s.known.version, s.limits.sockets, s.settings.slots), (255, 4, 256, 2));
     assert_eq!((s.names.classes, s.names.tenants), (vec!["c".to_string()], vec!["t".to_string()]));
-    for (from, to, says) in [
+    for (from, to, text) in [
         ("\"listen\":\"127.0.0.1:1\",", "", "listen"),
         ("\"ff\"", "\"xyz\"", "seed"),
         ("\"sockets\":256", "\"sockets\":\"many\"", "line"),
@@ -21,7 +21,7 @@
         ("\"sockets\":256", "\"sockets\":3", "limits"),
     ] {
         let e = read(&GOOD.replace(from, to)).unwrap_err().to_string();
-        assert!(e.contains(says), "{e}");
+        assert!(e.contains(text), "{e}");
     }
 }
 
--- a/crates/platform/tests/watch.rs
+++ b/crates/platform/tests/watch.rs
@@ -1,14 +1,14 @@
-//! The answer to a watch.
+//! Tests of the answer to a watch.
 
-use heronroute_platform::objects::MOST_OBJECT;
+use heronroute_platform::objects::MAX_OBJECT_BYTES;
 use heronroute_platform::watch::{Over, Said, Watch};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const BODY: &str =
     "{\"version\":1,\"full\":true,\"servers\":[]}\n\n{\"version\":2,\"full\":false,\"servers\":[]}\n";
 
-fn versions(said: &[Said]) -> Vec<u64> {
-    said.iter().filter_map(|s| if let Said::List(l) = s { Some(l.version) } else { None }).collect()
+fn versions(events: &[Said]) -> Vec<u64> {
+    events.iter().filter_map(|s| if let Said::List(l) = s { Some(l.version) } else { None }).collect()
 }
 
 fn indented() -> String {
@@ -16,18 +16,21 @@
 }
 
 #[test]
-fn lists_over_chunks_however_split_and_written() {
+fn lists_in_chunks_are_read_however_split_and_indented() {
     for body in [BODY.to_string(), indented(), BODY.replace('\n', "")] {
         let (a, b) = body.split_at(20);
         let text = format!("{HEAD}{:x}\r\n{a}\r\n{:x};x=1\r\n{b}\r\n", a.len(), b.len());
         for size in 1..text.len() {
-            let (mut w, mut said) = (Watch::default(), Vec::new());
+            let (mut w, mut events) = (Watch::default(), Vec::new());
             for piece in text.as_bytes().chunks(size) {
-                w.receive(piece, &mut said).unwrap();
+                w.receive(piece, &mut events).unwrap();
             }
-            assert_eq!(versions(&said), [1, 2], "{body:?} in pieces of {size}");
-            assert_eq!((&said[0], w.has_begun_list()), (&Said::Head, false));
-            assert!(matches!(w.receive(b"0\r\n\r\n", &mut said), Err(Over::Ended)), "ended");
+            assert_eq!(versions(&events), [1, 2], "{body:?} in pieces of {size}");
+            assert_eq!((&events[0], w.has_begun_list()), (&Said::Head, false));
+            assert!(
+                matches!(w.receive(b"0\r\n\r\n", &mut events), Err(Over::Ended)),
+                "the last chunk ends the watch"
+            );
         }
         for bad in [
             "HTTP/1.1 503 No\r\n\r\n",
@@ -40,50 +43,50 @@
 }
 
 #[test]
-fn lists_that_are_not_in_chunks() {
+fn lists_without_chunks_are_read() {
     let text = format!("HTTP/1.1 200 OK\r\n\r\n{}", indented());
-    let (mut w, mut said) = (Watch::default(), Vec::new());
-    text.as_bytes().chunks(3).for_each(|piece| w.receive(piece, &mut said).unwrap());
-    assert_eq!(versions(&said), [1, 2]);
+    let (mut w, mut events) = (Watch::default(), Vec::new());
+    text.as_bytes().chunks(3).for_each(|piece| w.receive(piece, &mut events).unwrap());
+    assert_eq!(versions(&events), [1, 2]);
 }
 
 #[test]
-fn what_was_whole_before_the_watch_was_spoilt_is_said() {
-    for (behind, spoilt) in [("x", true), ("{\"version\":3}", false), ("{\"version\":3,}", false)] {
-        let body = format!("{BODY}{behind}");
-        let (mut w, mut said) = (Watch::default(), Vec::new());
-        let over = w.receive(format!("{HEAD}{:x}\r\n{body}\r\n", body.len()).as_bytes(), &mut said);
-        let why = over.unwrap_err();
-        assert_eq!(matches!(why, Over::Spoilt(_)), spoilt, "{why}");
-        assert_eq!(matches!(why, Over::Unreadable(_)), !spoilt, "{why}");
-        assert_eq!(versions(&said), [1, 2]);
+fn lists_before_an_error_are_reported() {
+    for (suffix, is_stream_error) in [("x", true), ("{\"version\":3}", false), ("{\"version\":3,}", false)] {
+        let body = format!("{BODY}{suffix}");
+        let (mut w, mut events) = (Watch::default(), Vec::new());
+        let result = w.receive(format!("{HEAD}{:x}\r\n{body}\r\n", body.len()).as_bytes(), &mut events);
+        let error = result.unwrap_err();
+        assert_eq!(matches!(error, Over::Stream(_)), is_stream_error, "{error}");
+        assert_eq!(matches!(error, Over::Unreadable(_)), !is_stream_error, "{error}");
+        assert_eq!(versions(&events), [1, 2]);
     }
 }
 
 #[test]
-fn half_a_list_says_nothing_and_is_known_to_have_begun() {
-    let (mut w, mut said) = (Watch::default(), Vec::new());
-    w.receive(format!("{HEAD}9\r\n{}\r\n", &indented()[..9]).as_bytes(), &mut said).unwrap();
-    assert_eq!((said, w.has_begun_list()), (vec![Said::Head], true));
+fn an_incomplete_list_is_not_reported_but_known_to_have_begun() {
+    let (mut w, mut events) = (Watch::default(), Vec::new());
+    w.receive(format!("{HEAD}9\r\n{}\r\n", &indented()[..9]).as_bytes(), &mut events).unwrap();
+    assert_eq!((events, w.has_begun_list()), (vec![Said::Head], true));
 }
 
 #[test]
-fn each_end_of_a_watch_has_its_text() {
+fn each_error_has_its_text() {
     let chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let plain = "HTTP/1.1 200 OK\r\n\r\n";
     for (answer, text) in [
         ("HTTP/1.1 404 No\r\n\r\n".to_string(), "status 404".to_string()),
-        ("noise\r\n\r\n".to_string(), "no answer that can be read".to_string()),
-        (format!("{chunked}zz\r\n"), "chunks that can't be told apart".to_string()),
-        (format!("{chunked}0\r\n"), "the watch was ended".to_string()),
-        (format!("{plain}\t}}"), "an octet 0x7d between two objects".to_string()),
-        (format!("{plain}{{\"version\":1}}"), "no list: full: should be true or false".to_string()),
+        ("noise\r\n\r\n".to_string(), "not an HTTP response".to_string()),
+        (format!("{chunked}zz\r\n"), "invalid chunked coding".to_string()),
+        (format!("{chunked}0\r\n"), "the watch has ended".to_string()),
+        (format!("{plain}\t}}"), "unexpected byte 0x7d between two objects".to_string()),
+        (format!("{plain}{{\"version\":1}}"), "invalid list: full: should be true or false".to_string()),
         (
-            format!("{plain}{{\"{}", "a".repeat(MOST_OBJECT)),
-            format!("an object of more than {MOST_OBJECT} octets"),
+            format!("{plain}{{\"{}", "a".repeat(MAX_OBJECT_BYTES)),
+            format!("an object of more than {MAX_OBJECT_BYTES} bytes"),
         ),
     ] {
-        let over = Watch::default().receive(answer.as_bytes(), &mut Vec::new()).unwrap_err();
-        assert_eq!(over.to_string(), text);
+        let result = Watch::default().receive(answer.as_bytes(), &mut Vec::new()).unwrap_err();
+        assert_eq!(result.to_string(), text);
     }
 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -5,15 +5,15 @@
 //!
 //! This crate opens no sockets, reads no clock, and does not interpret commands.
 //!
-//! Lengths and counts are checked when they are declared, before any of the declared data is accepted. A client can make
-//! the reader accept a command of at most [`Limits::octets`]. Libraries (redis-protocol, resp2) were considered: they parse
-//! complete frames from a buffer, and leave it to the caller to bound that buffer.
+//! Lengths and counts are checked when they are declared, before any of the declared data is accepted, so
+//! that [`Limits`] bounds the size of a command. Libraries (redis-protocol, resp2) were considered: they
+//! parse complete frames from a buffer, and leave it to the caller to bound that buffer.
 
 #![forbid(unsafe_code)]
 
 mod read;
 
-pub use read::{Command, Limits, Reader, Unreadable};
+pub use read::{Command, Limits, ParseError, Reader};
 
 use bytes::BytesMut;
 use std::fmt::Write;
--- a/crates/resp/tests/read.rs
+++ b/crates/resp/tests/read.rs
@@ -1,29 +1,29 @@
-//! Commands as they are read: declared lengths and counts, and streams cut anywhere.
+//! Tests of the parser: limits on declared lengths and counts, and streams that are split anywhere.
 
 use heronroute_resp::{Command, Limits, Reader};
 use proptest::prelude::*;
 
 const LIMITS: Limits = Limits { args: 5, octets: 100 };
 
-fn all(pieces: &[&[u8]]) -> (Vec<Command>, Option<&'static str>) {
-    let (mut r, mut got) = (Reader::new(LIMITS), Vec::new());
-    for p in pieces {
-        r.push(p);
+fn read_all(pieces: &[&[u8]]) -> (Vec<Command>, Option<&'static str>) {
+    let (mut reader, mut read) = (Reader::new(LIMITS), Vec::new());
+    for piece in pieces {
+        reader.push(piece);
         loop {
-            match r.next_command() {
-                Ok(Some(c)) => got.push(c),
+            match reader.next_command() {
+                Ok(Some(command)) => read.push(command),
                 Ok(None) => break,
-                Err(e) => return (got, Some(e.0)),
+                Err(e) => return (read, Some(e.0)),
             }
         }
     }
-    (got, None)
+    (read, None)
 }
 
 #[test]
-fn what_is_declared_is_judged_before_it_comes() {
+fn invalid_declarations_are_rejected_before_their_data_arrives() {
     let one = b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n";
-    assert_eq!(all(&[one]), (vec![vec![b"PING".to_vec(), vec![]]], None));
+    assert_eq!(read_all(&[one]), (vec![vec![b"PING".to_vec(), vec![]]], None));
     for bad in [
         "GET / HTTP/1.1\r\n",
         "*0\r\n",
@@ -40,13 +40,13 @@
         "*0000000000000000000000",
         "*1\r\n$ 1\r\n",
     ] {
-        assert!(all(&[bad.as_bytes()]).1.is_some(), "{bad:?}");
+        assert!(read_all(&[bad.as_bytes()]).1.is_some(), "{bad:?}");
     }
 }
 
 proptest! {
     #[test]
-    fn the_same_however_split(
+    fn commands_are_the_same_however_the_stream_is_split(
         octets in proptest::collection::vec(prop_oneof![
             Just(b'*'), Just(b'$'), Just(b'\r'), Just(b'\n'), Just(b'1'), Just(b'2'), any::<u8>()], 0..80),
         commands in proptest::collection::vec(proptest::collection::vec(
@@ -54,16 +54,16 @@
         cuts in proptest::collection::vec(1_usize..40, 1..9),
     ) {
         let mut stream = Vec::new();
-        for c in &commands {
-            stream.extend_from_slice(format!("*{}\r\n", c.len()).as_bytes());
-            for a in c {
-                stream.extend_from_slice(format!("${}\r\n", a.len()).as_bytes());
-                stream.extend_from_slice(a);
+        for command in &commands {
+            stream.extend_from_slice(format!("*{}\r\n", command.len()).as_bytes());
+            for arg in command {
+                stream.extend_from_slice(format!("${}\r\n", arg.len()).as_bytes());
+                stream.extend_from_slice(arg);
                 stream.extend_from_slice(b"\r\n");
             }
         }
         stream.extend_from_slice(&octets);
-        let whole = all(&[&stream]);
+        let whole = read_all(&[&stream]);
         prop_assert_eq!(&whole.0[..commands.len()], &commands[..]);
         let (mut pieces, mut at, mut i) = (Vec::new(), 0, 0);
         while at < stream.len() {
@@ -71,6 +71,6 @@
             pieces.push(&stream[at..at + n]);
             (at, i) = (at + n, i + 1);
         }
-        prop_assert_eq!(all(&pieces), whole);
+        prop_assert_eq!(read_all(&pieces), whole);
     }
 }
