--- a/crates/platform/src/notice.rs
+++ b/crates/platform/src/notice.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns the number of notices that are not acknowledged yet.
-    pub fn owed(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.waiting.len() + self.in_flight.len()
     }
 
@@ -150,7 +150,7 @@
 
     fn connection_wake(&self) -> Micros {
         match self.state {
-            State::Disconnected(at) if self.owed() > 0 => at,
+            State::Disconnected(at) if self.pending_count() > 0 => at,
             State::Connecting(at) | State::AwaitingAnswer(at) => at,
             State::Idle if !self.waiting.is_empty() => 0,
             _ => Micros::MAX,
@@ -174,7 +174,7 @@
     /// Handles timeouts, and sends pending notices.
     pub fn tick(&mut self, now: Micros, out: &mut BytesMut) -> Want {
         match self.state {
-            State::Disconnected(at) if at <= now && self.owed() > 0 => {
+            State::Disconnected(at) if at <= now && self.pending_count() > 0 => {
                 self.state = State::Connecting(now + self.timeout());
                 Want::Connect(self.address)
             }
@@ -205,11 +205,11 @@
 
     /// Sends the next request, if notices are waiting.
     fn write(&mut self, now: Micros, out: &mut BytesMut) {
-        let n = self.waiting.len().min(MAX_NOTICES_PER_REQUEST);
-        if n == 0 {
+        let count = self.waiting.len().min(MAX_NOTICES_PER_REQUEST);
+        if count == 0 {
             return;
         }
-        self.in_flight.extend(self.waiting.drain(..n));
+        self.in_flight.extend(self.waiting.drain(..count));
         let body: String = self.in_flight.iter().map(|(_, line)| line.as_str()).collect();
         let host = self.address.to_string();
         write_request(
@@ -271,8 +271,8 @@
 
     /// Handles the loss of the connection: notices in flight are pending again.
     pub fn ended(&mut self, now: Micros) {
-        while let Some(n) = self.in_flight.pop_back() {
-            self.waiting.push_front(n);
+        while let Some(notice) = self.in_flight.pop_back() {
+            self.waiting.push_front(notice);
         }
         if !self.apart() {
             self.state = State::Disconnected(now + self.backoff);
--- a/crates/platform/src/objects.rs
+++ b/crates/platform/src/objects.rs
@@ -9,7 +9,7 @@
 
 /// An element of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum StreamElement {
     /// The end of an empty line, or of the line on which an object ended.
     EndOfLine,
     /// A complete object.
@@ -55,17 +55,17 @@
         self.depth > 0
     }
 
-    /// Processes received bytes, and appends the pieces that they complete.
+    /// Processes received bytes, and appends the elements that they complete.
     ///
     /// # Errors
-    /// If the stream can't be parsed any further. `pieces` then contains the pieces before the error.
-    pub fn push(&mut self, bytes: &[u8], pieces: &mut Vec<Piece>) -> Result<(), StreamError> {
-        bytes.iter().try_for_each(|byte| self.process_byte(*byte, pieces))
+    /// If the stream can't be parsed any further. `elements` then contains the elements before the error.
+    pub fn push(&mut self, bytes: &[u8], elements: &mut Vec<StreamElement>) -> Result<(), StreamError> {
+        bytes.iter().try_for_each(|byte| self.process_byte(*byte, elements))
     }
 
-    fn process_byte(&mut self, byte: u8, pieces: &mut Vec<Piece>) -> Result<(), StreamError> {
+    fn process_byte(&mut self, byte: u8, elements: &mut Vec<StreamElement>) -> Result<(), StreamError> {
         if self.depth == 0 {
-            return self.process_outside_object(byte, pieces);
+            return self.process_outside_object(byte, elements);
         }
         if self.object.len() == MAX_OBJECT_BYTES {
             return Err(StreamError::TooLong);
@@ -83,14 +83,18 @@
             _ => {}
         }
         if self.depth == 0 {
-            pieces.push(Piece::Object(std::mem::take(&mut self.object)));
+            elements.push(StreamElement::Object(std::mem::take(&mut self.object)));
         }
         Ok(())
     }
 
-    fn process_outside_object(&mut self, byte: u8, pieces: &mut Vec<Piece>) -> Result<(), StreamError> {
+    fn process_outside_object(
+        &mut self,
+        byte: u8,
+        elements: &mut Vec<StreamElement>,
+    ) -> Result<(), StreamError> {
         match byte {
-            b'\n' => pieces.push(Piece::EndOfLine),
+            b'\n' => elements.push(StreamElement::EndOfLine),
             b' ' | b'\t' | b'\r' => {}
             b'{' => {
                 self.object.push(byte);
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -5,7 +5,7 @@
 //! [`crate::objects`]). Without I/O and without a clock: timeouts are up to the caller.
 
 use crate::catalog::{List, ListError};
-use crate::objects::{ObjectSplitter, Piece, StreamError};
+use crate::objects::{ObjectSplitter, StreamElement, StreamError};
 use bytes::{Buf, BytesMut};
 
 /// The maximum size of a head, in bytes.
@@ -186,13 +186,13 @@
 
     /// Passes the next `n` bytes of the body to the splitter, and appends the events that they complete.
     fn split_body(&mut self, n: usize, events: &mut Vec<Said>) -> Result<(), Over> {
-        let mut pieces = Vec::new();
-        let result = self.splitter.push(&self.buffer[..n], &mut pieces);
+        let mut elements = Vec::new();
+        let result = self.splitter.push(&self.buffer[..n], &mut elements);
         self.buffer.advance(n);
-        for piece in pieces {
-            events.push(match piece {
-                Piece::EndOfLine => Said::EndOfLine,
-                Piece::Object(text) => Said::List(List::read(&text).map_err(Over::Unreadable)?),
+        for element in elements {
+            events.push(match element {
+                StreamElement::EndOfLine => Said::EndOfLine,
+                StreamElement::Object(text) => Said::List(List::read(&text).map_err(Over::Unreadable)?),
             });
         }
         result.map_err(Over::Stream)
--- a/crates/platform/tests/notices.rs
+++ b/crates/platform/tests/notices.rs
@@ -15,38 +15,38 @@
 
 #[test]
 fn a_notice_is_pending_until_acknowledged_across_a_broken_connection_and_a_new_address() {
-    let (mut n, mut out) = (Notices::new(at(1)), BytesMut::new());
-    assert_eq!(n.wake(), Micros::MAX, "no notice is pending");
-    n.owe(1, "a", End::Failed);
-    n.owe(2, "b", End::Returned(1_500));
-    assert_eq!(n.tick(0, &mut out), Want::Connect(at(1)));
-    n.connected(5, &mut out);
+    let (mut notices, mut out) = (Notices::new(at(1)), BytesMut::new());
+    assert_eq!(notices.wake(), Micros::MAX, "no notice is pending");
+    notices.owe(1, "a", End::Failed);
+    notices.owe(2, "b", End::Returned(1_500));
+    assert_eq!(notices.tick(0, &mut out), Want::Connect(at(1)));
+    notices.connected(5, &mut out);
     let text = String::from_utf8_lossy(&out).into_owned();
     assert!(text.starts_with("POST /v1/outcomes HTTP/1.1\r\n"));
     assert!(text.contains("{\"id\":\"a\",\"state\":\"failed\"}\n"));
     assert!(text.contains("\"after_ms\":2") && text.contains("\"state\":\"returned\""));
     out.clear();
-    n.moved(10, at(2));
+    notices.moved(10, at(2));
     assert_eq!(
-        (n.owed(), n.tick(10, &mut out)),
+        (notices.pending_count(), notices.tick(10, &mut out)),
         (2, Want::Connect(at(2))),
         "they are sent again to the new address"
     );
-    n.connected(11, &mut out);
+    notices.connected(11, &mut out);
     assert!(out.len() > text.len() - 8);
-    n.owe(3, "c", End::Failed);
+    notices.owe(3, "c", End::Failed);
     out.clear();
-    let acknowledged = n.receive(12, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap();
-    assert_eq!((acknowledged, n.owed()), (vec![1, 2], 1));
+    let acknowledged = notices.receive(12, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap();
+    assert_eq!((acknowledged, notices.pending_count()), (vec![1, 2], 1));
     assert!(!out.is_empty(), "the next one is sent on the same connection");
-    let unanswered = n.wake();
-    assert_eq!(n.tick(unanswered, &mut out), Want::Drop, "the answer timed out");
-    let again = n.wake();
+    let unanswered = notices.wake();
+    assert_eq!(notices.tick(unanswered, &mut out), Want::Drop, "the answer timed out");
+    let again = notices.wake();
     assert!(again > unanswered);
-    assert_eq!(n.tick(again, &mut out), Want::Connect(at(2)));
-    n.connected(again, &mut out);
-    assert!(n.receive(again, b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n", &mut out).is_err());
-    assert_eq!(n.owed(), 1);
+    assert_eq!(notices.tick(again, &mut out), Want::Connect(at(2)));
+    notices.connected(again, &mut out);
+    assert!(notices.receive(again, b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n", &mut out).is_err());
+    assert_eq!(notices.pending_count(), 1);
 }
 
 /// The failure of an attempt to send a notice.
@@ -73,50 +73,52 @@
 ];
 
 /// Simulates a failing attempt that begins now, and advances `now` to the time of the next attempt.
-fn failing_attempt(n: &mut Notices<u32>, now: &mut Micros, failure: Failure) {
+fn failing_attempt(notices: &mut Notices<u32>, now: &mut Micros, failure: Failure) {
     let mut out = BytesMut::new();
-    assert_eq!(n.tick(*now, &mut out), Want::Connect(at(1)));
+    assert_eq!(notices.tick(*now, &mut out), Want::Connect(at(1)));
     if !matches!(failure, Failure::NeverConnected | Failure::Refused) {
-        n.connected(*now, &mut out);
+        notices.connected(*now, &mut out);
         assert!(!out.is_empty(), "the notice is written at once");
     }
     match failure {
-        Failure::Refused | Failure::ConnectionLost => n.ended(*now),
+        Failure::Refused | Failure::ConnectionLost => notices.ended(*now),
         Failure::InvalidAnswer => {
-            assert!(n.receive(*now, b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n", &mut out).is_err());
-            n.ended(*now);
+            assert!(
+                notices.receive(*now, b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n", &mut out).is_err()
+            );
+            notices.ended(*now);
         }
         Failure::NeverConnected | Failure::Unanswered => {
-            *now = n.wake();
-            assert_eq!(n.tick(*now, &mut out), Want::Drop);
+            *now = notices.wake();
+            assert_eq!(notices.tick(*now, &mut out), Want::Drop);
         }
     }
-    assert_eq!(n.owed(), 1, "the notice is still pending");
-    *now = n.wake();
+    assert_eq!(notices.pending_count(), 1, "the notice is still pending");
+    *now = notices.wake();
 }
 
 #[test]
 fn a_notice_is_sent_in_time_even_if_any_two_attempts_fail() {
     for first in FAILURES {
         for second in FAILURES {
-            let (mut n, mut now, mut out) = (Notices::new(at(1)), 0, BytesMut::new());
-            n.owe(1, "a", End::Failed);
-            failing_attempt(&mut n, &mut now, first);
-            failing_attempt(&mut n, &mut now, second);
-            assert_eq!(n.tick(now, &mut out), Want::Connect(at(1)));
-            n.connected(now, &mut out);
+            let (mut notices, mut now, mut out) = (Notices::new(at(1)), 0, BytesMut::new());
+            notices.owe(1, "a", End::Failed);
+            failing_attempt(&mut notices, &mut now, first);
+            failing_attempt(&mut notices, &mut now, second);
+            assert_eq!(notices.tick(now, &mut out), Want::Connect(at(1)));
+            notices.connected(now, &mut out);
             assert!(now < MAX_REPORT_DELAY, "{first:?}, then {second:?}: sent after {now} us");
-            assert_eq!(n.receive(now, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap(), [1]);
+            assert_eq!(notices.receive(now, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap(), [1]);
         }
     }
 }
 
 #[test]
 fn the_number_of_attempts_is_bounded_while_all_fail() {
-    let (mut n, mut now, mut attempts) = (Notices::new(at(1)), 0, 0);
-    n.owe(1, "a", End::Failed);
+    let (mut notices, mut now, mut attempts) = (Notices::new(at(1)), 0, 0);
+    notices.owe(1, "a", End::Failed);
     while now < 10_000_000 {
-        failing_attempt(&mut n, &mut now, Failure::Refused);
+        failing_attempt(&mut notices, &mut now, Failure::Refused);
         attempts += 1;
     }
     assert!((50..=120).contains(&attempts), "{attempts} in 10 s");
@@ -141,14 +143,14 @@
 
 /// Returns notices of which the first is acknowledged and the second is in flight on the same connection.
 fn second_in_flight() -> (Notices<u64>, BytesMut) {
-    let (mut n, mut out) = (Notices::new(at(1)), BytesMut::new());
-    n.owe(1, "a", End::Failed);
-    assert_eq!(n.tick(0, &mut out), Want::Connect(at(1)));
-    n.connected(0, &mut out);
-    assert_eq!(n.receive(10, ACKNOWLEDGED, &mut out).unwrap(), [1]);
-    n.owe(2, "b", End::Failed);
-    assert_eq!(n.tick(20, &mut out), Want::Nothing);
-    (n, out)
+    let (mut notices, mut out) = (Notices::new(at(1)), BytesMut::new());
+    notices.owe(1, "a", End::Failed);
+    assert_eq!(notices.tick(0, &mut out), Want::Connect(at(1)));
+    notices.connected(0, &mut out);
+    assert_eq!(notices.receive(10, ACKNOWLEDGED, &mut out).unwrap(), [1]);
+    notices.owe(2, "b", End::Failed);
+    assert_eq!(notices.tick(20, &mut out), Want::Nothing);
+    (notices, out)
 }
 
 /// Guards against a message whose end is never reported because a copy of an earlier answer acknowledged its
@@ -156,26 +158,30 @@
 #[test]
 fn a_copy_of_an_answer_does_not_acknowledge_the_next_notice() {
     for own in [&b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n"[..], b"noise\r\n\r\n"] {
-        let (mut n, mut out) = second_in_flight();
+        let (mut notices, mut out) = second_in_flight();
         assert_eq!(
-            n.receive(30, ACKNOWLEDGED, &mut out).unwrap(),
+            notices.receive(30, ACKNOWLEDGED, &mut out).unwrap(),
             [0_u64; 0],
             "it may be a copy of the first answer"
         );
-        assert!(n.receive(50, own, &mut out).is_err());
-        n.ended(50);
-        assert_eq!((n.owed(), n.take_confirmed(10_000_000)), (1, vec![]), "it is sent again");
+        assert!(notices.receive(50, own, &mut out).is_err());
+        notices.ended(50);
+        assert_eq!(
+            (notices.pending_count(), notices.take_confirmed(10_000_000)),
+            (1, vec![]),
+            "it is sent again"
+        );
     }
 }
 
 #[test]
 fn an_acknowledgement_that_is_not_contradicted_counts() {
-    let (mut n, mut out) = second_in_flight();
-    assert!(n.receive(30, ACKNOWLEDGED, &mut out).unwrap().is_empty());
-    assert_eq!(n.owed(), 0, "it is not sent again meanwhile");
-    let due = n.wake();
-    assert!(n.take_confirmed(due - 1).is_empty());
+    let (mut notices, mut out) = second_in_flight();
+    assert!(notices.receive(30, ACKNOWLEDGED, &mut out).unwrap().is_empty());
+    assert_eq!(notices.pending_count(), 0, "it is not sent again meanwhile");
+    let due = notices.wake();
+    assert!(notices.take_confirmed(due - 1).is_empty());
     // The end of the connection is no contradiction.
-    n.ended(due - 1);
-    assert_eq!((n.take_confirmed(due), n.wake()), (vec![2], Micros::MAX));
+    notices.ended(due - 1);
+    assert_eq!((notices.take_confirmed(due), notices.wake()), (vec![2], Micros::MAX));
 }
--- a/crates/platform/tests/objects.rs
+++ b/crates/platform/tests/objects.rs
@@ -1,8 +1,8 @@
 //! Tests of splitting a stream into JSON objects.
 
-use heronroute_platform::objects::{MAX_OBJECT_BYTES, ObjectSplitter, Piece, StreamError};
+use heronroute_platform::objects::{MAX_OBJECT_BYTES, ObjectSplitter, StreamElement, StreamError};
 
-fn split(text: &[u8], size: usize) -> (Vec<Piece>, Result<(), StreamError>, bool) {
+fn split(text: &[u8], size: usize) -> (Vec<StreamElement>, Result<(), StreamError>, bool) {
     let (mut objects, mut pieces) = (ObjectSplitter::default(), Vec::new());
     for piece in text.chunks(size) {
         if let Err(e) = objects.push(piece, &mut pieces) {
@@ -25,10 +25,10 @@
         let (pieces, result, begun) = split(text.as_bytes(), size);
         let objects: Vec<&[u8]> = pieces
             .iter()
-            .filter_map(|p| if let Piece::Object(o) = p { Some(&o[..]) } else { None })
+            .filter_map(|p| if let StreamElement::Object(o) = p { Some(&o[..]) } else { None })
             .collect();
         assert_eq!(objects, all.map(str::as_bytes), "pieces of {size}");
-        let ends = pieces.iter().filter(|p| **p == Piece::EndOfLine).count();
+        let ends = pieces.iter().filter(|p| **p == StreamElement::EndOfLine).count();
         assert_eq!((ends, result, begun), (4, Ok(()), false), "line ends within an object are part of it");
     }
 }
@@ -43,7 +43,7 @@
     let (pieces, result, _) = split(b"{}}", 3);
     assert_eq!(
         (pieces, result),
-        (vec![Piece::Object(b"{}".to_vec())], Err(StreamError::UnexpectedByte(b'}')))
+        (vec![StreamElement::Object(b"{}".to_vec())], Err(StreamError::UnexpectedByte(b'}')))
     );
 }
 
