--- a/crates/net/src/closing.rs
+++ b/crates/net/src/closing.rs
@@ -123,7 +123,7 @@
         false
     }
 
-    /// Closes the oldest connections until at most `most` linger.
+    /// Closes the oldest connections until at most `max_conns` linger.
     pub fn close_excess(&mut self, max_conns: usize) {
         while self.conns.len() > max_conns && self.close_oldest() {}
     }
--- a/crates/net/src/fleet/health/tests.rs
+++ b/crates/net/src/fleet/health/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn refusals_failures_and_memory_are_the_processs_own() {
+fn health_has_the_refusals_failures_and_memory_of_the_process() {
     let mut stats =
         Stats { accepted: 9, refused_rate: 1, refused_room: 2, refused_other: 4, ..Stats::default() };
     stats.answers = [100, 1, 2, 4, 8, 16];
--- a/crates/net/src/reactor.rs
+++ b/crates/net/src/reactor.rs
@@ -79,7 +79,7 @@
     buffer: Vec<u8>,
     command_queue_closed: bool,
     /// The connection to the installation's member, if there is one.
-    fleet: Option<SenderMemberHandle>,
+    member: Option<SenderMemberHandle>,
 }
 
 impl Reactor {
@@ -112,7 +112,7 @@
             published_stats,
             buffer: vec![0; READ_BUDGET],
             command_queue_closed: false,
-            fleet: None,
+            member: None,
         };
         Ok((reactor, waker))
     }
@@ -132,8 +132,8 @@
     }
 
     /// Makes the reactor pass client requests and reports to the installation's member.
-    pub fn set_member(&mut self, fleet: SenderMemberHandle) {
-        self.fleet = Some(fleet);
+    pub fn set_member(&mut self, member: SenderMemberHandle) {
+        self.member = Some(member);
     }
 
     fn handle_signals(&mut self) {
@@ -154,7 +154,7 @@
         }
         // Waiting clients are accepted at once, or a little later if descriptors ran out.
         let accept_pending = self.accept_pending.then(|| self.accept_retry_at.unwrap_or(0));
-        let wakes = [self.node.wake(), self.closing.next_timeout(), accept_pending, self.journal_wake()];
+        let wakes = [self.node.wake(), self.closing.next_timeout(), accept_pending, self.journal_retry_at()];
         let wake = wakes.into_iter().flatten().min();
         wake.map(|at| self.clock.until(at))
     }
@@ -188,8 +188,8 @@
             self.stop_listening_if_refused();
             self.execute_outputs();
             self.handle_closing();
-            if let Some(fleet) = &mut self.fleet {
-                fleet.retry_reports();
+            if let Some(member) = &mut self.member {
+                member.retry_reports();
             }
             if let Ok(mut published) = self.published_stats.lock() {
                 published.clone_from(self.node.stats());
--- a/crates/net/src/reactor/commands.rs
+++ b/crates/net/src/reactor/commands.rs
@@ -75,8 +75,8 @@
             Command::Fence(fence) => self.node.fence(now, fence),
             Command::DryRun(dry_run) => {
                 let result = self.node.weigh(now, &dry_run);
-                if let Some(fleet) = &mut self.fleet {
-                    fleet.report_dry_run(result);
+                if let Some(member) = &mut self.member {
+                    member.report_dry_run(result);
                 }
             }
             Command::Stall(span) => std::thread::sleep(span),
--- a/crates/net/src/reactor/journal.rs
+++ b/crates/net/src/reactor/journal.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns the time at which a failed commit is retried.
-    pub(super) fn journal_wake(&self) -> Option<i64> {
+    pub(super) fn journal_retry_at(&self) -> Option<i64> {
         match &self.journal {
             Some(JournalSink::Own(own)) => own.retry_at,
             _ => None,
@@ -115,7 +115,7 @@
     /// Retries a failed commit if its time has come.
     pub(super) fn retry_journal(&mut self) {
         let now = self.clock.now();
-        if self.journal_wake().is_some_and(|at| at <= now) {
+        if self.journal_retry_at().is_some_and(|at| at <= now) {
             self.commit();
         }
     }
--- a/crates/net/src/reactor/outputs.rs
+++ b/crates/net/src/reactor/outputs.rs
@@ -31,8 +31,8 @@
             Output::Drop(conn) => self.close(conn),
             Output::Journal(entries) => self.write_journal(entries),
             Output::Live(live) => {
-                if let Some(fleet) = &mut self.fleet {
-                    fleet.report_live(live);
+                if let Some(member) = &mut self.member {
+                    member.report_live(live);
                 }
             }
             // Nothing is copied to a partner yet.
@@ -40,7 +40,7 @@
             Output::ClientRequest(request) => {
                 let now = self.clock.now();
                 // Without a member, or without room in its queue, the request is answered at once.
-                if let Some(answer) = self.fleet.as_mut().and_then(|member| member.submit_request(request)) {
+                if let Some(answer) = self.member.as_mut().and_then(|member| member.submit_request(request)) {
                     self.node.told(now, answer);
                 }
             }
--- a/crates/net/src/signals/tests.rs
+++ b/crates/net/src/signals/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_signal_ends_the_wait_and_is_noted_once() {
+fn a_signal_ends_the_wait_and_is_reported_once() {
     let mut signals = Signals::take().unwrap();
     let (mut poll, mut events) = (Poll::new().unwrap(), Events::with_capacity(4));
     poll.registry().register(&mut signals.pipe, Token(1), Interest::READABLE).unwrap();
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -7,7 +7,7 @@
 pub enum Progress {
     /// The socket would block after this many bytes.
     Blocked(usize),
-    /// The buffer was filled, or written, completely; there may be more.
+    /// The operation stopped after this many bytes without blocking; there may be more.
     More(usize),
     /// The peer closed its side after this many bytes.
     Ended(usize),
--- a/crates/platform/src/call/outcome.rs
+++ b/crates/platform/src/call/outcome.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns the outcome of a message that the endpoint will never accept.
-    fn gone(retry_after: Micros) -> Self {
+    fn rejected_for_good(retry_after: Micros) -> Self {
         MessageOutcome { outcome: Outcome::Skipped, retry_after, is_final: true }
     }
 }
@@ -66,7 +66,7 @@
         503 if closed_at_once && retry_after == 0 => MessageOutcome::of(Outcome::Crowded, 0),
         503 => MessageOutcome::of(Outcome::Busy, retry_after),
         504 => MessageOutcome::of(Outcome::Skipped, retry_after),
-        410 => MessageOutcome::gone(retry_after),
+        410 => MessageOutcome::rejected_for_good(retry_after),
         _ => MessageOutcome::of(Outcome::Error, retry_after),
     };
     vec![outcome; ids.len().max(1)]
@@ -82,7 +82,7 @@
         match entry.and_then(|entry| entry["state"].as_str()) {
             Some("ok") => MessageOutcome::of(Outcome::Done, retry_after),
             Some("later") => MessageOutcome::of(Outcome::Busy, retry_after),
-            Some("gone") => MessageOutcome::gone(retry_after),
+            Some("gone") => MessageOutcome::rejected_for_good(retry_after),
             Some("exhausted") => MessageOutcome::of(Outcome::Skipped, retry_after),
             _ => MessageOutcome::of(Outcome::Error, retry_after),
         }
