--- a/crates/cli/src/installation.rs
+++ b/crates/cli/src/installation.rs
@@ -9,7 +9,7 @@
 use heronroute_installation::{self as installation, Client, Installation, Micros, Pace, Planned, Rolling};
 use heronroute_journal::dir::Dir;
 use heronroute_net::Clock;
-use heronroute_net::fleet::Setup;
+use heronroute_net::fleet::MemberSetup;
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -20,17 +20,17 @@
 ///
 /// # Errors
 /// What is wrong, with the field of the settings and the file.
-pub fn setup(cfg: &Config, fleet: &FleetConfig, seed: u64) -> Result<Setup, String> {
+pub fn setup(cfg: &Config, fleet: &FleetConfig, seed: u64) -> Result<MemberSetup, String> {
     // Guards against nodes that wait for a right that nobody gives: what they had taken on would stand still.
     if fleet.regions.is_some() {
         return Err("fleet.regions: the members' part in them is not built yet; leave it out".into());
     }
     let mut origin = Origin::new(cfg, fleet, seed)?;
     // The service's clock starts at nought, after this.
-    let wall = Clock::start_ahead(fleet.clock_ahead).wall();
+    let wall = Clock::start_with_offset(fleet.clock_ahead).wall();
     let (links, member) = origin.begin(0, wall, None)?;
-    let anew = Box::new(move |now, wall, above| origin.begin(now, wall, Some(above)));
-    Ok(Setup { links, listen: fleet.listen, member, anew: Some(anew) })
+    let member_factory = Box::new(move |now, wall, above| origin.begin(now, wall, Some(above)));
+    Ok(MemberSetup { links, listen: fleet.listen, member, member_factory: Some(member_factory) })
 }
 
 /// What all lives of this process's member have alike.
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -30,7 +30,7 @@
 
 pub fn run() -> ExitCode {
     // Signals are taken before anything starts, so that none ends the program halfway.
-    let signals = match Signals::take() {
+    let signals = match Signals::install() {
         Ok(signals) => signals,
         Err(e) => return fail(1, format_args!("signals: {e}")),
     };
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -53,7 +53,7 @@
         Ok(fleet) => fleet,
         Err(e) => return fail(2, format_args!("{}: {e}", path.display())),
     };
-    let service = match Service::start_in(cfg, seed, failed, fleet) {
+    let service = match Service::start_with_member(cfg, seed, failed, fleet) {
         Ok(service) => service,
         Err(e) => return fail(1, e),
     };
@@ -85,7 +85,7 @@
             }
         }
     }
-    service.leave();
+    service.shut_down();
     match service.join() {
         Ok(stats) => {
             tracing::info!(?stats, "out of service");
--- a/crates/drill/benches/end_to_end.rs
+++ b/crates/drill/benches/end_to_end.rs
@@ -66,7 +66,7 @@
             rate / bare,
             delivered * 100.0
         );
-        s.leave();
+        s.shut_down();
         s.join().expect("service");
     }
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bench-end");
@@ -78,7 +78,7 @@
             let s = service(at, 1, &journal);
             pass(s.address(), sessions, window, 10_000, true);
             rates.push(pass(s.address(), sessions, window, 40_000, true).0);
-            s.leave();
+            s.shut_down();
             let stats = s.join().expect("service");
             per_sync = stats.entries as f64 / stats.syncs.max(1) as f64;
         }
@@ -101,7 +101,7 @@
     load.and_then(Running::join).expect("load");
     let share = (spent("sender-0") - before) / start.elapsed().as_secs_f64();
     println!("at 1,100 a second the sender's thread takes {:.1}% of a core", share * 100.0);
-    s.leave();
+    s.shut_down();
     s.join().expect("service");
     std::thread::sleep(Duration::from_millis(10));
     echo.stop().expect("echo");
--- a/crates/drill/benches/fronts.rs
+++ b/crates/drill/benches/fronts.rs
@@ -339,7 +339,7 @@
             let f = f.join().expect("flood");
             println!("    the flood: delivered {}, refused {}", f.delivered, f.refused);
         }
-        s.leave();
+        s.shut_down();
         s.join().expect("service");
         farm.stop().expect("farm");
     }
@@ -408,7 +408,7 @@
             load.delivered as f64 / total as f64 * 100.0
         );
         assert_eq!(load.address, mqtt);
-        s.leave();
+        s.shut_down();
         s.join().expect("service");
     }
     flood();
--- a/crates/drill/src/setup.rs
+++ b/crates/drill/src/setup.rs
@@ -245,7 +245,7 @@
         }
         let mut herd = herd.map(Running::join).transpose()?;
         let mut flock = flock.map(Running::join).transpose()?;
-        service.leave();
+        service.shut_down();
         let stats = service.join()?;
         let farm = self.farm.stop()?;
         let directory = self.directory.stop()?;
--- a/crates/drill/tests/mqtt.rs
+++ b/crates/drill/tests/mqtt.rs
@@ -237,7 +237,7 @@
             break;
         }
     }
-    service.leave();
+    service.shut_down();
     let stats = service.join().unwrap();
     assert_eq!((stats.answers[0], stats.receipts), (acked.len() as u64, acked.len() as u64));
     let arrived = farm.stop().unwrap().arrivals.len();
--- a/crates/engine/src/acceptance.rs
+++ b/crates/engine/src/acceptance.rs
@@ -44,7 +44,7 @@
         self.submitted_bytes = submitted_bytes;
         let id = self.new_id();
         let deadline = self.cfg.settings.classes[class].deadline;
-        let time_left = (add.left_ms.min(i64::MAX as u64 / 1_000) as i64 * 1_000).min(deadline);
+        let time_left = (add.time_left_ms.min(i64::MAX as u64 / 1_000) as i64 * 1_000).min(deadline);
         let ordered = self.cfg.settings.classes[class].ordered;
         self.events.push(Event::Message {
             id,
--- a/crates/engine/src/directory/listing.rs
+++ b/crates/engine/src/directory/listing.rs
@@ -8,7 +8,7 @@
     let endpoint = |e: &Entry| EndpointConfig {
         name: e.id.clone(),
         address: e.addr,
-        destination: e.cell,
+        destination: e.destination,
         kind: e.kind.clone(),
         zone: e.zone.clone(),
         weight: e.weight,
--- a/crates/engine/src/directory/polled.rs
+++ b/crates/engine/src/directory/polled.rs
@@ -195,7 +195,7 @@
                 }
             }
             self.backoff = FIRST_RETRY_DELAY;
-            if message.last {
+            if message.closes_connection {
                 self.state = State::Due(now);
                 return false;
             }
--- a/crates/engine/src/directory/versions.rs
+++ b/crates/engine/src/directory/versions.rs
@@ -55,10 +55,10 @@
             self.older_since.get_or_insert(now);
             return false;
         }
-        if list.passed_over > 0 {
-            tracing::warn!(lines = list.passed_over, "ignoring unreadable lines of the list");
+        if list.unreadable_entries > 0 {
+            tracing::warn!(lines = list.unreadable_entries, "ignoring unreadable lines of the list");
         }
-        if list.passed_over > 0 && !list.full {
+        if list.unreadable_entries > 0 && !list.full {
             self.whole_list_due.get_or_insert(now + WHOLE_LIST_DELAY);
         }
         (self.current, self.older_since, self.unreadable_watches) = (list.version, None, 0);
--- a/crates/engine/src/directory/watched.rs
+++ b/crates/engine/src/directory/watched.rs
@@ -14,7 +14,7 @@
 use heronroute_config::Listing;
 use heronroute_http::{Reader, Side};
 use heronroute_platform::catalog::List;
-use heronroute_platform::watch::{self, Over, Said, Watch};
+use heronroute_platform::watch::{self, Watch, WatchError, WatchEvent};
 use std::net::SocketAddr;
 
 /// The delay before the next attempt after a first failure. It doubles up to the maximum.
@@ -107,15 +107,15 @@
         self.backoff = self.backoff.min(max_backoff);
     }
 
-    fn handle_watch_event(&mut self, now: Micros, event: Said, events: &mut Vec<DirectoryEvent>) {
+    fn handle_watch_event(&mut self, now: Micros, event: WatchEvent, events: &mut Vec<DirectoryEvent>) {
         match event {
-            Said::Head => {
+            WatchEvent::Head => {
                 if let State::Asked { answered, .. } = &mut self.state {
                     *answered = true;
                 }
             }
-            Said::EndOfLine => self.record_sign_of_life(now),
-            Said::List(list) => {
+            WatchEvent::EndOfLine => self.record_sign_of_life(now),
+            WatchEvent::List(list) => {
                 self.record_sign_of_life(now);
                 self.apply_list(now, &list, events);
             }
@@ -125,7 +125,7 @@
     fn start_watch(&mut self, now: Micros, version: u64, stream: &mut Stream) {
         tracing::debug!(now, version, "starting a watch on the list");
         self.request = Request::Watch(Watch::default());
-        watch::ask(version, &self.address.to_string(), &mut stream.out);
+        watch::write_watch_request(version, &self.address.to_string(), &mut stream.out);
     }
 
     /// Returns false if the watch has ended.
@@ -137,7 +137,7 @@
         watch_events.into_iter().for_each(|event| self.handle_watch_event(now, event, events));
         if let Err(over) = result {
             tracing::warn!(%over, "the watch on the list ended");
-            if matches!(over, Over::Unreadable(_)) {
+            if matches!(over, WatchError::InvalidList(_)) {
                 self.versions.record_unreadable(now);
             }
             return false;
@@ -180,7 +180,7 @@
         self.versions.whole_list_received();
         self.apply_list(now, &list, events);
         self.start_watch(now, self.versions.current(), stream);
-        !message.last
+        !message.closes_connection
     }
 
     /// Handles a missing sign of life, or another request that has become due.
@@ -267,7 +267,7 @@
         match self.versions.next_request(now) {
             ListRequest::Whole => {
                 self.request = Request::Whole(Reader::new(Side::Responses, MAX_WHOLE_LIST_BYTES));
-                watch::ask_whole(&self.address.to_string(), &mut stream.out);
+                watch::write_list_request(&self.address.to_string(), &mut stream.out);
             }
             ListRequest::ChangesSince(version) => self.start_watch(now, version, stream),
         }
--- a/crates/engine/src/front/resp.rs
+++ b/crates/engine/src/front/resp.rs
@@ -11,14 +11,14 @@
 use crate::outbox::OwedAnswer;
 use bytes::BytesMut;
 use heronroute_platform::add::{self, Add};
-use heronroute_platform::notice::busy;
-use heronroute_resp::{Command, Limits, Reader, error, simple};
+use heronroute_platform::notice::busy_reply;
+use heronroute_resp::{Command, Limits, Reader, write_error, write_simple_string};
 use heronroute_smpp::receipt::Answer;
 use rusmpp_core::values::MessageState;
 use std::collections::VecDeque;
 
 /// Room for a body of 64 KiB and the arguments before it.
-const LIMITS: Limits = Limits { args: 8, octets: 66 * 1024 };
+const LIMITS: Limits = Limits { args: 8, bytes: 66 * 1024 };
 /// The most requests of a connection that are processed before the first is answered.
 const MAX_PIPELINED: usize = 32;
 /// The time within which a first request, or the rest of a request that has begun, has to arrive.
@@ -80,7 +80,7 @@
                     break;
                 }
                 Err(e) => {
-                    self.queue_reply(|out| error(&format!("ERR {}", e.0), out));
+                    self.queue_reply(|out| write_error(&format!("ERR {}", e.0), out));
                     self.closing = true;
                 }
             }
@@ -105,14 +105,15 @@
 
     /// Returns whether no reply is owed on the connection and nothing more is read from it.
     fn is_finished(&self) -> bool {
-        self.replies.is_empty() && (self.closing || self.shutdown_deadline.is_some() && !self.reader.begun())
+        self.replies.is_empty()
+            && (self.closing || self.shutdown_deadline.is_some() && !self.reader.has_partial_command())
     }
 
     /// Refuses the request that has begun, as the sender can't wait for the rest of it. Guards against
     /// closing the connection without an answer while the request's last byte is in transit.
     fn refuse_unfinished(&mut self) {
-        if !self.closing && self.reader.begun() {
-            self.queue_reply(|out| error("BUSY", out));
+        if !self.closing && self.reader.has_partial_command() {
+            self.queue_reply(|out| write_error("BUSY", out));
         }
         self.closing = true;
     }
@@ -128,12 +129,12 @@
                     });
                     self.replies.push_back(None);
                 }
-                Err(e) => self.queue_reply(|out| error(&format!("ERR {e}"), out)),
+                Err(e) => self.queue_reply(|out| write_error(&format!("ERR {e}"), out)),
             }
         } else if name.eq_ignore_ascii_case(b"PING") && command.is_empty() {
-            self.queue_reply(|out| simple("PONG", out));
+            self.queue_reply(|out| write_simple_string("PONG", out));
         } else {
-            self.queue_reply(|out| error("ERR unknown command", out));
+            self.queue_reply(|out| write_error("ERR unknown command", out));
         }
     }
 
@@ -176,7 +177,7 @@
         out: &mut BytesMut,
         requests: &mut Vec<ClientRequest>,
     ) {
-        if !bytes.is_empty() && !self.reader.begun() {
+        if !bytes.is_empty() && !self.reader.has_partial_command() {
             self.last_activity = now;
         }
         self.reader.push(bytes);
@@ -191,7 +192,9 @@
             // An answer is pending, and the front can do nothing until it comes.
             (false, _) => Micros::MAX,
             (true, Some(at)) => at,
-            (true, None) if self.reader.begun() || !self.served => self.last_activity + REQUEST_TIMEOUT,
+            (true, None) if self.reader.has_partial_command() || !self.served => {
+                self.last_activity + REQUEST_TIMEOUT
+            }
             (true, None) => self.last_activity + IDLE_TIMEOUT,
         }
     }
@@ -199,8 +202,8 @@
     fn tick(&mut self, now: Micros, out: &mut BytesMut, requests: &mut Vec<ClientRequest>) {
         self.process_commands(now, out, requests);
         if self.replies.is_empty() && !self.closing && !self.may_continue() && now >= self.wake() {
-            if self.reader.begun() {
-                error("ERR a request that was not finished", out);
+            if self.reader.has_partial_command() {
+                write_error("ERR a request that was not finished", out);
             }
             requests.push(ClientRequest::Over(None));
         }
@@ -217,7 +220,7 @@
     }
 
     fn accepted(&mut self, token: u32, _: &str, out: &mut BytesMut) {
-        self.write_reply(token, |out| simple("OK", out), out);
+        self.write_reply(token, |out| write_simple_string("OK", out), out);
     }
 
     fn refused(&mut self, token: u32, reason: RejectReason, out: &mut BytesMut) {
@@ -230,15 +233,15 @@
             RejectReason::TooLate => "ERR an idempotency key is wanted in this class",
             RejectReason::Rate | RejectReason::Share | RejectReason::Room | RejectReason::Unsure => "BUSY",
         };
-        self.write_reply(token, |out| error(text, out), out);
+        self.write_reply(token, |out| write_error(text, out), out);
     }
 
     fn answered(&mut self, token: u32, _: &str, answer: Answer, out: &mut BytesMut) -> bool {
         let text = match answer {
-            Answer::Rejected { retry_after } => busy(retry_after),
+            Answer::Rejected { retry_after } => busy_reply(retry_after),
             _ => "ERR failed".to_string(),
         };
-        self.write_reply(token, |out| error(&text, out), out)
+        self.write_reply(token, |out| write_error(&text, out), out)
     }
 
     fn queried(&mut self, _: u32, _: &str, _: MessageState, _: Option<Micros>, _: &mut BytesMut) {}
@@ -261,14 +264,14 @@
     fn listens(&self) -> bool {
         // While the sender shuts down, no further request is read: the client sends what was not read to
         // another sender.
-        let may_read = self.shutdown_deadline.is_none() || self.reader.begun();
+        let may_read = self.shutdown_deadline.is_none() || self.reader.has_partial_command();
         !self.closing
             && may_read
             && self.replies.len() < MAX_PIPELINED
-            && self.reader.waiting() < 2 * LIMITS.octets
+            && self.reader.buffered_bytes() < 2 * LIMITS.bytes
     }
 
     fn idle_since(&self) -> Option<Micros> {
-        (self.replies.is_empty() && !self.reader.begun()).then_some(self.last_activity)
+        (self.replies.is_empty() && !self.reader.has_partial_command()).then_some(self.last_activity)
     }
 }
--- a/crates/engine/src/link/http.rs
+++ b/crates/engine/src/link/http.rs
@@ -79,7 +79,7 @@
                 return events.push(LinkEvent::Unusable("received a response without an open request"));
             }
         }
-        if response.last {
+        if response.closes_connection {
             self.closed = true;
             events.push(LinkEvent::Unusable("the receiver closes the connection"));
         }
@@ -185,7 +185,7 @@
         self.handle_responses(events);
         // The beginning of a second copy would be taken, together with its rest, for the answer to the next
         // call.
-        if !self.closed && self.open_requests.is_empty() && self.reader.begun() {
+        if !self.closed && self.open_requests.is_empty() && self.reader.has_partial_message() {
             self.closed = true;
             events.push(LinkEvent::Unusable("received bytes without an open request"));
         }
--- a/crates/engine/src/link/platform.rs
+++ b/crates/engine/src/link/platform.rs
@@ -58,7 +58,7 @@
             }
             Some(AnswerEvent::RetryAfter(wait)) => events.push(LinkEvent::WaitAnnounced(wait)),
             Some(AnswerEvent::Unusable(why)) => events.push(LinkEvent::Unusable(why)),
-            None if self.answer_reader.has_begun_200() => {
+            None if self.answer_reader.has_incomplete_200() => {
                 self.answer_end_deadline.get_or_insert(now + CONFIRMATION_DELAY);
             }
             None => {}
@@ -167,7 +167,7 @@
         if !self.answer_reader.awaits_answer() && self.answer_history.has_unconfirmed(now) {
             return self.receive_surplus(now, bytes, events);
         }
-        self.answer_reader.wait_for_the_end(self.answer_history.expects_copies());
+        self.answer_reader.set_waits_for_complete_answer(self.answer_history.expects_copies());
         let event = self.answer_reader.receive(bytes, false);
         self.handle_answer_event(now, event, events);
     }
@@ -206,7 +206,7 @@
     fn tick(&mut self, now: Micros, _: &mut Stream, events: &mut Vec<LinkEvent>) {
         if self.answer_end_deadline.is_some_and(|until| until <= now) {
             self.answer_end_deadline = None;
-            let event = self.answer_reader.give_up_the_end();
+            let event = self.answer_reader.accept_incomplete_200();
             self.handle_answer_event(now, event, events);
         }
     }
--- a/crates/engine/src/notices.rs
+++ b/crates/engine/src/notices.rs
@@ -4,15 +4,15 @@
 use crate::ids::ConnId;
 use crate::node::{ConnRole, Node, Output, TimerKey};
 use heronroute::MsgId;
-use heronroute_platform::notice::{End, Want};
+use heronroute_platform::notice::{NoticeAction, UndeliveredEnd};
 use heronroute_smpp::receipt::Answer;
 
 impl Node {
     /// Adds a notice that reports a message's end.
     pub(crate) fn owe_notice(&mut self, id: MsgId, identity: &str, answer: Answer) {
-        let end = answer.retry_after().map_or(End::Failed, End::Returned);
+        let end = answer.retry_after().map_or(UndeliveredEnd::Failed, UndeliveredEnd::Returned);
         if let Some(notices) = &mut self.notices {
-            notices.owe(id, identity, end);
+            notices.add(id, identity, end);
         }
         self.schedule_notices();
     }
@@ -29,13 +29,13 @@
         let conn = self.notices_conn;
         let out = conn.and_then(|c| self.conns.get_mut(&c)).map_or(&mut no_conn, |c| &mut c.stream.out);
         match notices.tick(self.now, out) {
-            Want::Nothing => {}
-            Want::Connect(address) => {
+            NoticeAction::Nothing => {}
+            NoticeAction::Connect(address) => {
                 let conn = self.add_conn(ConnRole::Notices);
                 self.notices_conn = Some(conn);
                 self.outputs.push(Output::Connect { conn, address });
             }
-            Want::Drop => {
+            NoticeAction::Drop => {
                 if let Some(conn) = self.notices_conn.take() {
                     self.drop_conn(conn);
                 }
@@ -64,7 +64,7 @@
         let now = self.now;
         let (Some(n), Some(c)) = (&mut self.notices, self.conns.get_mut(&conn)) else { return };
         let (acknowledged, disconnect) = match n.receive(now, bytes, &mut c.stream.out) {
-            Ok(acknowledged) => (acknowledged, n.apart()),
+            Ok(acknowledged) => (acknowledged, n.is_disconnected()),
             Err(why) => {
                 tracing::warn!(
                     why = why.to_string(),
--- a/crates/http/src/read.rs
+++ b/crates/http/src/read.rs
@@ -39,7 +39,7 @@
     /// Its body.
     pub body: Vec<u8>,
     /// Whether the connection is closed after this message.
-    pub last: bool,
+    pub closes_connection: bool,
 }
 
 impl Message {
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether the stream contains bytes of a message that has not been returned yet.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty() || !matches!(self.state, State::Head)
     }
 
@@ -285,10 +285,10 @@
         if let Start::Response { status } = start {
             self.status = Some(status);
         }
-        let mut head = Message { start, fields, body: Vec::new(), last: false };
+        let mut head = Message { start, fields, body: Vec::new(), closes_connection: false };
         self.retry_after_in_head = head.retry_after();
         let connection = head.field("connection").unwrap_or_default().to_ascii_lowercase();
-        head.last = connection.split(',').any(|w| w.trim() == "close")
+        head.closes_connection = connection.split(',').any(|w| w.trim() == "close")
             || (minor == Some(0) && !connection.contains("keep-alive"));
         self.body_state(head).map(Some)
     }
@@ -310,7 +310,7 @@
         }
         match lengths.as_slice() {
             [] if self.side == Side::Responses => {
-                head.last = true;
+                head.closes_connection = true;
                 Ok(State::UntilClose { head })
             }
             [] => Ok(State::FixedLength { head, remaining: 0 }),
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -13,12 +13,12 @@
 impl Clock {
     /// Creates a clock that starts now, at 0.
     pub fn start() -> Self {
-        Clock::start_ahead(0)
+        Clock::start_with_offset(0)
     }
 
     /// Creates a clock whose wall-clock time is `ahead` microseconds ahead of the machine's, or behind it if
     /// negative.
-    pub fn start_ahead(ahead: i64) -> Self {
+    pub fn start_with_offset(ahead: i64) -> Self {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as i64);
         Clock { start: Instant::now(), wall: wall.saturating_add(ahead) }
     }
--- a/crates/net/src/fleet/mod.rs
+++ b/crates/net/src/fleet/mod.rs
@@ -16,4 +16,4 @@
 mod thread;
 
 pub use member_handle::{MemberHandle, SenderMemberHandle};
-pub use start::{BoundMember, MemberAnswer, MemberFactory, RunningMember, Setup};
+pub use start::{BoundMember, MemberAnswer, MemberFactory, MemberSetup, RunningMember};
--- a/crates/net/src/fleet/start.rs
+++ b/crates/net/src/fleet/start.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// The parameters of a member's thread.
-pub struct Setup {
+pub struct MemberSetup {
     /// The settings of the links to other members.
     pub links: Settings,
     /// The address at which other members connect.
@@ -29,7 +29,7 @@
     pub member: Box<dyn Member>,
     /// Creates the member of a new life if other members have seen a later start number. Without it, the
     /// member stays inactive in that case.
-    pub anew: Option<MemberFactory>,
+    pub member_factory: Option<MemberFactory>,
 }
 
 /// Creates the link settings and the state machine of the member's new life, after raising the member's start
@@ -71,13 +71,13 @@
     ///
     /// # Errors
     /// If it can't listen at the address, no poll can be created, or the list of members is invalid.
-    pub fn new(setup: Setup, clock: Clock) -> Result<Self, StartError> {
+    pub fn new(setup: MemberSetup, clock: Clock) -> Result<Self, StartError> {
         let listener = TcpListener::bind(setup.listen).map_err(|e| StartError::Listen(setup.listen, e))?;
         let address = listener.local_addr()?;
         let switch = Switch::new(clock.now(), setup.links)?;
         let (commands, command_queue) = sync_channel(MAX_QUEUED_COMMANDS);
         let (reactor, waker) =
-            MemberReactor::new(switch, (setup.member, setup.anew), clock, listener, command_queue)?;
+            MemberReactor::new(switch, (setup.member, setup.member_factory), clock, listener, command_queue)?;
         let handle = MemberHandle { commands, waker: waker.into() };
         Ok(BoundMember { reactor, handle, address })
     }
--- a/crates/net/src/service.rs
+++ b/crates/net/src/service.rs
@@ -4,7 +4,7 @@
 
 use crate::acceptor::SenderHandle;
 use crate::clock::Clock;
-use crate::fleet::{BoundMember, MemberAnswer, RunningMember, Setup};
+use crate::fleet::{BoundMember, MemberAnswer, MemberSetup, RunningMember};
 use crate::journal_writer;
 use crate::reactor::Command;
 use heronroute_config::Config;
@@ -79,7 +79,7 @@
         seed: u64,
         on_journal_failure: Arc<dyn Fn() + Send + Sync>,
     ) -> Result<Self, StartError> {
-        Self::start_in(cfg, seed, on_journal_failure, None)
+        Self::start_with_member(cfg, seed, on_journal_failure, None)
     }
 
     /// Starts the service, as a member of an installation if `fleet` is given. `on_journal_failure` is called
@@ -87,13 +87,13 @@
     ///
     /// # Errors
     /// As [`Service::start`].
-    pub fn start_in(
+    pub fn start_with_member(
         cfg: Arc<Config>,
         seed: u64,
         on_journal_failure: Arc<dyn Fn() + Send + Sync>,
-        fleet: Option<Setup>,
+        fleet: Option<MemberSetup>,
     ) -> Result<Self, StartError> {
-        let clock = Clock::start_ahead(cfg.fleet.as_ref().map_or(0, |fleet| fleet.clock_ahead));
+        let clock = Clock::start_with_offset(cfg.fleet.as_ref().map_or(0, |fleet| fleet.clock_ahead));
         let fleet = fleet.map(|setup| BoundMember::new(setup, clock)).transpose()?;
         let journals = journals(&cfg)?;
         let listeners = launch::listeners(&cfg)?;
@@ -172,7 +172,7 @@
     }
 
     /// Begins to shut down: accepts no new clients, answers open messages, and then unbinds the sessions.
-    pub fn leave(&self) {
+    pub fn shut_down(&self) {
         self.closing.store(true, Ordering::Release);
         for (_, waker) in &self.acceptors {
             _ = waker.wake();
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// If the pipe can't be created or a handler can't be installed.
-    pub fn take() -> io::Result<Self> {
+    pub fn install() -> io::Result<Self> {
         let (sender, pipe) = new()?;
         let write_end: OwnedFd = sender.as_fd().try_clone_to_owned()?;
         let (shutdown, reload) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
--- a/crates/net/src/signals/tests.rs
+++ b/crates/net/src/signals/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_signal_ends_the_wait_and_is_reported_once() {
-    let mut signals = Signals::take().unwrap();
+    let mut signals = Signals::install().unwrap();
     let (mut poll, mut events) = (Poll::new().unwrap(), Events::with_capacity(4));
     poll.registry().register(&mut signals.pipe, Token(1), Interest::READABLE).unwrap();
     assert_eq!(signals.take_requests(), (false, false));
--- a/crates/net/tests/fleet.rs
+++ b/crates/net/tests/fleet.rs
@@ -6,7 +6,7 @@
 use heronroute_fleet::{Kind, Life, Name, Peer, Start};
 use heronroute_installation::seam::{Health, Input, Member, Output};
 use heronroute_net::Clock;
-use heronroute_net::fleet::{BoundMember, MemberAnswer, RunningMember, SenderMemberHandle, Setup};
+use heronroute_net::fleet::{BoundMember, MemberAnswer, MemberSetup, RunningMember, SenderMemberHandle};
 use heronroute_rules::seam::{ClientRequest, DryRun, DryRunResult, Live, Token, Told};
 use heronroute_rules::{RuleSet, Turn};
 use std::io::{Read, Write};
@@ -106,7 +106,8 @@
         Box::new(RecordingMember { received: received.clone(), burst, stall_lock: stall_lock.clone() });
     let (to, answers): (Sender<MemberAnswer>, _) = channel();
     let mut bound =
-        BoundMember::new(Setup { links, listen: at[n], member, anew: None }, Clock::start()).unwrap();
+        BoundMember::new(MemberSetup { links, listen: at[n], member, member_factory: None }, Clock::start())
+            .unwrap();
     let sender = |room| Stats { refused_room: room, answers: [9, 0, 1, 0, 0, 0], ..Stats::default() };
     bound.set_health_source([3, 4].map(|room| Arc::new(Mutex::new(sender(room)))).to_vec());
     let thread = bound.run(Box::new(move |answer| _ = to.send(answer))).unwrap();
--- a/crates/net/tests/fleet_off.rs
+++ b/crates/net/tests/fleet_off.rs
@@ -7,7 +7,7 @@
 use heronroute_fleet::{Life, Name, Peer, Start};
 use heronroute_installation::seam::{Input, Member, Output};
 use heronroute_net::Service;
-use heronroute_net::fleet::Setup;
+use heronroute_net::fleet::MemberSetup;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     assert_eq!(threads, ["door-smpp", "sender-0"]);
     // A poll and a waker for each thread, and one listener.
     assert_eq!(descriptors, 5);
-    plain.leave();
+    plain.shut_down();
     plain.join().unwrap();
 
     let any_port = "127.0.0.1:0".parse().unwrap();
@@ -57,12 +57,12 @@
     let peer = Peer { name: me.name.clone(), zone: "z".into(), address: any_port, keeper: true };
     let key = Key::read(&"5a".repeat(32)).unwrap();
     let links = Settings { installation: "i".into(), me, peers: vec![peer], key, seed: 1 };
-    let setup = Setup { links, listen: any_port, member: Box::new(InertMember), anew: None };
-    let member = Service::start_in(cfg, 1, Arc::new(|| ()), Some(setup)).unwrap();
+    let setup = MemberSetup { links, listen: any_port, member: Box::new(InertMember), member_factory: None };
+    let member = Service::start_with_member(cfg, 1, Arc::new(|| ()), Some(setup)).unwrap();
     let (threads, with_fleet) = added_since_start(&threads_and_descriptors());
     assert_eq!(threads, ["door-smpp", "fleet", "sender-0"], "a fleet is counted if there is one");
     assert_eq!(with_fleet, descriptors + 3);
-    member.leave();
+    member.shut_down();
     member.join().unwrap();
     assert_eq!(threads_and_descriptors(), before, "all threads and descriptors are released");
 }
--- a/crates/platform/src/add.rs
+++ b/crates/platform/src/add.rs
@@ -10,7 +10,7 @@
     /// Its tenant, by name.
     pub tenant: String,
     /// The time that remains to deliver it, in milliseconds.
-    pub left_ms: u64,
+    pub time_left_ms: u64,
     /// Its destination, by number.
     pub dest: i64,
     /// Its idempotency key.
@@ -90,7 +90,7 @@
                 _ => {}
             }
         }
-        add.left_ms = deadline_ms.filter(|l| *l > 0).ok_or(AddError::NoDeadline)?;
+        add.time_left_ms = deadline_ms.filter(|l| *l > 0).ok_or(AddError::NoDeadline)?;
         add.dest = dest.ok_or(AddError::NoDestination)?;
         Ok(add)
     }
--- a/crates/platform/src/call/answers.rs
+++ b/crates/platform/src/call/answers.rs
@@ -40,7 +40,7 @@
         if names_messages {
             return Identity::Named;
         }
-        if answer.last {
+        if answer.closes_connection {
             return Identity::Closing;
         }
         Identity::Plain(digest(answer))
@@ -104,7 +104,7 @@
 
     /// Returns whether a part of an answer has been received.
     pub fn has_begun(&self) -> bool {
-        self.reader.begun()
+        self.reader.has_partial_message()
     }
 
     /// Returns whether no complete answer has been read on this connection yet.
@@ -120,7 +120,7 @@
 
     /// Sets whether an answer with status 200 counts only once it is complete. Otherwise its status line is
     /// the outcome at once.
-    pub fn wait_for_the_end(&mut self, waits: bool) {
+    pub fn set_waits_for_complete_answer(&mut self, waits: bool) {
         self.waits_for_complete_answer = waits;
     }
 
@@ -139,14 +139,14 @@
     }
 
     /// Returns whether an incomplete answer with status 200 to a single message has been received.
-    pub fn has_begun_200(&self) -> bool {
+    pub fn has_incomplete_200(&self) -> bool {
         let single = self.in_flight.as_ref().is_some_and(|ids| ids.len() == 1);
         single && self.reader.status_so_far() == Some(200)
     }
 
     /// Takes the status line with status 200 as the outcome although the answer is not complete.
-    pub fn give_up_the_end(&mut self) -> Option<AnswerEvent> {
-        self.has_begun_200().then(|| self.delivered_without_end())
+    pub fn accept_incomplete_200(&mut self) -> Option<AnswerEvent> {
+        self.has_incomplete_200().then(|| self.delivered_without_end())
     }
 
     fn delivered_without_end(&mut self) -> AnswerEvent {
@@ -189,8 +189,8 @@
         };
         // Guards against a second copy or noise after a good answer: further bytes on this connection belong
         // to no call.
-        let mut unusable = answer.last || closed || self.reader.begun();
-        let closed_at_once = std::mem::take(&mut self.is_new) && answer.last;
+        let mut unusable = answer.closes_connection || closed || self.reader.has_partial_message();
+        let closed_at_once = std::mem::take(&mut self.is_new) && answer.closes_connection;
         let named = names_its_call(answer, &ids);
         self.identity = Some(Identity::of(answer, named));
         let outcomes = message_outcomes(answer, &ids, closed_at_once);
@@ -203,7 +203,7 @@
     fn incomplete(&mut self, closed: bool) -> Option<AnswerEvent> {
         // Guards against an answer with status 200 that never completes: its message has been delivered all
         // the same.
-        if self.has_begun_200() && (closed || !self.waits_for_complete_answer) {
+        if self.has_incomplete_200() && (closed || !self.waits_for_complete_answer) {
             return Some(self.delivered_without_end());
         }
         // Guards against reporting a wait, which applies as soon as the head is read, only with the last byte
--- a/crates/platform/src/catalog.rs
+++ b/crates/platform/src/catalog.rs
@@ -16,7 +16,7 @@
     /// Its kind.
     pub kind: String,
     /// The destination that it belongs to.
-    pub cell: i64,
+    pub destination: i64,
     /// Its status.
     pub status: Status,
     /// Its weight, if the list states one.
@@ -34,7 +34,7 @@
     pub entries: Vec<Entry>,
     /// The number of unreadable entries. Among changes they have no effect; a full list counts as not naming
     /// them.
-    pub passed_over: usize,
+    pub unreadable_entries: usize,
 }
 
 /// Why a document is not a list.
@@ -75,8 +75,8 @@
         let full = value["full"].as_bool().ok_or(invalid_field("full", "true or false"))?;
         let values = value["servers"].as_array().ok_or(invalid_field("servers", "a list"))?;
         let entries: Vec<Entry> = values.iter().filter_map(parse_entry).collect();
-        let passed_over = values.len() - entries.len();
-        Ok(List { version, full, entries, passed_over })
+        let unreadable_entries = values.len() - entries.len();
+        Ok(List { version, full, entries, unreadable_entries })
     }
 }
 
@@ -93,7 +93,7 @@
         addr: value["addr"].as_str()?.parse().ok()?,
         zone: text("zone")?,
         kind: text("kind")?,
-        cell: value["cell"].as_i64()?,
+        destination: value["cell"].as_i64()?,
         status,
         weight: value["weight"].as_f64(),
     })
--- a/crates/platform/src/notice.rs
+++ b/crates/platform/src/notice.rs
@@ -32,7 +32,7 @@
 
 /// How an undelivered message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum UndeliveredEnd {
     /// The message failed.
     Failed,
     /// The message is returned: the client may safely submit it again after this wait.
@@ -46,9 +46,9 @@
 }
 
 /// Returns the JSON line of a notice.
-fn notice_line(id: &str, end: End) -> String {
+fn notice_line(id: &str, end: UndeliveredEnd) -> String {
     let mut fields = json!({"id": id, "state": "failed"});
-    if let End::Returned(wait) = end {
+    if let UndeliveredEnd::Returned(wait) = end {
         fields["state"] = json!("returned");
         if let Some(ms) = wait_ms(wait) {
             fields["after_ms"] = json!(ms);
@@ -89,7 +89,7 @@
 
 /// The action that the caller must take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum NoticeAction {
     /// No action.
     Nothing,
     /// Open a connection to this address.
@@ -130,7 +130,7 @@
     }
 
     /// Adds a notice.
-    pub fn owe(&mut self, message: N, id: &str, end: End) {
+    pub fn add(&mut self, message: N, id: &str, end: UndeliveredEnd) {
         self.waiting.push_back((message, notice_line(id, end)));
     }
 
@@ -172,21 +172,21 @@
     }
 
     /// Handles timeouts, and sends pending notices.
-    pub fn tick(&mut self, now: Micros, out: &mut BytesMut) -> Want {
+    pub fn tick(&mut self, now: Micros, out: &mut BytesMut) -> NoticeAction {
         match self.state {
             State::Disconnected(at) if at <= now && self.pending_count() > 0 => {
                 self.state = State::Connecting(now + self.timeout());
-                Want::Connect(self.address)
+                NoticeAction::Connect(self.address)
             }
             State::Connecting(at) | State::AwaitingAnswer(at) if at <= now => {
                 self.ended(now);
-                Want::Drop
+                NoticeAction::Drop
             }
             State::Idle => {
                 self.write(now, out);
-                Want::Nothing
+                NoticeAction::Nothing
             }
-            _ => Want::Nothing,
+            _ => NoticeAction::Nothing,
         }
     }
 
@@ -246,7 +246,7 @@
                         acknowledged.extend(answered.map(|(message, _)| message));
                     }
                     (self.state, self.backoff) = (State::Idle, MIN_BACKOFF);
-                    if answer.last {
+                    if answer.closes_connection {
                         self.state = State::Disconnected(now);
                         return Ok(acknowledged);
                     }
@@ -265,7 +265,7 @@
     }
 
     /// Returns whether there is no connection.
-    pub fn apart(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         matches!(self.state, State::Disconnected(_))
     }
 
@@ -274,7 +274,7 @@
         while let Some(notice) = self.in_flight.pop_back() {
             self.waiting.push_front(notice);
         }
-        if !self.apart() {
+        if !self.is_disconnected() {
             self.state = State::Disconnected(now + self.backoff);
             self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         }
@@ -282,6 +282,6 @@
 }
 
 /// Returns the reply to a client whose message was refused at once.
-pub fn busy(wait: Micros) -> String {
+pub fn busy_reply(wait: Micros) -> String {
     wait_ms(wait).map_or("BUSY".to_string(), |ms| format!("BUSY {ms}"))
 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -126,7 +126,7 @@
 /// The settings in the platform's format.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct ProfileData {
+pub struct PlatformSettings {
     azs: Vec<String>,
     balancers: Option<u32>,
     customers: Option<Vec<Customer>>,
@@ -158,7 +158,7 @@
     pub connect_timeout: Option<Micros>,
 }
 
-impl ProfileData {
+impl PlatformSettings {
     /// Returns the names, by the indexes that the decision library uses.
     pub fn names(&self) -> Names {
         Names {
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -1,7 +1,7 @@
 //! The configuration that a sender starts with.
 
 use crate::catalog::{List, ListError};
-use crate::settings::{Names, ProfileData};
+use crate::settings::{Names, PlatformSettings};
 use heronroute::{Settings, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
     seed: String,
     limits: Limits,
     known: Option<serde_json::Value>,
-    settings: ProfileData,
+    settings: PlatformSettings,
 }
 
 /// Why a configuration can't be used.
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -14,14 +14,14 @@
 const MAX_SIZE_LINE_BYTES: usize = 64;
 
 /// Writes the request for a watch of changes after a version.
-pub fn ask(version: u64, host: &str, out: &mut BytesMut) {
+pub fn write_watch_request(version: u64, host: &str, out: &mut BytesMut) {
     let target = format!("/catalog/members?follow=1&since={version}");
     heronroute_http::write_request("GET", &target, host, &[], b"", out);
 }
 
 /// An event of a watch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum WatchEvent {
     /// The head of the answer was read.
     Head,
     /// An empty line, or the end of the line after a list, was read. It shows that the watch is alive.
@@ -32,7 +32,7 @@
 
 /// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
-pub enum Over {
+pub enum WatchError {
     /// The request was answered with a status other than 200.
     #[error("status {0}")]
     Status(u16),
@@ -50,11 +50,11 @@
     Stream(StreamError),
     /// An object is not a list.
     #[error("invalid list: {0}")]
-    Unreadable(ListError),
+    InvalidList(ListError),
 }
 
 /// Writes the request for the full list, without a watch.
-pub fn ask_whole(host: &str, out: &mut BytesMut) {
+pub fn write_list_request(host: &str, out: &mut BytesMut) {
     heronroute_http::write_request("GET", "/catalog/members", host, &[], b"", out);
 }
 
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// If the watch has ended or can't be parsed any further. `events` then contains the events before that.
-    pub fn receive(&mut self, bytes: &[u8], events: &mut Vec<Said>) -> Result<(), Over> {
+    pub fn receive(&mut self, bytes: &[u8], events: &mut Vec<WatchEvent>) -> Result<(), WatchError> {
         self.buffer.extend_from_slice(bytes);
         loop {
             let made_progress = match self.state {
@@ -126,13 +126,13 @@
     }
 
     /// Parses the head. Returns whether it is complete.
-    fn head(&mut self, events: &mut Vec<Said>) -> Result<bool, Over> {
+    fn head(&mut self, events: &mut Vec<WatchEvent>) -> Result<bool, WatchError> {
         let mut fields = [httparse::EMPTY_HEADER; 64];
         let mut head = httparse::Response::new(&mut fields);
         match head.parse(&self.buffer) {
             Ok(httparse::Status::Complete(n)) => {
                 if head.code != Some(200) {
-                    return Err(Over::Status(head.code.unwrap_or(0)));
+                    return Err(WatchError::Status(head.code.unwrap_or(0)));
                 }
                 let chunked = head.headers.iter().any(|h| {
                     h.name.eq_ignore_ascii_case("transfer-encoding")
@@ -140,18 +140,18 @@
                 });
                 self.state = if chunked { State::Size } else { State::UntilClose };
                 self.buffer.advance(n);
-                events.push(Said::Head);
+                events.push(WatchEvent::Head);
                 Ok(true)
             }
             Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_HEAD_BYTES => Ok(false),
-            _ => Err(Over::Head),
+            _ => Err(WatchError::Head),
         }
     }
 
     /// Takes a line of the chunked coding, if it is complete.
-    fn line(&mut self) -> Result<Option<String>, Over> {
+    fn line(&mut self) -> Result<Option<String>, WatchError> {
         let Some(end) = self.buffer.iter().take(MAX_SIZE_LINE_BYTES).position(|b| *b == b'\n') else {
-            return if self.buffer.len() >= MAX_SIZE_LINE_BYTES { Err(Over::Chunk) } else { Ok(None) };
+            return if self.buffer.len() >= MAX_SIZE_LINE_BYTES { Err(WatchError::Chunk) } else { Ok(None) };
         };
         let line = String::from_utf8_lossy(&self.buffer[..end]).trim().to_string();
         self.buffer.advance(end + 1);
@@ -159,42 +159,44 @@
     }
 
     /// Parses the line with a chunk's size. Returns whether it is complete.
-    fn size(&mut self) -> Result<bool, Over> {
+    fn size(&mut self) -> Result<bool, WatchError> {
         let Some(line) = self.line()? else { return Ok(false) };
         let size = line.split(';').next().unwrap_or("").trim();
         match usize::from_str_radix(size, 16) {
-            Ok(0) => Err(Over::Ended),
+            Ok(0) => Err(WatchError::Ended),
             Ok(n) => {
                 self.state = State::Chunk(n);
                 Ok(true)
             }
-            Err(_) => Err(Over::Chunk),
+            Err(_) => Err(WatchError::Chunk),
         }
     }
 
     /// Parses the end of line after a chunk. Returns whether it is complete.
-    fn chunk_end(&mut self) -> Result<bool, Over> {
+    fn chunk_end(&mut self) -> Result<bool, WatchError> {
         match self.line()? {
             None => Ok(false),
             Some(line) if line.is_empty() => {
                 self.state = State::Size;
                 Ok(true)
             }
-            Some(_) => Err(Over::Chunk),
+            Some(_) => Err(WatchError::Chunk),
         }
     }
 
     /// Passes the next `n` bytes of the body to the splitter, and appends the events that they complete.
-    fn split_body(&mut self, n: usize, events: &mut Vec<Said>) -> Result<(), Over> {
+    fn split_body(&mut self, n: usize, events: &mut Vec<WatchEvent>) -> Result<(), WatchError> {
         let mut elements = Vec::new();
         let result = self.splitter.push(&self.buffer[..n], &mut elements);
         self.buffer.advance(n);
         for element in elements {
             events.push(match element {
-                StreamElement::EndOfLine => Said::EndOfLine,
-                StreamElement::Object(text) => Said::List(List::read(&text).map_err(Over::Unreadable)?),
+                StreamElement::EndOfLine => WatchEvent::EndOfLine,
+                StreamElement::Object(text) => {
+                    WatchEvent::List(List::read(&text).map_err(WatchError::InvalidList)?)
+                }
             });
         }
-        result.map_err(Over::Stream)
+        result.map_err(WatchError::Stream)
     }
 }
--- a/crates/platform/tests/add.rs
+++ b/crates/platform/tests/add.rs
@@ -9,7 +9,7 @@
 #[test]
 fn invalid_arguments_are_rejected() {
     let a = read("9b1f", "c=notice,t=acme,d=8000,k=5c0f,dest=7,r=1,new=x").unwrap();
-    assert_eq!((a.class.as_str(), a.tenant.as_str(), a.left_ms, a.dest), ("notice", "acme", 8000, 7));
+    assert_eq!((a.class.as_str(), a.tenant.as_str(), a.time_left_ms, a.dest), ("notice", "acme", 8000, 7));
     assert_eq!((a.key.as_deref(), a.again, a.body.as_slice()), (Some("5c0f"), true, b"body".as_slice()));
     for (id, pairs) in [
         ("", "c=n,t=a,d=8,dest=7"),
--- a/crates/platform/tests/catalog.rs
+++ b/crates/platform/tests/catalog.rs
@@ -11,9 +11,9 @@
     let bad = ENTRY.replace("DRAINING", "ASLEEP");
     let text = format!(r#"{{"version":7,"full":false,"servers":[{bad},{ENTRY},4]}}"#);
     let list = List::read(text.as_bytes()).unwrap();
-    assert_eq!((list.version, list.full, list.passed_over), (7, false, 2));
+    assert_eq!((list.version, list.full, list.unreadable_entries), (7, false, 2));
     let e = &list.entries[0];
-    assert_eq!((e.cell, e.status, e.weight), (3, Status::Draining, Some(1.5)));
+    assert_eq!((e.destination, e.status, e.weight), (3, Status::Draining, Some(1.5)));
     assert!(List::read(b"{}").unwrap_err().to_string().contains("version"));
 }
 
--- a/crates/platform/tests/notices.rs
+++ b/crates/platform/tests/notices.rs
@@ -3,7 +3,7 @@
 
 use bytes::BytesMut;
 use heronroute::Micros;
-use heronroute_platform::notice::{End, Notices, Want};
+use heronroute_platform::notice::{NoticeAction, Notices, UndeliveredEnd};
 use std::net::SocketAddr;
 
 /// The time in which the end of a message must be reported after its deadline, in microseconds.
@@ -17,9 +17,9 @@
 fn a_notice_is_pending_until_acknowledged_across_a_broken_connection_and_a_new_address() {
     let (mut notices, mut out) = (Notices::new(at(1)), BytesMut::new());
     assert_eq!(notices.wake(), Micros::MAX, "no notice is pending");
-    notices.owe(1, "a", End::Failed);
-    notices.owe(2, "b", End::Returned(1_500));
-    assert_eq!(notices.tick(0, &mut out), Want::Connect(at(1)));
+    notices.add(1, "a", UndeliveredEnd::Failed);
+    notices.add(2, "b", UndeliveredEnd::Returned(1_500));
+    assert_eq!(notices.tick(0, &mut out), NoticeAction::Connect(at(1)));
     notices.connected(5, &mut out);
     let text = String::from_utf8_lossy(&out).into_owned();
     assert!(text.starts_with("POST /v1/outcomes HTTP/1.1\r\n"));
@@ -29,21 +29,21 @@
     notices.moved(10, at(2));
     assert_eq!(
         (notices.pending_count(), notices.tick(10, &mut out)),
-        (2, Want::Connect(at(2))),
+        (2, NoticeAction::Connect(at(2))),
         "they are sent again to the new address"
     );
     notices.connected(11, &mut out);
     assert!(out.len() > text.len() - 8);
-    notices.owe(3, "c", End::Failed);
+    notices.add(3, "c", UndeliveredEnd::Failed);
     out.clear();
     let acknowledged = notices.receive(12, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap();
     assert_eq!((acknowledged, notices.pending_count()), (vec![1, 2], 1));
     assert!(!out.is_empty(), "the next one is sent on the same connection");
     let unanswered = notices.wake();
-    assert_eq!(notices.tick(unanswered, &mut out), Want::Drop, "the answer timed out");
+    assert_eq!(notices.tick(unanswered, &mut out), NoticeAction::Drop, "the answer timed out");
     let again = notices.wake();
     assert!(again > unanswered);
-    assert_eq!(notices.tick(again, &mut out), Want::Connect(at(2)));
+    assert_eq!(notices.tick(again, &mut out), NoticeAction::Connect(at(2)));
     notices.connected(again, &mut out);
     assert!(notices.receive(again, b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n", &mut out).is_err());
     assert_eq!(notices.pending_count(), 1);
@@ -75,7 +75,7 @@
 /// Simulates a failing attempt that begins now, and advances `now` to the time of the next attempt.
 fn failing_attempt(notices: &mut Notices<u32>, now: &mut Micros, failure: Failure) {
     let mut out = BytesMut::new();
-    assert_eq!(notices.tick(*now, &mut out), Want::Connect(at(1)));
+    assert_eq!(notices.tick(*now, &mut out), NoticeAction::Connect(at(1)));
     if !matches!(failure, Failure::NeverConnected | Failure::Refused) {
         notices.connected(*now, &mut out);
         assert!(!out.is_empty(), "the notice is written at once");
@@ -90,7 +90,7 @@
         }
         Failure::NeverConnected | Failure::Unanswered => {
             *now = notices.wake();
-            assert_eq!(notices.tick(*now, &mut out), Want::Drop);
+            assert_eq!(notices.tick(*now, &mut out), NoticeAction::Drop);
         }
     }
     assert_eq!(notices.pending_count(), 1, "the notice is still pending");
@@ -102,10 +102,10 @@
     for first in FAILURES {
         for second in FAILURES {
             let (mut notices, mut now, mut out) = (Notices::new(at(1)), 0, BytesMut::new());
-            notices.owe(1, "a", End::Failed);
+            notices.add(1, "a", UndeliveredEnd::Failed);
             failing_attempt(&mut notices, &mut now, first);
             failing_attempt(&mut notices, &mut now, second);
-            assert_eq!(notices.tick(now, &mut out), Want::Connect(at(1)));
+            assert_eq!(notices.tick(now, &mut out), NoticeAction::Connect(at(1)));
             notices.connected(now, &mut out);
             assert!(now < MAX_REPORT_DELAY, "{first:?}, then {second:?}: sent after {now} us");
             assert_eq!(notices.receive(now, b"HTTP/1.1 204 No Content\r\n\r\n", &mut out).unwrap(), [1]);
@@ -116,7 +116,7 @@
 #[test]
 fn the_number_of_attempts_is_bounded_while_all_fail() {
     let (mut notices, mut now, mut attempts) = (Notices::new(at(1)), 0, 0);
-    notices.owe(1, "a", End::Failed);
+    notices.add(1, "a", UndeliveredEnd::Failed);
     while now < 10_000_000 {
         failing_attempt(&mut notices, &mut now, Failure::Refused);
         attempts += 1;
@@ -131,7 +131,7 @@
         ("noise\r\n\r\n", "not an HTTP response"),
     ] {
         let (mut notices, mut out) = (Notices::new(at(1)), BytesMut::new());
-        notices.owe(1, "a", End::Failed);
+        notices.add(1, "a", UndeliveredEnd::Failed);
         notices.tick(0, &mut out);
         notices.connected(0, &mut out);
         let error = notices.receive(0, answer.as_bytes(), &mut out).unwrap_err();
@@ -144,12 +144,12 @@
 /// Returns notices of which the first is acknowledged and the second is in flight on the same connection.
 fn second_in_flight() -> (Notices<u64>, BytesMut) {
     let (mut notices, mut out) = (Notices::new(at(1)), BytesMut::new());
-    notices.owe(1, "a", End::Failed);
-    assert_eq!(notices.tick(0, &mut out), Want::Connect(at(1)));
+    notices.add(1, "a", UndeliveredEnd::Failed);
+    assert_eq!(notices.tick(0, &mut out), NoticeAction::Connect(at(1)));
     notices.connected(0, &mut out);
     assert_eq!(notices.receive(10, ACKNOWLEDGED, &mut out).unwrap(), [1]);
-    notices.owe(2, "b", End::Failed);
-    assert_eq!(notices.tick(20, &mut out), Want::Nothing);
+    notices.add(2, "b", UndeliveredEnd::Failed);
+    assert_eq!(notices.tick(20, &mut out), NoticeAction::Nothing);
     (notices, out)
 }
 
--- a/crates/platform/tests/watch.rs
+++ b/crates/platform/tests/watch.rs
@@ -1,14 +1,14 @@
 //! Tests of the answer to a watch.
 
 use heronroute_platform::objects::MAX_OBJECT_BYTES;
-use heronroute_platform::watch::{Over, Said, Watch};
+use heronroute_platform::watch::{Watch, WatchError, WatchEvent};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const BODY: &str =
     "{\"version\":1,\"full\":true,\"servers\":[]}\n\n{\"version\":2,\"full\":false,\"servers\":[]}\n";
 
-fn versions(events: &[Said]) -> Vec<u64> {
-    events.iter().filter_map(|s| if let Said::List(l) = s { Some(l.version) } else { None }).collect()
+fn versions(events: &[WatchEvent]) -> Vec<u64> {
+    events.iter().filter_map(|s| if let WatchEvent::List(l) = s { Some(l.version) } else { None }).collect()
 }
 
 fn indented() -> String {
@@ -26,9 +26,9 @@
                 w.receive(piece, &mut events).unwrap();
             }
             assert_eq!(versions(&events), [1, 2], "{body:?} in pieces of {size}");
-            assert_eq!((&events[0], w.has_begun_list()), (&Said::Head, false));
+            assert_eq!((&events[0], w.has_begun_list()), (&WatchEvent::Head, false));
             assert!(
-                matches!(w.receive(b"0\r\n\r\n", &mut events), Err(Over::Ended)),
+                matches!(w.receive(b"0\r\n\r\n", &mut events), Err(WatchError::Ended)),
                 "the last chunk ends the watch"
             );
         }
@@ -57,8 +57,8 @@
         let (mut w, mut events) = (Watch::default(), Vec::new());
         let result = w.receive(format!("{HEAD}{:x}\r\n{body}\r\n", body.len()).as_bytes(), &mut events);
         let error = result.unwrap_err();
-        assert_eq!(matches!(error, Over::Stream(_)), is_stream_error, "{error}");
-        assert_eq!(matches!(error, Over::Unreadable(_)), !is_stream_error, "{error}");
+        assert_eq!(matches!(error, WatchError::Stream(_)), is_stream_error, "{error}");
+        assert_eq!(matches!(error, WatchError::InvalidList(_)), !is_stream_error, "{error}");
         assert_eq!(versions(&events), [1, 2]);
     }
 }
@@ -67,7 +67,7 @@
 fn an_incomplete_list_is_not_reported_but_known_to_have_begun() {
     let (mut w, mut events) = (Watch::default(), Vec::new());
     w.receive(format!("{HEAD}9\r\n{}\r\n", &indented()[..9]).as_bytes(), &mut events).unwrap();
-    assert_eq!((events, w.has_begun_list()), (vec![Said::Head], true));
+    assert_eq!((events, w.has_begun_list()), (vec![WatchEvent::Head], true));
 }
 
 #[test]
--- a/crates/relay/tests/client.rs
+++ b/crates/relay/tests/client.rs
@@ -56,7 +56,7 @@
     assert!(other.answer(number, SOON).unwrap().text.starts_with(&format!("id:{id} stat:")));
     let wrong = client.ask("no/such/topic", "", SOON);
     assert!(matches!(wrong, Err(ClientError::Refused(0x90, _))), "{wrong:?}");
-    service.leave();
+    service.shut_down();
     service.join().unwrap();
     let gone = client.ask("held/list", "", SOON);
     assert!(matches!(gone, Err(ClientError::Lost(_))), "{gone:?}");
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -19,12 +19,12 @@
 use std::fmt::Write;
 
 /// Appends a simple string.
-pub fn simple(text: &str, out: &mut BytesMut) {
+pub fn write_simple_string(text: &str, out: &mut BytesMut) {
     _ = write!(out, "+{text}\r\n");
 }
 
 /// Appends an error line. Control characters, which could end the line early, are removed.
-pub fn error(text: &str, out: &mut BytesMut) {
+pub fn write_error(text: &str, out: &mut BytesMut) {
     let clean: String = text.chars().filter(|c| !c.is_control()).collect();
     _ = write!(out, "-{clean}\r\n");
 }
--- a/crates/resp/src/read.rs
+++ b/crates/resp/src/read.rs
@@ -8,7 +8,7 @@
     /// The number of arguments of a command, its name included.
     pub args: usize,
     /// The size of all arguments of a command together, in bytes.
-    pub octets: usize,
+    pub bytes: usize,
 }
 
 /// The arguments of a command, its name first.
@@ -45,17 +45,17 @@
     }
 
     /// Appends bytes received from the stream.
-    pub fn push(&mut self, octets: &[u8]) {
-        self.buffer.extend_from_slice(octets);
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Returns the number of buffered bytes that are not part of an argument yet.
-    pub fn waiting(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
     /// Returns whether the stream contains bytes of a command that has not been returned yet.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_command(&self) -> bool {
         self.args_missing > 0 || !self.buffer.is_empty()
     }
 
@@ -96,7 +96,7 @@
             } else {
                 // Guards against values of, for example, 60 MB: a value that would be rejected is not
                 // waited for.
-                if n > self.limits.octets.saturating_sub(self.declared_bytes) {
+                if n > self.limits.bytes.saturating_sub(self.declared_bytes) {
                     return Err(ParseError("too long"));
                 }
                 self.declared_bytes += n;
--- a/crates/resp/tests/read.rs
+++ b/crates/resp/tests/read.rs
@@ -3,7 +3,7 @@
 use heronroute_resp::{Command, Limits, Reader};
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits { args: 5, octets: 100 };
+const LIMITS: Limits = Limits { args: 5, bytes: 100 };
 
 fn read_all(pieces: &[&[u8]]) -> (Vec<Command>, Option<&'static str>) {
     let (mut reader, mut read) = (Reader::new(LIMITS), Vec::new());
@@ -47,7 +47,7 @@
 proptest! {
     #[test]
     fn commands_are_the_same_however_the_stream_is_split(
-        octets in proptest::collection::vec(prop_oneof![
+        bytes in proptest::collection::vec(prop_oneof![
             Just(b'*'), Just(b'$'), Just(b'\r'), Just(b'\n'), Just(b'1'), Just(b'2'), any::<u8>()], 0..80),
         commands in proptest::collection::vec(proptest::collection::vec(
             proptest::collection::vec(any::<u8>(), 0..19), 1..5), 0..5),
@@ -62,7 +62,7 @@
                 stream.extend_from_slice(b"\r\n");
             }
         }
-        stream.extend_from_slice(&octets);
+        stream.extend_from_slice(&bytes);
         let whole = read_all(&[&stream]);
         prop_assert_eq!(&whole.0[..commands.len()], &commands[..]);
         let (mut pieces, mut at, mut i) = (Vec::new(), 0, 0);
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -243,7 +243,7 @@
         let seed = fields.get(1, "a whole number")?;
         let seed = seed.as_u64().or_else(|| seed.as_i64().map(|s| s as u64));
         let seed = seed.ok_or_else(|| fields.error(1, "a whole number"))?;
-        let data = settings::ProfileData::deserialize(fields.get(2, "the settings")?)
+        let data = settings::PlatformSettings::deserialize(fields.get(2, "the settings")?)
             .map_err(|e| format!("NewInstance {name}: settings: {e}"))?;
         let dispatcher =
             Dispatcher::new(now, seed, data.settings()).map_err(|e| format!("NewInstance {name}: {e}"))?;
