--- a/crates/drift/src/acts/mod.rs
+++ b/crates/drift/src/acts/mod.rs
@@ -1,4 +1,4 @@
-//! What is done about a member that is not in line.
+//! Corrective actions for members that are not in line.
 
 mod budget;
 mod ladder;
@@ -9,57 +9,59 @@
 use heronroute_fleet::{Life, Term};
 use serde::{Deserialize, Serialize};
 
-/// Clients named in one act at most; the rest follows with the next one.
+/// The maximum number of clients in one action; the others follow in the next one.
 pub const MOST_NAMED: usize = 16;
 
-/// An act. To wait is one too: it is the act where no order is given.
+/// A corrective action. Waiting is expressed by giving no order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Act {
-    /// Send the desired versions of these clients once more.
+    /// Send the desired versions of these clients again.
     SendAgain {
-        /// Which.
+        /// The clients.
         clients: Vec<String>,
     },
-    /// Send everything that is desired: of each client what the member's wave is meant to apply.
+    /// Send the desired state of all clients, as it applies to the member's wave.
     SendWhole {
-        /// Those left out.
+        /// The clients to leave out.
         except: Vec<String>,
     },
-    /// Take these clients back to what is approved: the member is ahead of it.
+    /// Revert these clients to the approved version, because the member is ahead of it.
     TakeBack {
-        /// Which.
+        /// The clients.
         clients: Vec<String>,
     },
-    /// Take no more changes of this client until it is lifted; its messages go on under the stricter of both rules.
+    /// Accept no more changes of this client until the fence is lifted; its messages continue under the
+    /// stricter of both rules.
     Fence {
-        /// Which.
+        /// The client.
         client: String,
     },
-    /// The fence is no longer needed.
+    /// Lift the fence, which is no longer needed.
     Lift {
-        /// Whose.
+        /// The client.
         client: String,
     },
-    /// Tell the operator.
+    /// Notify the operator.
     TellOperator {
-        /// What.
+        /// The text of the notification.
         text: String,
     },
 }
 
-/// An act, and by whose right.
+/// An action with the term that authorizes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Of the member in charge that gives it. Whoever carries it out asks [`accepts`] first.
+    /// The term of the leader that gives the order. The recipient checks it with [`accepts`] before it
+    /// executes the action.
     pub term: Term,
-    /// Which life it is about.
+    /// The member that the order concerns, with its start.
     pub to: Life,
-    /// What.
+    /// The action.
     pub act: Act,
 }
 
-/// Does one who knows of `own` take an order of `order`'s term? Older ones are refused: who gave them is no more in charge.
-/// Neither is an order without a term taken.
+/// Returns whether a member that knows term `own` accepts an order of term `order`. Orders of older terms are
+/// rejected, because their leader has been replaced, and so are orders without a term.
 pub fn accepts(order: Term, own: Term) -> bool {
     order >= own && order > Term(0)
 }
--- a/crates/drift/src/content.rs
+++ b/crates/drift/src/content.rs
@@ -1,14 +1,15 @@
 //! Digests of a client's rules.
 //!
-//! Written out field by field, with a mark for each field that is set. The serde form of [`Figures`] leaves out what is not
-//! set, so that under postcard `hold_for: 5` and `validity: 5` are the same octets: a digest over it would call an altered
-//! rule the same.
+//! The rules are hashed field by field, with a presence byte before each limit, so that the same value in
+//! different limits (`hold_for: 5` and `validity: 5`) gives different digests. The digest thus does not
+//! depend on how [`heronroute_rules::RuleLimits`] is serialized: an encoding that left out unset limits would
+//! make such rules equal under postcard, and an altered rule would pass as unchanged.
 
 use crate::Digest;
 use heronroute_rules::{Rule, RuleLimits};
 use sha2::{Digest as _, Sha256};
 
-/// The digest of rules, whatever the order they stand in. The version is not part of it.
+/// Returns the digest of the rules, independent of their order. The version is not part of it.
 pub fn digest(rules: &[Rule]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules 1");
@@ -16,7 +17,7 @@
     hash.finalize().into()
 }
 
-/// What a member answers to a challenge: over the nonce and the rules, version included.
+/// Returns the expected answer to a challenge: a digest over the nonce, the version and the rules.
 pub fn proof(nonce: &Digest, version: u64, rules: &[Rule]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute proof 1");
@@ -35,7 +36,7 @@
             hash.update((text.len() as u64).to_be_bytes());
             hash.update(text.as_bytes());
         }
-        // Taken apart by name: a figure that is added later fails to build here instead of going unseen.
+        // The struct is destructured so that adding a limit without hashing it here fails to compile.
         let RuleLimits {
             answer_for,
             remember,
--- a/crates/drift/src/detector/config.rs
+++ b/crates/drift/src/detector/config.rs
@@ -1,55 +1,57 @@
-//! The figures that the detector goes by.
+//! The configuration of the detector.
 
 use crate::acts::Rate;
 use crate::{Digest, Micros};
 use heronroute_fleet::Name;
 
-/// Figures of a detector. Spans in microseconds.
+/// The configuration of a detector. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The member that it runs at.
+    /// The member that the detector runs at.
     pub me: Name,
-    /// Added to the caller's clock it gives the time of day: what is kept for others bears that.
+    /// The offset from the caller's clock to wall time, used for all records that others read.
     pub wall: Micros,
-    /// For nonces and spread. Another one each start, and not to be guessed: nonces come from it.
+    /// The seed for nonces and random delays. It must differ at each start and must not be predictable, since
+    /// the nonces derive from it.
     pub seed: Digest,
-    /// A report counts so long, from the moment after which it must have been written.
+    /// The time for which a report counts, from the moment after which it was certainly written.
     pub fresh_for: Micros,
-    /// A suspected member's reports count so long after it came under suspicion.
+    /// The time for which the reports of a member count after it became suspected.
     pub suspect_for: Micros,
-    /// A member has so long to apply what was approved, or what it missed before it came.
+    /// The time within which a member must apply an approved version, or what it missed before it joined.
     pub rollout_for: Micros,
-    /// A verdict must have stood so long before anything is done about it, or before another bad one takes its place.
+    /// The time that a verdict must last before an action is taken, or before another bad verdict replaces
+    /// it.
     pub stands_for: Micros,
-    /// A member that was not in line must be so again for this long before it is called that; twice as long each time that
-    /// it fell out, up to 64 times.
+    /// The time that a member must be in line again before this is published. It doubles each time that the
+    /// member falls out of line, up to 64 times.
     pub settle_for: Micros,
-    /// In line for so long, it starts afresh with that, and with the acts against it.
+    /// The time in line after which the settling time and the escalation of actions are reset.
     pub forget_for: Micros,
-    /// The operator is told of a silent member after this.
+    /// The time after which the operator is notified of a silent member.
     pub silent_for: Micros,
-    /// And again after this.
+    /// The time after which this notification is repeated.
     pub tell_again: Micros,
-    /// Nothing is done and nothing is said to be known so long after the term was last confirmed.
+    /// The time after the last confirmation of the term for which the detector stays active.
     pub lease: Micros,
-    /// Wait after the first act for a member; each further one doubles it.
+    /// The delay after the first action for a member; it doubles with each further action.
     pub act_first: Micros,
-    /// Up to this.
+    /// The maximum of this delay.
     pub act_most: Micros,
-    /// Acts for one member.
+    /// The rate limit of the actions for one member.
     pub each: Rate,
-    /// Acts for all.
+    /// The rate limit of the actions for all members together.
     pub all: Rate,
-    /// What was asked and not told is asked again after this.
+    /// The time after which an unanswered tree query is repeated.
     pub ask_again: Micros,
-    /// A member is challenged once in so long on average, at random.
+    /// The average time between two challenges of a member; the actual times are random.
     pub challenge_every: Micros,
-    /// An answer must come within this.
+    /// The time within which a challenge must be answered.
     pub answer_within: Micros,
 }
 
 impl Config {
-    /// For reports every 2 s.
+    /// Returns the defaults for members that report every 2 s.
     pub fn new(me: Name, seed: Digest) -> Self {
         const S: Micros = 1_000_000;
         Config {
--- a/crates/drift/src/detector/judge.rs
+++ b/crates/drift/src/detector/judge.rs
@@ -1,4 +1,4 @@
-//! From what is known of a member to a verdict.
+//! Derives the verdict on a member from what is known about it.
 
 use super::member::Member;
 use super::wanted::{Class, Wanted};
@@ -9,10 +9,10 @@
 use crate::tree::{Difference, diff};
 use heronroute_fleet::{Name, Standing};
 
-/// Differences looked at to come to a verdict: enough to act on, and the same cost however many there are.
+/// The maximum number of differences examined for a verdict. It is enough to act on and bounds the cost.
 pub(super) const MOST_DIFFERENCES: usize = 32;
 
-/// Challenges that may go unanswered.
+/// The number of unanswered challenges from which a member no longer counts as in line.
 const MOST_MISSED: u8 = 3;
 
 #[derive(Clone, Debug)]
@@ -21,11 +21,11 @@
     pub(super) reason: Option<String>,
     pub(super) client: Option<String>,
     pub(super) version: u64,
-    /// Time alone may change it from here on.
+    /// The next time at which the verdict may change without an event.
     pub(super) again: Option<Micros>,
-    /// Clients to be mended.
+    /// The clients to repair.
     pub(super) mend: Vec<String>,
-    /// Something differs, and it is not known what.
+    /// The member differs, and not all of the differences are known.
     pub(super) unknown: bool,
 }
 
@@ -74,7 +74,8 @@
 ) -> Judgement {
     let version = |client: &str| member.believed.get(client).map_or(0, |leaf| leaf.version);
     if member.root == Some(wanted.tree.root()) {
-        // Only of one that says that it is in line: another one is mended by what it says, and is not asked to show it.
+        // This concerns only members that claim to be in line: others are repaired according to their reports
+        // and are not challenged.
         if member.proof.missed >= MOST_MISSED {
             let why = "it reports, but does not show what it applies";
             return Judgement::of(Verdict::NotHeardOf, Some(why.to_owned()));
@@ -109,20 +110,20 @@
     judged
 }
 
-/// Differences by what they are.
+/// The differences, grouped by kind.
 struct Sorted<'a> {
     cannot: Vec<(&'a str, &'a str)>,
     beyond: Vec<&'a str>,
-    /// Its senders differ.
+    /// The clients for which the member's senders differ.
     partly: Vec<(&'a str, Partly)>,
     altered: Vec<&'a str>,
     ahead: Vec<&'a str>,
     lagging: Vec<&'a str>,
-    /// The first that lags whose rollout was stopped, and why.
+    /// The first lagging client whose rollout was stopped, with the reason.
     stopped: Option<(&'a str, String)>,
-    /// The first approval that is overdue.
+    /// The number of the earliest overdue approval.
     oldest: u64,
-    /// When the next of those still in time is overdue.
+    /// The time at which the next of the other differences becomes overdue.
     due: Option<Micros>,
 }
 
@@ -162,13 +163,14 @@
             }
             let partly = member.partly.get(client);
             match class {
-                // In the time of a rollout, and where a rollout keeps it back, they may differ as members may.
+                // While a rollout is in progress or holds the member back, its senders may differ as members
+                // may.
                 Class::Altered | Class::Ahead if partly.is_some() => {
                     sorted.partly.extend(partly.map(|partly| (client, *partly)));
                 }
                 Class::Ahead => sorted.ahead.push(client),
                 Class::Altered => sorted.altered.push(client),
-                // Its wave has its own time, and its own word where that is over.
+                // The wave has its own deadline, after which the rollout gives the reason.
                 Class::Lagging if rolls(client, &Phase::Running) => {}
                 Class::Lagging | Class::Beyond if now <= due => {
                     sorted.due = Some(sorted.due.map_or(due, |other: Micros| other.min(due)));
@@ -218,7 +220,8 @@
                 Some((of, why)) if of == *client => about(client, &format!("its rollout was stopped: {why}")),
                 _ => about(client, &format!("version {wants} is not applied")),
             };
-            // It applies what was approved after what it lacks: at no time was that what was desired.
+            // The member applies a later approval than one that it lacks, so its state was never the desired
+            // one.
             let partly = member.newest > self.oldest;
             let verdict = if partly { Verdict::Partly } else { Verdict::Lagging };
             (verdict, self.lagging.clone(), reason)
--- a/crates/drift/src/detector/keep.rs
+++ b/crates/drift/src/detector/keep.rs
@@ -1,4 +1,4 @@
-//! What outlives this process, or goes to the next member in charge.
+//! The snapshot that survives a restart or is passed to the next leader.
 
 use super::Detector;
 use crate::Micros;
@@ -6,10 +6,11 @@
 use heronroute_fleet::{Name, Term};
 use serde::{Deserialize, Serialize};
 
-/// Fences kept of all members at most; of more, those of the last members by name are let go and set anew where needed.
+/// The maximum number of fences in a snapshot. Those beyond it, of the last members by name, are dropped and
+/// set again where needed.
 const MOST_KEPT_FENCES: usize = 1024;
 
-/// A detector's memory.
+/// The content of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Saved {
     term: Term,
@@ -18,8 +19,8 @@
 }
 
 impl Detector {
-    /// The history (as much as fits) and fences, in at most about `most` octets (postcard). Fences go first. Rollouts are not
-    /// in it: the log says how far they are ([`Detector::reach`]).
+    /// Returns a snapshot of the fences and as much of the history as fits, of at most about `max_bytes`
+    /// bytes (postcard). It contains no rollouts, since their state is in the log ([`Detector::reach`]).
     pub fn snapshot(&self, most: usize) -> Vec<u8> {
         let mut room = most.saturating_sub(64);
         let mut fits = |octets: usize| match room.checked_sub(octets) {
@@ -36,15 +37,16 @@
         let fences =
             fences.take(MOST_KEPT_FENCES).filter(|one| fits(size(postcard::to_stdvec(one)))).collect();
         let saved = Saved { term: self.charge.term(), fences, history: self.history.snapshot(room) };
-        // Writing to memory fails for nothing that stands here; an empty snapshot is refused when it is read.
+        // Encoding to memory cannot fail for these types; an empty snapshot is rejected on restore.
         postcard::to_stdvec(&saved).unwrap_or_default()
     }
 
-    /// Takes a snapshot in, one's own from before a restart or another's: to be done before one is told to be in charge.
-    /// Histories merge; fences are taken over where they are of a later term than one's own.
+    /// Merges a snapshot, either this member's from before a restart or another member's. Must be called
+    /// before this member is told that it is the leader. Histories are merged; fences are taken over unless
+    /// the snapshot has an older term than this member.
     ///
     /// # Errors
-    /// Where the octets are no snapshot; nothing was changed then.
+    /// Returns an error, without any change, if the bytes are not a valid snapshot.
     pub fn restore(&mut self, now: Micros, octets: &[u8]) -> Result<(), Unreadable> {
         let saved: Saved = postcard::from_bytes(octets).map_err(|_| Unreadable)?;
         let history = History::restore(&saved.history)?;
@@ -58,13 +60,13 @@
         Ok(())
     }
 
-    /// These fences stand and no others.
+    /// Replaces all fences by the given ones.
     pub fn fences<'a>(&mut self, now: Micros, stand: impl Iterator<Item = (&'a Name, &'a str)>) {
         self.members.values_mut().for_each(|member| member.fences.clear());
         stand.for_each(|(name, client)| self.fenced(now, name, client, true));
     }
 
-    /// A fence was set at a member, or lifted.
+    /// Records that a fence was set at a member or lifted.
     pub fn fenced(&mut self, now: Micros, name: &Name, client: &str, stands: bool) {
         let Some(member) = self.members.get_mut(name) else { return };
         match stands {
--- a/crates/drift/src/detector/look.rs
+++ b/crates/drift/src/detector/look.rs
@@ -1,4 +1,4 @@
-//! One look at one member: the verdict, what is done about it, and when to look again.
+//! A check of one member: the verdict, the action to take, and the time of the next check.
 
 use super::judge::{Judgement, judge};
 use super::member::Member;
@@ -10,14 +10,16 @@
 use crate::report::{Challenge, Verdict};
 use heronroute_fleet::{Name, Standing};
 
-/// From one look at a member to the next that time alone brings, at least: reports are seconds apart.
+/// The minimum time between two checks of a member that are caused by time alone; reports are seconds apart.
 pub const STEP: Micros = 10_000;
 
-/// Fences for one member at most; with more clients at fault the operator is told all the same.
+/// The maximum number of fences per member; if more clients are at fault, the operator is notified
+/// nevertheless.
 const MOST_FENCES: usize = 16;
 
 impl Detector {
-    /// Looks at a member. `approval`: because something was approved or a term began, which is no fault of the member's.
+    /// Checks a member. `approval` is set if an approval or a new term caused the check, which is no fault of
+    /// the member.
     pub(super) fn look(&mut self, now: Micros, name: &Name, approval: bool) {
         if !self.acting(now) {
             return;
@@ -33,7 +35,7 @@
                 let record = record(name, member, &self.config, self.charge.term());
                 self.history.add(record.clone());
                 out.push(Output::Verdict(record));
-                // Whatever has to last from here on is asked for again.
+                // The times that depend on the new verdict are computed by the next check.
                 next[1] = Some(now.saturating_add(STEP));
             }
             Err(from) => next[1] = from,
@@ -41,7 +43,8 @@
         let silent = judged.verdict == Verdict::NotHeardOf;
         let fresh = member.standing != Standing::Dead
             && member.heard.is_some_and(|heard| now <= heard.saturating_add(self.config.fresh_for));
-        // One that is silent for want of answers is asked on; of one that is not there none is expected.
+        // A member that sends reports but no answers is still challenged; no answer is expected from one that
+        // is gone.
         if !fresh {
             member.unasked();
         }
@@ -57,8 +60,8 @@
             Due::At(at) => next[4] = Some(at),
             Due::Act(act) => {
                 let ready = self.bucket.ready(self.config.all);
-                // Turns are given out one after the other: of members that all wake up for the next token each would be
-                // looked at for every one, and those that act again could go before those that never did.
+                // Members wait in turn for the shared budget. Otherwise all of them would be checked for
+                // every token, and members that act again could pass those that never did.
                 let turn = match member.slot {
                     Some(turn) => turn,
                     None if self.turns <= now && ready <= now => now,
@@ -78,7 +81,7 @@
                 }
             }
         }
-        // Guards against a time that has passed already and is asked for again and again.
+        // Prevents that a time in the past is requested again and again.
         let wake = next.into_iter().flatten().min().map(|at| at.max(now.saturating_add(STEP)));
         if member.wake != wake {
             if let Some(before) = std::mem::replace(&mut member.wake, wake) {
@@ -102,14 +105,14 @@
     Act(Act),
 }
 
-/// What is to be done about a member, or when.
+/// Returns the action to take for a member, or the time of it.
 fn due(now: Micros, member: &mut Member, judged: &Judgement, config: &Config, wanted: &Wanted) -> Due {
     let ready = member.bucket.ready(config.each);
     if let Some(client) = liftable(member, judged, wanted) {
         return if now < ready { Due::At(ready) } else { Due::Act(Act::Lift { client }) };
     }
     let verdict = judged.verdict;
-    // A verdict that was not shown yet, or that is only shown still, has not stood for long enough.
+    // A verdict that is not published yet, or no longer holds, has not lasted long enough.
     if verdict != member.shown.verdict || matches!(verdict, Verdict::InLine | Verdict::Converging) {
         return Due::Nothing;
     }
@@ -135,7 +138,8 @@
     act.map_or(Due::Nothing, Due::Act)
 }
 
-/// A client whose fence is no longer needed at this member: it is known to apply what is desired, and shown to.
+/// Returns a client whose fence is no longer needed, because the member is known and published to apply the
+/// desired rules.
 fn liftable(member: &Member, judged: &Judgement, wanted: &Wanted) -> Option<String> {
     if !member.accounted() || judged.verdict == Verdict::NotHeardOf || member.fences.is_empty() {
         return None;
@@ -144,7 +148,8 @@
         member.believed.get(client) == wanted.tree.get(client)
             && member.proof.false_for.as_ref() != Some(client)
     };
-    // With the same wait as "in line" has: or the fence would follow a member that goes to and fro.
+    // The fence is lifted only after the settling time of "in line", or it would follow a member that
+    // alternates between states.
     member.fences.iter().find(|client| mended(client) && member.shown.verdict == Verdict::InLine).cloned()
 }
 
@@ -163,8 +168,8 @@
             _ => {}
         }
         if self.shown.verdict == Verdict::NotHeardOf {
-            // Half of the installation gone must not use up the budget of the other half; and once it is heard of again
-            // what it then needs does not wait for this.
+            // A lost half of the installation must not use up the budget of the other half, and what a member
+            // needs once it reports again must not wait for this notification.
             self.tell_next = now.saturating_add(config.tell_again);
             return;
         }
--- a/crates/drift/src/detector/member.rs
+++ b/crates/drift/src/detector/member.rs
@@ -1,4 +1,5 @@
-//! What the detector holds of one member: what it differs by, not a copy of what it applies.
+//! The detector's state of one member. Its tree shares nodes with the desired tree, so it costs only the
+//! differences.
 
 use super::Config;
 use super::judge::Judgement;
@@ -13,10 +14,11 @@
 use heronroute_fleet::{Standing, Start};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Troubles kept of a member at most; one beyond shows as lagging. As many clients for which its senders differ.
+/// The maximum number of problems kept per member, and of clients whose senders differ; others show as
+/// lagging.
 const MOST_TROUBLES: usize = 16;
 
-/// Times that a member may fall out of line before the wait to be called in line again grows no further: 2 to the 6th.
+/// The number of flaps beyond which the settling time grows no further: 2 to the 6th.
 const MOST_FLAPS: u32 = 6;
 
 #[derive(Debug)]
@@ -25,22 +27,22 @@
     pub(super) zone: String,
     pub(super) standing: Standing,
     pub(super) standing_since: Micros,
-    /// Since when this life is known.
+    /// The time from which this start of the member is known.
     pub(super) joined: Micros,
     pub(super) number: u64,
-    /// Its newest report was written after this, in this term.
+    /// The newest report was written after this time, in this term.
     pub(super) heard: Option<Micros>,
     pub(super) root: Option<Digest>,
-    /// What it is taken to apply; a guess as long as its root isn't `root`.
+    /// The assumed content of the member's tree; a guess while its root differs from `root`.
     pub(super) believed: Tree,
-    /// It was taken from a report of this life in this term, not from before.
+    /// Whether the assumed tree is based on a report of this start and term.
     pub(super) grounded: bool,
-    /// Since when it is a guess.
+    /// The time from which the assumed tree is a guess.
     pub(super) unknown_since: Option<Micros>,
-    /// The latest approval that it was seen to apply.
+    /// The number of the latest approval that the member was seen to apply.
     pub(super) newest: u64,
     pub(super) troubles: BTreeMap<String, String>,
-    /// Clients for which its senders differ.
+    /// The clients for which the member's senders differ.
     pub(super) partly: BTreeMap<String, Partly>,
     pub(super) health: Health,
     pub(super) walk: Walk,
@@ -49,10 +51,10 @@
     pub(super) candidate: Option<(Verdict, Micros)>,
     pub(super) flaps: u32,
     pub(super) ladder: Ladder,
-    /// The operator is not told before that it is silent.
+    /// The earliest time of the next notification that the member is silent.
     pub(super) tell_next: Micros,
     pub(super) bucket: Bucket,
-    /// Its turn, where the budget of all was used up.
+    /// The member's turn if the shared budget was used up.
     pub(super) slot: Option<Micros>,
     pub(super) fences: BTreeSet<String>,
     pub(super) wake: Option<Micros>,
@@ -65,7 +67,7 @@
     pub(super) reason: Option<String>,
     pub(super) client: Option<String>,
     pub(super) version: u64,
-    /// It came to this by itself, not by an approval.
+    /// The member is at fault; an approval alone does not explain the verdict.
     pub(super) fault: bool,
 }
 
@@ -108,9 +110,9 @@
         }
     }
 
-    /// Another life under the name: nothing that the last one said holds. What it applies is guessed to be the same until
-    /// it says so; what was done about it and how often it fell out stays, or a member that restarts all the time would
-    /// get fresh budgets by it.
+    /// Handles a restart of the member: nothing it reported before holds. Until its first report it is
+    /// assumed to apply the same rules. The action budgets and the flap count remain, since a member that
+    /// restarts all the time would otherwise get a new budget each time.
     pub(super) fn reborn(&mut self, now: Micros, start: Start) {
         self.start = start;
         self.joined = now;
@@ -120,7 +122,7 @@
         self.partly.clear();
     }
 
-    /// Nothing heard counts any more.
+    /// Discards all reports.
     pub(super) fn unheard(&mut self) {
         self.heard = None;
         self.root = None;
@@ -130,25 +132,26 @@
         self.proof = Proof::default();
     }
 
+    /// Returns whether the assumed tree has the reported root, so that the applied rules are known.
     pub(super) fn accounted(&self) -> bool {
         self.root == Some(self.believed.root())
     }
 
-    /// Takes in a root and what came with it.
+    /// Applies a reported root and the clients sent with it.
     pub(super) fn learn(&mut self, now: Micros, root: Digest, clients: &[Applied], wanted: &Wanted) {
         if self.root != Some(root) {
-            // Digests that were asked for under another root prove nothing under this one.
+            // Digests that were queried under another root prove nothing under this one.
             self.walk = Walk::default();
         }
         self.root = Some(root);
         if !self.grounded && !self.accounted() {
-            // What is desired is the best guess: from there each difference is one that was told, not one that a guess from
-            // another time makes up.
+            // The desired tree is the best guess: all further differences then come from reports, not from an
+            // outdated guess.
             self.believed = wanted.tree.clone();
         }
         self.grounded = true;
         if root == wanted.tree.root() {
-            // In line: whatever was believed of its clients, this is what it applies.
+            // The member is in line: it applies the desired tree, whatever was assumed before.
             self.believed = wanted.tree.clone();
             self.newest = wanted.seq();
             self.troubles.clear();
@@ -168,7 +171,7 @@
         self.unknown_since = if self.accounted() { None } else { Some(self.unknown_since.unwrap_or(now)) };
     }
 
-    /// What it says of one client beside its digest.
+    /// Records what a report says about one client besides its digest.
     pub(super) fn note(&mut self, applied: &Applied, wanted: &Wanted) {
         let desired = wanted.tree.get(&applied.client).map(|leaf| (leaf.version, leaf.digest));
         if desired == held(applied.version, applied.digest)
@@ -196,8 +199,9 @@
         }
     }
 
-    /// From when on a judgement may be shown. Leaving "in line" and falling silent are shown at once; what is better, or
-    /// bad in another way, has to last: a member that goes to and fro is not told of each time.
+    /// Returns the time from which a verdict may be published. Leaving "in line" and falling silent are
+    /// published at once. Any other change has to last for some time, so that a member that alternates
+    /// between states does not cause a message each time.
     fn shown_from(&self, since: Micros, verdict: Verdict, config: &Config) -> Micros {
         match (self.shown.verdict, verdict) {
             (Verdict::InLine, _) | (_, Verdict::NotHeardOf) => Micros::MIN,
@@ -210,7 +214,8 @@
         }
     }
 
-    /// Shows a judgement once it may be. True if the verdict changed; else, where one waits, from when on it may.
+    /// Publishes an assessment if its time has come. Returns `Ok` if the verdict changed, and otherwise the
+    /// time from which a pending verdict may be published.
     pub(super) fn show(
         &mut self,
         now: Micros,
--- a/crates/drift/src/detector/mod.rs
+++ b/crates/drift/src/detector/mod.rs
@@ -1,10 +1,10 @@
-//! The detector, at the keeper in charge.
+//! The detector, which runs at every keeper and is active at the leader.
 //!
-//! Every keeper feeds it what is desired and who is there; reports, time and the term make it speak only while it is in
-//! charge, and only as long as its lease. What it says of a member rests on a report that was certainly written within
-//! [`Config::fresh_for`] (the member gives back the time of the last acknowledgement), in a life and with a number that are
-//! the newest known. Work for an event goes by what changed: a member is looked at when something about it changed or when
-//! the time comes that it asked for.
+//! Every keeper passes it the desired state and the membership. It handles reports and time only while its
+//! keeper is the leader and only within the lease. A verdict is based on a report that was certainly written
+//! within [`Config::fresh_for`] (the member echoes the time of the last acknowledgement), with the newest
+//! known start and number. The work for an event depends on what changed: a member is checked when something
+//! about it changes, or at the time that its last check asked for.
 
 mod config;
 mod judge;
@@ -39,10 +39,11 @@
 use term::Charge;
 use wanted::Approved;
 
-/// Members at most; one beyond is not taken in, and counted.
+/// The maximum number of members; others are ignored and counted.
 pub const MOST_MEMBERS: usize = 1024;
 
-/// Outputs that wait to be taken at most. Beyond it asks, orders and challenges are let go: all of them come again.
+/// The maximum number of pending outputs. Queries, orders and challenges beyond it are dropped; all of them
+/// are repeated later.
 pub const MOST_OUTPUTS: usize = 8192;
 
 type Rollouts = BTreeMap<String, Rollout>;
@@ -57,9 +58,9 @@
     wakes: BTreeSet<(Micros, Name)>,
     rollouts: Rollouts,
     history: History,
-    /// The budget of all.
+    /// The action budget shared by all members.
     bucket: Bucket,
-    /// When the last member that waits for that budget has its turn.
+    /// The turn of the last member that waits for that budget.
     turns: Micros,
     draw: Draw,
     out: VecDeque<Output>,
@@ -67,7 +68,7 @@
 }
 
 impl Detector {
-    /// Nothing known, not in charge.
+    /// Creates a detector that knows no members and is not the leader.
     pub fn new(config: Config) -> Self {
         let draw = Draw::new(config.seed);
         Detector {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What is approved changed, or is told at a start.
+    /// Sets the desired version of a client, after an approval or at startup.
     pub fn desired(&mut self, now: Micros, desired: &Desired) {
         if desired.client.len() > MOST_NAME || !self.wanted.set(desired) {
             self.dropped.no_room += 1;
@@ -96,15 +97,15 @@
         if !self.acting(now) {
             return;
         }
-        // Only who was in line is so no more by this. All others are looked at when they report: to look at each of them
-        // for each of many approvals would cost members × clients.
+        // Only members in line can change by an approval. All others are checked when they report: checking
+        // each of them for each of many approvals would cost members × clients.
         let shown = |member: &Member| member.shown.verdict == Verdict::InLine;
         let names: Vec<Name> =
             self.members.iter().filter(|(_, m)| shown(m)).map(|(n, _)| n.clone()).collect();
         names.iter().for_each(|name| self.look(now, name, true));
     }
 
-    /// What is believed of a member.
+    /// Updates the membership state of a member.
     pub fn members(&mut self, now: Micros, life: &Life, zone: &str, standing: Standing) {
         let Some(member) = self.admit(now, life) else { return };
         if member.standing != standing {
@@ -117,14 +118,15 @@
         self.look(now, &life.name, false);
     }
 
-    /// A member is no longer in the settings.
+    /// Removes a member that is no longer in the settings.
     pub fn forget(&mut self, name: &Name) {
         if let Some(wake) = self.members.remove(name).and_then(|member| member.wake) {
             self.wakes.remove(&(wake, name.clone()));
         }
     }
 
-    /// A report came. False: it does not count, as it is not for us to judge or older than one that came before.
+    /// Handles a report. Returns false if it does not count, because this keeper is not the leader or the
+    /// report is outdated.
     pub fn report(&mut self, now: Micros, report: &Report) -> bool {
         if !self.heed(now, report.term) {
             return false;
@@ -138,7 +140,7 @@
         }
         member.number = report.number;
         member.health = report.health;
-        // A time ahead of ours was never given out by us.
+        // This leader never sent a time in the future.
         let echo = report.echo.filter(|echo| echo.term == term && echo.at <= now);
         member.heard = member.heard.max(echo.map(|echo| echo.at));
         member.learn(now, report.root, &report.clients, &self.wanted.of(&report.life.name));
@@ -151,7 +153,7 @@
         true
     }
 
-    /// An answer to an ask came.
+    /// Handles the reply to a tree query.
     pub fn tell(&mut self, now: Micros, tell: &Tell) {
         if !self.acting(now) {
             self.dropped.not_in_charge += 1;
@@ -160,7 +162,7 @@
         let Some(member) = counted(&mut self.members, &tell.life, tell.number, &mut self.dropped) else {
             return;
         };
-        // A life that was not heard of yet was asked nothing.
+        // No query was sent to a start of the member that has not reported yet.
         if tell.life.start != member.start {
             self.dropped.false_answers += 1;
             return;
@@ -173,14 +175,16 @@
         self.look(now, &tell.life.name, false);
     }
 
-    /// For which client this is the answer to a challenge: its desired rules go with [`Detector::answer`].
+    /// Returns the client that this challenge answer is about; its desired rules are passed to
+    /// [`Detector::answer`].
     pub fn challenged(&self, answer: &Answer) -> Option<&str> {
         let member =
             self.members.get(&answer.life.name).filter(|member| member.start == answer.life.start)?;
         member.challenged(&answer.nonce)
     }
 
-    /// An answer to a challenge came; `content` is what is desired for the client, as [`Detector::desired`] had its digest.
+    /// Handles the answer to a challenge. `content` holds the desired rules of the client, whose digest was
+    /// passed to [`Detector::desired`].
     pub fn answer(&mut self, now: Micros, answer: &Answer, content: &RuleSet) {
         let Some(member) = self.members.get_mut(&answer.life.name) else {
             self.dropped.stranger += 1;
@@ -195,43 +199,43 @@
         self.look(now, &answer.life.name, false);
     }
 
-    /// Time passes.
+    /// Handles the passing of time.
     pub fn tick(&mut self, now: Micros) {
         if !self.acting(now) {
             return;
         }
         self.roll_tick(now);
         while self.wakes.first().is_some_and(|(wake, _)| *wake <= now) {
-            // Looking at it sets its next time, which is later than now.
+            // The check sets the member's next time, which is later than now.
             let Some((_, name)) = self.wakes.pop_first() else { break };
             self.look(now, &name, false);
         }
     }
 
-    /// When [`Detector::tick`] has something to do next, [`STEP`] after the last look at the member that asks for it at the
-    /// soonest; none while not in charge.
+    /// Returns the next time at which [`Detector::tick`] has something to do, or none while this keeper is
+    /// not the leader. Checks of the same member are at least [`MIN_CHECK_INTERVAL`] apart.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let rollouts = self.rollouts.values().filter_map(Rollout::next);
         let wake = self.wakes.first().map(|(wake, _)| *wake);
         rollouts.chain(wake).min().filter(|_| self.acting(now))
     }
 
-    /// What comes out, in order.
+    /// Returns the next output.
     pub fn poll(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
-    /// What was dropped so far.
+    /// Returns the counts of dropped inputs and outputs.
     pub fn dropped(&self) -> Dropped {
         self.dropped
     }
 
-    /// What was said so far.
+    /// Returns the history of verdicts.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The last rollout of a client, where one is known.
+    /// Returns the last known rollout of a client.
     pub fn rollout_of(&self, client: &str) -> Option<&Rollout> {
         self.rollouts.get(client)
     }
@@ -249,7 +253,7 @@
         paths.into_iter().for_each(|path| self.push(Output::Ask(Ask { to: to.clone(), term, path })));
     }
 
-    /// The member of a life, unless it is over.
+    /// Returns the member, which is added if it is new; none if this start of it is over.
     fn admit(&mut self, now: Micros, life: &Life) -> Option<&mut Member> {
         if !self.members.contains_key(&life.name) {
             if self.members.len() >= MOST_MEMBERS {
@@ -270,7 +274,7 @@
     }
 }
 
-/// The member that said something, where its life and number are the newest; else it is counted as dropped.
+/// Returns the sender if its start and number are the newest; otherwise counts the message as dropped.
 fn counted<'a>(
     members: &'a mut BTreeMap<Name, Member>,
     life: &Life,
@@ -292,7 +296,7 @@
     Some(member)
 }
 
-/// The life that a member is in.
+/// Returns the life (name and start) of a member.
 fn life(name: &Name, start: Start) -> Life {
     Life { name: name.clone(), start }
 }
--- a/crates/drift/src/detector/proof.rs
+++ b/crates/drift/src/detector/proof.rs
@@ -1,4 +1,4 @@
-//! Challenges: a member that reports well and applies nothing can't answer them.
+//! Challenges, which detect a member that reports the desired state without applying it.
 
 use super::Config;
 use super::member::Member;
@@ -12,9 +12,9 @@
 pub(super) struct Proof {
     next: Option<Micros>,
     open: Option<Open>,
-    /// In a row without an answer.
+    /// The number of consecutive unanswered challenges.
     pub(super) missed: u8,
-    /// The client for which it showed something else.
+    /// The client for which the member's answer was wrong.
     pub(super) false_for: Option<String>,
 }
 
@@ -28,8 +28,8 @@
 }
 
 impl Member {
-    /// The nonce and the client of a challenge that is due: only for one that says that it is in line, as any other is not
-    /// believed anyway.
+    /// Returns the nonce and the client of a challenge that is due. Only members that claim to be in line are
+    /// challenged, since the others are repaired anyway.
     pub(super) fn challenge(
         &mut self,
         now: Micros,
@@ -43,7 +43,7 @@
             self.proof.next = Some(now);
         }
         let next = *self.proof.next.get_or_insert_with(|| {
-            // The first one soon: until then a member that applies nothing is believed.
+            // The first challenge comes early, since until then a member that applies nothing is believed.
             now.saturating_add(span(draw, config.challenge_every / 4))
         });
         if now < next
@@ -78,24 +78,25 @@
         Some((nonce, leaf.client.to_string()))
     }
 
-    /// No answer is awaited any more.
+    /// Cancels the open challenge, without counting it as unanswered.
     pub(super) fn unasked(&mut self) {
         self.proof.open = None;
         self.proof.next = None;
     }
 
-    /// When challenges are to be looked after.
+    /// Returns the next time at which challenges need attention.
     pub(super) fn challenge_next(&self, wanted: &Wanted) -> Option<Micros> {
         match &self.proof.open {
             Some(open) => Some(open.until.saturating_add(1)),
-            // Where nothing is desired there is nothing to be shown: guards against a challenge that is due for ever.
+            // Without desired rules there is nothing to prove; a challenge would otherwise stay due for ever.
             None => {
                 self.proof.next.filter(|_| self.root == Some(wanted.tree.root()) && !wanted.tree.is_empty())
             }
         }
     }
 
-    /// An answer, with the desired rules of its client. False where it is none to what was asked.
+    /// Handles an answer, given the desired rules of its client. Returns false if it does not match the open
+    /// challenge.
     pub(super) fn answered(
         &mut self,
         now: Micros,
@@ -109,7 +110,7 @@
             .get(&open.client)
             .is_some_and(|l| l.version == open.version && l.digest == open.digest);
         if !still || content.version != open.version || content::digest(&content.rules) != open.digest {
-            // Another version was approved meanwhile: the answer proves nothing either way.
+            // Another version was approved in the meantime, so the answer proves nothing either way.
             return true;
         }
         self.proof.missed = 0;
@@ -122,7 +123,7 @@
         true
     }
 
-    /// For which client an answer with this nonce is awaited.
+    /// Returns the client of the open challenge with this nonce.
     pub(super) fn challenged(&self, nonce: &Digest) -> Option<&str> {
         self.proof.open.as_ref().filter(|open| open.nonce == *nonce).map(|open| open.client.as_str())
     }
--- a/crates/drift/src/detector/roll.rs
+++ b/crates/drift/src/detector/roll.rs
@@ -1,4 +1,4 @@
-//! Rollouts under the detector's eyes.
+//! The detector's handling of rollouts.
 
 use super::{Desired, Detector, Output};
 use crate::Micros;
@@ -6,12 +6,13 @@
 use heronroute_fleet::{Name, Standing, Term};
 use std::collections::BTreeSet;
 
-/// Rollouts known at most. Whoever keeps the log begins no more at once.
+/// The maximum number of known rollouts. The owner of the log starts no more at the same time.
 pub const MOST_ROLLOUTS: usize = 16;
 
 impl Detector {
-    /// How far a version has gone, by the log: to be told at every keeper whenever that changes, and before
-    /// [`Detector::desired`] tells of the version. From here on each member is held against what its wave is meant to apply.
+    /// Applies the log state of a rollout. Must be called at every keeper whenever the log state changes, and
+    /// before [`Detector::desired`] is called with the version. From then on each member is compared with
+    /// what its wave is meant to apply.
     pub fn reach(&mut self, now: Micros, reach: &Reach) {
         let client = reach.plan.client.clone();
         if self.rollouts.get(&client).is_some_and(|one| one.plan().version != reach.plan.version) {
@@ -37,13 +38,14 @@
             }
         }
         if self.rollouts.get(&client).map(left) != before {
-            // Whoever it reached has its time from here on.
+            // The members that it reaches get the full time for a rollout from now on.
             self.wanted.again(now, &client);
         }
         changed.iter().for_each(|name| self.look(now, name, true));
     }
 
-    /// A client's last version is for all members from here on. To be told after [`Detector::desired`].
+    /// Records that a client's last version now applies to all members. Must be called after
+    /// [`Detector::desired`].
     pub fn reached_all(&mut self, now: Micros, client: &str) {
         self.rollouts.remove(client);
         let changed = self.wanted.release(client);
@@ -53,31 +55,33 @@
         changed.iter().for_each(|name| self.look(now, name, true));
     }
 
-    /// What the log should say next of a client's rollout, by what this one in charge sees.
+    /// Returns the proposed log entry for a client's rollout.
     pub fn wish(&self, now: Micros, client: &str) -> Option<&Progress> {
         self.rollouts.get(client).filter(|_| self.acting(now))?.wish()
     }
 
-    /// Who gave word of a client's rollout that stands not in the log yet, where that is to be said now.
+    /// Returns the members whose response to a client's rollout should be logged now.
     pub fn news(&self, now: Micros, client: &str) -> Option<BTreeSet<Name>> {
         self.rollouts.get(client).filter(|_| self.acting(now))?.news(now)
     }
 
-    /// What the next wave of a client is compared with, for the log. Costs the number of members.
+    /// Returns the baseline for the next wave of a client, to be logged. The cost is proportional to the
+    /// number of members.
     pub fn baseline(&self, client: &str) -> Baseline {
         let control = self.rollouts.get(client).map(Rollout::control).unwrap_or_default();
-        // Of whoever was not heard of in this term it is not known.
+        // It is unknown for members that have not reported in this term.
         let heard = self.members.iter().filter(|(_, member)| member.heard.is_some());
         Baseline::new(control, heard.map(|(name, member)| (name, member.health.memory)))
     }
 
-    /// Whether a member lives, and was heard of in this term a short while ago: for a rollout it is there then.
+    /// Returns whether a member is alive and has reported recently in this term, so that a rollout can count
+    /// on it.
     pub fn heard(&self, now: Micros, name: &Name) -> bool {
         let fresh = |heard: Micros| now <= heard.saturating_add(self.config.suspect_for);
         self.lives(name) && self.members.get(name).and_then(|member| member.heard).is_some_and(fresh)
     }
 
-    /// Whether a member is believed to live.
+    /// Returns whether a member is believed to be alive.
     pub fn lives(&self, name: &Name) -> bool {
         self.members.get(name).is_some_and(|member| member.standing == Standing::Alive)
     }
@@ -90,7 +94,7 @@
         }
     }
 
-    /// A fresh report of a member came.
+    /// Handles a fresh report of a member.
     pub(super) fn roll_report(&mut self, now: Micros, name: &Name) {
         let Some(member) = self.members.get(name) else { return };
         for (client, rollout) in &mut self.rollouts {
@@ -118,7 +122,7 @@
         }
     }
 
-    /// This one came into charge.
+    /// Handles the start of this member's leadership.
     pub(super) fn roll_resume(&mut self, now: Micros) {
         self.rollouts.values_mut().for_each(|rollout| rollout.resume(now));
     }
--- a/crates/drift/src/detector/seam.rs
+++ b/crates/drift/src/detector/seam.rs
@@ -1,4 +1,4 @@
-//! What goes into the detector and comes out of it.
+//! The inputs and outputs of the detector.
 
 use crate::Micros;
 use crate::acts::Order;
@@ -7,62 +7,64 @@
 use crate::rollout::Progress;
 use heronroute_fleet::Term;
 
-/// What is approved for a client.
+/// The approved version of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Desired {
     /// The client.
     pub client: String,
-    /// The version; 0: nothing any more.
+    /// The version; 0 if the client has no rules any more.
     pub version: u64,
-    /// Of its content as it is to be applied, cut to the plan ([`crate::content::digest`]).
+    /// The digest of the content as it is to be applied, within the client's plan
+    /// ([`crate::content::digest`]).
     pub digest: Digest,
-    /// When it was approved, on the caller's clock.
+    /// The time of the approval, on the caller's clock.
     pub at: Micros,
-    /// Of its content as it was approved, where the plan cuts it now: applied, it is beyond the plan.
+    /// The digest of the approved content before it was cut to the plan, if the plan restricts it. A member
+    /// that applies this content is beyond the plan.
     pub uncut: Option<Digest>,
 }
 
-/// What the detector wants said or done.
+/// An output of the detector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// A verdict changed. To be logged.
+    /// A verdict changed; it should be logged.
     Verdict(Record),
-    /// To be carried out; see [`crate::accepts`].
+    /// An order to be executed; see [`crate::accepts`].
     Order(Order),
-    /// To the member.
+    /// An acknowledgement for the member.
     Ack(Ack),
-    /// To the member.
+    /// A query for the member.
     Ask(Ask),
-    /// To the member.
+    /// A challenge for the member.
     Challenge(Challenge),
-    /// Of a client's rollout.
+    /// A proposal for a client's rollout.
     Rollout {
-        /// By whose right.
+        /// The term of the leader.
         term: Term,
         /// The client.
         client: String,
         /// The version that is rolled out.
         version: u64,
-        /// What the log should say next.
+        /// The proposed log entry.
         progress: Progress,
     },
-    /// A member took an order of a greater term: this one is not in charge any more.
+    /// A member accepted an order of a greater term: this keeper is no longer the leader.
     Superseded(Term),
 }
 
-/// What was dropped or let go.
+/// The counts of dropped inputs and outputs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Of a life that is over.
+    /// From a former start of the member.
     pub older_life: u64,
-    /// Of a number that was passed.
+    /// With an outdated number.
     pub older_number: u64,
-    /// Of nobody known.
+    /// From an unknown member.
     pub stranger: u64,
-    /// While not in charge.
+    /// While this keeper was not the leader.
     pub not_in_charge: u64,
-    /// Told or answered, but not what was asked, or not what the digest above it says.
+    /// Replies and answers that do not match a query, the digest above the node, or a challenge.
     pub false_answers: u64,
-    /// For want of room.
+    /// For lack of space.
     pub no_room: u64,
 }
--- a/crates/drift/src/detector/shown.rs
+++ b/crates/drift/src/detector/shown.rs
@@ -1,4 +1,4 @@
-//! What is shown of members and rollouts.
+//! The published state of members and rollouts.
 
 use super::Detector;
 use super::judge::judge;
@@ -9,12 +9,12 @@
 use heronroute_fleet::Term;
 
 impl Detector {
-    /// One's own term.
+    /// Returns the term of this keeper.
     pub fn current(&self) -> Term {
         self.charge.term()
     }
 
-    /// The verdict on a member at this moment, also where no tick came since a report grew too old.
+    /// Returns the current verdict on a member, also if no tick came since its report became outdated.
     pub fn verdict(&self, now: Micros, name: &heronroute_fleet::Name) -> Option<Verdict> {
         let member = self.members.get(name)?;
         if !self.acting(now) {
--- a/crates/drift/src/detector/term.rs
+++ b/crates/drift/src/detector/term.rs
@@ -1,18 +1,19 @@
-//! Who is in charge, and for how long that is sure.
+//! Tracks whether this keeper is the leader, and for how long that is certain.
 
 use super::member::Member;
 use super::{Detector, Output};
 use crate::Micros;
 use heronroute_fleet::{Name, Term};
 
+/// The leadership of this keeper.
 #[derive(Debug, Default)]
 pub(super) struct Charge {
-    /// One's own, as long as one is in charge.
+    /// The term of this keeper.
     term: Term,
-    /// The greatest that anyone was seen to know of.
+    /// The greatest term that any member was seen to know.
     seen: Term,
     in_charge: bool,
-    /// When that was last confirmed.
+    /// The time of the last confirmation.
     at: Micros,
 }
 
@@ -21,21 +22,24 @@
         self.term
     }
 
+    /// Returns whether this keeper is certainly the leader: it was confirmed within the lease, and no greater
+    /// term is known.
     pub(super) fn sure(&self, now: Micros, lease: Micros) -> bool {
         self.in_charge && self.seen <= self.term && now <= self.at.saturating_add(lease)
     }
 }
 
 impl Detector {
-    /// Which term it is, and whether this member is in charge in it. To be confirmed within every [`super::Config::lease`],
-    /// or the detector falls silent: a process that was paused does not know that another took over.
+    /// Sets the term and whether this member is its leader. This must be confirmed within every
+    /// [`super::Config::lease`], or the detector stops acting: a process that was paused does not know that
+    /// another one took over.
     pub fn term(&mut self, now: Micros, term: Term, in_charge: bool) {
         if term < self.charge.seen || term < self.charge.term {
             return;
         }
         let before = self.acting(now);
         if term > self.charge.term {
-            // A report that another one took in says nothing to this one.
+            // Reports that another leader received prove nothing to this one.
             self.members.values_mut().for_each(Member::unheard);
         }
         let news = term > self.charge.term || !self.charge.in_charge;
@@ -48,17 +52,17 @@
         }
         if news || !before {
             let names: Vec<Name> = self.members.keys().cloned().collect();
-            // That nobody was heard of yet in this term is no fault of theirs.
+            // It is no fault of the members that none of them has reported in this term yet.
             names.iter().for_each(|name| self.look(now, name, news));
         }
     }
 
-    /// It is in charge, and that was confirmed a short while ago.
+    /// Returns whether this keeper is the leader and its lease is valid.
     pub fn acting(&self, now: Micros) -> bool {
         self.charge.sure(now, self.config.lease)
     }
 
-    /// Whether a report that bears this term is for us to judge.
+    /// Returns whether this keeper may judge a report of this term.
     pub(super) fn heed(&mut self, now: Micros, term: Term) -> bool {
         if term > self.charge.term && term > self.charge.seen {
             let was = self.acting(now);
--- a/crates/drift/src/detector/walk.rs
+++ b/crates/drift/src/detector/walk.rs
@@ -1,4 +1,5 @@
-//! The way down a member's tree to what it differs by: one ask a node, each answer held against the digest above it.
+//! The walk down a member's tree to the clients that differ: one query per node, with each reply verified
+//! against the digest above it.
 
 use super::judge::MOST_DIFFERENCES;
 use super::member::Member;
@@ -7,23 +8,24 @@
 use crate::tree::{DEEPEST, NONE, Path, diff, told_hash};
 use crate::{Digest, Micros};
 
-/// Asks under way for a member at most.
+/// The maximum number of open queries per member.
 const MOST_OPEN: usize = 8;
 
-/// Places that wait to be asked for at most. One beyond is found by the next walk, once these are mended.
+/// The maximum number of pending queries. Differences beyond it are found by a later walk, once these are
+/// repaired.
 const MOST_PENDING: usize = 64;
 
 #[derive(Debug, Default)]
 pub(super) struct Walk {
     open: Vec<(Path, Digest)>,
     pending: Vec<(Path, Digest)>,
-    /// When the last ask left.
+    /// The time of the last query.
     asked: Option<Micros>,
 }
 
 impl Member {
-    /// Asks where its root can't be accounted for, and no walk is under way that still gets answers. Nothing where enough
-    /// is known to act on.
+    /// Starts a walk if the member's root is not explained by the assumed tree and no walk in progress still
+    /// gets replies. Returns the queries to send; none if enough is known to act on.
     pub(super) fn walk_begin(&mut self, now: Micros, again: Micros, wanted: &Wanted) -> Vec<Path> {
         let Some(root) = self.root.filter(|_| !self.accounted()) else {
             self.walk = Walk::default();
@@ -40,7 +42,7 @@
         self.walk_on(now)
     }
 
-    /// When the walk should be looked after; none where there is nothing to ask.
+    /// Returns the next time at which the walk needs attention; none if there is nothing to query.
     pub(super) fn walk_next(&self, now: Micros, again: Micros) -> Option<Micros> {
         (self.root.is_some() && !self.accounted())
             .then(|| self.walk.asked.unwrap_or(now).saturating_add(again).max(now.saturating_add(1)))
@@ -61,10 +63,11 @@
         paths
     }
 
-    /// An answer of a number that counts. What to ask next, or none where the answer is not one to what was asked.
+    /// Handles a reply with a valid number. Returns the next queries, or none if the reply does not match an
+    /// open query.
     pub(super) fn told(&mut self, now: Micros, tell: &Tell, wanted: &Wanted) -> Option<Vec<Path>> {
         if self.root != Some(tell.root) {
-            // The tree moved on meanwhile: the digests asked for are none of its any more.
+            // The tree has changed in the meantime, so the queried digests are no longer part of it.
             self.walk = Walk::default();
             self.learn(now, tell.root, &[], wanted);
             return Some(self.walk_begin(now, 0, wanted));
--- a/crates/drift/src/detector/wanted.rs
+++ b/crates/drift/src/detector/wanted.rs
@@ -1,7 +1,7 @@
-//! What is desired of each member, as the tree that its own is held against.
+//! The desired state of each member, as a tree that is compared with the member's own tree.
 //!
-//! It is the same for all but for those that a rollout has not reached: they have trees of their own, which share what is
-//! the same.
+//! It is the same for all members except those that a rollout has not reached. These have trees of their own,
+//! which share the equal nodes.
 
 use super::Desired;
 use crate::reporter::held;
@@ -10,17 +10,17 @@
 use heronroute_fleet::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Clients with a desired version at most; one beyond is not taken in, and counted.
+/// The maximum number of clients with a desired version; others are ignored and counted.
 pub const MOST_WANTED: usize = 100_000;
 
-/// Of all members.
+/// The desired state of all members.
 #[derive(Debug, Default)]
 pub(super) struct Approved {
     pub(super) tree: Tree,
     by: BTreeMap<String, Want>,
     seq: u64,
     last: Option<String>,
-    /// Members that are held at another version of some clients.
+    /// The members that are pinned to another version of some clients.
     held: BTreeMap<Name, Held>,
 }
 
@@ -30,29 +30,29 @@
     clients: BTreeSet<String>,
 }
 
-/// Of one member.
+/// The desired state of one member.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wanted<'a> {
     pub(super) tree: &'a Tree,
     by: &'a BTreeMap<String, Want>,
     seq: u64,
-    /// The client that was approved last.
+    /// The client with the latest approval.
     pub(super) last: &'a Option<String>,
-    /// Its version.
+    /// The version of that client.
     pub(super) last_version: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct Want {
     pub(super) at: Micros,
-    /// In the order of approval.
+    /// The number of the approval, increasing over time.
     pub(super) seq: u64,
     uncut: Option<Digest>,
-    /// The same version's content until now.
+    /// The previous content of the same version, if it changed.
     was: Option<Digest>,
 }
 
-/// How what is applied stands to what is desired.
+/// The relation of an applied version to the desired one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Class {
     Lagging,
@@ -62,7 +62,7 @@
 }
 
 impl Approved {
-    /// False where there is no room.
+    /// Sets the desired version of a client. Returns false if there are too many clients.
     pub(super) fn set(&mut self, desired: &Desired) -> bool {
         if self.by.len() >= MOST_WANTED && !self.by.contains_key(&desired.client) {
             return false;
@@ -82,14 +82,15 @@
         true
     }
 
-    /// What is desired of a member.
+    /// Returns the desired state of a member.
     pub(super) fn of(&self, name: &Name) -> Wanted<'_> {
         let tree = self.held.get(name).map_or(&self.tree, |one| &one.tree);
         let last_version = self.last.as_ref().and_then(|c| tree.get(c)).map_or(0, |leaf| leaf.version);
         Wanted { tree, by: &self.by, seq: self.seq, last: &self.last, last_version }
     }
 
-    /// A member is held at this version of a client, or no more. True where that changed what is desired of it.
+    /// Pins a member to a version of a client, or unpins it. Returns true if this changed the member's
+    /// desired state.
     pub(super) fn hold(&mut self, name: &Name, client: &str, at: Option<(u64, Digest)>) -> bool {
         let Some((version, digest)) = at else {
             let Some(one) = self.held.get_mut(name).filter(|one| one.clients.contains(client)) else {
@@ -111,7 +112,7 @@
         before != held(version, digest)
     }
 
-    /// Nobody is held at another version of a client any more. Who was.
+    /// Unpins all members from their versions of a client and returns these members.
     pub(super) fn release(&mut self, client: &str) -> Vec<Name> {
         let names = self.held.iter().filter(|(_, one)| one.clients.contains(client));
         let names: Vec<Name> = names.map(|(name, _)| name.clone()).collect();
@@ -119,7 +120,7 @@
         names
     }
 
-    /// A client's version is desired of more members from here on.
+    /// Restarts the time within which a client's version must be applied, because more members now need it.
     pub(super) fn again(&mut self, now: Micros, client: &str) {
         if let Some(want) = self.by.get_mut(client) {
             self.seq += 1;
@@ -133,7 +134,7 @@
         self.by.get(client)
     }
 
-    /// The number of the last approval.
+    /// Returns the number of the latest approval.
     pub(super) fn seq(&self) -> u64 {
         self.seq
     }
--- a/crates/drift/src/draw.rs
+++ b/crates/drift/src/draw.rs
@@ -1,4 +1,5 @@
-//! Draws from a seed: the same seed gives the same draws, and without it a nonce can't be told ahead.
+//! A deterministic random generator: the same seed gives the same values, and without the seed a nonce cannot
+//! be predicted.
 
 use crate::Digest;
 use sha2::{Digest as _, Sha256};
@@ -14,7 +15,7 @@
         Draw { seed, count: 0 }
     }
 
-    /// 32 octets.
+    /// Returns the next 32 bytes.
     pub(crate) fn octets(&mut self) -> Digest {
         self.count += 1;
         let mut hash = Sha256::new();
@@ -24,7 +25,7 @@
         hash.finalize().into()
     }
 
-    /// A number below `limit`; 0 where that is 0.
+    /// Returns a number below `limit`, or 0 if `limit` is 0.
     pub(crate) fn below(&mut self, limit: u64) -> u64 {
         let octets = self.octets();
         let number = octets.iter().take(8).fold(0u64, |number, octet| (number << 8) | u64::from(*octet));
--- a/crates/drift/src/history.rs
+++ b/crates/drift/src/history.rs
@@ -1,4 +1,4 @@
-//! What was said of each member, bounded, kept over restarts and a change of the member in charge.
+//! A bounded history of the members' verdicts. It survives restarts and a change of the leader.
 
 use crate::report::Verdict;
 use crate::{Micros, cut};
@@ -6,36 +6,36 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Records kept at most; the oldest go first.
+/// The maximum number of records; the oldest are dropped first.
 pub const MOST: usize = 4096;
 
-/// Records kept of one member at most.
+/// The maximum number of records of one member.
 pub const MOST_EACH: usize = 32;
 
-/// A verdict from the moment that it was reached. In order of time.
+/// A verdict from the moment it was reached. Records are ordered by term and time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Record {
-    /// Of the one who saw it.
+    /// The term of the leader that reached the verdict.
     pub term: Term,
-    /// Since when, wall time in microseconds.
+    /// The time from which the verdict holds, as wall time in microseconds.
     pub since: Micros,
-    /// Of whom.
+    /// The member.
     pub member: Name,
-    /// In which of its lives.
+    /// The start (incarnation) of the member.
     pub start: Start,
-    /// What.
+    /// The verdict.
     pub verdict: Verdict,
-    /// The client that it shows by; none where it is about all or where there is no client.
+    /// The client that shows the verdict; none if it concerns all clients or there is no client.
     pub client: Option<String>,
     /// The version that the member applies for that client.
     pub version: u64,
-    /// By whom.
+    /// The member that reached the verdict.
     pub seen_by: Name,
-    /// Why.
+    /// The reason.
     pub reason: Option<String>,
 }
 
-/// Records that could not be read.
+/// The snapshot could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unreadable;
 
@@ -47,7 +47,8 @@
 
 impl std::error::Error for Unreadable {}
 
-/// The records. The same set is kept whatever the order they came in, so that two histories merge to one.
+/// The recorded verdicts. The kept set does not depend on the order of arrival, so that merging two histories
+/// gives the same result in either direction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
     all: BTreeSet<Record>,
@@ -55,7 +56,7 @@
 }
 
 impl History {
-    /// Adds one.
+    /// Adds a record and drops the oldest ones beyond the limits.
     pub fn add(&mut self, mut record: Record) {
         record.reason = record.reason.as_deref().map(cut);
         let own = self.each.entry(record.member.clone()).or_default();
@@ -78,24 +79,24 @@
         }
     }
 
-    /// Takes another's records in; in either order the same comes out.
+    /// Adds all records of another history. The result does not depend on the order of merging.
     pub fn merge(&mut self, other: &History) {
         other.all.iter().for_each(|record| self.add(record.clone()));
     }
 
-    /// All, oldest first.
+    /// Returns all records, oldest first.
     pub fn records(&self) -> impl DoubleEndedIterator<Item = &Record> {
         self.all.iter()
     }
 
-    /// Of one member, oldest first.
+    /// Returns the records of one member, oldest first.
     pub fn of(&self, member: &Name) -> impl Iterator<Item = &Record> {
         self.each.get(member).into_iter().flatten()
     }
 
-    /// The newest records, as many as fit into `most` octets (postcard).
+    /// Returns the newest records, as many as fit into `max_bytes`, encoded with postcard.
     pub fn snapshot(&self, most: usize) -> Vec<u8> {
-        // The length before them takes up to 3 octets for MOST records.
+        // The length prefix takes up to 3 bytes for MAX_RECORDS records.
         let mut room = most.saturating_sub(3);
         let mut kept = Vec::new();
         for record in self.all.iter().rev() {
@@ -106,14 +107,15 @@
             room -= size;
             kept.push(record);
         }
-        // Writing to memory fails for no record that stands here; an empty snapshot reads as none.
+        // Encoding to memory cannot fail for these types; an empty snapshot is rejected as unreadable on
+        // restore.
         postcard::to_stdvec(&kept).unwrap_or_default()
     }
 
-    /// From octets; more than is kept is let go as ever.
+    /// Decodes a snapshot; records beyond the limits are dropped as in [`History::add`].
     ///
     /// # Errors
-    /// Where they are no snapshot.
+    /// Returns an error if the bytes are not a valid snapshot.
     pub fn restore(octets: &[u8]) -> Result<Self, Unreadable> {
         let all: Vec<Record> = postcard::from_bytes(octets).map_err(|_| Unreadable)?;
         let mut history = History::default();
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -1,11 +1,14 @@
-//! What members really apply, held against what was approved.
+//! Compares the rules that members really apply with the approved ones.
 //!
-//! Does: makes digests of a client's rules ([`content`]) in a tree ([`tree`]), so that a report costs by what changed
-//! ([`report`], written by a member's [`reporter`]); gives each member a verdict, with since when, by whom seen and in
-//! which term ([`detector`]); chooses what is done about it, within a budget ([`acts`]); watches over a version that goes to
-//! the members in waves ([`rollout`]); keeps what was said over a change of the member in charge ([`history`]).
-//! Decides: what counts as fresh, lagging, altered or beyond the plan; whether a rollout should go on or stop.
-//! Never: touches a socket, a file or a clock; applies anything itself; calls a member in line that was not heard of.
+//! [`content`] computes digests of a client's rules, and [`tree`] holds them in a hash tree, so that the cost
+//! of a report depends on what changed. A member's [`reporter`] writes the reports ([`report`]). The
+//! [`detector`] runs at the leader and gives each member a verdict, with its start time, the observer and the
+//! term. [`actions`] chooses corrective actions within a budget. [`rollout`] watches a version that is
+//! distributed to the members in waves. [`history`] preserves the verdicts when the leader changes.
+//!
+//! The crate decides what counts as fresh, lagging, altered or beyond the plan, and whether a rollout
+//! continues or stops. It performs no I/O, reads no clock and applies no rules itself, and it never reports a
+//! member as in line without a fresh report from it.
 
 #![forbid(unsafe_code)]
 
@@ -28,16 +31,17 @@
 pub use rollout::{Plan as RolloutPlan, Progress, Reach, Rollout};
 pub use tree::Tree;
 
-/// Time in microseconds on the caller's clock, or of the day (since 1970 UTC) where a field says `wall`.
+/// A time in microseconds, on the caller's clock or, where a field says `wall`, since 1970 UTC.
 pub type Micros = i64;
 
-/// Octets of a client's name at most; a report on a longer one is not taken in.
+/// The longest client name in bytes; reports about longer ones are ignored.
 pub const MOST_NAME: usize = 64;
 
-/// Characters of a reason that are kept.
+/// The number of characters of a reason that are kept.
 pub const MOST_REASON: usize = 200;
 
-/// A text cut to what is kept of a reason: members say them, so that their length is not in our hands.
+/// Truncates a text to [`MAX_REASON_CHARS`]. Members send these texts, so their length is not under our
+/// control.
 pub(crate) fn cut(text: &str) -> String {
     text.chars().take(MOST_REASON).collect()
 }
--- a/crates/drift/src/report.rs
+++ b/crates/drift/src/report.rs
@@ -1,187 +1,189 @@
-//! What a member says that it applies, read from its live tables.
+//! Messages between the members and the leader about the rules that a member applies, as read from its live
+//! tables.
 
 use crate::Micros;
 use crate::tree::Path;
 use heronroute_fleet::{Life, Term};
 use serde::{Deserialize, Serialize};
 
-/// A digest (SHA-256) of what is applied.
+/// A SHA-256 digest of applied rules.
 pub type Digest = [u8; 32];
 
-/// Clients in one report at most; the rest comes with the next one, or is asked for.
+/// The maximum number of clients in one report; the others follow in the next report or are queried.
 pub const MOST_CLIENTS: usize = 64;
 
-/// A report: the root of the member's tree and as much below it as changed or was asked for.
+/// A report of a member: the root of its tree and the clients that changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Whose.
+    /// The reporting member and its start.
     pub life: Life,
-    /// Counts up within a life; an older one is dropped.
+    /// The sequence number within this start of the member; reports with an older number are dropped.
     pub number: u64,
-    /// The term of the last order that the member took.
+    /// The term of the last order that the member accepted.
     pub term: Term,
-    /// Over all clients.
+    /// The root digest over all clients.
     pub root: Digest,
-    /// Clients (or buckets of them) that changed or were asked for; bounded.
+    /// The changed clients, at most [`MAX_CLIENTS_PER_REPORT`].
     pub clients: Vec<Applied>,
-    /// How the member fares.
+    /// The health figures of the member.
     pub health: Health,
-    /// From the last acknowledgement that the member got: proves that the report was written after that was sent, however
-    /// long it then lay in a queue.
+    /// The echo of the last acknowledgement that the member received. It proves that the report was written
+    /// after that acknowledgement was sent, however long the report was queued on the way.
     pub echo: Option<Echo>,
 }
 
-/// How a member fares. The counts go up within a life.
+/// Health figures of a member. The counts increase for as long as the member runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// Messages refused since the start of the life.
+    /// The number of messages refused since the member started.
     pub refused: u64,
-    /// Messages that failed for good since the start of the life.
+    /// The number of messages that failed permanently since the member started.
     pub failed: u64,
-    /// Octets of memory in use.
+    /// The memory in use, in bytes.
     pub memory: u64,
 }
 
-/// A time of the member in charge, given back to it.
+/// A time on the leader's clock that the member sends back to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// In whose term.
+    /// The term of the leader.
     pub term: Term,
-    /// On the clock of whoever was in charge, in microseconds.
+    /// The time on the leader's clock, in microseconds.
     pub at: Micros,
 }
 
-/// The member in charge has taken a report in.
+/// The leader's acknowledgement of a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// Whose report.
+    /// The member whose report is acknowledged.
     pub to: Life,
-    /// Its number.
+    /// The number of the report.
     pub number: u64,
-    /// To be given back with the next one.
+    /// The value to be sent back with the next report.
     pub echo: Echo,
 }
 
-/// What stands below a place of the member's tree?
+/// A query for one node of a member's tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Who is asked.
+    /// The queried member.
     pub to: Life,
-    /// Of whoever asks.
+    /// The term of the leader that asks.
     pub term: Term,
-    /// Where.
+    /// The position of the node.
     pub path: Path,
 }
 
-/// The answer to an [`Ask`]: one node, checked against the root on the way down, so that it can't be made up apart from it.
+/// The reply to a [`TreeQuery`]: one node. The detector verifies each node against the digest above it, down
+/// from the root, so that a node cannot be forged on its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tell {
-    /// Who answers.
+    /// The replying member.
     pub life: Life,
-    /// Counts with the reports.
+    /// The sequence number, shared with the reports.
     pub number: u64,
-    /// Over all clients, at the time of the answer.
+    /// The root digest at the time of the reply.
     pub root: Digest,
-    /// Where.
+    /// The position of the node.
     pub path: Path,
-    /// What stands there.
+    /// The node.
     pub node: Told,
 }
 
-/// A node of a tree as it is told.
+/// A node of a tree as it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Told {
-    /// The digests below it, [`crate::tree::FAN`] of them.
+    /// The digests of the [`crate::tree::FAN_OUT`] children.
     Branch(Vec<Digest>),
-    /// Its clients in order of name, [`crate::tree::BUCKET`] at most.
+    /// The clients in order of name, at most [`crate::tree::MAX_BUCKET_CLIENTS`].
     Bucket(Vec<Applied>),
 }
 
-/// Show what is really applied for one client: the digest over the nonce and the live content can't be known from the
-/// digests that were reported, nor from the order that was sent some time ago.
+/// Asks a member to prove what it really applies for one client. The answer is a digest over the nonce and
+/// the live rules, which cannot be derived from the reported digests or from the order that was sent earlier.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Challenge {
-    /// Who is asked.
+    /// The challenged member.
     pub to: Life,
-    /// Of whoever asks.
+    /// The term of the leader that asks.
     pub term: Term,
-    /// Never used before.
+    /// A nonce that was never used before.
     pub nonce: Digest,
-    /// For which client.
+    /// The client.
     pub client: String,
 }
 
 /// The answer to a [`Challenge`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Who answers.
+    /// The answering member.
     pub life: Life,
-    /// Of the challenge.
+    /// The nonce of the challenge.
     pub nonce: Digest,
-    /// [`crate::content::proof`] over the nonce and the rules read from the live tables.
+    /// [`crate::content::proof`] over the nonce and the rules in the live tables.
     pub proof: Digest,
 }
 
-/// What a member applies for one client.
+/// The rules that a member applies for one client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
     /// The client's system_id.
     pub client: String,
-    /// The version that it says it applies; 0: none.
+    /// The version that the member claims to apply; 0 if none.
     pub version: u64,
-    /// Of what stands in its live tables.
+    /// The digest of the rules in the live tables.
     pub digest: Digest,
-    /// Why it can't apply what it was sent.
+    /// The reason why the member cannot apply the rules that it was sent.
     pub trouble: Option<String>,
-    /// Its senders don't all apply the same.
+    /// Set if the member's senders do not all apply the same rules.
     pub partly: Option<Partly>,
 }
 
-/// How far a member whose senders differ has got with what it was told.
+/// The progress of a member whose senders differ in what they apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Partly {
-    /// So many of its senders apply it.
+    /// The number of senders that apply the version.
     pub senders: u32,
-    /// Of so many.
+    /// The total number of senders.
     pub of: u32,
-    /// Since when they differ, by the member's time of day, in microseconds.
+    /// The time from which they differ, by the member's time of day, in microseconds.
     pub since: Micros,
 }
 
-/// What a member is.
+/// The detector's verdict on a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It applies what was approved, and said so a short while ago.
+    /// The member applies what was approved, by a recent report.
     #[serde(rename = "in line")]
     InLine,
-    /// It does not yet, within the time of a rollout.
+    /// The member does not apply it yet, and the time for a rollout is not over.
     #[serde(rename = "converging")]
     Converging,
-    /// It applies an older version, beyond that time.
+    /// The member applies an older version after the time for a rollout is over.
     #[serde(rename = "lagging")]
     Lagging,
-    /// It applies a version that was not approved yet.
+    /// The member applies a version that is not approved yet.
     #[serde(rename = "ahead")]
     Ahead,
-    /// The same version with another content.
+    /// The member applies the approved version with different content.
     #[serde(rename = "altered")]
     Altered,
-    /// Some clients' rules and not others', or some of its senders and not others.
+    /// The rules of only some clients, or only some of the member's senders, are up to date.
     #[serde(rename = "partly applied")]
     Partly,
-    /// It says why it can't.
+    /// The member reports that it cannot apply the rules, with a reason.
     #[serde(rename = "can't apply")]
     CantApply,
-    /// What it applies is beyond the client's plan.
+    /// The member applies rules beyond the client's plan.
     #[serde(rename = "beyond plan")]
     BeyondPlan,
-    /// No report that is fresh enough.
+    /// There is no fresh report.
     #[serde(rename = "not heard of")]
     NotHeardOf,
 }
 
 impl Verdict {
-    /// All of them.
+    /// All verdicts.
     pub const ALL: [Verdict; 9] = [
         Verdict::InLine,
         Verdict::Converging,
@@ -194,7 +196,7 @@
         Verdict::NotHeardOf,
     ];
 
-    /// The word of `fleet/drift`.
+    /// Returns the text used in `fleet/drift`.
     pub fn word(self) -> &'static str {
         match self {
             Verdict::InLine => "in line",
--- a/crates/drift/src/reporter.rs
+++ b/crates/drift/src/reporter.rs
@@ -1,6 +1,7 @@
-//! The member's side: what its live tables hold, as a tree, and the reports on it.
+//! The member's side: a tree of what its live tables hold, and the reports on it.
 //!
-//! The caller reads the live tables and says what it read ([`Reporter::live`]); it never says what it was sent.
+//! The caller reads the live tables and passes the result to [`Reporter::live`]. Reports describe what is
+//! applied, never what the member was sent.
 
 use crate::report::{
     Ack, Answer, Applied, Ask, Challenge, Echo, Health, MOST_CLIENTS, Partly, Report, Tell, Told,
@@ -11,20 +12,22 @@
 use heronroute_rules::RuleSet;
 use std::collections::BTreeMap;
 
-/// Clients kept as changed at most. One beyond is left out: the root differs, and the detector asks its way down.
+/// The maximum number of clients tracked as changed. Others are left out of the reports; the root still
+/// differs, and the detector finds them by querying the tree.
 pub const MOST_CHANGED: usize = 1024;
 
-/// Troubles kept at most. One beyond is left out: the member is then called lagging instead of unable.
+/// The maximum number of tracked problems (clients whose rules cannot be applied), and of clients whose
+/// senders differ. A member with more is judged as lagging instead of unable to apply for the others.
 pub const MOST_TROUBLES: usize = 64;
 
-/// Writes reports.
+/// Writes the reports of one member.
 #[derive(Debug)]
 pub struct Reporter {
     life: Life,
     number: u64,
     term: Term,
     tree: Tree,
-    /// Changed, and the number of the report that said so; 0: none yet.
+    /// The changed clients, each with the number of the last report that listed it; 0 if none did.
     changed: BTreeMap<String, u64>,
     troubles: BTreeMap<String, String>,
     partly: BTreeMap<String, Partly>,
@@ -32,7 +35,7 @@
 }
 
 impl Reporter {
-    /// Of one life, with nothing applied.
+    /// Creates a reporter for one start of a member, with nothing applied.
     pub fn new(life: Life) -> Self {
         Reporter {
             life,
@@ -46,8 +49,9 @@
         }
     }
 
-    /// What was read from the live tables for a client, as a digest of its content, and why the last order for it could
-    /// not be applied. Costs the depth of the tree; nothing where it is as before.
+    /// Records the version and content digest that the live tables hold for a client, and why the last order
+    /// for it could not be applied. The cost is proportional to the depth of the tree, and constant if
+    /// nothing changed.
     pub fn live(&mut self, client: &str, version: u64, digest: Digest, trouble: Option<&str>) {
         let held = held(version, digest);
         let before = self.tree.get(client).map(|leaf| (leaf.version, leaf.digest));
@@ -71,8 +75,9 @@
         }
     }
 
-    /// How many of its senders apply what they were told for a client; none: all alike. To be said before [`Reporter::live`]:
-    /// what they apply then differs as well. One beyond [`MOST_TROUBLES`] is left out, and shows by its version alone.
+    /// Records how many senders apply the version of a client; `None` if all do. Must be called before
+    /// [`Reporter::live`], since the applied rules then differ as well. Clients beyond [`MAX_PROBLEMS`] are
+    /// left out and show by their version only.
     pub fn partly(&mut self, client: &str, partly: Option<Partly>) {
         let before = self.partly.get(client).copied();
         match partly {
@@ -88,21 +93,23 @@
         }
     }
 
-    /// An order of this term was taken.
+    /// Records the term of an accepted order.
     pub fn term(&mut self, term: Term) {
         self.term = self.term.max(term);
     }
 
-    /// What it holds.
+    /// Returns the tree of the applied rules.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// The next report: the root and what changed since the last one that was acknowledged, [`MOST_CLIENTS`] of it.
+    /// Returns the next report: the root and up to [`MAX_CLIENTS_PER_REPORT`] clients that changed since the
+    /// last acknowledged report.
     pub fn report(&mut self, health: Health) -> Report {
         self.number += 1;
         let mut clients = Vec::new();
-        // Those never said come first, so that a long list gets through even where acknowledgements are slow.
+        // Unreported clients come first, so that a long list makes progress even if acknowledgements are
+        // slow.
         for fresh in [true, false] {
             for (client, said) in &mut self.changed {
                 if clients.len() < MOST_CLIENTS && (*said == 0) == fresh && *said != self.number {
@@ -124,8 +131,8 @@
         }
     }
 
-    /// A report was taken in. True where it is the first one of a term: the next report should go out at once, as only a
-    /// report that bears this term's echo counts as fresh.
+    /// Handles an acknowledgement. Returns true if it is the first one of a term: the next report should then
+    /// be sent at once, since only a report with this term's echo counts as fresh.
     pub fn acked(&mut self, ack: &Ack) -> bool {
         if ack.to != self.life
             || self.echo.is_some_and(|echo| (echo.term, echo.at) > (ack.echo.term, ack.echo.at))
@@ -138,7 +145,7 @@
         first
     }
 
-    /// Answers what stands below a place; one node, bounded by its kind.
+    /// Answers a query for one node of the tree; the size of the reply is bounded by the kind of node.
     pub fn tell(&mut self, ask: &Ask) -> Option<Tell> {
         if ask.to != self.life {
             return None;
@@ -160,7 +167,7 @@
         })
     }
 
-    /// Answers a challenge from what the live tables hold for its client at this moment.
+    /// Answers a challenge with the rules that the live tables hold for its client now.
     pub fn answer(&self, challenge: &Challenge, live: &RuleSet) -> Option<Answer> {
         (challenge.to == self.life).then(|| Answer {
             life: self.life.clone(),
@@ -170,7 +177,7 @@
     }
 }
 
-/// What a tree holds for a client: nothing where there is no version and no rule.
+/// Returns the tree entry for a client: none if there is neither a version nor a rule.
 pub(crate) fn held(version: u64, digest: Digest) -> Option<(u64, Digest)> {
     (version != 0 || digest != content::digest(&[])).then_some((version, digest))
 }
--- a/crates/drift/src/rollout/fare.rs
+++ b/crates/drift/src/rollout/fare.rs
@@ -1,20 +1,21 @@
-//! Do members fare worse with the new version than those without it?
+//! Compares the health of the members with the new version with that of the members without it.
 
 use crate::Micros;
 use crate::report::Health;
 use heronroute_fleet::Start;
 use serde::{Deserialize, Serialize};
 
-/// When it counts as worse.
+/// The thresholds from which the health with a new version counts as worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Worse {
-    /// Refused or failed messages that the reached ones must have seen before their rate says anything.
+    /// The number of refused or failed messages that the reached members must have seen before their rate is
+    /// compared.
     pub least: u64,
-    /// Their rate is worse if it is above the others' by so many percent.
+    /// Their rate is worse if it exceeds the rate of the others by this percentage.
     pub rate_percent: u64,
-    /// Octets by which the reached ones must have grown on average before that says anything.
+    /// The average growth of the reached members in bytes before their memory is compared.
     pub least_octets: u64,
-    /// Their memory is worse if it grew more than the others' by so many percent of what it was.
+    /// Their memory is worse if it grew more than that of the others by this percentage of its former size.
     pub memory_percent: u64,
 }
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// A member's health since a moment.
+/// The change of a member's health since a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Since {
     start: Start,
@@ -32,7 +33,7 @@
     base: Health,
     last: Health,
     last_at: Micros,
-    /// Of lives that ended since.
+    /// The refused and failed messages of starts that ended since then.
     before: (u64, u64),
 }
 
@@ -43,27 +44,28 @@
 
     pub(crate) fn report(&mut self, now: Micros, start: Start, health: Health) {
         if start != self.start {
-            // Counts begin at 0 again with a life; what the last one had seen stays counted.
+            // The counts begin at 0 after a restart; those of the earlier start are kept.
             self.before = (self.refused(), self.failed());
             self.start = start;
             self.base.refused = 0;
             self.base.failed = 0;
         }
         if self.base.memory == 0 {
-            // It was not said before, as at a start: guards against growth from nothing.
+            // The memory was not reported before, as after a start; without this it would seem to grow from
+            // nothing.
             self.base.memory = health.memory;
         }
         self.last = health;
         self.last_at = now;
     }
 
-    /// Its memory grew from here, as another one in charge left it.
+    /// Sets the memory from which growth counts, as an earlier leader logged it.
     pub(crate) fn grown_from(mut self, octets: Option<u64>) -> Self {
         self.base.memory = octets.unwrap_or(self.base.memory);
         self
     }
 
-    /// Counts again from here.
+    /// Restarts the measurement at the last report.
     pub(crate) fn rebase(&mut self, now: Micros) {
         *self = Since::new(now, self.start, self.last);
     }
@@ -77,11 +79,11 @@
     }
 }
 
-/// The sum over members, or what is left of it for later.
+/// The sum over several members. It is also logged as a part of the baseline.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Sum {
     members: u64,
-    /// Member-microseconds.
+    /// The observed time, summed over the members, in microseconds.
     time: u64,
     refused: u64,
     failed: u64,
@@ -107,14 +109,14 @@
         self.members == 0
     }
 
-    /// In which figure these fare worse than `others`, in words.
+    /// Describes the first figure that is worse than that of `others`, if there is one.
     pub(crate) fn worse_than(&self, others: &Sum, worse: &Worse) -> Option<String> {
         if self.is_empty() || others.is_empty() {
             return None;
         }
         let counts = [("refusals", self.refused, others.refused), ("failures", self.failed, others.failed)];
         for (what, mine, theirs) in counts {
-            // mine/time > theirs/time × (1 + percent), without dividing.
+            // mine/time > theirs/time × (1 + percent), without a division.
             let left = u128::from(mine).saturating_mul(others.time.into()).saturating_mul(100);
             let right = u128::from(theirs)
                 .saturating_mul(self.time.into())
--- a/crates/drift/src/rollout/mod.rs
+++ b/crates/drift/src/rollout/mod.rs
@@ -1,12 +1,16 @@
-//! A version goes to the members in waves: one member, its zone, all.
+//! Distributes a version to the members in waves: first one member, then its zone, then all.
 //!
-//! How far it has gone is not decided here: the keepers' log says it ([`Reach`]), so that a change of the member in charge, a
-//! cut or a restart loses nothing of it. The one in charge looks at the members that it reached ([`Rollout`]) and says what
-//! should come next ([`Progress`]), for the log. The next wave is to leave once the whole of the last one was in line for a
-//! while and fares no worse than those not yet reached. Otherwise the rollout is to stop, with a reason. A member that died
-//! after its first word since it was reached counts as not in line: the version may be what killed it. One that was gone
-//! before is not waited for. One that gave no word since its wave left and is gone is no evidence against the version: it is
-//! passed over ([`Progress::Pass`]), [`MOST_PASSES`] times a wave at most, as a version may also kill before the first word.
+//! The state of a rollout is kept in the keepers' log ([`LoggedRollout`]), so that a change of the leader, a
+//! network partition or a restart loses nothing. The leader observes the reached members ([`Rollout`]) and
+//! proposes the next log entry ([`Progress`]).
+//!
+//! The next wave starts once all members of the current wave have been in line for the soak time and are no
+//! less healthy than the members not yet reached. Otherwise the rollout is stopped with a reason. A member
+//! that died after its first response since its wave started counts as not in line, since the version may
+//! have killed it. A member that was already gone when its wave started is not waited for. A member that has
+//! not responded since its wave started and is gone is no evidence against the version: it is skipped
+//! ([`Progress::Pass`]). This happens at most [`MAX_SKIPS_PER_WAVE`] times per wave, because a version may
+//! also kill a member before its first response.
 
 mod baseline;
 mod fare;
@@ -24,65 +28,67 @@
 use heronroute_fleet::Name;
 use std::collections::BTreeSet;
 
-/// Members of a rollout at most; with more it is not begun.
+/// The maximum number of members of a rollout; with more members it is not started.
 pub const MOST_MEMBERS: usize = 1024;
 
-/// How a version is rolled out.
+/// The plan of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The client whose rules change.
     pub client: String,
-    /// To which version.
+    /// The target version.
     pub version: u64,
-    /// A wave has so long to be in line, in microseconds.
+    /// The time within which a wave must be in line, in microseconds.
     pub wave_for: Micros,
-    /// A wave must have been in line for so long, in microseconds, before the next one leaves; its health is compared then.
+    /// The time that a wave must have been in line before its health is compared and the next one starts, in
+    /// microseconds.
     pub soak: Micros,
-    /// When members fare worse.
+    /// The thresholds for worse health.
     pub worse: Worse,
 }
 
-/// How far a version has gone, by the log.
+/// The state of a rollout according to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reach {
-    /// What goes.
+    /// The plan.
     pub plan: Plan,
-    /// Each member and the wave, counted from 0, that reaches it.
+    /// The members, each with the index of the wave that reaches it.
     pub members: Vec<(Name, usize)>,
-    /// By wave: the version and content that its members are meant to apply now.
+    /// For each wave, the version and content digest that its members are meant to apply now.
     pub meant: Vec<(u64, Digest)>,
-    /// The wave that left last; none: none has left yet.
+    /// The index of the wave that started last; none if no wave has started.
     pub wave: Option<usize>,
-    /// Members that were not heard of when their wave left, or were passed over since.
+    /// The members that were not reporting when their wave started, or were skipped since.
     pub without: BTreeSet<Name>,
-    /// Members that gave word since their wave left, to whoever was in charge.
+    /// The members that responded to any leader since their wave started.
     pub heard: BTreeSet<Name>,
-    /// How often members were passed over: of all waves, and of the one that left last.
+    /// The number of skips: in all waves, and in the current wave.
     pub passes: (usize, usize),
-    /// What the wave that left last is compared with.
+    /// The baseline that the current wave is compared with.
     pub baseline: Baseline,
-    /// It was stopped, and why.
+    /// The reason why the rollout was stopped, if it was.
     pub halted: Option<String>,
 }
 
-/// What the log should say next of a rollout.
+/// The next log entry that the leader proposes for a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// This wave leaves.
+    /// Start a wave.
     Next {
-        /// Counted from 0.
+        /// The index of the wave.
         wave: usize,
     },
-    /// These members of the wave that left last gave no word since, and are gone: it goes on without them, the first wave
-    /// with another member.
+    /// Continue without these members of the current wave, which have not responded since it started and are
+    /// gone. If this concerns the first wave, another member takes their place.
     Pass {
-        /// Which.
+        /// The skipped members.
         members: BTreeSet<Name>,
     },
-    /// It is stopped.
+    /// Stop the rollout.
     Stopped(Why),
     /// All waves are in line.
     Done,
-    /// Nothing: another version of this client was approved, and what is left of this one is dropped.
+    /// Another version of this client was approved; the rest of this rollout is dropped, and nothing is
+    /// logged.
     Superseded,
 }
--- a/crates/drift/src/rollout/passing.rs
+++ b/crates/drift/src/rollout/passing.rs
@@ -1,40 +1,43 @@
-//! Who gave word since its wave left, and who did not and is gone.
+//! Tracks the members that responded since their wave started, and those that are gone without a response.
 
 use super::Reach;
 use crate::Micros;
 use heronroute_fleet::Name;
 use std::collections::BTreeSet;
 
-/// Times that members of one wave are passed over at most: a version that kills before the first word of it reaches three
-/// first members then, and no more.
+/// The maximum number of skips per wave. A version that kills members before their first response thus
+/// reaches three first members at most.
 pub const MOST_PASSES: usize = 2;
 
-/// Nobody is passed over sooner after the wave left, or a term began: two reports come in it, and a death is found out.
+/// The time after the start of a wave or term before a member may be skipped: long enough for two reports and
+/// for detecting a death.
 pub const PATIENCE: Micros = 5_000_000;
 
-/// A report that was written so long after the wave left is word of the version, whatever it says: it got there meanwhile.
+/// A report that was written this long after the start of the wave counts as a response whatever it says,
+/// since the version was delivered in the meantime.
 pub const WORD: Micros = 1_000_000;
 
-/// Members whose word stands in the log at most; silence of one beyond is evidence for this one in charge alone.
+/// The maximum number of members whose response is logged; the silence of others counts as evidence with the
+/// current leader only.
 pub const MOST_HEARD: usize = 512;
 
-/// Between two entries of the log that say who gave word, where some have not yet.
+/// The minimum time between two log entries about responses while some members have not responded yet.
 const BETWEEN: Micros = 500_000;
 
-/// Of the wave that left last and those before it; names are those of members that are waited for.
+/// The responses and losses among the members that are waited for, in the current wave and those before.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Passing {
-    /// Gave word, to this one in charge or, by the log, to one before it.
+    /// The members that responded to this leader or, according to the log, to an earlier one.
     heard: BTreeSet<Name>,
-    /// Of those, the ones that the log does not have yet.
+    /// Those of them that are not logged yet.
     unlogged: BTreeSet<Name>,
-    /// Gone, without word.
+    /// The members that are gone without a response.
     gone: BTreeSet<Name>,
-    /// How often members were passed over: of all waves, and of this one.
+    /// The number of skips: in all waves, and in the current wave.
     passes: (usize, usize),
-    /// Since when it is wished that some are.
+    /// The time of the current proposal to skip members.
     since: Option<Micros>,
-    /// When the log last had news of those who gave word.
+    /// The time at which responses were last logged.
     told: Option<Micros>,
 }
 
@@ -43,19 +46,19 @@
         Passing { heard: reach.heard.clone(), passes: reach.passes, ..Passing::default() }
     }
 
-    /// Of all waves.
+    /// Returns the number of skips in all waves.
     pub(super) fn total(&self) -> usize {
         self.passes.0
     }
 
-    /// A wave left at this time, or goes on without some.
+    /// Handles the start of a wave, or its continuation without some members.
     pub(super) fn left(&mut self, now: Micros, reach: &Reach) {
         (self.passes, self.since, self.told) = (reach.passes, None, Some(now));
-        // Whoever went meanwhile is not told of again.
+        // Members that are skipped now are not proposed again.
         self.gone.retain(|name| !reach.without.contains(name));
     }
 
-    /// The log has these.
+    /// Handles the responses found in the log.
     pub(super) fn logged(&mut self, now: Micros, heard: &BTreeSet<Name>) {
         let before = self.unlogged.len();
         self.unlogged.retain(|name| !heard.contains(name));
@@ -68,13 +71,13 @@
         }
     }
 
-    /// This one came into charge: who is gone it has to see for itself.
+    /// Handles the start of this member's leadership: it has to detect losses itself.
     pub(super) fn resume(&mut self) {
         self.gone.clear();
         (self.since, self.told) = (None, None);
     }
 
-    /// A member gave word. True where that is new.
+    /// Records a response of a member. Returns true if it is the first one.
     pub(super) fn word(&mut self, member: &Name) -> bool {
         self.gone.remove(member);
         let new = self.heard.insert(member.clone());
@@ -84,37 +87,40 @@
         new
     }
 
+    /// Handles a report of a member that seemed to be gone.
     pub(super) fn back(&mut self, member: &Name) {
         self.gone.remove(member);
     }
 
-    /// A member that is waited for is gone, or silent.
+    /// Handles the loss or silence of a member that is waited for.
     pub(super) fn gone(&mut self, member: &Name) {
         if !self.heard.contains(member) {
             self.gone.insert(member.clone());
         }
     }
 
-    /// Whether those that are missing of a wave may be passed over: none of them gave word, it was not done too often, and
-    /// there are others that show what the version does. `awaited`: members that are waited for, of this wave and before.
+    /// Returns whether the missing members of a wave may be skipped: none of them responded, the limit is not
+    /// reached, and other members remain that show the effect of the version. `awaited` is the number of
+    /// members that are waited for, in this wave and those before.
     pub(super) fn allows(&self, wave: usize, missing: usize, awaited: usize) -> bool {
         let gone = self.gone.len();
         let few = wave == 0 || gone == 1 || gone * 2 <= awaited;
         gone > 0 && gone == missing && few && self.passes.1 < MOST_PASSES
     }
 
-    /// It is wished that they are.
+    /// Starts a proposal to skip the members that are gone, and returns them.
     pub(super) fn wish(&mut self, now: Micros) -> BTreeSet<Name> {
         self.since = Some(now);
         self.gone.clone()
     }
 
-    /// When a wave is late, while it is wished that some are passed over.
+    /// Returns the deadline of a wave, extended while a proposal to skip members is pending.
     pub(super) fn late(&self, late: Micros) -> Micros {
         self.since.map_or(late, |since| since.saturating_add(PATIENCE).max(late))
     }
 
-    /// What the log should have of it: at once where `soon`, else no more often than every [`BETWEEN`].
+    /// Returns the members whose response should be logged now: at once if `soon`, otherwise at most once per
+    /// [`MIN_LOG_INTERVAL`].
     pub(super) fn news(&self, now: Micros, soon: bool) -> Option<BTreeSet<Name>> {
         let due = soon || self.told.is_none_or(|told| now >= told.saturating_add(BETWEEN));
         (due && !self.unlogged.is_empty()).then(|| self.unlogged.clone())
--- a/crates/drift/src/rollout/phase.rs
+++ b/crates/drift/src/rollout/phase.rs
@@ -1,22 +1,22 @@
-//! How far a rollout is, and why one stopped.
+//! The phases of a rollout and the reasons for a stop.
 
 use heronroute_fleet::Name;
 
-/// Why it stopped.
+/// The reason why a rollout stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// A wave was not in line in time: the first such member, and how many.
+    /// A wave was not in line in time.
     Late {
-        /// The wave, counted from 0.
+        /// The index of the wave.
         wave: usize,
-        /// One of them.
+        /// The first member that is not in line.
         member: Name,
-        /// How many.
+        /// The number of such members.
         members: usize,
     },
-    /// Members fare worse with it than without, in words.
+    /// The health of the members with the version is worse than without it; the text names the figure.
     Worse(String),
-    /// As the log has it.
+    /// The reason according to the log.
     Told(String),
 }
 
@@ -32,13 +32,13 @@
     }
 }
 
-/// How far it is.
+/// The phase of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Waves leave.
+    /// Waves are being started.
     Running,
-    /// It is to be stopped, or the log says that it is.
+    /// The rollout is to be stopped, or is stopped according to the log.
     Stopped(Why),
-    /// Every wave is in line.
+    /// All waves are in line.
     Done,
 }
--- a/crates/drift/src/rollout/state/decide.rs
+++ b/crates/drift/src/rollout/state/decide.rs
@@ -1,4 +1,4 @@
-//! What the log should say next of a rollout, as time passes.
+//! Decides over time which log entry to propose next for a rollout.
 
 use super::{One, Rollout};
 use crate::Micros;
@@ -7,16 +7,16 @@
 use crate::rollout::{Phase, Progress, Why};
 
 impl Rollout {
-    /// When [`Rollout::tick`] has something to decide next.
+    /// Returns the next time at which [`Rollout::tick`] has something to decide.
     pub fn next(&self) -> Option<Micros> {
         let passing = matches!(self.wish, Some(Progress::Pass { .. }));
         if self.phase != Phase::Running || self.wish.is_some() && !passing {
             return None;
         }
-        // A wave that was in line just in time has its soak beside.
+        // A wave that was in line just before its deadline still gets its soak time.
         let late = self.left.saturating_add(self.plan.wave_for).saturating_add(self.plan.soak);
         if passing {
-            // Where nobody can stand in for the first member it is late all the same.
+            // If no member can replace the first one, the wave is late nevertheless.
             return Some(self.passing.late(late));
         }
         let soaked = self.all.filter(|_| self.unsoaked == 0);
@@ -26,7 +26,8 @@
         Some([soaked, pass].into_iter().flatten().fold(late, Micros::min))
     }
 
-    /// Time passes. What the log should say where that is new; it stays in [`Rollout::wish`]. Costs the number of members.
+    /// Handles the passing of time and returns a new proposal, if there is one; [`Rollout::proposal`] keeps
+    /// it. The cost is proportional to the number of members.
     pub fn tick(&mut self, now: Micros) -> Option<Progress> {
         if self.next().is_none_or(|next| now < next) {
             return None;
@@ -34,7 +35,7 @@
         let soaked = self.all.is_some_and(|all| now >= all.saturating_add(self.plan.soak));
         let passing = matches!(self.wish, Some(Progress::Pass { .. }));
         if now >= self.left.saturating_add(self.plan.wave_for) {
-            // Whoever said nothing for so long is gone, whether or not that was found out.
+            // A member that was silent for this long counts as gone, even if its death was not detected.
             let silent = |one: &One| one.waited && one.wave <= self.wave && !one.applied;
             let silent = self.members.iter().filter(|(_, one)| silent(one)).map(|(name, _)| name);
             silent.for_each(|name| self.passing.gone(name));
@@ -55,7 +56,7 @@
         Some(wish)
     }
 
-    /// All that is missing of the wave are members that gave no word and are gone.
+    /// Returns whether all missing members of the wave are gone without a response, and may be skipped.
     fn passable(&self) -> bool {
         self.passing.allows(self.wave, self.missing, self.awaited)
     }
--- a/crates/drift/src/rollout/state/mod.rs
+++ b/crates/drift/src/rollout/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of a rollout, at the one in charge.
+//! The state machine of a rollout at the leader.
 
 mod decide;
 
@@ -12,48 +12,50 @@
 
 #[derive(Clone, Debug)]
 struct One {
-    /// By which wave.
+    /// The wave that reaches the member.
     wave: usize,
-    /// It was there when its wave left.
+    /// Whether the member was present when its wave started, and is waited for.
     waited: bool,
-    /// It applies the version, by its last report.
+    /// Whether it applies the version, by its last report.
     applied: bool,
-    /// It said so again after the soak.
+    /// Whether it reported so again after the soak time.
     soaked: bool,
-    /// Its health since the last wave left.
+    /// Its health since the current wave started.
     since: Option<Since>,
 }
 
-/// A rollout.
+/// A rollout as the leader observes it.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     plan: Plan,
     phase: Phase,
-    /// The wave that left last.
+    /// The index of the wave that started last.
     wave: usize,
     members: BTreeMap<Name, One>,
-    /// When the last wave left.
+    /// The time at which that wave started.
     left: Micros,
-    /// Since when all reached ones that are waited for apply it.
+    /// The time from which all reached members that are waited for apply the version.
     all: Option<Micros>,
-    /// How many those are.
+    /// The number of reached members that are waited for.
     awaited: usize,
-    /// Those that do not.
+    /// The number of those that do not apply the version.
     missing: usize,
-    /// Those that have not said so again after the soak.
+    /// The number of those that have not confirmed the version after the soak time.
     unsoaked: usize,
-    /// Those not reached, when there were some last: the last wave leaves nobody to compare with.
+    /// The latest health of the members not yet reached, since the last wave leaves no member to compare
+    /// with.
     control: Sum,
-    /// As the log has it of the wave that left last.
+    /// The logged baseline of the current wave.
     baseline: Baseline,
-    /// Who gave word since its wave left, and who is to be passed over.
+    /// The responses, and the members to be skipped.
     passing: Passing,
-    /// What the log should say next. It stays until the log says something.
+    /// The proposed log entry. It stays until the log changes.
     wish: Option<Progress>,
 }
 
 impl Rollout {
-    /// As the log has it. None where no wave has left yet, or there is nobody or are more than [`MOST_MEMBERS`].
+    /// Creates a rollout from its log state. Returns none if no wave has started, or if there are no members
+    /// or more than [`MAX_MEMBERS`].
     pub fn begin(now: Micros, reach: &Reach) -> Option<Self> {
         let wave = reach.wave?;
         let one = |wave| One { wave, waited: true, applied: false, soaked: false, since: None };
@@ -82,12 +84,12 @@
         Some(rollout)
     }
 
-    /// The log says more of it.
+    /// Applies a new log state.
     pub fn reach(&mut self, now: Micros, reach: &Reach) {
         if let Some(wave) =
             reach.wave.filter(|wave| (*wave, reach.passes.0) > (self.wave, self.passing.total()))
         {
-            // Whoever stands in for a first member that was passed over was in a later wave until now.
+            // The replacement of a skipped first member was in a later wave until now.
             for (name, wave) in &reach.members {
                 self.members.entry(name.clone()).and_modify(|one| one.wave = *wave);
             }
@@ -96,7 +98,8 @@
             self.leave(now, wave, &reach.without);
         }
         self.passing.logged(now, &reach.heard);
-        // One of them gave word to another one in charge meanwhile: what the log would not take is not asked for on and on.
+        // One of the members has responded to another leader in the meantime, so the log would reject this
+        // proposal for ever.
         if matches!(&self.wish, Some(Progress::Pass { members }) if !members.is_disjoint(&reach.heard)) {
             self.wish = None;
         }
@@ -110,49 +113,50 @@
         }
     }
 
-    /// As it was planned.
+    /// Returns the plan.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// How far it is.
+    /// Returns the phase.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// What the log should say next.
+    /// Returns the proposed log entry.
     pub fn wish(&self) -> Option<&Progress> {
         self.wish.as_ref()
     }
 
-    /// The wave that left last.
+    /// Returns the index of the wave that started last.
     pub fn wave(&self) -> usize {
         self.wave
     }
 
-    /// How often members were passed over, of all waves.
+    /// Returns the number of skips in all waves.
     pub fn passes(&self) -> usize {
         self.passing.total()
     }
 
-    /// Who gave word since its wave left and stands not in the log yet, where that is to be said now. A next one in charge
-    /// could not tell a member that died of the version from one that was gone before.
+    /// Returns the members whose response should be logged now. Without this entry, the next leader could not
+    /// tell a member that the version killed from one that was already gone.
     pub fn news(&self, now: Micros) -> Option<BTreeSet<Name>> {
         let soon = self.wave == 0 || self.missing == 0;
         (self.phase == Phase::Running).then(|| self.passing.news(now, soon)).flatten()
     }
 
-    /// How those not yet reached fare, or fared last, and what memory members use: for the log, with the next wave.
+    /// Returns the latest health of the members not yet reached, to be logged with the next wave.
     pub(crate) fn control(&self) -> Sum {
         self.control
     }
 
-    /// Was the member reached?
+    /// Returns whether the version was sent to the member.
     pub fn reached(&self, member: &Name) -> bool {
         self.members.get(member).is_some_and(|one| one.wave <= self.wave)
     }
 
-    /// A member's report: does it apply the version, and how does it fare? Costs the same however many there are.
+    /// Handles a member's report: whether it applies the version, and its health. The cost does not depend on
+    /// the number of members.
     pub fn report(&mut self, now: Micros, member: &Name, start: Start, applied: bool, health: Health) {
         if self.phase != Phase::Running {
             return;
@@ -181,7 +185,7 @@
         }
     }
 
-    /// A member is gone, or silent: what it applies is not known.
+    /// Handles the loss or silence of a member; it is then unknown what the member applies.
     pub fn lost(&mut self, now: Micros, member: &Name) {
         if self.phase == Phase::Running {
             self.mark(now, member, false);
@@ -191,8 +195,9 @@
         }
     }
 
-    /// A member gave word since its wave left: that it applies the version, why it can't, or any other so late that it must
-    /// have got it. From here on its silence is evidence.
+    /// Handles a response of a member since its wave started: it applies the version, cannot apply it, or
+    /// sent any report so late that the version must have been delivered. From then on its silence is
+    /// evidence against the version.
     pub fn word(&mut self, member: &Name) {
         if self.phase != Phase::Running || !self.awaits(member) {
             return;
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Whether a report that was written after this says that the member has got the version, whatever else is in it.
+    /// Returns whether a report that was written after this time proves that the version was delivered.
     pub fn late_word(&self, written: Micros) -> bool {
         written >= self.left.saturating_add(WORD)
     }
@@ -213,8 +218,8 @@
         self.members.get(member).is_some_and(|one| one.waited && one.wave <= self.wave)
     }
 
-    /// This one came into charge: what it heard of the members before may have changed since, and it hears for itself. What
-    /// its forerunner found and the log does not say counts for nothing.
+    /// Handles the start of this member's leadership. What it knew about the members may be out of date, so
+    /// it waits for new reports. Findings of the previous leader that are not in the log do not count.
     pub fn resume(&mut self, now: Micros) {
         if matches!(self.phase, Phase::Stopped(Why::Told(_))) {
             return;
@@ -246,7 +251,7 @@
                 unsoaked += 1;
                 missing += usize::from(!one.applied);
             }
-            // Reached and not reached are held against each other over the same time.
+            // Reached and unreached members are compared over the same time.
             if let Some(since) = &mut one.since {
                 since.rebase(now);
             }
@@ -266,7 +271,7 @@
         if self.missing > 0 {
             return;
         }
-        // All of them have to say it again after the soak that begins now.
+        // All of them have to confirm the version after the soak time that starts now.
         let mut unsoaked = 0;
         for one in self.members.values_mut().filter(|one| one.waited && one.wave <= self.wave) {
             one.soaked = false;
--- a/crates/drift/src/tree/diff.rs
+++ b/crates/drift/src/tree/diff.rs
@@ -1,25 +1,26 @@
-//! Where two trees differ, looking only below nodes that do.
+//! Finds the differences of two trees, descending only into nodes that differ.
 
 use super::node::{Leaf, Link, Node, build, same, scatter};
 use super::{FAN, Tree};
 
-/// A client for which two trees differ; an absent side holds nothing for it.
+/// A client for which two trees differ; a side without an entry is `None`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// In the first tree.
+    /// The entry in the first tree.
     pub left: Option<Leaf>,
-    /// In the second one.
+    /// The entry in the second tree.
     pub right: Option<Leaf>,
 }
 
 impl Difference {
-    /// The client.
+    /// Returns the name of the client.
     pub fn client(&self) -> &str {
         self.left.as_ref().or(self.right.as_ref()).map_or("", |leaf| &leaf.client)
     }
 }
 
-/// The first differences in order of keys, `most` of them: costs by their number and the depth, not by what both hold.
+/// Returns the first `max` differences in key order. The cost depends on their number and the depth, not on
+/// the size of the trees.
 pub fn diff(left: &Tree, right: &Tree, most: usize) -> Vec<Difference> {
     let mut found = Vec::new();
     walk(&left.0, &right.0, 0, most, &mut found);
@@ -67,7 +68,7 @@
     }
 }
 
-/// A bucket as the children that it would have.
+/// Returns the children that a bucket would have as a branch.
 fn spread(node: Option<&Node>, depth: usize) -> [Link; FAN] {
     scatter(leaves(node).to_vec(), depth).map(|below| build(below, depth + 1))
 }
--- a/crates/drift/src/tree/mod.rs
+++ b/crates/drift/src/tree/mod.rs
@@ -1,10 +1,11 @@
-//! Digests by client in a tree after Merkle ("A Digital Signature Based on a Conventional Encryption Function", 1987): equal
-//! roots hold the same clients at the same versions with the same content, and where roots differ the way down finds the
-//! client in as many steps as the tree is deep.
+//! A Merkle tree of digests by client ("A Digital Signature Based on a Conventional Encryption Function",
+//! 1987). Equal roots mean the same clients with the same versions and content; where the roots differ, a
+//! walk down the tree finds the client in as many steps as the tree is deep.
 //!
-//! A client lies at the SHA-256 of its name, [`FAN`] ways a step; up to [`BUCKET`] clients stand together, so that the
-//! depth is what their number needs (3 steps at 10,000). Trees share what they agree on: a tree for each of 500 members
-//! costs what they differ by.
+//! The SHA-256 of a client's name gives its position, with [`FAN_OUT`] children per level. Up to
+//! [`MAX_BUCKET_CLIENTS`] clients share a leaf node, so the depth follows from the number of clients (3
+//! levels for 10,000). Trees share equal nodes: holding one tree for each of 500 members costs only their
+//! differences.
 
 mod diff;
 mod node;
@@ -19,16 +20,16 @@
 use node::{Link, Node, build, count, hash, scatter};
 use path::Key;
 
-/// Ways at each step.
+/// The number of children of a branch.
 pub const FAN: usize = 16;
 
-/// Clients that stand together at most.
+/// The maximum number of clients in a bucket.
 pub const BUCKET: usize = 8;
 
-/// The digest of a tree without clients.
+/// The digest of an empty tree.
 pub const NONE: Digest = [0; 32];
 
-/// A tree; a copy costs nothing.
+/// An immutable hash tree; cloning it is cheap.
 #[derive(Clone, Debug, Default)]
 pub struct Tree(Link);
 
@@ -41,22 +42,22 @@
 impl Eq for Tree {}
 
 impl Tree {
-    /// Over all clients.
+    /// Returns the root digest over all clients.
     pub fn root(&self) -> Digest {
         hash(&self.0)
     }
 
-    /// Clients in it.
+    /// Returns the number of clients.
     pub fn len(&self) -> usize {
         count(&self.0)
     }
 
-    /// No client is in it.
+    /// Returns whether the tree has no clients.
     pub fn is_empty(&self) -> bool {
         self.0.is_none()
     }
 
-    /// What it holds for a client.
+    /// Returns the entry of a client.
     pub fn get(&self, client: &str) -> Option<&Leaf> {
         let key = Key::of(client);
         let mut link = &self.0;
@@ -69,18 +70,19 @@
         None
     }
 
-    /// Sets a client, or takes it out. Costs the depth.
+    /// Sets the entry of a client, or removes it. The cost is proportional to the depth.
     pub fn set(&mut self, client: &str, held: Option<(u64, Digest)>) {
         self.set_like(client, held, &Tree::default());
     }
 
-    /// As [`Tree::set`]; where the result is the same as in `like`, its nodes are shared.
+    /// Like [`Tree::set`], but shares the nodes of `like` where the result is equal to them.
     pub fn set_like(&mut self, client: &str, held: Option<(u64, Digest)>, like: &Tree) {
         let leaf = held.map(|(version, digest)| Leaf { client: client.into(), version, digest });
         self.0 = edit(&self.0, 0, &Key::of(client), client, leaf, &like.0);
     }
 
-    /// The digest at a place, as the tree's own shape has it there: [`NONE`] where no client is.
+    /// Returns the digest at a path, following the shape of this tree; [`EMPTY_DIGEST`] if there is no
+    /// client.
     pub(crate) fn hash_at(&self, path: &Path) -> Digest {
         let mut link = &self.0;
         for (depth, step) in path.steps().iter().enumerate() {
@@ -90,14 +92,14 @@
                     Some(child) => link = child,
                     None => return NONE,
                 },
-                // A bucket above the place: what of it lies below.
+                // The bucket lies above the path: only the clients below the path count.
                 Some(Node::Bucket { leaves, .. }) => return hash(&build(below(leaves, path), depth)),
             }
         }
         hash(link)
     }
 
-    /// What stands at a place, to be told.
+    /// Returns the node at a path, in the form in which it is sent.
     pub fn told(&self, path: &Path) -> Told {
         let mut link = &self.0;
         for step in path.steps() {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Puts what was told in the place of all that lies below `path`.
+    /// Replaces all entries below `path` by the received clients.
     pub(crate) fn graft(&mut self, path: &Path, told: &[Applied], like: &Tree) {
         let leaf =
             |a: &Applied| Leaf { client: a.client.as_str().into(), version: a.version, digest: a.digest };
@@ -125,7 +127,7 @@
         self.0 = graft(&self.0, 0, path, &place, &like.0);
     }
 
-    /// Puts what `from` has below `path` in the place of what lies there; it has a node of its own there.
+    /// Replaces the node at `path` by the one that `from` has there.
     pub(crate) fn adopt(&mut self, path: &Path, from: &Tree) {
         let mut link = &from.0;
         for (depth, step) in path.steps().iter().enumerate() {
@@ -145,7 +147,7 @@
         self.0 = graft(&self.0, 0, path, &Place::Link(link.clone()), &from.0);
     }
 
-    /// The client at a number below [`Tree::len`], in order of keys.
+    /// Returns the client with this index, below [`Tree::len`], in key order.
     pub(crate) fn nth(&self, mut number: usize) -> Option<&Leaf> {
         let mut link = &self.0;
         loop {
@@ -165,7 +167,7 @@
     }
 }
 
-/// The digest of a told node, where it is one that a tree can have at that place.
+/// Returns the digest of a received node, or none if a tree cannot have such a node at that path.
 pub(crate) fn told_hash(told: &Told, path: &Path) -> Option<Digest> {
     match told {
         Told::Branch(children) if children.len() == FAN => Some(node::branch_hash(children.iter())),
@@ -194,7 +196,7 @@
     leaves.iter().filter(|leaf| Key::of(&leaf.client).below(path.steps())).cloned().collect()
 }
 
-/// The node of `like` in the place of an equal one.
+/// Returns the node of `like` if it is equal to `link`.
 fn shared(link: Link, like: &Link) -> Link {
     if node::same(&link, like) { like.clone() } else { link }
 }
@@ -256,7 +258,7 @@
 mod tests {
     use super::*;
 
-    /// Grafting in any order comes to the same shape, and counts hold.
+    /// Replacing subtrees gives the same shape as setting single clients, and the counts are right.
     #[test]
     fn gathers_what_was_set() {
         let mut tree = Tree::default();
--- a/crates/drift/src/tree/node.rs
+++ b/crates/drift/src/tree/node.rs
@@ -1,4 +1,4 @@
-//! Nodes, never changed once built: trees that agree share them, and a change copies the path down to it alone.
+//! Immutable tree nodes: equal trees share them, and a change copies only the path down to it.
 
 use super::path::{DEEPEST, Key};
 use super::{BUCKET, FAN, NONE};
@@ -6,14 +6,14 @@
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
 
-/// What is applied for a client.
+/// The applied rules of one client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leaf {
     /// The client.
     pub client: Arc<str>,
-    /// Its version.
+    /// The version.
     pub version: u64,
-    /// Of its content.
+    /// The digest of the content.
     pub digest: Digest,
 }
 
@@ -21,9 +21,9 @@
 
 #[derive(Debug)]
 pub(crate) enum Node {
-    /// Up to [`BUCKET`] clients, in order of name.
+    /// Up to [`MAX_BUCKET_CLIENTS`] clients, in order of name.
     Bucket { hash: Digest, leaves: Vec<Leaf> },
-    /// More than that.
+    /// More clients than fit into a bucket.
     Branch { hash: Digest, count: usize, children: [Link; FAN] },
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Same content: the same node, or the same digest.
+/// Returns whether two nodes have the same content: they are the same node or have the same digest.
 pub(crate) fn same(a: &Link, b: &Link) -> bool {
     match (a, b) {
         (Some(a), Some(b)) if Arc::ptr_eq(a, b) => true,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The digest of a bucket; [`NONE`] without clients.
+/// Returns the digest of a bucket; [`EMPTY_DIGEST`] without clients.
 pub(crate) fn bucket_hash<'a>(leaves: impl ExactSizeIterator<Item = (&'a str, u64, &'a Digest)>) -> Digest {
     if leaves.len() == 0 {
         return NONE;
@@ -67,7 +67,7 @@
     hash.finalize().into()
 }
 
-/// The digest of a branch over those below it.
+/// Returns the digest of a branch over the digests of its children.
 pub(crate) fn branch_hash<'a>(children: impl Iterator<Item = &'a Digest>) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"N");
@@ -75,8 +75,8 @@
     hash.finalize().into()
 }
 
-/// A node for these clients (in order of name) at a depth. The shape hangs on the set alone, not on how it came about: two
-/// trees with the same clients have the same root.
+/// Builds a node at a depth for these clients, given in order of name. The shape depends only on the set of
+/// clients and not on the order of changes, so that two trees with the same clients have the same root.
 pub(crate) fn build(leaves: Vec<Leaf>, depth: usize) -> Link {
     if leaves.is_empty() {
         return None;
@@ -89,7 +89,7 @@
     branch(children)
 }
 
-/// Clients by the step that they take at a depth.
+/// Distributes clients over the children of a branch at a depth.
 pub(crate) fn scatter(leaves: Vec<Leaf>, depth: usize) -> [Vec<Leaf>; FAN] {
     let mut below: [Vec<Leaf>; FAN] = Default::default();
     for leaf in leaves {
@@ -100,7 +100,7 @@
     below
 }
 
-/// A branch, or the bucket that it comes down to.
+/// Builds a branch, or a bucket if there are few enough clients.
 pub(crate) fn branch(children: [Link; FAN]) -> Link {
     let count: usize = children.iter().map(count).sum();
     if count <= BUCKET {
@@ -113,7 +113,7 @@
     Some(Arc::new(Node::Branch { hash: branch_hash(hashes.iter()), count, children }))
 }
 
-/// All clients below a node.
+/// Collects all clients below a node.
 pub(crate) fn gather(link: &Link, into: &mut Vec<Leaf>) {
     match link.as_deref() {
         None => {}
--- a/crates/drift/src/tree/path.rs
+++ b/crates/drift/src/tree/path.rs
@@ -1,18 +1,18 @@
-//! Places in a tree: the first nibbles of the hash of a client's name.
+//! Paths in a tree: the first nibbles of the hash of a client's name.
 
 use crate::Digest;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Nibbles in a key, and so the deepest place.
+/// The number of nibbles in a key, which is the greatest depth of a path.
 pub const DEEPEST: usize = 64;
 
-/// A place, from the root down: one nibble (0 to 15) a step.
+/// A path from the root: one nibble (0 to 15) per level.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Vec<u8>", into = "Vec<u8>")]
 pub struct Path(Vec<u8>);
 
-/// Steps that are no place.
+/// The steps are not a valid path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PathError;
 
@@ -25,15 +25,15 @@
 impl std::error::Error for PathError {}
 
 impl Path {
-    /// The root.
+    /// The path of the root.
     pub const ROOT: Path = Path(Vec::new());
 
-    /// The steps.
+    /// Returns the steps from the root.
     pub fn steps(&self) -> &[u8] {
         &self.0
     }
 
-    /// One step further down.
+    /// Returns the path of a child.
     pub(crate) fn child(&self, step: usize) -> Path {
         let mut steps = self.0.clone();
         steps.push(step as u8 & 15);
@@ -57,7 +57,7 @@
     }
 }
 
-/// The key of a client.
+/// The key of a client: the hash of its name.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Key(Digest);
 
@@ -66,13 +66,13 @@
         Key(Sha256::digest(client.as_bytes()).into())
     }
 
-    /// The step at a depth; 0 below the deepest place.
+    /// Returns the step at a depth; 0 beyond the length of the key.
     pub(crate) fn step(&self, depth: usize) -> usize {
         let octet = self.0.get(depth / 2).copied().unwrap_or(0);
         usize::from(if depth.is_multiple_of(2) { octet >> 4 } else { octet & 15 })
     }
 
-    /// Does it lie below a place?
+    /// Returns whether the key lies below a path.
     pub(crate) fn below(&self, steps: &[u8]) -> bool {
         steps.iter().enumerate().all(|(depth, step)| self.step(depth) == usize::from(*step))
     }
--- a/crates/drift/src/view.rs
+++ b/crates/drift/src/view.rs
@@ -1,77 +1,79 @@
-//! What `fleet/drift` answers.
+//! The reply of `fleet/drift`.
 
 use crate::report::{Partly, Verdict};
 use crate::{Detector, Micros};
 use heronroute_fleet::{Name, Term};
 use serde::{Deserialize, Serialize};
 
-/// All members' verdicts.
+/// The verdicts of all members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Of the one who answers.
+    /// The term of the answering member.
     pub term: Term,
-    /// It is in charge by a majority. If not, nothing below is known.
+    /// Whether the answering member is the leader and has a majority. If not, none of the following is known.
     pub known: bool,
-    /// Why nothing is known.
+    /// The reason why nothing is known.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub why: Option<String>,
-    /// By name.
+    /// The members, sorted by name.
     pub members: Vec<Line>,
-    /// Rollouts that are under way or were stopped.
+    /// The running and the stopped rollouts.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub rollouts: Vec<RolloutLine>,
 }
 
-/// One member's.
+/// The verdict on one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// Whose.
+    /// The member.
     pub name: Name,
-    /// What.
+    /// The verdict.
     pub verdict: Verdict,
-    /// The version that it applies for `client`.
+    /// The version that the member applies for `client`.
     pub version: u64,
-    /// The client that the verdict shows by; in line: the one that was approved last.
+    /// The client that shows the verdict; for a member in line, the client with the latest approval.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub client: Option<String>,
-    /// Since when, wall time in microseconds.
+    /// The time from which the verdict holds, as wall time in microseconds.
     pub since: Micros,
-    /// By whom.
+    /// The member that reached the verdict.
     pub seen_by: Name,
-    /// In whose term.
+    /// The term in which it was reached.
     pub term: Term,
-    /// Why.
+    /// The reason.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub reason: Option<String>,
-    /// Its senders differ for `client`: how many of how many apply it, and since when.
+    /// If the member's senders differ for `client`: how many of them apply the version, and since when they
+    /// differ.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub partly: Option<Partly>,
 }
 
-/// One rollout.
+/// The state of one rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutLine {
-    /// Whose rules.
+    /// The client whose rules change.
     pub client: String,
-    /// To which version.
+    /// The target version.
     pub version: u64,
     /// `running` or `stopped`.
     pub state: String,
-    /// Why it stopped.
+    /// The reason for a stop.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub reason: Option<String>,
 }
 
 impl View {
-    /// As JSON.
+    /// Returns the view as JSON.
     pub fn json(&self) -> String {
-        // Nothing that stands here fails to be written.
+        // Serializing these types cannot fail.
         serde_json::to_string(self).unwrap_or_else(|_| r#"{"known":false,"members":[]}"#.to_owned())
     }
 }
 
 impl Detector {
-    /// What is known now. Without a majority that is nothing: no member is called in line by what was so once.
+    /// Returns the current view. Without a majority nothing is known: no member is reported as in line
+    /// because of an earlier verdict.
     pub fn view(&self, now: Micros) -> View {
         let known = self.acting(now);
         let why = (!known).then(|| "not known: no majority, or another member is in charge".to_owned());
