--- a/crates/drift/src/acts/mod.rs
+++ b/crates/drift/src/actions/mod.rs
@@ -1,16 +1,16 @@
 //! Corrective actions for members that are not in line.
 
-mod budget;
-mod ladder;
+mod escalation;
+mod rate_limit;
 
-pub use budget::{Bucket, Rate};
-pub(crate) use ladder::{Ladder, Step, climb};
+pub(crate) use escalation::{ActionInput, Escalation, choose_action};
+pub use rate_limit::{RateLimit, TokenBucket};
 
 use heronroute_fleet::{Life, Term};
 use serde::{Deserialize, Serialize};
 
 /// The maximum number of clients in one action; the others follow in the next one.
-pub const MOST_NAMED: usize = 16;
+pub const MAX_CLIENTS_PER_ACTION: usize = 16;
 
 /// A corrective action. Waiting is expressed by giving no order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/drift/src/content.rs
+++ b/crates/drift/src/content.rs
@@ -13,7 +13,7 @@
 pub fn digest(rules: &[Rule]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(b"heronroute rules 1");
-    feed(&mut hash, rules);
+    hash_rules(&mut hash, rules);
     hash.finalize().into()
 }
 
@@ -23,11 +23,11 @@
     hash.update(b"heronroute proof 1");
     hash.update(nonce);
     hash.update(version.to_be_bytes());
-    feed(&mut hash, rules);
+    hash_rules(&mut hash, rules);
     hash.finalize().into()
 }
 
-fn feed(hash: &mut Sha256, rules: &[Rule]) {
+fn hash_rules(hash: &mut Sha256, rules: &[Rule]) {
     let mut sorted: Vec<&Rule> = rules.iter().collect();
     sorted.sort_by(|a, b| (&a.name, &a.class, &a.to, &a.key).cmp(&(&b.name, &b.class, &b.to, &b.key)));
     hash.update((sorted.len() as u64).to_be_bytes());
--- a/crates/drift/src/detector/config.rs
+++ b/crates/drift/src/detector/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of the detector.
 
-use crate::acts::Rate;
+use crate::actions::RateLimit;
 use crate::{Digest, Micros};
 use heronroute_fleet::Name;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The member that the detector runs at.
-    pub me: Name,
+    pub own_name: Name,
     /// The offset from the caller's clock to wall time, used for all records that others read.
     pub wall: Micros,
     /// The seed for nonces and random delays. It must differ at each start and must not be predictable, since
@@ -31,19 +31,19 @@
     /// The time after which the operator is notified of a silent member.
     pub silent_for: Micros,
     /// The time after which this notification is repeated.
-    pub tell_again: Micros,
+    pub repeat_notification_after: Micros,
     /// The time after the last confirmation of the term for which the detector stays active.
     pub lease: Micros,
     /// The delay after the first action for a member; it doubles with each further action.
-    pub act_first: Micros,
+    pub first_action_delay: Micros,
     /// The maximum of this delay.
-    pub act_most: Micros,
+    pub max_action_delay: Micros,
     /// The rate limit of the actions for one member.
-    pub each: Rate,
+    pub member_rate: RateLimit,
     /// The rate limit of the actions for all members together.
-    pub all: Rate,
+    pub total_rate: RateLimit,
     /// The time after which an unanswered tree query is repeated.
-    pub ask_again: Micros,
+    pub query_again_after: Micros,
     /// The average time between two challenges of a member; the actual times are random.
     pub challenge_every: Micros,
     /// The time within which a challenge must be answered.
@@ -52,10 +52,10 @@
 
 impl Config {
     /// Returns the defaults for members that report every 2 s.
-    pub fn new(me: Name, seed: Digest) -> Self {
+    pub fn new(own_name: Name, seed: Digest) -> Self {
         const S: Micros = 1_000_000;
         Config {
-            me,
+            own_name,
             wall: 0,
             seed,
             fresh_for: 10 * S,
@@ -65,13 +65,13 @@
             settle_for: 2 * S,
             forget_for: 600 * S,
             silent_for: 30 * S,
-            tell_again: 600 * S,
+            repeat_notification_after: 600 * S,
             lease: 10 * S,
-            act_first: 5 * S,
-            act_most: 60 * S,
-            each: Rate { burst: 4, every: 10 * S },
-            all: Rate { burst: 32, every: S / 4 },
-            ask_again: 3 * S,
+            first_action_delay: 5 * S,
+            max_action_delay: 60 * S,
+            member_rate: RateLimit { burst: 4, interval: 10 * S },
+            total_rate: RateLimit { burst: 32, interval: S / 4 },
+            query_again_after: 3 * S,
             challenge_every: 30 * S,
             answer_within: 5 * S,
         }
--- a/crates/drift/src/detector/seam.rs
+++ b/crates/drift/src/detector/interface.rs
@@ -1,7 +1,7 @@
 //! The inputs and outputs of the detector.
 
 use crate::Micros;
-use crate::acts::Order;
+use crate::actions::Order;
 use crate::history::Record;
 use crate::report::{Ack, Ask, Challenge, Digest};
 use crate::rollout::Progress;
@@ -60,11 +60,11 @@
     /// With an outdated number.
     pub older_number: u64,
     /// From an unknown member.
-    pub stranger: u64,
+    pub unknown_member: u64,
     /// While this keeper was not the leader.
-    pub not_in_charge: u64,
+    pub not_leader: u64,
     /// Replies and answers that do not match a query, the digest above the node, or a challenge.
-    pub false_answers: u64,
+    pub invalid_answers: u64,
     /// For lack of space.
     pub no_room: u64,
 }
--- a/crates/drift/src/detector/mod.rs
+++ b/crates/drift/src/detector/mod.rs
@@ -6,45 +6,45 @@
 //! known start and number. The work for an event depends on what changed: a member is checked when something
 //! about it changes, or at the time that its last check asked for.
 
+mod assess;
+mod challenge;
+mod check;
 mod config;
-mod judge;
-mod keep;
-mod look;
+mod desired;
+mod interface;
+mod leadership;
 mod member;
-mod proof;
-mod roll;
-mod seam;
-mod shown;
-mod term;
-mod walk;
-mod wanted;
+mod rollouts;
+mod snapshot;
+mod status;
+mod tree_walk;
 
+pub use check::STEP;
 pub use config::Config;
-pub use keep::Saved;
-pub use look::STEP;
-pub use roll::MOST_ROLLOUTS;
-pub use seam::{Desired, Dropped, Output};
-pub use wanted::MOST_WANTED;
+pub use desired::MAX_DESIRED_CLIENTS;
+pub use interface::{Desired, Dropped, Output};
+pub use rollouts::MOST_ROLLOUTS;
+pub use snapshot::DetectorSnapshot;
 
-use crate::acts::Bucket;
-use crate::draw::Draw;
+use crate::actions::TokenBucket;
 use crate::history::History;
+use crate::random::SeededRandom;
 use crate::report::{Ack, Answer, Ask, Echo, Report, Tell, Verdict};
 use crate::rollout::Rollout;
 use crate::{MOST_NAME, Micros};
+use desired::DesiredState;
 use heronroute_fleet::{Life, Name, Standing, Start};
 use heronroute_rules::RuleSet;
+use leadership::Leadership;
 use member::Member;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use term::Charge;
-use wanted::Approved;
 
 /// The maximum number of members; others are ignored and counted.
-pub const MOST_MEMBERS: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 
 /// The maximum number of pending outputs. Queries, orders and challenges beyond it are dropped; all of them
 /// are repeated later.
-pub const MOST_OUTPUTS: usize = 8192;
+pub const MAX_OUTPUTS: usize = 8192;
 
 type Rollouts = BTreeMap<String, Rollout>;
 
@@ -52,17 +52,17 @@
 #[derive(Debug)]
 pub struct Detector {
     config: Config,
-    charge: Charge,
-    wanted: Approved,
+    leadership: Leadership,
+    desired_state: DesiredState,
     members: BTreeMap<Name, Member>,
     wakes: BTreeSet<(Micros, Name)>,
     rollouts: Rollouts,
     history: History,
     /// The action budget shared by all members.
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// The turn of the last member that waits for that budget.
-    turns: Micros,
-    draw: Draw,
+    last_turn: Micros,
+    random: SeededRandom,
     out: VecDeque<Output>,
     dropped: Dropped,
 }
@@ -70,18 +70,18 @@
 impl Detector {
     /// Creates a detector that knows no members and is not the leader.
     pub fn new(config: Config) -> Self {
-        let draw = Draw::new(config.seed);
+        let random = SeededRandom::new(config.seed);
         Detector {
             config,
-            charge: Charge::default(),
-            wanted: Approved::default(),
+            leadership: Leadership::default(),
+            desired_state: DesiredState::default(),
             members: BTreeMap::new(),
             wakes: BTreeSet::new(),
             rollouts: BTreeMap::new(),
             history: History::default(),
-            bucket: Bucket::default(),
-            turns: Micros::MIN,
-            draw,
+            bucket: TokenBucket::default(),
+            last_turn: Micros::MIN,
+            random,
             out: VecDeque::new(),
             dropped: Dropped::default(),
         }
@@ -89,7 +89,7 @@
 
     /// Sets the desired version of a client, after an approval or at startup.
     pub fn desired(&mut self, now: Micros, desired: &Desired) {
-        if desired.client.len() > MOST_NAME || !self.wanted.set(desired) {
+        if desired.client.len() > MOST_NAME || !self.desired_state.set(desired) {
             self.dropped.no_room += 1;
             return;
         }
@@ -99,10 +99,10 @@
         }
         // Only members in line can change by an approval. All others are checked when they report: checking
         // each of them for each of many approvals would cost members × clients.
-        let shown = |member: &Member| member.shown.verdict == Verdict::InLine;
+        let in_line = |member: &Member| member.published.verdict == Verdict::InLine;
         let names: Vec<Name> =
-            self.members.iter().filter(|(_, m)| shown(m)).map(|(n, _)| n.clone()).collect();
-        names.iter().for_each(|name| self.look(now, name, true));
+            self.members.iter().filter(|(_, m)| in_line(m)).map(|(n, _)| n.clone()).collect();
+        names.iter().for_each(|name| self.check_member(now, name, true));
     }
 
     /// Updates the membership state of a member.
@@ -115,64 +115,66 @@
         if member.zone != zone {
             member.zone = zone.chars().take(MOST_NAME).collect();
         }
-        self.look(now, &life.name, false);
+        self.check_member(now, &life.name, false);
     }
 
     /// Removes a member that is no longer in the settings.
     pub fn forget(&mut self, name: &Name) {
-        if let Some(wake) = self.members.remove(name).and_then(|member| member.wake) {
-            self.wakes.remove(&(wake, name.clone()));
+        if let Some(wake_at) = self.members.remove(name).and_then(|member| member.wake_at) {
+            self.wakes.remove(&(wake_at, name.clone()));
         }
     }
 
     /// Handles a report. Returns false if it does not count, because this keeper is not the leader or the
     /// report is outdated.
     pub fn report(&mut self, now: Micros, report: &Report) -> bool {
-        if !self.heed(now, report.term) {
+        if !self.accept_term(now, report.term) {
             return false;
         }
-        let term = self.charge.term();
-        let Some(member) = counted(&mut self.members, &report.life, report.number, &mut self.dropped) else {
+        let term = self.leadership.term();
+        let Some(member) = counted_sender(&mut self.members, &report.life, report.number, &mut self.dropped)
+        else {
             return false;
         };
         if report.life.start > member.start {
-            member.reborn(now, report.life.start);
+            member.handle_restart(now, report.life.start);
         }
         member.number = report.number;
         member.health = report.health;
         // This leader never sent a time in the future.
         let echo = report.echo.filter(|echo| echo.term == term && echo.at <= now);
-        member.heard = member.heard.max(echo.map(|echo| echo.at));
-        member.learn(now, report.root, &report.clients, &self.wanted.of(&report.life.name));
+        member.written_after = member.written_after.max(echo.map(|echo| echo.at));
+        member.apply_report(now, report.root, &report.clients, &self.desired_state.of(&report.life.name));
         let ack = Ack { to: report.life.clone(), number: report.number, echo: Echo { term, at: now } };
         self.push(Output::Ack(ack));
         if echo.is_some() {
-            self.roll_report(now, &report.life.name);
+            self.rollouts_report(now, &report.life.name);
         }
-        self.look(now, &report.life.name, false);
+        self.check_member(now, &report.life.name, false);
         true
     }
 
     /// Handles the reply to a tree query.
-    pub fn tell(&mut self, now: Micros, tell: &Tell) {
+    pub fn tell(&mut self, now: Micros, reply: &Tell) {
         if !self.acting(now) {
-            self.dropped.not_in_charge += 1;
+            self.dropped.not_leader += 1;
             return;
         }
-        let Some(member) = counted(&mut self.members, &tell.life, tell.number, &mut self.dropped) else {
+        let Some(member) = counted_sender(&mut self.members, &reply.life, reply.number, &mut self.dropped)
+        else {
             return;
         };
         // No query was sent to a start of the member that has not reported yet.
-        if tell.life.start != member.start {
-            self.dropped.false_answers += 1;
+        if reply.life.start != member.start {
+            self.dropped.invalid_answers += 1;
             return;
         }
-        member.number = tell.number;
-        match member.told(now, tell, &self.wanted.of(&tell.life.name)) {
-            Some(paths) => self.ask(&tell.life, paths),
-            None => self.dropped.false_answers += 1,
+        member.number = reply.number;
+        match member.handle_reply(now, reply, &self.desired_state.of(&reply.life.name)) {
+            Some(paths) => self.push_queries(&reply.life, paths),
+            None => self.dropped.invalid_answers += 1,
         }
-        self.look(now, &tell.life.name, false);
+        self.check_member(now, &reply.life.name, false);
     }
 
     /// Returns the client that this challenge answer is about; its desired rules are passed to
@@ -187,16 +189,16 @@
     /// passed to [`Detector::desired`].
     pub fn answer(&mut self, now: Micros, answer: &Answer, content: &RuleSet) {
         let Some(member) = self.members.get_mut(&answer.life.name) else {
-            self.dropped.stranger += 1;
+            self.dropped.unknown_member += 1;
             return;
         };
         if member.start != answer.life.start
-            || !member.answered(now, answer, &self.wanted.of(&answer.life.name), content)
+            || !member.check_answer(now, answer, &self.desired_state.of(&answer.life.name), content)
         {
-            self.dropped.false_answers += 1;
+            self.dropped.invalid_answers += 1;
             return;
         }
-        self.look(now, &answer.life.name, false);
+        self.check_member(now, &answer.life.name, false);
     }
 
     /// Handles the passing of time.
@@ -204,11 +206,11 @@
         if !self.acting(now) {
             return;
         }
-        self.roll_tick(now);
-        while self.wakes.first().is_some_and(|(wake, _)| *wake <= now) {
+        self.rollouts_tick(now);
+        while self.wakes.first().is_some_and(|(wake_at, _)| *wake_at <= now) {
             // The check sets the member's next time, which is later than now.
             let Some((_, name)) = self.wakes.pop_first() else { break };
-            self.look(now, &name, false);
+            self.check_member(now, &name, false);
         }
     }
 
@@ -216,8 +218,8 @@
     /// not the leader. Checks of the same member are at least [`MIN_CHECK_INTERVAL`] apart.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let rollouts = self.rollouts.values().filter_map(Rollout::next);
-        let wake = self.wakes.first().map(|(wake, _)| *wake);
-        rollouts.chain(wake).min().filter(|_| self.acting(now))
+        let wake_at = self.wakes.first().map(|(wake_at, _)| *wake_at);
+        rollouts.chain(wake_at).min().filter(|_| self.acting(now))
     }
 
     /// Returns the next output.
@@ -241,26 +243,27 @@
     }
 
     fn push(&mut self, output: Output) {
-        if self.out.len() >= MOST_OUTPUTS {
+        if self.out.len() >= MAX_OUTPUTS {
             self.dropped.no_room += 1;
             return;
         }
         self.out.push_back(output);
     }
 
-    fn ask(&mut self, to: &Life, paths: Vec<crate::tree::Path>) {
-        let term = self.charge.term();
+    fn push_queries(&mut self, to: &Life, paths: Vec<crate::tree::Path>) {
+        let term = self.leadership.term();
         paths.into_iter().for_each(|path| self.push(Output::Ask(Ask { to: to.clone(), term, path })));
     }
 
     /// Returns the member, which is added if it is new; none if this start of it is over.
     fn admit(&mut self, now: Micros, life: &Life) -> Option<&mut Member> {
         if !self.members.contains_key(&life.name) {
-            if self.members.len() >= MOST_MEMBERS {
+            if self.members.len() >= MAX_MEMBERS {
                 self.dropped.no_room += 1;
                 return None;
             }
-            self.members.insert(life.name.clone(), Member::new(now, life.start, &self.wanted.of(&life.name)));
+            self.members
+                .insert(life.name.clone(), Member::new(now, life.start, &self.desired_state.of(&life.name)));
         }
         let member = self.members.get_mut(&life.name)?;
         if life.start < member.start {
@@ -268,21 +271,21 @@
             return None;
         }
         if life.start > member.start {
-            member.reborn(now, life.start);
+            member.handle_restart(now, life.start);
         }
         Some(member)
     }
 }
 
 /// Returns the sender if its start and number are the newest; otherwise counts the message as dropped.
-fn counted<'a>(
+fn counted_sender<'a>(
     members: &'a mut BTreeMap<Name, Member>,
     life: &Life,
     number: u64,
     dropped: &mut Dropped,
 ) -> Option<&'a mut Member> {
     let Some(member) = members.get_mut(&life.name) else {
-        dropped.stranger += 1;
+        dropped.unknown_member += 1;
         return None;
     };
     if life.start < member.start {
--- a/crates/drift/src/detector/keep.rs
+++ b/crates/drift/src/detector/snapshot.rs
@@ -2,17 +2,17 @@
 
 use super::Detector;
 use crate::Micros;
-use crate::history::{History, Unreadable};
+use crate::history::{History, UnreadableSnapshot};
 use heronroute_fleet::{Name, Term};
 use serde::{Deserialize, Serialize};
 
 /// The maximum number of fences in a snapshot. Those beyond it, of the last members by name, are dropped and
 /// set again where needed.
-const MOST_KEPT_FENCES: usize = 1024;
+const MAX_SAVED_FENCES: usize = 1024;
 
 /// The content of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct DetectorSnapshot {
     term: Term,
     fences: Vec<(Name, String)>,
     history: Vec<u8>,
@@ -21,22 +21,22 @@
 impl Detector {
     /// Returns a snapshot of the fences and as much of the history as fits, of at most about `max_bytes`
     /// bytes (postcard). It contains no rollouts, since their state is in the log ([`Detector::reach`]).
-    pub fn snapshot(&self, most: usize) -> Vec<u8> {
-        let mut room = most.saturating_sub(64);
-        let mut fits = |octets: usize| match room.checked_sub(octets) {
+    pub fn snapshot(&self, max_bytes: usize) -> Vec<u8> {
+        let mut room = max_bytes.saturating_sub(64);
+        let mut fits = |bytes: usize| match room.checked_sub(bytes) {
             Some(rest) => {
                 room = rest;
                 true
             }
             None => false,
         };
-        let size =
-            |octets: Result<Vec<u8>, postcard::Error>| octets.map_or(usize::MAX, |octets| octets.len());
+        let size = |bytes: Result<Vec<u8>, postcard::Error>| bytes.map_or(usize::MAX, |bytes| bytes.len());
         let fences =
             self.members.iter().flat_map(|(n, m)| m.fences.iter().map(move |f| (n.clone(), f.clone())));
         let fences =
-            fences.take(MOST_KEPT_FENCES).filter(|one| fits(size(postcard::to_stdvec(one)))).collect();
-        let saved = Saved { term: self.charge.term(), fences, history: self.history.snapshot(room) };
+            fences.take(MAX_SAVED_FENCES).filter(|fence| fits(size(postcard::to_stdvec(fence)))).collect();
+        let saved =
+            DetectorSnapshot { term: self.leadership.term(), fences, history: self.history.snapshot(room) };
         // Encoding to memory cannot fail for these types; an empty snapshot is rejected on restore.
         postcard::to_stdvec(&saved).unwrap_or_default()
     }
@@ -47,14 +47,14 @@
     ///
     /// # Errors
     /// Returns an error, without any change, if the bytes are not a valid snapshot.
-    pub fn restore(&mut self, now: Micros, octets: &[u8]) -> Result<(), Unreadable> {
-        let saved: Saved = postcard::from_bytes(octets).map_err(|_| Unreadable)?;
+    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), UnreadableSnapshot> {
+        let saved: DetectorSnapshot = postcard::from_bytes(bytes).map_err(|_| UnreadableSnapshot)?;
         let history = History::restore(&saved.history)?;
         self.history.merge(&history);
-        if saved.term < self.charge.term() || self.acting(now) {
+        if saved.term < self.leadership.term() || self.acting(now) {
             return Ok(());
         }
-        let fences = saved.fences.into_iter().take(MOST_KEPT_FENCES);
+        let fences = saved.fences.into_iter().take(MAX_SAVED_FENCES);
         let fences: Vec<(Name, String)> = fences.collect();
         self.fences(now, fences.iter().map(|(name, client)| (name, client.as_str())));
         Ok(())
@@ -73,6 +73,6 @@
             true => member.fences.insert(client.to_owned()),
             false => member.fences.remove(client),
         };
-        self.look(now, name, false);
+        self.check_member(now, name, false);
     }
 }
--- a/crates/drift/src/detector/shown.rs
+++ b/crates/drift/src/detector/status.rs
@@ -1,7 +1,7 @@
 //! The published state of members and rollouts.
 
 use super::Detector;
-use super::judge::judge;
+use super::assess::assess;
 use crate::Micros;
 use crate::report::Verdict;
 use crate::rollout::Phase;
@@ -11,7 +11,7 @@
 impl Detector {
     /// Returns the term of this keeper.
     pub fn current(&self) -> Term {
-        self.charge.term()
+        self.leadership.term()
     }
 
     /// Returns the current verdict on a member, also if no tick came since its report became outdated.
@@ -20,27 +20,27 @@
         if !self.acting(now) {
             return Some(Verdict::NotHeardOf);
         }
-        if member.shown.verdict != Verdict::InLine {
-            return Some(member.shown.verdict);
+        if member.published.verdict != Verdict::InLine {
+            return Some(member.published.verdict);
         }
-        Some(judge(now, name, member, &self.wanted.of(name), &self.rollouts, &self.config).verdict)
+        Some(assess(now, name, member, &self.desired_state.of(name), &self.rollouts, &self.config).verdict)
     }
 
-    pub(crate) fn lines(&self, now: Micros, known: bool) -> Vec<Line> {
+    pub(crate) fn member_lines(&self, now: Micros, known: bool) -> Vec<Line> {
         let line = |(name, member): (&heronroute_fleet::Name, &super::member::Member)| {
-            let shown = &member.shown;
+            let published = &member.published;
             let verdict = self.verdict(now, name).unwrap_or(Verdict::NotHeardOf);
-            let as_shown = known && verdict == shown.verdict;
+            let as_shown = known && verdict == published.verdict;
             Line {
                 name: name.clone(),
                 verdict,
-                version: shown.version,
-                client: shown.client.clone(),
-                since: if as_shown { shown.since } else { now }.saturating_add(self.config.wall),
-                seen_by: self.config.me.clone(),
-                term: self.charge.term(),
-                reason: if known { shown.reason.clone() } else { Some("not known".to_owned()) },
-                partly: shown
+                version: published.version,
+                client: published.client.clone(),
+                since: if as_shown { published.since } else { now }.saturating_add(self.config.wall),
+                seen_by: self.config.own_name.clone(),
+                term: self.leadership.term(),
+                reason: if known { published.reason.clone() } else { Some("not known".to_owned()) },
+                partly: published
                     .client
                     .as_ref()
                     .and_then(|client| member.partly.get(client))
@@ -51,7 +51,7 @@
         self.members.iter().map(line).collect()
     }
 
-    pub(crate) fn rolling(&self) -> Vec<RolloutLine> {
+    pub(crate) fn rollout_lines(&self) -> Vec<RolloutLine> {
         let line = |rollout: &crate::Rollout| {
             let (state, reason) = match rollout.phase() {
                 Phase::Running => ("running", None),
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -12,21 +12,23 @@
 
 #![forbid(unsafe_code)]
 
-pub mod acts;
+pub mod actions;
 pub mod content;
 pub mod detector;
-mod draw;
 pub mod history;
+mod random;
 pub mod report;
 pub mod reporter;
 pub mod rollout;
 pub mod tree;
 pub mod view;
 
-pub use acts::{Act, Order, accepts};
+pub use actions::{Act, Order, accepts};
 pub use detector::{Config, Desired, Detector, Output};
 pub use history::{History, Record};
-pub use report::{Ack, Answer, Applied, Ask, Challenge, Digest, Health, Partly, Report, Tell, Told, Verdict};
+pub use report::{
+    Ack, Answer, Applied, Ask, Challenge, Digest, Health, Partly, Report, Tell, TreeNode, Verdict,
+};
 pub use reporter::Reporter;
 pub use rollout::{Plan as RolloutPlan, Progress, Reach, Rollout};
 pub use tree::Tree;
@@ -38,10 +40,10 @@
 pub const MOST_NAME: usize = 64;
 
 /// The number of characters of a reason that are kept.
-pub const MOST_REASON: usize = 200;
+pub const MAX_REASON_CHARS: usize = 200;
 
 /// Truncates a text to [`MAX_REASON_CHARS`]. Members send these texts, so their length is not under our
 /// control.
-pub(crate) fn cut(text: &str) -> String {
-    text.chars().take(MOST_REASON).collect()
+pub(crate) fn truncate_reason(text: &str) -> String {
+    text.chars().take(MAX_REASON_CHARS).collect()
 }
--- a/crates/drift/src/draw.rs
+++ b/crates/drift/src/random.rs
@@ -5,18 +5,18 @@
 use sha2::{Digest as _, Sha256};
 
 #[derive(Clone, Debug)]
-pub(crate) struct Draw {
+pub(crate) struct SeededRandom {
     seed: Digest,
     count: u64,
 }
 
-impl Draw {
+impl SeededRandom {
     pub(crate) fn new(seed: Digest) -> Self {
-        Draw { seed, count: 0 }
+        SeededRandom { seed, count: 0 }
     }
 
     /// Returns the next 32 bytes.
-    pub(crate) fn octets(&mut self) -> Digest {
+    pub(crate) fn bytes(&mut self) -> Digest {
         self.count += 1;
         let mut hash = Sha256::new();
         hash.update(b"heronroute draw 1");
@@ -27,8 +27,8 @@
 
     /// Returns a number below `limit`, or 0 if `limit` is 0.
     pub(crate) fn below(&mut self, limit: u64) -> u64 {
-        let octets = self.octets();
-        let number = octets.iter().take(8).fold(0u64, |number, octet| (number << 8) | u64::from(*octet));
+        let bytes = self.bytes();
+        let number = bytes.iter().take(8).fold(0u64, |number, octet| (number << 8) | u64::from(*octet));
         number.checked_rem(limit).unwrap_or(0)
     }
 }
--- a/crates/drift/src/report.rs
+++ b/crates/drift/src/report.rs
@@ -10,7 +10,7 @@
 pub type Digest = [u8; 32];
 
 /// The maximum number of clients in one report; the others follow in the next report or are queried.
-pub const MOST_CLIENTS: usize = 64;
+pub const MAX_CLIENTS_PER_REPORT: usize = 64;
 
 /// A report of a member: the root of its tree and the clients that changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
     pub path: Path,
 }
 
-/// The reply to a [`TreeQuery`]: one node. The detector verifies each node against the digest above it, down
+/// The reply to a [`Ask`]: one node. The detector verifies each node against the digest above it, down
 /// from the root, so that a node cannot be forged on its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tell {
@@ -87,12 +87,12 @@
     /// The position of the node.
     pub path: Path,
     /// The node.
-    pub node: Told,
+    pub node: TreeNode,
 }
 
 /// A node of a tree as it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum TreeNode {
     /// The digests of the [`crate::tree::FAN_OUT`] children.
     Branch(Vec<Digest>),
     /// The clients in order of name, at most [`crate::tree::MAX_BUCKET_CLIENTS`].
@@ -134,7 +134,7 @@
     /// The digest of the rules in the live tables.
     pub digest: Digest,
     /// The reason why the member cannot apply the rules that it was sent.
-    pub trouble: Option<String>,
+    pub problem: Option<String>,
     /// Set if the member's senders do not all apply the same rules.
     pub partly: Option<Partly>,
 }
--- a/crates/drift/src/reporter.rs
+++ b/crates/drift/src/reporter.rs
@@ -4,21 +4,22 @@
 //! applied, never what the member was sent.
 
 use crate::report::{
-    Ack, Answer, Applied, Ask, Challenge, Echo, Health, MOST_CLIENTS, Partly, Report, Tell, Told,
+    Ack, Answer, Applied, Ask, Challenge, Echo, Health, MAX_CLIENTS_PER_REPORT, Partly, Report, Tell,
+    TreeNode,
 };
 use crate::tree::Tree;
-use crate::{Digest, content, cut};
+use crate::{Digest, content, truncate_reason};
 use heronroute_fleet::{Life, Term};
 use heronroute_rules::RuleSet;
 use std::collections::BTreeMap;
 
 /// The maximum number of clients tracked as changed. Others are left out of the reports; the root still
 /// differs, and the detector finds them by querying the tree.
-pub const MOST_CHANGED: usize = 1024;
+pub const MAX_CHANGED: usize = 1024;
 
 /// The maximum number of tracked problems (clients whose rules cannot be applied), and of clients whose
 /// senders differ. A member with more is judged as lagging instead of unable to apply for the others.
-pub const MOST_TROUBLES: usize = 64;
+pub const MAX_PROBLEMS: usize = 64;
 
 /// Writes the reports of one member.
 #[derive(Debug)]
@@ -29,7 +30,7 @@
     tree: Tree,
     /// The changed clients, each with the number of the last report that listed it; 0 if none did.
     changed: BTreeMap<String, u64>,
-    troubles: BTreeMap<String, String>,
+    problems: BTreeMap<String, String>,
     partly: BTreeMap<String, Partly>,
     echo: Option<Echo>,
 }
@@ -43,7 +44,7 @@
             term: Term::default(),
             tree: Tree::default(),
             changed: BTreeMap::new(),
-            troubles: BTreeMap::new(),
+            problems: BTreeMap::new(),
             partly: BTreeMap::new(),
             echo: None,
         }
@@ -52,25 +53,25 @@
     /// Records the version and content digest that the live tables hold for a client, and why the last order
     /// for it could not be applied. The cost is proportional to the depth of the tree, and constant if
     /// nothing changed.
-    pub fn live(&mut self, client: &str, version: u64, digest: Digest, trouble: Option<&str>) {
-        let held = held(version, digest);
+    pub fn live(&mut self, client: &str, version: u64, digest: Digest, problem: Option<&str>) {
+        let tree_entry = tree_entry(version, digest);
         let before = self.tree.get(client).map(|leaf| (leaf.version, leaf.digest));
-        let trouble = trouble.map(cut);
-        if before == held && self.troubles.get(client) == trouble.as_ref() {
+        let problem = problem.map(truncate_reason);
+        if before == tree_entry && self.problems.get(client) == problem.as_ref() {
             return;
         }
-        if before != held {
-            self.tree.set(client, held);
+        if before != tree_entry {
+            self.tree.set(client, tree_entry);
         }
-        match trouble {
-            Some(why) if self.troubles.len() < MOST_TROUBLES || self.troubles.contains_key(client) => {
-                self.troubles.insert(client.to_owned(), why);
+        match problem {
+            Some(why) if self.problems.len() < MAX_PROBLEMS || self.problems.contains_key(client) => {
+                self.problems.insert(client.to_owned(), why);
             }
             _ => {
-                self.troubles.remove(client);
+                self.problems.remove(client);
             }
         }
-        if self.changed.len() < MOST_CHANGED || self.changed.contains_key(client) {
+        if self.changed.len() < MAX_CHANGED || self.changed.contains_key(client) {
             self.changed.insert(client.to_owned(), 0);
         }
     }
@@ -81,14 +82,14 @@
     pub fn partly(&mut self, client: &str, partly: Option<Partly>) {
         let before = self.partly.get(client).copied();
         match partly {
-            Some(partly) if self.partly.len() < MOST_TROUBLES || before.is_some() => {
+            Some(partly) if self.partly.len() < MAX_PROBLEMS || before.is_some() => {
                 self.partly.insert(client.to_owned(), partly);
             }
             _ => _ = self.partly.remove(client),
         }
-        let told = |p: Option<Partly>| p.map(|p| (p.senders, p.of));
-        let room = self.changed.len() < MOST_CHANGED || self.changed.contains_key(client);
-        if told(before) != told(self.partly.get(client).copied()) && room {
+        let counts = |p: Option<Partly>| p.map(|p| (p.senders, p.of));
+        let room = self.changed.len() < MAX_CHANGED || self.changed.contains_key(client);
+        if counts(before) != counts(self.partly.get(client).copied()) && room {
             self.changed.insert(client.to_owned(), 0);
         }
     }
@@ -110,13 +111,16 @@
         let mut clients = Vec::new();
         // Unreported clients come first, so that a long list makes progress even if acknowledgements are
         // slow.
-        for fresh in [true, false] {
-            for (client, said) in &mut self.changed {
-                if clients.len() < MOST_CLIENTS && (*said == 0) == fresh && *said != self.number {
-                    *said = self.number;
-                    let mut one = applied(&self.tree, &self.troubles, client);
-                    one.partly = self.partly.get(client).copied();
-                    clients.push(one);
+        for unreported in [true, false] {
+            for (client, reported_in) in &mut self.changed {
+                if clients.len() < MAX_CLIENTS_PER_REPORT
+                    && (*reported_in == 0) == unreported
+                    && *reported_in != self.number
+                {
+                    *reported_in = self.number;
+                    let mut entry = applied(&self.tree, &self.problems, client);
+                    entry.partly = self.partly.get(client).copied();
+                    clients.push(entry);
                 }
             }
         }
@@ -141,20 +145,20 @@
         }
         let first = self.echo.is_none_or(|echo| echo.term < ack.echo.term);
         self.echo = Some(ack.echo);
-        self.changed.retain(|_, said| *said == 0 || *said > ack.number);
+        self.changed.retain(|_, reported_in| *reported_in == 0 || *reported_in > ack.number);
         first
     }
 
     /// Answers a query for one node of the tree; the size of the reply is bounded by the kind of node.
-    pub fn tell(&mut self, ask: &Ask) -> Option<Tell> {
-        if ask.to != self.life {
+    pub fn tell(&mut self, query: &Ask) -> Option<Tell> {
+        if query.to != self.life {
             return None;
         }
         self.number += 1;
-        let mut node = self.tree.told(&ask.path);
-        if let Told::Bucket(clients) = &mut node {
+        let mut node = self.tree.node_at(&query.path);
+        if let TreeNode::Bucket(clients) = &mut node {
             for client in clients {
-                client.trouble = self.troubles.get(&client.client).cloned();
+                client.problem = self.problems.get(&client.client).cloned();
                 client.partly = self.partly.get(&client.client).copied();
             }
         }
@@ -162,7 +166,7 @@
             life: self.life.clone(),
             number: self.number,
             root: self.tree.root(),
-            path: ask.path.clone(),
+            path: query.path.clone(),
             node,
         })
     }
@@ -178,18 +182,18 @@
 }
 
 /// Returns the tree entry for a client: none if there is neither a version nor a rule.
-pub(crate) fn held(version: u64, digest: Digest) -> Option<(u64, Digest)> {
+pub(crate) fn tree_entry(version: u64, digest: Digest) -> Option<(u64, Digest)> {
     (version != 0 || digest != content::digest(&[])).then_some((version, digest))
 }
 
-fn applied(tree: &Tree, troubles: &BTreeMap<String, String>, client: &str) -> Applied {
+fn applied(tree: &Tree, problems: &BTreeMap<String, String>, client: &str) -> Applied {
     let (version, digest) =
         tree.get(client).map_or_else(|| (0, content::digest(&[])), |leaf| (leaf.version, leaf.digest));
     Applied {
         client: client.to_owned(),
         version,
         digest,
-        trouble: troubles.get(client).cloned(),
+        problem: problems.get(client).cloned(),
         partly: None,
     }
 }
--- a/crates/drift/src/rollout/mod.rs
+++ b/crates/drift/src/rollout/mod.rs
@@ -13,15 +13,15 @@
 //! also kill a member before its first response.
 
 mod baseline;
-mod fare;
-mod passing;
+mod health;
 mod phase;
+mod skipping;
 mod state;
 
 pub use baseline::Baseline;
-pub use fare::Worse;
-pub use passing::{MOST_HEARD, MOST_PASSES, PATIENCE, WORD};
-pub use phase::{Phase, Why};
+pub use health::Worse;
+pub use phase::{Phase, StopReason};
+pub use skipping::{DELIVERY_ASSUMED_AFTER, MOST_HEARD, MOST_PASSES, SKIP_DELAY};
 pub use state::Rollout;
 
 use crate::{Digest, Micros};
@@ -29,7 +29,7 @@
 use std::collections::BTreeSet;
 
 /// The maximum number of members of a rollout; with more members it is not started.
-pub const MOST_MEMBERS: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 
 /// The plan of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -85,7 +85,7 @@
         members: BTreeSet<Name>,
     },
     /// Stop the rollout.
-    Stopped(Why),
+    Stopped(StopReason),
     /// All waves are in line.
     Done,
     /// Another version of this client was approved; the rest of this rollout is dropped, and nothing is
--- a/crates/drift/src/rollout/phase.rs
+++ b/crates/drift/src/rollout/phase.rs
@@ -4,7 +4,7 @@
 
 /// The reason why a rollout stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum StopReason {
     /// A wave was not in line in time.
     Late {
         /// The index of the wave.
@@ -20,14 +20,14 @@
     Told(String),
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for StopReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Why::Late { wave, member, members } => {
+            StopReason::Late { wave, member, members } => {
                 let one = if *members == 1 { "is" } else { "are" };
                 write!(f, "{members} of wave {} {one} not in line in time, {member} among them", wave + 1)
             }
-            Why::Worse(what) | Why::Told(what) => f.write_str(what),
+            StopReason::Worse(what) | StopReason::Told(what) => f.write_str(what),
         }
     }
 }
@@ -38,7 +38,7 @@
     /// Waves are being started.
     Running,
     /// The rollout is to be stopped, or is stopped according to the log.
-    Stopped(Why),
+    Stopped(StopReason),
     /// All waves are in line.
     Done,
 }
--- a/crates/drift/src/rollout/state/mod.rs
+++ b/crates/drift/src/rollout/state/mod.rs
@@ -2,26 +2,26 @@
 
 mod decide;
 
-use super::fare::{Since, Sum};
-use super::passing::{Passing, WORD};
-use super::{Baseline, MOST_MEMBERS, Phase, Plan, Progress, Reach, Why};
+use super::health::{HealthTotals, HealthTracker};
+use super::skipping::{DELIVERY_ASSUMED_AFTER, SkipTracker};
+use super::{Baseline, MAX_MEMBERS, Phase, Plan, Progress, Reach, StopReason};
 use crate::Micros;
 use crate::report::Health;
 use heronroute_fleet::{Name, Start};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
-struct One {
+struct MemberState {
     /// The wave that reaches the member.
     wave: usize,
     /// Whether the member was present when its wave started, and is waited for.
-    waited: bool,
+    expected: bool,
     /// Whether it applies the version, by its last report.
     applied: bool,
     /// Whether it reported so again after the soak time.
-    soaked: bool,
+    confirmed: bool,
     /// Its health since the current wave started.
-    since: Option<Since>,
+    health: Option<HealthTracker>,
 }
 
 /// A rollout as the leader observes it.
@@ -31,24 +31,24 @@
     phase: Phase,
     /// The index of the wave that started last.
     wave: usize,
-    members: BTreeMap<Name, One>,
+    members: BTreeMap<Name, MemberState>,
     /// The time at which that wave started.
-    left: Micros,
+    wave_started: Micros,
     /// The time from which all reached members that are waited for apply the version.
-    all: Option<Micros>,
+    all_applied_since: Option<Micros>,
     /// The number of reached members that are waited for.
     awaited: usize,
     /// The number of those that do not apply the version.
     missing: usize,
     /// The number of those that have not confirmed the version after the soak time.
-    unsoaked: usize,
+    unconfirmed: usize,
     /// The latest health of the members not yet reached, since the last wave leaves no member to compare
     /// with.
-    control: Sum,
+    control: HealthTotals,
     /// The logged baseline of the current wave.
     baseline: Baseline,
     /// The responses, and the members to be skipped.
-    passing: Passing,
+    skips: SkipTracker,
     /// The proposed log entry. It stays until the log changes.
     wish: Option<Progress>,
 }
@@ -56,12 +56,13 @@
 impl Rollout {
     /// Creates a rollout from its log state. Returns none if no wave has started, or if there are no members
     /// or more than [`MAX_MEMBERS`].
-    pub fn begin(now: Micros, reach: &Reach) -> Option<Self> {
+    pub fn from_log(now: Micros, reach: &Reach) -> Option<Self> {
         let wave = reach.wave?;
-        let one = |wave| One { wave, waited: true, applied: false, soaked: false, since: None };
+        let member =
+            |wave| MemberState { wave, expected: true, applied: false, confirmed: false, health: None };
         let members: BTreeMap<_, _> =
-            reach.members.iter().map(|(name, wave)| (name.clone(), one(*wave))).collect();
-        if members.is_empty() || members.len() > MOST_MEMBERS {
+            reach.members.iter().map(|(name, wave)| (name.clone(), member(*wave))).collect();
+        if members.is_empty() || members.len() > MAX_MEMBERS {
             return None;
         }
         let mut rollout = Rollout {
@@ -69,46 +70,46 @@
             phase: Phase::Running,
             wave,
             members,
-            left: now,
-            all: None,
+            wave_started: now,
+            all_applied_since: None,
             awaited: 0,
             missing: 0,
-            unsoaked: 0,
+            unconfirmed: 0,
             control: reach.baseline.control,
             baseline: reach.baseline.clone(),
-            passing: Passing::new(reach),
+            skips: SkipTracker::new(reach),
             wish: None,
         };
-        rollout.leave(now, wave, &reach.without);
-        rollout.halt(reach);
+        rollout.start_wave(now, wave, &reach.without);
+        rollout.apply_logged_stop(reach);
         Some(rollout)
     }
 
     /// Applies a new log state.
-    pub fn reach(&mut self, now: Micros, reach: &Reach) {
+    pub fn update(&mut self, now: Micros, reach: &Reach) {
         if let Some(wave) =
-            reach.wave.filter(|wave| (*wave, reach.passes.0) > (self.wave, self.passing.total()))
+            reach.wave.filter(|wave| (*wave, reach.passes.0) > (self.wave, self.skips.total()))
         {
             // The replacement of a skipped first member was in a later wave until now.
             for (name, wave) in &reach.members {
-                self.members.entry(name.clone()).and_modify(|one| one.wave = *wave);
+                self.members.entry(name.clone()).and_modify(|state| state.wave = *wave);
             }
             self.baseline.clone_from(&reach.baseline);
-            self.passing.left(now, reach);
-            self.leave(now, wave, &reach.without);
+            self.skips.wave_started(now, reach);
+            self.start_wave(now, wave, &reach.without);
         }
-        self.passing.logged(now, &reach.heard);
+        self.skips.record_logged(now, &reach.heard);
         // One of the members has responded to another leader in the meantime, so the log would reject this
         // proposal for ever.
         if matches!(&self.wish, Some(Progress::Pass { members }) if !members.is_disjoint(&reach.heard)) {
             self.wish = None;
         }
-        self.halt(reach);
+        self.apply_logged_stop(reach);
     }
 
-    fn halt(&mut self, reach: &Reach) {
+    fn apply_logged_stop(&mut self, reach: &Reach) {
         if let Some(why) = &reach.halted {
-            self.phase = Phase::Stopped(Why::Told(why.clone()));
+            self.phase = Phase::Stopped(StopReason::Told(why.clone()));
             self.wish = None;
         }
     }
@@ -134,25 +135,25 @@
     }
 
     /// Returns the number of skips in all waves.
-    pub fn passes(&self) -> usize {
-        self.passing.total()
+    pub fn total_skips(&self) -> usize {
+        self.skips.total()
     }
 
     /// Returns the members whose response should be logged now. Without this entry, the next leader could not
     /// tell a member that the version killed from one that was already gone.
     pub fn news(&self, now: Micros) -> Option<BTreeSet<Name>> {
         let soon = self.wave == 0 || self.missing == 0;
-        (self.phase == Phase::Running).then(|| self.passing.news(now, soon)).flatten()
+        (self.phase == Phase::Running).then(|| self.skips.due_for_log(now, soon)).flatten()
     }
 
     /// Returns the latest health of the members not yet reached, to be logged with the next wave.
-    pub(crate) fn control(&self) -> Sum {
+    pub(crate) fn control(&self) -> HealthTotals {
         self.control
     }
 
     /// Returns whether the version was sent to the member.
-    pub fn reached(&self, member: &Name) -> bool {
-        self.members.get(member).is_some_and(|one| one.wave <= self.wave)
+    pub fn is_reached(&self, member: &Name) -> bool {
+        self.members.get(member).is_some_and(|state| state.wave <= self.wave)
     }
 
     /// Handles a member's report: whether it applies the version, and its health. The cost does not depend on
@@ -161,36 +162,37 @@
         if self.phase != Phase::Running {
             return;
         }
-        let Some(one) = self.members.get_mut(member) else { return };
-        match &mut one.since {
-            Some(since) => since.report(now, start, health),
+        let Some(state) = self.members.get_mut(member) else { return };
+        match &mut state.health {
+            Some(tracker) => tracker.report(now, start, health),
             None => {
-                let since = Since::new(now, start, health).grown_from(self.baseline.memory(member));
-                one.since = Some(since);
+                let tracker =
+                    HealthTracker::new(now, start, health).with_base_memory(self.baseline.memory(member));
+                state.health = Some(tracker);
             }
         }
         if applied {
-            self.word(member);
+            self.record_response(member);
         }
-        self.passing.back(member);
-        self.mark(now, member, applied);
-        let soaked = self.all.is_some_and(|all| now >= all.saturating_add(self.plan.soak));
-        if let Some(one) = self.members.get_mut(member)
+        self.skips.member_returned(member);
+        self.set_applied(now, member, applied);
+        let soaked = self.all_applied_since.is_some_and(|since| now >= since.saturating_add(self.plan.soak));
+        if let Some(state) = self.members.get_mut(member)
             && soaked
-            && one.waited
-            && one.wave <= self.wave
-            && !std::mem::replace(&mut one.soaked, true)
+            && state.expected
+            && state.wave <= self.wave
+            && !std::mem::replace(&mut state.confirmed, true)
         {
-            self.unsoaked = self.unsoaked.saturating_sub(1);
+            self.unconfirmed = self.unconfirmed.saturating_sub(1);
         }
     }
 
     /// Handles the loss or silence of a member; it is then unknown what the member applies.
-    pub fn lost(&mut self, now: Micros, member: &Name) {
+    pub fn member_lost(&mut self, now: Micros, member: &Name) {
         if self.phase == Phase::Running {
-            self.mark(now, member, false);
-            if self.awaits(member) {
-                self.passing.gone(member);
+            self.set_applied(now, member, false);
+            if self.is_awaited(member) {
+                self.skips.member_gone(member);
             }
         }
     }
@@ -198,11 +200,11 @@
     /// Handles a response of a member since its wave started: it applies the version, cannot apply it, or
     /// sent any report so late that the version must have been delivered. From then on its silence is
     /// evidence against the version.
-    pub fn word(&mut self, member: &Name) {
-        if self.phase != Phase::Running || !self.awaits(member) {
+    pub fn record_response(&mut self, member: &Name) {
+        if self.phase != Phase::Running || !self.is_awaited(member) {
             return;
         }
-        if self.passing.word(member)
+        if self.skips.record_response(member)
             && matches!(&self.wish, Some(Progress::Pass { members }) if members.contains(member))
         {
             self.wish = None;
@@ -210,73 +212,73 @@
     }
 
     /// Returns whether a report that was written after this time proves that the version was delivered.
-    pub fn late_word(&self, written: Micros) -> bool {
-        written >= self.left.saturating_add(WORD)
+    pub fn proves_delivery(&self, written: Micros) -> bool {
+        written >= self.wave_started.saturating_add(DELIVERY_ASSUMED_AFTER)
     }
 
-    fn awaits(&self, member: &Name) -> bool {
-        self.members.get(member).is_some_and(|one| one.waited && one.wave <= self.wave)
+    fn is_awaited(&self, member: &Name) -> bool {
+        self.members.get(member).is_some_and(|state| state.expected && state.wave <= self.wave)
     }
 
     /// Handles the start of this member's leadership. What it knew about the members may be out of date, so
     /// it waits for new reports. Findings of the previous leader that are not in the log do not count.
     pub fn resume(&mut self, now: Micros) {
-        if matches!(self.phase, Phase::Stopped(Why::Told(_))) {
+        if matches!(self.phase, Phase::Stopped(StopReason::Told(_))) {
             return;
         }
         self.phase = Phase::Running;
-        for one in self.members.values_mut() {
-            (one.applied, one.since) = (false, None);
+        for state in self.members.values_mut() {
+            (state.applied, state.health) = (false, None);
         }
         self.control = self.baseline.control;
-        self.passing.resume();
-        self.begin_wave(now);
+        self.skips.resume();
+        self.reset_wave(now);
     }
 
-    fn leave(&mut self, now: Micros, wave: usize, without: &BTreeSet<Name>) {
+    fn start_wave(&mut self, now: Micros, wave: usize, without: &BTreeSet<Name>) {
         self.wave = wave;
-        for (name, one) in &mut self.members {
-            one.waited = !without.contains(name);
+        for (name, state) in &mut self.members {
+            state.expected = !without.contains(name);
         }
-        self.begin_wave(now);
+        self.reset_wave(now);
     }
 
-    fn begin_wave(&mut self, now: Micros) {
-        (self.left, self.wish) = (now, None);
-        let (mut awaited, mut unsoaked, mut missing) = (0, 0, 0);
-        for one in self.members.values_mut() {
-            one.soaked = false;
-            if one.wave <= self.wave && one.waited {
+    fn reset_wave(&mut self, now: Micros) {
+        (self.wave_started, self.wish) = (now, None);
+        let (mut awaited, mut unconfirmed, mut missing) = (0, 0, 0);
+        for state in self.members.values_mut() {
+            state.confirmed = false;
+            if state.wave <= self.wave && state.expected {
                 awaited += 1;
-                unsoaked += 1;
-                missing += usize::from(!one.applied);
+                unconfirmed += 1;
+                missing += usize::from(!state.applied);
             }
             // Reached and unreached members are compared over the same time.
-            if let Some(since) = &mut one.since {
-                since.rebase(now);
+            if let Some(tracker) = &mut state.health {
+                tracker.rebase(now);
             }
         }
-        (self.awaited, self.missing, self.unsoaked) = (awaited, missing, unsoaked);
-        self.all = (missing == 0).then_some(now);
+        (self.awaited, self.missing, self.unconfirmed) = (awaited, missing, unconfirmed);
+        self.all_applied_since = (missing == 0).then_some(now);
     }
 
-    fn mark(&mut self, now: Micros, member: &Name, applied: bool) {
-        let Some(one) = self.members.get_mut(member) else { return };
-        let before = std::mem::replace(&mut one.applied, applied);
-        if one.wave > self.wave || !one.waited || before == applied {
+    fn set_applied(&mut self, now: Micros, member: &Name, applied: bool) {
+        let Some(state) = self.members.get_mut(member) else { return };
+        let before = std::mem::replace(&mut state.applied, applied);
+        if state.wave > self.wave || !state.expected || before == applied {
             return;
         }
         self.missing = if applied { self.missing.saturating_sub(1) } else { self.missing + 1 };
-        self.all = (self.missing == 0).then_some(now);
+        self.all_applied_since = (self.missing == 0).then_some(now);
         if self.missing > 0 {
             return;
         }
         // All of them have to confirm the version after the soak time that starts now.
-        let mut unsoaked = 0;
-        for one in self.members.values_mut().filter(|one| one.waited && one.wave <= self.wave) {
-            one.soaked = false;
-            unsoaked += 1;
+        let mut unconfirmed = 0;
+        for state in self.members.values_mut().filter(|state| state.expected && state.wave <= self.wave) {
+            state.confirmed = false;
+            unconfirmed += 1;
         }
-        self.unsoaked = unsoaked;
+        self.unconfirmed = unconfirmed;
     }
 }
--- a/crates/drift/src/tree/node.rs
+++ b/crates/drift/src/tree/node.rs
@@ -1,7 +1,7 @@
 //! Immutable tree nodes: equal trees share them, and a change copies only the path down to it.
 
-use super::path::{DEEPEST, Key};
-use super::{BUCKET, FAN, NONE};
+use super::path::{Key, MAX_DEPTH};
+use super::{EMPTY_DIGEST, FAN_OUT, MAX_BUCKET_CLIENTS};
 use crate::Digest;
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
@@ -24,12 +24,12 @@
     /// Up to [`MAX_BUCKET_CLIENTS`] clients, in order of name.
     Bucket { hash: Digest, leaves: Vec<Leaf> },
     /// More clients than fit into a bucket.
-    Branch { hash: Digest, count: usize, children: [Link; FAN] },
+    Branch { hash: Digest, count: usize, children: [Link; FAN_OUT] },
 }
 
 pub(crate) fn hash(link: &Link) -> Digest {
     match link.as_deref() {
-        None => NONE,
+        None => EMPTY_DIGEST,
         Some(Node::Bucket { hash, .. } | Node::Branch { hash, .. }) => *hash,
     }
 }
@@ -43,7 +43,7 @@
 }
 
 /// Returns whether two nodes have the same content: they are the same node or have the same digest.
-pub(crate) fn same(a: &Link, b: &Link) -> bool {
+pub(crate) fn same_content(a: &Link, b: &Link) -> bool {
     match (a, b) {
         (Some(a), Some(b)) if Arc::ptr_eq(a, b) => true,
         _ => hash(a) == hash(b),
@@ -53,7 +53,7 @@
 /// Returns the digest of a bucket; [`EMPTY_DIGEST`] without clients.
 pub(crate) fn bucket_hash<'a>(leaves: impl ExactSizeIterator<Item = (&'a str, u64, &'a Digest)>) -> Digest {
     if leaves.len() == 0 {
-        return NONE;
+        return EMPTY_DIGEST;
     }
     let mut hash = Sha256::new();
     hash.update(b"B");
@@ -81,17 +81,17 @@
     if leaves.is_empty() {
         return None;
     }
-    if leaves.len() <= BUCKET || depth >= DEEPEST {
+    if leaves.len() <= MAX_BUCKET_CLIENTS || depth >= MAX_DEPTH {
         let hash = bucket_hash(leaves.iter().map(|leaf| (&*leaf.client, leaf.version, &leaf.digest)));
         return Some(Arc::new(Node::Bucket { hash, leaves }));
     }
-    let children = scatter(leaves, depth).map(|below| build(below, depth + 1));
+    let children = distribute(leaves, depth).map(|below| build(below, depth + 1));
     branch(children)
 }
 
 /// Distributes clients over the children of a branch at a depth.
-pub(crate) fn scatter(leaves: Vec<Leaf>, depth: usize) -> [Vec<Leaf>; FAN] {
-    let mut below: [Vec<Leaf>; FAN] = Default::default();
+pub(crate) fn distribute(leaves: Vec<Leaf>, depth: usize) -> [Vec<Leaf>; FAN_OUT] {
+    let mut below: [Vec<Leaf>; FAN_OUT] = Default::default();
     for leaf in leaves {
         if let Some(place) = below.get_mut(Key::of(&leaf.client).step(depth)) {
             place.push(leaf);
@@ -101,11 +101,11 @@
 }
 
 /// Builds a branch, or a bucket if there are few enough clients.
-pub(crate) fn branch(children: [Link; FAN]) -> Link {
+pub(crate) fn branch(children: [Link; FAN_OUT]) -> Link {
     let count: usize = children.iter().map(count).sum();
-    if count <= BUCKET {
+    if count <= MAX_BUCKET_CLIENTS {
         let mut leaves = Vec::with_capacity(count);
-        children.iter().for_each(|child| gather(child, &mut leaves));
+        children.iter().for_each(|child| collect_leaves(child, &mut leaves));
         leaves.sort_by(|a, b| a.client.cmp(&b.client));
         return build(leaves, 0);
     }
@@ -114,10 +114,10 @@
 }
 
 /// Collects all clients below a node.
-pub(crate) fn gather(link: &Link, into: &mut Vec<Leaf>) {
+pub(crate) fn collect_leaves(link: &Link, into: &mut Vec<Leaf>) {
     match link.as_deref() {
         None => {}
         Some(Node::Bucket { leaves, .. }) => into.extend(leaves.iter().cloned()),
-        Some(Node::Branch { children, .. }) => children.iter().for_each(|child| gather(child, into)),
+        Some(Node::Branch { children, .. }) => children.iter().for_each(|child| collect_leaves(child, into)),
     }
 }
--- a/crates/drift/src/tree/path.rs
+++ b/crates/drift/src/tree/path.rs
@@ -5,7 +5,7 @@
 use sha2::{Digest as _, Sha256};
 
 /// The number of nibbles in a key, which is the greatest depth of a path.
-pub const DEEPEST: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 
 /// A path from the root: one nibble (0 to 15) per level.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
 
 impl std::fmt::Display for PathError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "a place has at most {DEEPEST} steps, each below 16")
+        write!(f, "a path has at most {MAX_DEPTH} steps, each below 16")
     }
 }
 
@@ -44,7 +44,7 @@
 impl TryFrom<Vec<u8>> for Path {
     type Error = PathError;
     fn try_from(steps: Vec<u8>) -> Result<Self, PathError> {
-        if steps.len() > DEEPEST || steps.iter().any(|step| *step > 15) {
+        if steps.len() > MAX_DEPTH || steps.iter().any(|step| *step > 15) {
             return Err(PathError);
         }
         Ok(Path(steps))
--- a/crates/drift/src/view.rs
+++ b/crates/drift/src/view.rs
@@ -77,6 +77,12 @@
     pub fn view(&self, now: Micros) -> View {
         let known = self.acting(now);
         let why = (!known).then(|| "not known: no majority, or another member is in charge".to_owned());
-        View { term: self.current(), known, why, members: self.lines(now, known), rollouts: self.rolling() }
+        View {
+            term: self.current(),
+            known,
+            why,
+            members: self.member_lines(now, known),
+            rollouts: self.rollout_lines(),
+        }
     }
 }
--- a/crates/drift/tests/scale.rs
+++ b/crates/drift/tests/scale.rs
@@ -1,4 +1,5 @@
-//! 500 members and 10,000 clients: an event's cost does not grow with both. Figures are printed under HERONROUTE_LONG=1.
+//! Checks that the cost of an event does not grow with members × clients: 500 members and 10,000 clients with
+//! HERONROUTE_LONG=1, fewer otherwise. The measured figures are printed.
 
 mod sim;
 
@@ -20,7 +21,7 @@
 impl Fleet {
     fn new(members: usize, clients: usize) -> Self {
         let mut config = Config::new(Name::new("k").unwrap(), [1; 32]);
-        // No challenges here: nobody answers them.
+        // Challenges are disabled, since nothing answers them here.
         config.challenge_every = Micros::MAX / 4;
         let mut detector = Detector::new(config);
         let mut reporters = Vec::new();
@@ -37,13 +38,15 @@
         }
         detector.term(0, Term(1), true);
         let mut fleet = Fleet { detector, reporters, now: 0 };
-        // Reporters here hold the few clients under test; the root of the rest comes from one that holds all.
-        fleet.round(&all, 2);
+        // The members' reporters hold only the few clients under test; the root comes from a reporter that
+        // holds all clients.
+        fleet.report_rounds(&all, 2);
         fleet
     }
 
-    /// Each member reports what `all` holds.
-    fn round(&mut self, all: &Reporter, rounds: usize) -> Vec<u64> {
+    /// Lets each member report the root of `all`, and returns the sorted times of the detector in
+    /// nanoseconds.
+    fn report_rounds(&mut self, all: &Reporter, rounds: usize) -> Vec<u64> {
         let mut times = Vec::new();
         for _ in 0..rounds {
             self.now += 2 * S;
@@ -69,29 +72,29 @@
     }
 }
 
-fn resident() -> u64 {
+fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).unwrap_or(0)
 }
 
-fn middle(times: &[u64]) -> u64 {
+fn median(times: &[u64]) -> u64 {
     times[times.len() / 2]
 }
 
 #[test]
-fn cost_of_a_report_does_not_grow_with_members_and_clients() {
+fn report_cost_does_not_grow_with_members_and_clients() {
     let long = std::env::var("HERONROUTE_LONG").is_ok();
     let full = if long { (500, 10_000) } else { (100, 2_000) };
     let mut figures = Vec::new();
     for (members, clients) in [(10, 100), full] {
-        let before = resident();
+        let before = resident_kib();
         let mut all = Reporter::new(Life { name: name(0), start: Start(1) });
         (0..clients).for_each(|client| all.live(&format!("client-{client}"), 1, digest(client, 1), None));
         let mut fleet = Fleet::new(members, clients);
-        let at_rest = middle(&fleet.round(&all, 20));
-        let held = resident().saturating_sub(before);
-        // One client is approved anew and applied everywhere.
+        let at_rest = median(&fleet.report_rounds(&all, 20));
+        let used_kib = resident_kib().saturating_sub(before);
+        // One client gets a new version, which is applied everywhere.
         let mut changes = Vec::new();
         let mut approvals = Vec::new();
         for version in 2..12 {
@@ -104,13 +107,13 @@
             for reporter in &mut fleet.reporters {
                 reporter.live(&client, version, digest, None);
             }
-            changes.push(middle(&fleet.round(&all, 1)));
+            changes.push(median(&fleet.report_rounds(&all, 1)));
             let in_line = fleet.detector.view(fleet.now).members;
             assert!(in_line.iter().all(|line| line.verdict == Verdict::InLine));
         }
         approvals.sort_unstable();
         changes.sort_unstable();
-        // Every member differs in 40 clients each its own way: the worst that a report may cost.
+        // Every member differs in 40 clients in its own way, which is the most expensive kind of report.
         let mut differ = Vec::new();
         for member in 0..members.min(50) {
             let mut report = fleet.reporters[member].report(Health::default());
@@ -120,7 +123,7 @@
                     client: format!("client-{client}"),
                     version: 1,
                     digest: digest(client, 99 + member as u64),
-                    trouble: None,
+                    problem: None,
                     partly: None,
                 })
                 .collect();
@@ -130,16 +133,17 @@
             while fleet.detector.poll().is_some() {}
         }
         differ.sort_unstable();
-        let figure = (at_rest, middle(&changes), middle(&differ), middle(&approvals));
+        let figure = (at_rest, median(&changes), median(&differ), median(&approvals));
         println!(
             "{members} members, {clients} clients: a report at rest {} ns, after a change {} ns, with 40 clients \
-             altered {} ns; an approval {} ns; {held} KiB resident with one full reporter",
+             altered {} ns; an approval {} ns; {used_kib} KiB resident with one full reporter",
             figure.0, figure.1, figure.2, figure.3
         );
         figures.push(figure);
     }
     let [small, large] = figures[..] else { panic!() };
-    // 50 to 5,000 times as many members × clients; the bound is wide, as other work runs beside it.
+    // The larger case has 200 times as many members × clients, or 5,000 times with HERONROUTE_LONG. The bound
+    // is wide because other work may run on the machine.
     assert!(large.0 < small.0 * 8 + 20_000, "{small:?} {large:?}");
     assert!(large.1 < small.1 * 8 + 20_000, "{small:?} {large:?}");
 }
--- a/crates/drift/tests/sim/faults.rs
+++ b/crates/drift/tests/sim/faults.rs
@@ -1,38 +1,38 @@
-//! What goes wrong.
+//! The faults of the simulation.
 
-use super::{Event, Lie, S, World};
+use super::{Event, Reporting, S, World};
 use heronroute_fleet::Standing;
 use rand::Rng;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Takes no order for a while.
+    /// The member executes no orders for a while.
     Stuck(usize),
     Unstuck(usize),
-    /// A rule is altered in its tables, under the same version.
+    /// A rule in the member's tables changes, under the same version.
     Alter(usize),
-    /// It applies a version that nobody approved.
+    /// The member applies a version that was not approved.
     Ahead(usize),
-    /// Says nothing and hears nothing.
+    /// The member sends and receives nothing.
     Silent(usize),
-    Speak(usize),
-    /// Heard by others and altered, but no report of it arrives.
-    Mute(usize),
-    Unmute(usize),
+    EndSilence(usize),
+    /// The rules of the member are altered, and it is alive but none of its reports arrives.
+    LoseReports(usize),
+    EndReportLoss(usize),
     Restart(usize),
-    /// Restarted from a folder of long ago.
-    Restored(usize),
-    /// Restarted with an empty folder.
-    Emptied(usize),
-    /// Can't apply one client.
-    Cannot(usize),
-    Can(usize),
-    /// Reports well and applies nothing.
-    Lies(usize),
-    Honest(usize),
-    /// The other keeper takes over.
+    /// The member restarts from an old backup of its folder.
+    RestoreOldDisk(usize),
+    /// The member restarts with an empty folder.
+    EmptyDisk(usize),
+    /// The member can't apply one client's rules.
+    CannotApply(usize),
+    CanApply(usize),
+    /// The member reports the desired state and applies nothing.
+    ReportFalsely(usize),
+    ReportHonestly(usize),
+    /// The other keeper becomes the leader, with a snapshot of the former one if true.
     TakeOver(bool),
-    /// The keeper in charge pauses, the other one takes over, and the first wakes up.
+    /// The leader pauses, the other keeper takes over, and the first one resumes.
     Pause,
     Wake(usize),
 }
@@ -57,86 +57,87 @@
             }
             Fault::Silent(m) => {
                 self.members[m].silent = true;
-                self.at(now + 2 * S, Event::Standing(m, self.members[m].start, Standing::Suspect));
-                self.at(now + 8 * S, Event::Standing(m, self.members[m].start, Standing::Dead));
+                self.schedule(now + 2 * S, Event::Standing(m, self.members[m].start, Standing::Suspect));
+                self.schedule(now + 8 * S, Event::Standing(m, self.members[m].start, Standing::Dead));
             }
-            Fault::Speak(m) => {
-                // The one declared dead comes back as another life, as foca has it.
+            Fault::EndSilence(m) => {
+                // A member that was declared dead returns as a new life, as foca (the membership protocol)
+                // has it.
                 self.members[m].silent = false;
                 self.members[m].restart();
-                self.at(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
+                self.schedule(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
             }
-            Fault::Mute(m) => {
-                self.members[m].mute = true;
+            Fault::LoseReports(m) => {
+                self.members[m].reports_lost = true;
                 self.members[m].apply(&client, (1, 77));
             }
-            Fault::Unmute(m) => self.members[m].mute = false,
+            Fault::EndReportLoss(m) => self.members[m].reports_lost = false,
             Fault::Restart(m) => {
                 self.members[m].restart();
-                self.at(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
+                self.schedule(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
             }
-            Fault::Restored(m) => {
-                self.members[m].disk = self.members[m].old.clone();
+            Fault::RestoreOldDisk(m) => {
+                self.members[m].disk = self.members[m].backup.clone();
                 self.members[m].restart();
-                self.at(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
+                self.schedule(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
             }
-            Fault::Emptied(m) => {
+            Fault::EmptyDisk(m) => {
                 self.members[m].disk.clear();
                 self.members[m].restart();
-                self.at(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
+                self.schedule(now + S, Event::Standing(m, self.members[m].start, Standing::Alive));
             }
-            Fault::Cannot(m) => {
-                self.members[m].cannot = Some(client.clone());
+            Fault::CannotApply(m) => {
+                self.members[m].cannot_apply = Some(client.clone());
                 self.approve(&client, true);
             }
-            Fault::Can(m) => self.members[m].cannot = None,
-            Fault::Lies(m) => {
-                self.members[m].lie = Lie::Well;
+            Fault::CanApply(m) => self.members[m].cannot_apply = None,
+            Fault::ReportFalsely(m) => {
+                self.members[m].reporting = Reporting::PretendsDesired;
                 self.members[m].live.clear();
-                self.members[m].same = None;
+                self.members[m].in_line = None;
             }
-            Fault::Honest(m) => {
-                // What it said until now was not so, and counts as long as any report.
-                self.equal[m] = now;
-                self.members[m].lie = Lie::No;
+            Fault::ReportHonestly(m) => {
+                // The false reports sent so far count for as long as any report.
+                self.last_equal[m] = now;
+                self.members[m].reporting = Reporting::Honest;
                 self.members[m].live = self.members[m].disk.clone();
-                self.members[m].same = None;
+                self.members[m].in_line = None;
             }
             Fault::TakeOver(with_snapshot) => self.take_over(with_snapshot),
             Fault::Pause => {
-                let paused = self.charge;
+                let paused = self.leader;
                 self.keepers[paused].paused = true;
-                self.at(now + 15 * S, Event::Fault(Fault::Wake(paused)));
+                self.schedule(now + 15 * S, Event::Fault(Fault::Wake(paused)));
                 self.take_over(true);
             }
             Fault::Wake(keeper) => self.keepers[keeper].paused = false,
         }
     }
 
-    /// Faults at random until a time; whatever lasts is over by then.
+    /// Plans random faults until a time; lasting faults end by then.
     pub fn plan_faults(&mut self, from: usize, until: usize) {
         let count = self.rng.random_range(3..12);
         for _ in 0..count {
             let at = self.rng.random_range(from..until) as i64 * S;
-            let over = (at + self.rng.random_range(5..60) * S).min(until as i64 * S);
+            let end_at = (at + self.rng.random_range(5..60) * S).min(until as i64 * S);
             let m = self.rng.random_range(0..self.members.len());
             let (fault, end) = match self.rng.random_range(0..13) {
                 0 => (Fault::Stuck(m), Some(Fault::Unstuck(m))),
                 1 | 2 => (Fault::Alter(m), None),
                 3 => (Fault::Ahead(m), None),
-                4 => (Fault::Silent(m), Some(Fault::Speak(m))),
+                4 => (Fault::Silent(m), Some(Fault::EndSilence(m))),
                 5 => (Fault::Restart(m), None),
-                6 => (Fault::Restored(m), None),
-                7 => (Fault::Emptied(m), None),
-                8 => (Fault::Cannot(m), Some(Fault::Can(m))),
-                9 => (Fault::Lies(m), Some(Fault::Honest(m))),
-                10 => (Fault::Mute(m), Some(Fault::Unmute(m))),
+                6 => (Fault::RestoreOldDisk(m), None),
+                7 => (Fault::EmptyDisk(m), None),
+                8 => (Fault::CannotApply(m), Some(Fault::CanApply(m))),
+                9 => (Fault::ReportFalsely(m), Some(Fault::ReportHonestly(m))),
+                10 => (Fault::LoseReports(m), Some(Fault::EndReportLoss(m))),
                 11 => (Fault::TakeOver(self.rng.random()), None),
                 _ => (Fault::Pause, None),
             };
-            self.at(at, Event::Fault(fault));
+            self.schedule(at, Event::Fault(fault));
             if let Some(end) = end {
-                self.at(over, Event::Fault(end));
+                self.schedule(end_at, Event::Fault(end));
             }
         }
     }
--- a/crates/drift/tests/sim/mod.rs
+++ b/crates/drift/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A small installation on a virtual clock: members with live tables that go wrong, keepers with detectors, a network that
-//! delays, loses and reorders. All from one seed.
+//! A simulated installation on a virtual clock: members with live tables and faults, keepers with detectors,
+//! and a network that delays, loses and reorders messages. One seed determines everything.
 
 #![allow(dead_code)]
 
@@ -7,7 +7,7 @@
 mod member;
 
 pub use faults::Fault;
-pub use member::{Lie, Real};
+pub use member::{Reporting, SimMember};
 
 use heronroute_drift::*;
 use heronroute_fleet::{Life, Name, Standing, Start, Term};
@@ -22,7 +22,7 @@
     Name::new(&format!("m{number}")).unwrap()
 }
 
-/// A version, and what its content hangs on.
+/// A version, and a salt that changes its content.
 pub type Set = (u64, i64);
 
 pub fn rules((version, salt): Set) -> RuleSet {
@@ -34,10 +34,10 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     Report(usize),
-    ToKeeper(usize, Up),
-    ToMember(usize, Down),
+    ToKeeper(usize, MemberMessage),
+    ToMember(usize, KeeperMessage),
     Tick,
-    /// What the detector of this keeper asked for.
+    /// A wake that the detector of this keeper requested.
     Wake(usize),
     Confirm,
     Approve,
@@ -46,14 +46,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Up {
+pub enum MemberMessage {
     Report(Report),
     Tell(Tell),
     Answer(Answer),
 }
 
 #[derive(Clone, Debug)]
-pub enum Down {
+pub enum KeeperMessage {
     Apply(Term, Vec<(String, Set)>),
     TakeBack(Term, Vec<String>),
     Ack(Ack),
@@ -73,33 +73,34 @@
     pub now: Micros,
     queue: BTreeMap<(Micros, u64), Event>,
     count: u64,
-    pub members: Vec<Real>,
+    pub members: Vec<SimMember>,
     pub keepers: Vec<Keeper>,
-    /// Which keeper is in charge, and its term.
-    pub charge: usize,
+    /// The index of the leader among the keepers, and its term.
+    pub leader: usize,
     pub term: Term,
     pub desired: BTreeMap<String, Set>,
-    /// For each member: when its live tables last were what is desired now.
-    pub equal: Vec<Micros>,
-    /// Of a hundred messages.
-    pub loss: u32,
+    /// For each member, the last time at which its live tables were equal to the current desired state.
+    pub last_equal: Vec<Micros>,
+    /// The percentage of lost messages.
+    pub loss_percent: u32,
     pub orders: Vec<(Micros, usize, Order)>,
     pub records: Vec<Record>,
     pub trace: String,
     pub faults: Vec<(Micros, Fault)>,
     pub approvals: Vec<Micros>,
     pub terms: Vec<Micros>,
-    /// A fault of a rollout's wave: members that apply the version refuse messages.
-    pub sick: bool,
+    /// If set, members that apply a new version refuse messages.
+    pub fail_on_new_version: bool,
     pub rollouts: Vec<(Micros, Progress)>,
-    /// The log's part of a rollout, and whether one that stops goes back.
+    /// The log state of the rollout, and whether a stopped rollout is reverted.
     pub reach: Option<Reach>,
-    pub back: bool,
+    pub revert_on_stop: bool,
     pub traced: bool,
-    /// Detectors are ticked when they ask for it, not every so often: and when that was last asked for, by keeper.
-    pub eager: bool,
-    pub asked: Vec<Option<Micros>>,
-    /// When they were, and by which keeper.
+    /// If set, detectors are ticked at the times that they request, and not periodically.
+    pub wake_on_demand: bool,
+    /// The time that each keeper's detector requested last.
+    pub requested_wakes: Vec<Option<Micros>>,
+    /// The wakes, with the keeper.
     pub wakes: Vec<(Micros, usize)>,
 }
 
@@ -111,7 +112,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let keeper = |number: usize, rng: &mut SmallRng| {
             let mut config = Config::new(Name::new(&format!("k{number}")).unwrap(), rng.random());
-            // Keepers' clocks are the same here; what is kept bears another base all the same.
+            // All keepers share one clock here, but records use another time base.
             config.wall = 1_000 * S;
             Keeper { detector: Detector::new(config), paused: false, confirmed: 0, term: Term(0) }
         };
@@ -121,26 +122,26 @@
             now: 0,
             queue: BTreeMap::new(),
             count: 0,
-            members: (0..members).map(Real::new).collect(),
+            members: (0..members).map(SimMember::new).collect(),
             keepers,
-            charge: 0,
+            leader: 0,
             term: Term(1),
             desired: BTreeMap::new(),
-            equal: vec![0; members],
-            loss: 0,
+            last_equal: vec![0; members],
+            loss_percent: 0,
             orders: Vec::new(),
             records: Vec::new(),
             trace: String::new(),
             faults: Vec::new(),
             approvals: Vec::new(),
             terms: Vec::new(),
-            sick: false,
+            fail_on_new_version: false,
             rollouts: Vec::new(),
             reach: None,
-            back: false,
+            revert_on_stop: false,
             traced: false,
-            eager: false,
-            asked: vec![None; 2],
+            wake_on_demand: false,
+            requested_wakes: vec![None; 2],
             wakes: Vec::new(),
         };
         for client in 0..clients {
@@ -148,28 +149,28 @@
         }
         for member in &mut world.members {
             world.desired.iter().for_each(|(client, set)| member.apply(client, *set));
-            member.save();
+            member.make_backup();
         }
         let desired = world.desired.clone();
         for (client, set) in desired {
-            world.tell_desired(&client, set);
+            world.publish_desired(&client, set);
         }
         for member in 0..members {
             world.standing(member, Standing::Alive);
             let spread = world.rng.random_range(0..2 * S);
-            world.at(spread, Event::Report(member));
+            world.schedule(spread, Event::Report(member));
         }
-        world.at(0, Event::Confirm);
-        world.at(0, Event::Tick);
+        world.schedule(0, Event::Confirm);
+        world.schedule(0, Event::Tick);
         world
     }
 
-    pub fn at(&mut self, time: Micros, event: Event) {
+    pub fn schedule(&mut self, time: Micros, event: Event) {
         self.count += 1;
         self.queue.insert((time.max(self.now), self.count), event);
     }
 
-    fn delay(&mut self) -> Micros {
+    fn random_delay(&mut self) -> Micros {
         match self.rng.random_range(0..200) {
             0 => self.rng.random_range(0..25 * S),
             1..5 => self.rng.random_range(0..3 * S),
@@ -177,11 +178,11 @@
         }
     }
 
-    /// Puts a message on its way, or loses it.
+    /// Sends a message with a random delay, or loses it.
     pub fn send(&mut self, event: Event) {
-        if self.rng.random_range(0..100) >= self.loss {
-            let delay = self.delay();
-            self.at(self.now + delay, event);
+        if self.rng.random_range(0..100) >= self.loss_percent {
+            let delay = self.random_delay();
+            self.schedule(self.now + delay, event);
         }
     }
 
@@ -193,7 +194,7 @@
         }
     }
 
-    pub fn tell_desired(&mut self, client: &str, set: Set) {
+    pub fn publish_desired(&mut self, client: &str, set: Set) {
         let digest = content::digest(&rules(set).rules);
         let desired = Desired { client: client.into(), version: set.0, digest, at: self.now, uncut: None };
         for keeper in &mut self.keepers {
@@ -201,31 +202,36 @@
         }
     }
 
-    /// A new version of a client is approved, and sent to all; to some it does not get.
+    /// Approves a new version of a client, and sends it to all members if `spread`; some of the messages are
+    /// lost.
     pub fn approve(&mut self, client: &str, spread: bool) {
         let version = self.desired[client].0 + 1;
         let set = (version, 0);
         self.desired.insert(client.to_owned(), set);
         self.approvals.push(self.now);
-        self.tell_desired(client, set);
+        self.publish_desired(client, set);
         if self.reach.take_if(|reach| reach.plan.client == client).is_some() {
             let now = self.now;
             self.keepers.iter_mut().for_each(|k| k.detector.reached_all(now, client));
         }
         if spread {
             for member in 0..self.members.len() {
-                self.send(Event::ToMember(member, Down::Apply(self.term, vec![(client.to_owned(), set)])));
+                self.send(Event::ToMember(
+                    member,
+                    KeeperMessage::Apply(self.term, vec![(client.to_owned(), set)]),
+                ));
             }
         }
-        // What was equal up to now is so to the old version.
+        // The members were in line with the old version only.
         for member in 0..self.members.len() {
-            self.equal[member] = Micros::MIN / 2;
-            self.members[member].same = None;
+            self.last_equal[member] = Micros::MIN / 2;
+            self.members[member].in_line = None;
         }
     }
 
-    /// A new version of a client is approved, for the first wave; three zones, the first one's members in the second wave.
-    pub fn roll(&mut self, client: &str) {
+    /// Approves a new version of a client and starts its rollout: the first member, the rest of its zone (one
+    /// of three), then all.
+    pub fn start_rollout(&mut self, client: &str) {
         let before = self.desired[client];
         let set = (before.0 + 1, 0);
         let wave = |m: usize| if m == 0 { 0 } else { 1 + usize::from(!m.is_multiple_of(3)) };
@@ -244,19 +250,19 @@
             baseline: Default::default(),
             halted: None,
         });
-        self.tell_reach();
+        self.publish_rollout();
         self.desired.insert(client.to_owned(), set);
-        self.tell_desired(client, set);
-        self.leaves(0);
+        self.publish_desired(client, set);
+        self.start_wave(0);
     }
 
-    fn tell_reach(&mut self) {
+    fn publish_rollout(&mut self) {
         let (Some(reach), now) = (self.reach.clone(), self.now) else { return };
         self.keepers.iter_mut().for_each(|k| k.detector.reach(now, &reach));
     }
 
-    /// The log says that a wave leaves, once.
-    fn leaves(&mut self, wave: usize) {
+    /// Logs the start of a wave, once.
+    fn start_wave(&mut self, wave: usize) {
         let Some(reach) = &mut self.reach else { return };
         if reach.wave.is_some_and(|before| before >= wave) || reach.halted.is_some() {
             return;
@@ -266,25 +272,28 @@
         let meant = (version, content::digest(&rules((version, 0)).rules));
         reach.meant.iter_mut().take(wave + 1).for_each(|one| *one = meant);
         let all = reach.members.clone();
-        let detector = &self.keepers[self.charge].detector;
+        let detector = &self.keepers[self.leader].detector;
         let gone = all.iter().filter(|(name, w)| *w == wave && !detector.lives(name));
         let gone: Vec<Name> = gone.map(|(name, _)| name.clone()).collect();
         reach.without.extend(gone);
-        self.tell_reach();
+        self.publish_rollout();
         for (member, _) in all.iter().enumerate().filter(|(_, (_, w))| *w == wave) {
-            self.send(Event::ToMember(member, Down::Apply(self.term, vec![(client.clone(), (version, 0))])));
+            self.send(Event::ToMember(
+                member,
+                KeeperMessage::Apply(self.term, vec![(client.clone(), (version, 0))]),
+            ));
         }
     }
 
-    fn rolled(&mut self, client: &str, progress: &Progress) {
+    fn apply_progress(&mut self, client: &str, progress: &Progress) {
         match progress {
-            Progress::Next { wave } => self.leaves(*wave),
-            Progress::Stopped(_) if self.back => self.approve(client, true),
+            Progress::Next { wave } => self.start_wave(*wave),
+            Progress::Stopped(_) if self.revert_on_stop => self.approve(client, true),
             Progress::Stopped(why) => {
                 if let Some(reach) = &mut self.reach {
                     reach.halted.get_or_insert(why.to_string());
                 }
-                self.tell_reach();
+                self.publish_rollout();
             }
             Progress::Done => {
                 self.reach = None;
@@ -295,7 +304,7 @@
         }
     }
 
-    /// Runs until a time, calling `check` after each step.
+    /// Runs until a time and calls `check` after each step.
     pub fn run(&mut self, until: Micros, mut check: impl FnMut(&mut World)) {
         while let Some(((time, _), _)) = self.queue.first_key_value()
             && *time <= until
@@ -303,14 +312,14 @@
             let ((time, _), event) = self.queue.pop_first().unwrap();
             self.now = time;
             self.step(event);
-            self.drain();
-            self.ask();
+            self.execute_outputs();
+            self.schedule_wakes();
             for member in 0..self.members.len() {
-                let real = &mut self.members[member];
-                // Compared anew only where something was applied or approved.
-                let same = *real.same.get_or_insert_with(|| real.live == self.desired);
-                if same {
-                    self.equal[member] = self.now;
+                let sim_member = &mut self.members[member];
+                // The comparison is repeated only after something was applied or approved.
+                let in_line = *sim_member.in_line.get_or_insert_with(|| sim_member.live == self.desired);
+                if in_line {
+                    self.last_equal[member] = self.now;
                 }
             }
             check(self);
@@ -318,15 +327,15 @@
         self.now = until;
     }
 
-    /// Puts down when the detectors want to be woken.
-    fn ask(&mut self) {
+    /// Schedules the wakes that the detectors request.
+    fn schedule_wakes(&mut self) {
         for keeper in 0..self.keepers.len() {
             let next = self.keepers[keeper].detector.next(self.now);
-            if let Some(at) = next.filter(|_| self.eager && !self.keepers[keeper].paused)
-                && next != self.asked[keeper]
+            if let Some(at) = next.filter(|_| self.wake_on_demand && !self.keepers[keeper].paused)
+                && next != self.requested_wakes[keeper]
             {
-                self.asked[keeper] = next;
-                self.at(at, Event::Wake(keeper));
+                self.requested_wakes[keeper] = next;
+                self.schedule(at, Event::Wake(keeper));
             }
         }
     }
@@ -334,48 +343,48 @@
     fn step(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::Tick if self.eager => {}
-            // Of an hour that was put off since.
-            Event::Wake(keeper) if self.asked[keeper] == Some(now) => {
-                self.asked[keeper] = None;
+            Event::Tick if self.wake_on_demand => {}
+            // Ignores a wake that was postponed in the meantime.
+            Event::Wake(keeper) if self.requested_wakes[keeper] == Some(now) => {
+                self.requested_wakes[keeper] = None;
                 if !self.keepers[keeper].paused {
                     self.wakes.push((now, keeper));
                     let detector = &mut self.keepers[keeper].detector;
                     detector.tick(now);
                     let next = detector.next(now);
-                    assert!(next.is_none_or(|next| next > now), "at {now} it asks for {next:?} again");
+                    assert!(next.is_none_or(|next| next > now), "at {now}: requests {next:?} again");
                 }
             }
             Event::Wake(_) => {}
             Event::Tick => {
                 self.keepers.iter_mut().filter(|k| !k.paused).for_each(|k| k.detector.tick(now));
-                self.at(now + 250_000, Event::Tick);
+                self.schedule(now + 250_000, Event::Tick);
             }
             Event::Confirm => {
-                let (charge, term) = (self.charge, self.term);
-                let keeper = &mut self.keepers[charge];
+                let (leader, term) = (self.leader, self.term);
+                let keeper = &mut self.keepers[leader];
                 if !keeper.paused {
                     keeper.confirmed = now;
                     keeper.term = term;
                     keeper.detector.term(now, term, true);
                 }
-                self.at(now + 2 * S, Event::Confirm);
+                self.schedule(now + 2 * S, Event::Confirm);
             }
             Event::Report(member) => {
-                if !self.members[member].silent && !self.members[member].mute {
+                if !self.members[member].silent && !self.members[member].reports_lost {
                     self.report(member);
                 }
                 let next = now + 2 * S + self.rng.random_range(0..200_000);
-                self.at(next, Event::Report(member));
+                self.schedule(next, Event::Report(member));
             }
-            Event::ToKeeper(keeper, up) => self.up(keeper, up),
-            Event::ToMember(member, down) => self.down(member, down),
+            Event::ToKeeper(keeper, message) => self.handle_member_message(keeper, message),
+            Event::ToMember(member, message) => self.handle_keeper_message(member, message),
             Event::Approve => {
                 let client = format!("c{}", self.rng.random_range(0..self.desired.len()));
                 self.approve(&client, true);
             }
             Event::Fault(fault) => self.fault(fault),
-            // Of a life that is over by now nothing is said.
+            // Ignores events about a life that is over.
             Event::Standing(member, start, standing) if start == self.members[member].start => {
                 self.standing(member, standing);
             }
@@ -384,21 +393,21 @@
     }
 
     pub fn report(&mut self, member: usize) {
-        let sick = self.sick;
-        let report = self.members[member].report(&self.desired, sick);
-        self.send(Event::ToKeeper(self.charge, Up::Report(report)));
+        let fail_on_new_version = self.fail_on_new_version;
+        let report = self.members[member].report(&self.desired, fail_on_new_version);
+        self.send(Event::ToKeeper(self.leader, MemberMessage::Report(report)));
     }
 
-    fn up(&mut self, keeper: usize, up: Up) {
+    fn handle_member_message(&mut self, keeper: usize, message: MemberMessage) {
         let now = self.now;
         if self.keepers[keeper].paused {
             return;
         }
         let detector = &mut self.keepers[keeper].detector;
-        match up {
-            Up::Report(report) => _ = detector.report(now, &report),
-            Up::Tell(tell) => detector.tell(now, &tell),
-            Up::Answer(answer) => {
+        match message {
+            MemberMessage::Report(report) => _ = detector.report(now, &report),
+            MemberMessage::Tell(tell) => detector.tell(now, &tell),
+            MemberMessage::Answer(answer) => {
                 if let Some(set) = detector.challenged(&answer).and_then(|client| self.desired.get(client)) {
                     detector.answer(now, &answer, &rules(*set));
                 }
@@ -406,125 +415,128 @@
         }
     }
 
-    fn down(&mut self, member: usize, down: Down) {
+    fn handle_keeper_message(&mut self, member: usize, message: KeeperMessage) {
         let desired = &self.desired;
-        let real = &mut self.members[member];
-        if real.silent {
+        let sim_member = &mut self.members[member];
+        if sim_member.silent {
             return;
         }
-        let up = match down {
-            Down::Apply(term, sets) => {
-                if accepts(term, real.term) {
-                    real.order(term);
-                    sets.into_iter().for_each(|(client, set)| real.apply_order(&client, set));
+        let reply = match message {
+            KeeperMessage::Apply(term, sets) => {
+                if accepts(term, sim_member.term) {
+                    sim_member.accept_order(term);
+                    sets.into_iter().for_each(|(client, set)| sim_member.apply_order(&client, set));
                 }
                 return;
             }
-            Down::TakeBack(term, clients) => {
-                if accepts(term, real.term) {
-                    real.order(term);
+            KeeperMessage::TakeBack(term, clients) => {
+                if accepts(term, sim_member.term) {
+                    sim_member.accept_order(term);
                     for client in clients {
                         if let Some(set) = desired.get(&client) {
-                            real.apply_order(&client, *set);
+                            sim_member.apply_order(&client, *set);
                         }
                     }
                 }
                 return;
             }
-            Down::Ack(ack) => {
-                if real.reporter.acked(&ack) && !real.mute {
+            KeeperMessage::Ack(ack) => {
+                if sim_member.reporter.acked(&ack) && !sim_member.reports_lost {
                     self.report(member);
                 }
                 return;
             }
-            Down::Ask(ask) => real.tell(&ask, desired).map(Up::Tell),
-            Down::Challenge(challenge) => real.answer(&challenge).map(Up::Answer),
+            KeeperMessage::Ask(ask) => sim_member.tell(&ask, desired).map(MemberMessage::Tell),
+            KeeperMessage::Challenge(challenge) => sim_member.answer(&challenge).map(MemberMessage::Answer),
         };
-        if let Some(up) = up.filter(|_| !self.members[member].mute) {
-            self.send(Event::ToKeeper(self.charge, up));
+        if let Some(reply) = reply.filter(|_| !self.members[member].reports_lost) {
+            self.send(Event::ToKeeper(self.leader, reply));
         }
     }
 
-    fn drain(&mut self) {
+    fn execute_outputs(&mut self) {
         for keeper in 0..self.keepers.len() {
             while let Some(output) = self.keepers[keeper].detector.poll() {
                 if self.traced {
                     use std::fmt::Write;
                     writeln!(self.trace, "{} {keeper} {output:?}", self.now).unwrap();
                 }
-                self.carry_out(keeper, output);
+                self.execute(keeper, output);
             }
         }
     }
 
-    fn number(&self, life: &Life) -> Option<usize> {
-        self.members.iter().position(|real| real.name == life.name)
+    fn member_index(&self, life: &Life) -> Option<usize> {
+        self.members.iter().position(|sim_member| sim_member.name == life.name)
     }
 
-    fn carry_out(&mut self, keeper: usize, output: Output) {
+    fn execute(&mut self, keeper: usize, output: Output) {
         match output {
             Output::Verdict(record) => self.records.push(record),
             Output::Order(order) => {
                 self.orders.push((self.now, keeper, order.clone()));
-                let Some(member) = self.number(&order.to) else { return };
+                let Some(member) = self.member_index(&order.to) else { return };
                 let of = |clients: &[String], desired: &BTreeMap<String, Set>| {
                     clients.iter().filter_map(|c| Some((c.clone(), *desired.get(c)?))).collect::<Vec<_>>()
                 };
-                let down = match &order.act {
-                    Act::SendAgain { clients } => Down::Apply(order.term, of(clients, &self.desired)),
+                let message = match &order.act {
+                    Act::SendAgain { clients } => {
+                        KeeperMessage::Apply(order.term, of(clients, &self.desired))
+                    }
                     Act::SendWhole { except } => {
                         let all: Vec<String> =
                             self.desired.keys().filter(|c| !except.contains(c)).cloned().collect();
-                        Down::Apply(order.term, of(&all, &self.desired))
+                        KeeperMessage::Apply(order.term, of(&all, &self.desired))
                     }
-                    Act::TakeBack { clients } => Down::TakeBack(order.term, clients.clone()),
+                    Act::TakeBack { clients } => KeeperMessage::TakeBack(order.term, clients.clone()),
                     _ => return,
                 };
-                self.send(Event::ToMember(member, down));
+                self.send(Event::ToMember(member, message));
             }
             Output::Ack(ack) => {
-                if let Some(member) = self.number(&ack.to) {
-                    self.send(Event::ToMember(member, Down::Ack(ack)));
+                if let Some(member) = self.member_index(&ack.to) {
+                    self.send(Event::ToMember(member, KeeperMessage::Ack(ack)));
                 }
             }
             Output::Ask(ask) => {
-                if let Some(member) = self.number(&ask.to) {
-                    self.send(Event::ToMember(member, Down::Ask(ask)));
+                if let Some(member) = self.member_index(&ask.to) {
+                    self.send(Event::ToMember(member, KeeperMessage::Ask(ask)));
                 }
             }
             Output::Challenge(challenge) => {
-                if let Some(member) = self.number(&challenge.to) {
-                    self.send(Event::ToMember(member, Down::Challenge(challenge)));
+                if let Some(member) = self.member_index(&challenge.to) {
+                    self.send(Event::ToMember(member, KeeperMessage::Challenge(challenge)));
                 }
             }
             Output::Rollout { client, progress, .. } => {
                 self.rollouts.push((self.now, progress.clone()));
-                self.rolled(&client, &progress);
+                self.apply_progress(&client, &progress);
             }
             Output::Superseded(_) => {}
         }
     }
 
-    pub fn acting(&self) -> &Detector {
-        &self.keepers[self.charge].detector
+    pub fn leader_detector(&self) -> &Detector {
+        &self.keepers[self.leader].detector
     }
 
     pub fn verdict(&self, member: usize) -> Verdict {
-        self.acting().verdict(self.now, &name(member)).unwrap_or(Verdict::NotHeardOf)
+        self.leader_detector().verdict(self.now, &name(member)).unwrap_or(Verdict::NotHeardOf)
     }
 
-    /// Another keeper takes over, with the other's snapshot or without. The one before goes on until it hears of it.
+    /// Makes the other keeper the leader, with a snapshot of the former leader or without. The former one
+    /// continues until it learns of the new term.
     pub fn take_over(&mut self, with_snapshot: bool) {
-        let before = self.charge;
-        self.charge = 1 - before;
+        let before = self.leader;
+        self.leader = 1 - before;
         self.term = Term(self.term.0 + 1);
         self.terms.push(self.now);
         if with_snapshot {
             let saved = self.keepers[before].detector.snapshot(64 * 1024);
-            self.keepers[self.charge].detector.restore(self.now, &saved).unwrap();
+            self.keepers[self.leader].detector.restore(self.now, &saved).unwrap();
         }
         let (now, term) = (self.now, self.term);
-        let keeper = &mut self.keepers[self.charge];
+        let keeper = &mut self.keepers[self.leader];
         keeper.paused = false;
         keeper.confirmed = now;
         keeper.term = term;
