--- a/crates/drift/src/detector/member.rs
+++ b/crates/drift/src/detector/member.rs
@@ -7,7 +7,7 @@
 use super::desired::MemberTarget;
 use super::tree_walk::Walk;
 use crate::actions::{Escalation, TokenBucket};
-use crate::report::{Applied, Health, MAX_CLIENTS_PER_REPORT, Partly, Verdict};
+use crate::report::{AppliedRules, Health, MAX_CLIENTS_PER_REPORT, Partly, Verdict};
 use crate::reporter::tree_entry;
 use crate::tree::{EMPTY_DIGEST, Tree};
 use crate::{Digest, MOST_NAME, Micros, truncate_reason};
@@ -142,7 +142,7 @@
         &mut self,
         now: Micros,
         root: Digest,
-        clients: &[Applied],
+        clients: &[AppliedRules],
         target: &MemberTarget,
     ) {
         if self.root != Some(root) {
@@ -180,7 +180,7 @@
     }
 
     /// Records what a report says about one client besides its digest.
-    pub(super) fn record_client_status(&mut self, applied: &Applied, target: &MemberTarget) {
+    pub(super) fn record_client_status(&mut self, applied: &AppliedRules, target: &MemberTarget) {
         let desired = target.tree.get(&applied.client).map(|leaf| (leaf.version, leaf.digest));
         if desired == tree_entry(applied.version, applied.digest)
             && let Some(approval) = target.approval(&applied.client)
--- a/crates/drift/src/detector/snapshot.rs
+++ b/crates/drift/src/detector/snapshot.rs
@@ -20,7 +20,7 @@
 
 impl Detector {
     /// Returns a snapshot of the fences and as much of the history as fits, of at most about `max_bytes`
-    /// bytes (postcard). It contains no rollouts, since their state is in the log ([`Detector::reach`]).
+    /// bytes (postcard). It contains no rollouts, since their state is in the log ([`Detector::logged_rollout`]).
     pub fn snapshot(&self, max_bytes: usize) -> Vec<u8> {
         let mut room = max_bytes.saturating_sub(64);
         let mut fits = |bytes: usize| match room.checked_sub(bytes) {
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -27,7 +27,7 @@
 pub use detector::{Config, Desired, Detector, Output};
 pub use history::{History, Record};
 pub use report::{
-    Ack, Answer, Applied, Ask, Challenge, Digest, Health, Partly, Report, Tell, TreeNode, Verdict,
+    Ack, Answer, AppliedRules, Ask, Challenge, Digest, Health, Partly, Report, Tell, TreeNode, Verdict,
 };
 pub use reporter::Reporter;
 pub use rollout::{Plan as RolloutPlan, Progress, Reach, Rollout};
--- a/crates/drift/src/report.rs
+++ b/crates/drift/src/report.rs
@@ -24,7 +24,7 @@
     /// The root digest over all clients.
     pub root: Digest,
     /// The changed clients, at most [`MAX_CLIENTS_PER_REPORT`].
-    pub clients: Vec<Applied>,
+    pub clients: Vec<AppliedRules>,
     /// The health figures of the member.
     pub health: Health,
     /// The echo of the last acknowledgement that the member received. It proves that the report was written
@@ -96,7 +96,7 @@
     /// The digests of the [`crate::tree::FAN_OUT`] children.
     Branch(Vec<Digest>),
     /// The clients in order of name, at most [`crate::tree::MAX_BUCKET_CLIENTS`].
-    Bucket(Vec<Applied>),
+    Bucket(Vec<AppliedRules>),
 }
 
 /// Asks a member to prove what it really applies for one client. The answer is a digest over the nonce and
@@ -126,7 +126,7 @@
 
 /// The rules that a member applies for one client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Applied {
+pub struct AppliedRules {
     /// The client's system_id.
     pub client: String,
     /// The version that the member claims to apply; 0 if none.
--- a/crates/drift/src/reporter.rs
+++ b/crates/drift/src/reporter.rs
@@ -4,7 +4,7 @@
 //! applied, never what the member was sent.
 
 use crate::report::{
-    Ack, Answer, Applied, Ask, Challenge, Echo, Health, MAX_CLIENTS_PER_REPORT, Partly, Report, Tell,
+    Ack, Answer, AppliedRules, Ask, Challenge, Echo, Health, MAX_CLIENTS_PER_REPORT, Partly, Report, Tell,
     TreeNode,
 };
 use crate::tree::Tree;
@@ -186,10 +186,10 @@
     (version != 0 || digest != content::digest(&[])).then_some((version, digest))
 }
 
-fn applied(tree: &Tree, problems: &BTreeMap<String, String>, client: &str) -> Applied {
+fn applied(tree: &Tree, problems: &BTreeMap<String, String>, client: &str) -> AppliedRules {
     let (version, digest) =
         tree.get(client).map_or_else(|| (0, content::digest(&[])), |leaf| (leaf.version, leaf.digest));
-    Applied {
+    AppliedRules {
         client: client.to_owned(),
         version,
         digest,
--- a/crates/drift/src/tree/mod.rs
+++ b/crates/drift/src/tree/mod.rs
@@ -15,7 +15,7 @@
 pub use node::Leaf;
 pub use path::{MAX_DEPTH, Path, PathError};
 
-use crate::report::{Applied, TreeNode};
+use crate::report::{AppliedRules, TreeNode};
 use crate::{Digest, MOST_NAME};
 use node::{Link, Node, build, count, distribute, hash};
 use path::Key;
@@ -122,9 +122,12 @@
     }
 
     /// Replaces all entries below `path` by the received clients.
-    pub(crate) fn replace_below(&mut self, path: &Path, clients: &[Applied], like: &Tree) {
-        let leaf =
-            |a: &Applied| Leaf { client: a.client.as_str().into(), version: a.version, digest: a.digest };
+    pub(crate) fn replace_below(&mut self, path: &Path, clients: &[AppliedRules], like: &Tree) {
+        let leaf = |a: &AppliedRules| Leaf {
+            client: a.client.as_str().into(),
+            version: a.version,
+            digest: a.digest,
+        };
         let replacement = Replacement::Leaves(clients.iter().map(leaf).collect());
         self.0 = replace_below(&self.0, 0, path, &replacement, &like.0);
     }
@@ -175,7 +178,8 @@
         TreeNode::Branch(children) if children.len() == FAN_OUT => Some(node::branch_hash(children.iter())),
         TreeNode::Branch(_) => None,
         TreeNode::Bucket(clients) => {
-            let fits = |a: &Applied| a.client.len() <= MOST_NAME && Key::of(&a.client).below(path.steps());
+            let fits =
+                |a: &AppliedRules| a.client.len() <= MOST_NAME && Key::of(&a.client).below(path.steps());
             let rising = clients.windows(2).all(|pair| matches!(pair, [a, b] if a.client < b.client));
             (clients.len() <= MAX_BUCKET_CLIENTS && rising && clients.iter().all(fits))
                 .then(|| node::bucket_hash(clients.iter().map(|a| (a.client.as_str(), a.version, &a.digest))))
@@ -183,8 +187,8 @@
     }
 }
 
-fn to_applied(leaves: &[Leaf]) -> Vec<Applied> {
-    let to_applied = |l: &Leaf| Applied {
+fn to_applied(leaves: &[Leaf]) -> Vec<AppliedRules> {
+    let to_applied = |l: &Leaf| AppliedRules {
         client: l.client.to_string(),
         version: l.version,
         digest: l.digest,
--- a/crates/drift/tests/scale.rs
+++ b/crates/drift/tests/scale.rs
@@ -119,7 +119,7 @@
             let mut report = fleet.reporters[member].report(Health::default());
             report.root = [member as u8; 32];
             report.clients = (0..40)
-                .map(|client| Applied {
+                .map(|client| AppliedRules {
                     client: format!("client-{client}"),
                     version: 1,
                     digest: digest(client, 99 + member as u64),
--- a/crates/drift/tests/trees.rs
+++ b/crates/drift/tests/trees.rs
@@ -163,7 +163,7 @@
         let node = match rng.random_range(0..3) {
             0 => TreeNode::Branch(vec![[1; 32]; rng.random_range(0..20)]),
             1 => TreeNode::Bucket(vec![
-                Applied {
+                AppliedRules {
                     client: "x".repeat(rng.random_range(0..100)),
                     version: 1,
                     digest: digest_of(1),
