--- a/crates/drift/src/actions/escalation.rs
+++ b/crates/drift/src/actions/escalation.rs
@@ -1,6 +1,6 @@
 //! Chooses the next action for a verdict: mild actions first, with an increasing delay between repetitions.
 
-use super::{Act, MAX_CLIENTS_PER_ACTION};
+use super::{Action, MAX_CLIENTS_PER_ACTION};
 use crate::report::Verdict;
 use crate::{Micros, truncate_reason};
 
@@ -52,15 +52,15 @@
 }
 
 /// Returns the next action, or none to wait.
-pub(crate) fn choose_action(input: ActionInput<'_>) -> Option<Act> {
+pub(crate) fn choose_action(input: ActionInput<'_>) -> Option<Action> {
     let mut clients = input.clients;
     clients.truncate(MAX_CLIENTS_PER_ACTION);
     let notify = || {
-        Some(Act::TellOperator {
+        Some(Action::TellOperator {
             text: truncate_reason(&format!("{}: {}", input.verdict.word(), input.reason)),
         })
     };
-    if input.verdict == Verdict::NotHeardOf {
+    if input.verdict == Verdict::NotReporting {
         return notify();
     }
     if matches!(input.verdict, Verdict::InLine | Verdict::Converging)
@@ -68,14 +68,14 @@
     {
         return None;
     }
-    let resend_all = Act::SendWhole { except: Vec::new() };
+    let resend_all = Action::SendWhole { except: Vec::new() };
     if clients.is_empty() {
         return if input.attempts % 4 == 3 { notify() } else { Some(resend_all) };
     }
-    let resend = Act::SendAgain { clients: clients.clone() };
-    let fence = input.unfenced.map(|client| Act::Fence { client });
+    let resend = Action::SendAgain { clients: clients.clone() };
+    let fence = input.unfenced.map(|client| Action::Fence { client });
     match (input.verdict, input.attempts) {
-        (Verdict::Ahead, 0 | 1) => Some(Act::TakeBack { clients }),
+        (Verdict::Ahead, 0 | 1) => Some(Action::TakeBack { clients }),
         // Sending the rules again does not help if they can't be applied: first the client is fenced, then
         // the operator is notified. The fence is requested again in each cycle while none is set, since an
         // earlier request may never have taken effect.
--- a/crates/drift/src/actions/mod.rs
+++ b/crates/drift/src/actions/mod.rs
@@ -14,7 +14,7 @@
 
 /// A corrective action. Waiting is expressed by giving no order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Act {
+pub enum Action {
     /// Send the desired versions of these clients again.
     SendAgain {
         /// The clients.
@@ -57,7 +57,7 @@
     /// The member that the order concerns, with its start.
     pub to: Life,
     /// The action.
-    pub act: Act,
+    pub act: Action,
 }
 
 /// Returns whether a member that knows term `own` accepts an order of term `order`. Orders of older terms are
--- a/crates/drift/src/detector/assess.rs
+++ b/crates/drift/src/detector/assess.rs
@@ -4,7 +4,7 @@
 use super::member::Member;
 use super::{Config, Rollouts};
 use crate::Micros;
-use crate::report::{Partly, Verdict};
+use crate::report::{PartlyApplied, Verdict};
 use crate::rollout::Phase;
 use crate::tree::{Difference, diff};
 use heronroute_fleet::{Name, Standing};
@@ -51,7 +51,7 @@
     rollouts: &Rollouts,
     config: &Config,
 ) -> Assessment {
-    let silent = |why: &str| Assessment::of(Verdict::NotHeardOf, Some(why.to_owned()));
+    let silent = |why: &str| Assessment::of(Verdict::NotReporting, Some(why.to_owned()));
     let mut until = Micros::MAX;
     match member.standing {
         Standing::Dead => return silent("it is gone"),
@@ -86,7 +86,7 @@
         // and are not challenged.
         if member.challenges.unanswered >= MAX_UNANSWERED {
             let why = "it reports, but does not show what it applies";
-            return Assessment::of(Verdict::NotHeardOf, Some(why.to_owned()));
+            return Assessment::of(Verdict::NotReporting, Some(why.to_owned()));
         }
         let mut assessment = Assessment::of(Verdict::InLine, None);
         assessment.client = target.last.clone();
@@ -127,7 +127,7 @@
     unable: Vec<(&'a str, &'a str)>,
     beyond_plan: Vec<&'a str>,
     /// The clients for which the member's senders differ.
-    partly: Vec<(&'a str, Partly)>,
+    partly: Vec<(&'a str, PartlyApplied)>,
     altered: Vec<&'a str>,
     ahead: Vec<&'a str>,
     lagging: Vec<&'a str>,
@@ -207,11 +207,11 @@
         let about = |client: &str, what: &str| Some(format!("{client}: {what}"));
         let (verdict, clients, reason) = if let Some((client, why)) = self.unable.first() {
             (Verdict::CantApply, self.unable.iter().map(|(client, _)| *client).collect(), about(client, why))
-        } else if let Some((client, Partly { senders, of, .. })) = self.partly.first() {
+        } else if let Some((client, PartlyApplied { senders, of, .. })) = self.partly.first() {
             let target_version = target.tree.get(client).map_or(0, |leaf| leaf.version);
             let clients = self.partly.iter().map(|(client, _)| *client).collect();
             let what = format!("{senders} of {of} senders apply version {target_version}");
-            (Verdict::Partly, clients, about(client, &what))
+            (Verdict::PartlyApplied, clients, about(client, &what))
         } else if let Some(client) = self.beyond_plan.first() {
             (
                 Verdict::BeyondPlan,
@@ -235,7 +235,7 @@
             // The member applies a later approval than one that it lacks, so its state was never the desired
             // one.
             let partly = member.newest_approval > self.oldest;
-            let verdict = if partly { Verdict::Partly } else { Verdict::Lagging };
+            let verdict = if partly { Verdict::PartlyApplied } else { Verdict::Lagging };
             (verdict, self.lagging.clone(), reason)
         } else {
             (Verdict::Converging, Vec::new(), None)
--- a/crates/drift/src/detector/challenge.rs
+++ b/crates/drift/src/detector/challenge.rs
@@ -4,7 +4,7 @@
 use super::desired::MemberTarget;
 use super::member::Member;
 use crate::random::SeededRandom;
-use crate::report::Answer;
+use crate::report::ChallengeAnswer;
 use crate::{Digest, Micros, content};
 use heronroute_rules::RuleSet;
 
@@ -101,7 +101,7 @@
     pub(super) fn check_answer(
         &mut self,
         now: Micros,
-        answer: &Answer,
+        answer: &ChallengeAnswer,
         target: &MemberTarget,
         content: &RuleSet,
     ) -> bool {
--- a/crates/drift/src/detector/check.rs
+++ b/crates/drift/src/detector/check.rs
@@ -5,13 +5,13 @@
 use super::member::Member;
 use super::{Config, Detector, Output, life};
 use crate::Micros;
-use crate::actions::{Act, ActionInput, Order, choose_action};
+use crate::actions::{Action, ActionInput, Order, choose_action};
 use crate::history::Record;
 use crate::report::{Challenge, Verdict};
 use heronroute_fleet::{Name, Standing};
 
 /// The minimum time between two checks of a member that are caused by time alone; reports are seconds apart.
-pub const STEP: Micros = 10_000;
+pub const MIN_CHECK_INTERVAL: Micros = 10_000;
 
 /// The maximum number of fences per member; if more clients are at fault, the operator is notified
 /// nevertheless.
@@ -21,7 +21,7 @@
     /// Checks a member. `approval` is set if an approval or a new term caused the check, which is no fault of
     /// the member.
     pub(super) fn check_member(&mut self, now: Micros, name: &Name, approval: bool) {
-        if !self.acting(now) {
+        if !self.is_leading(now) {
             return;
         }
         let Some(member) = self.members.get_mut(name) else { return };
@@ -36,11 +36,11 @@
                 self.history.add(record.clone());
                 out.push(Output::Verdict(record));
                 // The times that depend on the new verdict are computed by the next check.
-                next[1] = Some(now.saturating_add(STEP));
+                next[1] = Some(now.saturating_add(MIN_CHECK_INTERVAL));
             }
             Err(from) => next[1] = from,
         }
-        let silent = assessment.verdict == Verdict::NotHeardOf;
+        let silent = assessment.verdict == Verdict::NotReporting;
         let fresh = member.standing != Standing::Dead
             && member
                 .written_after
@@ -62,7 +62,7 @@
         match next_action(now, member, &assessment, &self.config, target) {
             NextAction::Nothing => member.turn = None,
             NextAction::At(at) => next[4] = Some(at),
-            NextAction::Act(act) => {
+            NextAction::Action(act) => {
                 let ready = self.bucket.ready(self.config.total_rate);
                 // Members wait in turn for the shared budget. Otherwise all of them would be checked for
                 // every token, and members that act again could pass those that never did.
@@ -79,7 +79,7 @@
                     self.bucket.take(now, self.config.total_rate);
                     member.record_action_taken(now, &act, &self.config);
                     out.push(Output::Order(Order { term, to: to.clone(), act }));
-                    next[4] = Some(now.saturating_add(STEP));
+                    next[4] = Some(now.saturating_add(MIN_CHECK_INTERVAL));
                 } else {
                     member.turn = Some(turn);
                     next[4] = Some(turn.max(ready));
@@ -87,7 +87,8 @@
             }
         }
         // Prevents that a time in the past is requested again and again.
-        let wake_at = next.into_iter().flatten().min().map(|at| at.max(now.saturating_add(STEP)));
+        let wake_at =
+            next.into_iter().flatten().min().map(|at| at.max(now.saturating_add(MIN_CHECK_INTERVAL)));
         if member.wake_at != wake_at {
             if let Some(before) = std::mem::replace(&mut member.wake_at, wake_at) {
                 self.wakes.remove(&(before, name.clone()));
@@ -107,7 +108,7 @@
 enum NextAction {
     Nothing,
     At(Micros),
-    Act(Act),
+    Action(Action),
 }
 
 /// Returns the action to take for a member, or the time of it.
@@ -120,7 +121,7 @@
 ) -> NextAction {
     let ready = member.bucket.ready(config.member_rate);
     if let Some(client) = fence_to_lift(member, assessment, target) {
-        return if now < ready { NextAction::At(ready) } else { NextAction::Act(Act::Lift { client }) };
+        return if now < ready { NextAction::At(ready) } else { NextAction::Action(Action::Lift { client }) };
     }
     let verdict = assessment.verdict;
     // A verdict that is not published yet, or no longer holds, has not lasted long enough.
@@ -128,8 +129,8 @@
         return NextAction::Nothing;
     }
     let (min_duration, not_before) = match verdict {
-        Verdict::NotHeardOf => (config.silent_for, member.notify_after),
-        _ => (config.stands_for, member.escalation.next),
+        Verdict::NotReporting => (config.silent_for, member.notify_after),
+        _ => (config.confirm_for, member.escalation.next),
     };
     let from = member.published.since.saturating_add(min_duration).max(not_before).max(ready);
     if now < from {
@@ -147,13 +148,13 @@
         unknown: assessment.unknown,
         reason: assessment.reason.as_deref().unwrap_or(""),
     });
-    act.map_or(NextAction::Nothing, NextAction::Act)
+    act.map_or(NextAction::Nothing, NextAction::Action)
 }
 
 /// Returns a client whose fence is no longer needed, because the member is known and published to apply the
 /// desired rules.
 fn fence_to_lift(member: &Member, assessment: &Assessment, target: &MemberTarget) -> Option<String> {
-    if !member.matches_root() || assessment.verdict == Verdict::NotHeardOf || member.fences.is_empty() {
+    if !member.matches_root() || assessment.verdict == Verdict::NotReporting || member.fences.is_empty() {
         return None;
     }
     let repaired = |client: &&String| {
@@ -170,20 +171,20 @@
 }
 
 impl Member {
-    fn record_action_taken(&mut self, now: Micros, act: &Act, config: &Config) {
+    fn record_action_taken(&mut self, now: Micros, act: &Action, config: &Config) {
         self.turn = None;
         self.bucket.take(now, config.member_rate);
         match act {
-            Act::Lift { client } => {
+            Action::Lift { client } => {
                 self.fences.remove(client);
                 return;
             }
-            Act::Fence { client } => {
+            Action::Fence { client } => {
                 self.fences.insert(client.clone());
             }
             _ => {}
         }
-        if self.published.verdict == Verdict::NotHeardOf {
+        if self.published.verdict == Verdict::NotReporting {
             // A lost half of the installation must not use up the budget of the other half, and what a member
             // needs once it reports again must not wait for this notification.
             self.notify_after = now.saturating_add(config.repeat_notification_after);
--- a/crates/drift/src/detector/config.rs
+++ b/crates/drift/src/detector/config.rs
@@ -22,7 +22,7 @@
     pub rollout_for: Micros,
     /// The time that a verdict must last before an action is taken, or before another bad verdict replaces
     /// it.
-    pub stands_for: Micros,
+    pub confirm_for: Micros,
     /// The time that a member must be in line again before this is published. It doubles each time that the
     /// member falls out of line, up to 64 times.
     pub settle_for: Micros,
@@ -61,7 +61,7 @@
             fresh_for: 10 * S,
             suspect_for: 5 * S,
             rollout_for: 30 * S,
-            stands_for: 3 * S,
+            confirm_for: 3 * S,
             settle_for: 2 * S,
             forget_for: 600 * S,
             silent_for: 30 * S,
--- a/crates/drift/src/detector/leadership.rs
+++ b/crates/drift/src/detector/leadership.rs
@@ -37,7 +37,7 @@
         if term < self.leadership.greatest_seen || term < self.leadership.term {
             return;
         }
-        let was_acting = self.acting(now);
+        let was_acting = self.is_leading(now);
         if term > self.leadership.term {
             // Reports that another leader received prove nothing to this one.
             self.members.values_mut().for_each(Member::discard_reports);
@@ -58,20 +58,20 @@
     }
 
     /// Returns whether this keeper is the leader and its lease is valid.
-    pub fn acting(&self, now: Micros) -> bool {
+    pub fn is_leading(&self, now: Micros) -> bool {
         self.leadership.holds_lease(now, self.config.lease)
     }
 
     /// Returns whether this keeper may judge a report of this term.
     pub(super) fn accept_term(&mut self, now: Micros, term: Term) -> bool {
         if term > self.leadership.term && term > self.leadership.greatest_seen {
-            let was_acting = self.acting(now);
+            let was_acting = self.is_leading(now);
             self.leadership.greatest_seen = term;
             if was_acting {
                 self.push(Output::Superseded(term));
             }
         }
-        if !self.acting(now) {
+        if !self.is_leading(now) {
             self.dropped.not_leader += 1;
             return false;
         }
--- a/crates/drift/src/detector/member.rs
+++ b/crates/drift/src/detector/member.rs
@@ -7,10 +7,10 @@
 use super::desired::MemberTarget;
 use super::tree_walk::Walk;
 use crate::actions::{Escalation, TokenBucket};
-use crate::report::{AppliedRules, Health, MAX_CLIENTS_PER_REPORT, Partly, Verdict};
+use crate::report::{AppliedRules, Health, MAX_CLIENTS_PER_REPORT, PartlyApplied, Verdict};
 use crate::reporter::tree_entry;
 use crate::tree::{EMPTY_DIGEST, Tree};
-use crate::{Digest, MOST_NAME, Micros, truncate_reason};
+use crate::{Digest, MAX_CLIENT_NAME_BYTES, Micros, truncate_reason};
 use heronroute_fleet::{Standing, Start};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,7 +43,7 @@
     pub(super) newest_approval: u64,
     pub(super) problems: BTreeMap<String, String>,
     /// The clients for which the member's senders differ.
-    pub(super) partly: BTreeMap<String, Partly>,
+    pub(super) partly: BTreeMap<String, PartlyApplied>,
     pub(super) health: Health,
     pub(super) walk: Walk,
     pub(super) challenges: ChallengeState,
@@ -92,7 +92,7 @@
             walk: Walk::default(),
             challenges: ChallengeState::default(),
             published: PublishedVerdict {
-                verdict: Verdict::NotHeardOf,
+                verdict: Verdict::NotReporting,
                 since: now,
                 reason: None,
                 client: None,
@@ -169,7 +169,7 @@
             for applied in clients
                 .iter()
                 .take(MAX_CLIENTS_PER_REPORT)
-                .filter(|applied| applied.client.len() <= MOST_NAME)
+                .filter(|applied| applied.client.len() <= MAX_CLIENT_NAME_BYTES)
             {
                 let tree_entry = tree_entry(applied.version, applied.digest);
                 self.assumed.set_like(&applied.client, tree_entry, target.tree);
@@ -211,13 +211,13 @@
     /// time.
     fn publish_from(&self, since: Micros, verdict: Verdict, config: &Config) -> Micros {
         match (self.published.verdict, verdict) {
-            (Verdict::InLine, _) | (_, Verdict::NotHeardOf) => Micros::MIN,
+            (Verdict::InLine, _) | (_, Verdict::NotReporting) => Micros::MIN,
             (_, Verdict::InLine) if !self.published.fault => Micros::MIN,
             (_, Verdict::InLine) => {
                 since.saturating_add(config.settle_for.saturating_mul(1 << self.flaps.min(MAX_FLAPS)))
             }
-            (Verdict::NotHeardOf, _) if !self.published.fault => Micros::MIN,
-            _ => since.saturating_add(config.stands_for),
+            (Verdict::NotReporting, _) if !self.published.fault => Micros::MIN,
+            _ => since.saturating_add(config.confirm_for),
         }
     }
 
@@ -254,7 +254,7 @@
         self.pending = None;
         let fault = match verdict {
             Verdict::InLine => false,
-            Verdict::Converging | Verdict::NotHeardOf => self.published.fault || !approval,
+            Verdict::Converging | Verdict::NotReporting => self.published.fault || !approval,
             _ => true,
         };
         if self.published.verdict == Verdict::InLine && fault {
--- a/crates/drift/src/detector/mod.rs
+++ b/crates/drift/src/detector/mod.rs
@@ -19,19 +19,19 @@
 mod status;
 mod tree_walk;
 
-pub use check::STEP;
+pub use check::MIN_CHECK_INTERVAL;
 pub use config::Config;
 pub use desired::MAX_DESIRED_CLIENTS;
 pub use interface::{Desired, Dropped, Output};
-pub use rollouts::MOST_ROLLOUTS;
+pub use rollouts::MAX_ROLLOUTS;
 pub use snapshot::DetectorSnapshot;
 
 use crate::actions::TokenBucket;
 use crate::history::History;
 use crate::random::SeededRandom;
-use crate::report::{Ack, Answer, Ask, Echo, Report, Tell, Verdict};
+use crate::report::{Ack, Ask, ChallengeAnswer, Echo, Report, TreeReply, Verdict};
 use crate::rollout::Rollout;
-use crate::{MOST_NAME, Micros};
+use crate::{MAX_CLIENT_NAME_BYTES, Micros};
 use desired::DesiredState;
 use heronroute_fleet::{Life, Name, Standing, Start};
 use heronroute_rules::RuleSet;
@@ -89,12 +89,12 @@
 
     /// Sets the desired version of a client, after an approval or at startup.
     pub fn desired(&mut self, now: Micros, desired: &Desired) {
-        if desired.client.len() > MOST_NAME || !self.desired_state.set(desired) {
+        if desired.client.len() > MAX_CLIENT_NAME_BYTES || !self.desired_state.set(desired) {
             self.dropped.no_room += 1;
             return;
         }
         self.supersede(desired);
-        if !self.acting(now) {
+        if !self.is_leading(now) {
             return;
         }
         // Only members in line can change by an approval. All others are checked when they report: checking
@@ -113,7 +113,7 @@
             member.standing_since = now;
         }
         if member.zone != zone {
-            member.zone = zone.chars().take(MOST_NAME).collect();
+            member.zone = zone.chars().take(MAX_CLIENT_NAME_BYTES).collect();
         }
         self.check_member(now, &life.name, false);
     }
@@ -155,8 +155,8 @@
     }
 
     /// Handles the reply to a tree query.
-    pub fn tell(&mut self, now: Micros, reply: &Tell) {
-        if !self.acting(now) {
+    pub fn tell(&mut self, now: Micros, reply: &TreeReply) {
+        if !self.is_leading(now) {
             self.dropped.not_leader += 1;
             return;
         }
@@ -179,7 +179,7 @@
 
     /// Returns the client that this challenge answer is about; its desired rules are passed to
     /// [`Detector::answer`].
-    pub fn challenged(&self, answer: &Answer) -> Option<&str> {
+    pub fn challenged(&self, answer: &ChallengeAnswer) -> Option<&str> {
         let member =
             self.members.get(&answer.life.name).filter(|member| member.start == answer.life.start)?;
         member.challenged(&answer.nonce)
@@ -187,7 +187,7 @@
 
     /// Handles the answer to a challenge. `content` holds the desired rules of the client, whose digest was
     /// passed to [`Detector::desired`].
-    pub fn answer(&mut self, now: Micros, answer: &Answer, content: &RuleSet) {
+    pub fn answer(&mut self, now: Micros, answer: &ChallengeAnswer, content: &RuleSet) {
         let Some(member) = self.members.get_mut(&answer.life.name) else {
             self.dropped.unknown_member += 1;
             return;
@@ -203,7 +203,7 @@
 
     /// Handles the passing of time.
     pub fn tick(&mut self, now: Micros) {
-        if !self.acting(now) {
+        if !self.is_leading(now) {
             return;
         }
         self.rollouts_tick(now);
@@ -219,7 +219,7 @@
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let rollouts = self.rollouts.values().filter_map(Rollout::next);
         let wake_at = self.wakes.first().map(|(wake_at, _)| *wake_at);
-        rollouts.chain(wake_at).min().filter(|_| self.acting(now))
+        rollouts.chain(wake_at).min().filter(|_| self.is_leading(now))
     }
 
     /// Returns the next output.
--- a/crates/drift/src/detector/rollouts.rs
+++ b/crates/drift/src/detector/rollouts.rs
@@ -2,37 +2,45 @@
 
 use super::{Desired, Detector, Output};
 use crate::Micros;
-use crate::rollout::{Baseline, Progress, Reach, Rollout};
+use crate::rollout::{Baseline, LoggedRollout, Progress, Rollout};
 use heronroute_fleet::{Name, Standing, Term};
 use std::collections::BTreeSet;
 
 /// The maximum number of known rollouts. The owner of the log starts no more at the same time.
-pub const MOST_ROLLOUTS: usize = 16;
+pub const MAX_ROLLOUTS: usize = 16;
 
 impl Detector {
     /// Applies the log state of a rollout. Must be called at every keeper whenever the log state changes, and
     /// before [`Detector::desired`] is called with the version. From then on each member is compared with
     /// what its wave is meant to apply.
-    pub fn reach(&mut self, now: Micros, reach: &Reach) {
-        let client = reach.plan.client.clone();
-        if self.rollouts.get(&client).is_some_and(|rollout| rollout.plan().version != reach.plan.version) {
+    pub fn logged_rollout(&mut self, now: Micros, logged_rollout: &LoggedRollout) {
+        let client = logged_rollout.plan.client.clone();
+        if self
+            .rollouts
+            .get(&client)
+            .is_some_and(|rollout| rollout.plan().version != logged_rollout.plan.version)
+        {
             self.push_progress(&client, Progress::Superseded);
             self.rollouts.remove(&client);
         }
         let progress_key = |rollout: &Rollout| (rollout.wave(), rollout.total_skips());
         let before = self.rollouts.get(&client).map(progress_key);
-        let room = self.rollouts.len() < MOST_ROLLOUTS;
+        let room = self.rollouts.len() < MAX_ROLLOUTS;
         match self.rollouts.get_mut(&client) {
-            Some(rollout) => rollout.update(now, reach),
+            Some(rollout) => rollout.update(now, logged_rollout),
             None if room => {
-                let new = Rollout::from_log(now, reach);
+                let new = Rollout::from_log(now, logged_rollout);
                 self.rollouts.extend(new.map(|rollout| (client.clone(), rollout)));
             }
             None => self.dropped.no_room += 1,
         }
         let mut changed = Vec::new();
-        for (name, wave) in &reach.members {
-            let meant = reach.meant.get(*wave).copied().filter(|meant| meant.0 != reach.plan.version);
+        for (name, wave) in &logged_rollout.members {
+            let meant = logged_rollout
+                .meant
+                .get(*wave)
+                .copied()
+                .filter(|meant| meant.0 != logged_rollout.plan.version);
             if self.desired_state.pin(name, &client, meant) {
                 changed.push(name.clone());
             }
@@ -46,7 +54,7 @@
 
     /// Records that a client's last version now applies to all members. Must be called after
     /// [`Detector::desired`].
-    pub fn reached_all(&mut self, now: Micros, client: &str) {
+    pub fn finish_rollout(&mut self, now: Micros, client: &str) {
         self.rollouts.remove(client);
         let changed = self.desired_state.unpin_all(client);
         if !changed.is_empty() {
@@ -56,13 +64,13 @@
     }
 
     /// Returns the proposed log entry for a client's rollout.
-    pub fn wish(&self, now: Micros, client: &str) -> Option<&Progress> {
-        self.rollouts.get(client).filter(|_| self.acting(now))?.wish()
+    pub fn proposal(&self, now: Micros, client: &str) -> Option<&Progress> {
+        self.rollouts.get(client).filter(|_| self.is_leading(now))?.proposal()
     }
 
     /// Returns the members whose response to a client's rollout should be logged now.
-    pub fn news(&self, now: Micros, client: &str) -> Option<BTreeSet<Name>> {
-        self.rollouts.get(client).filter(|_| self.acting(now))?.news(now)
+    pub fn unlogged_responses(&self, now: Micros, client: &str) -> Option<BTreeSet<Name>> {
+        self.rollouts.get(client).filter(|_| self.is_leading(now))?.unlogged_responses(now)
     }
 
     /// Returns the baseline for the next wave of a client, to be logged. The cost is proportional to the
@@ -78,11 +86,12 @@
     /// on it.
     pub fn heard(&self, now: Micros, name: &Name) -> bool {
         let fresh = |written: Micros| now <= written.saturating_add(self.config.suspect_for);
-        self.lives(name) && self.members.get(name).and_then(|member| member.written_after).is_some_and(fresh)
+        self.is_alive(name)
+            && self.members.get(name).and_then(|member| member.written_after).is_some_and(fresh)
     }
 
     /// Returns whether a member is believed to be alive.
-    pub fn lives(&self, name: &Name) -> bool {
+    pub fn is_alive(&self, name: &Name) -> bool {
         self.members.get(name).is_some_and(|member| member.standing == Standing::Alive)
     }
 
--- a/crates/drift/src/detector/snapshot.rs
+++ b/crates/drift/src/detector/snapshot.rs
@@ -51,7 +51,7 @@
         let saved: DetectorSnapshot = postcard::from_bytes(bytes).map_err(|_| UnreadableSnapshot)?;
         let history = History::restore(&saved.history)?;
         self.history.merge(&history);
-        if saved.term < self.leadership.term() || self.acting(now) {
+        if saved.term < self.leadership.term() || self.is_leading(now) {
             return Ok(());
         }
         let fences = saved.fences.into_iter().take(MAX_SAVED_FENCES);
--- a/crates/drift/src/detector/status.rs
+++ b/crates/drift/src/detector/status.rs
@@ -5,20 +5,20 @@
 use crate::Micros;
 use crate::report::Verdict;
 use crate::rollout::Phase;
-use crate::view::{Line, RolloutLine};
+use crate::view::{MemberLine, RolloutLine};
 use heronroute_fleet::Term;
 
 impl Detector {
     /// Returns the term of this keeper.
-    pub fn current(&self) -> Term {
+    pub fn current_term(&self) -> Term {
         self.leadership.term()
     }
 
     /// Returns the current verdict on a member, also if no tick came since its report became outdated.
     pub fn verdict(&self, now: Micros, name: &heronroute_fleet::Name) -> Option<Verdict> {
         let member = self.members.get(name)?;
-        if !self.acting(now) {
-            return Some(Verdict::NotHeardOf);
+        if !self.is_leading(now) {
+            return Some(Verdict::NotReporting);
         }
         if member.published.verdict != Verdict::InLine {
             return Some(member.published.verdict);
@@ -26,12 +26,12 @@
         Some(assess(now, name, member, &self.desired_state.of(name), &self.rollouts, &self.config).verdict)
     }
 
-    pub(crate) fn member_lines(&self, now: Micros, known: bool) -> Vec<Line> {
+    pub(crate) fn member_lines(&self, now: Micros, known: bool) -> Vec<MemberLine> {
         let line = |(name, member): (&heronroute_fleet::Name, &super::member::Member)| {
             let published = &member.published;
-            let verdict = self.verdict(now, name).unwrap_or(Verdict::NotHeardOf);
+            let verdict = self.verdict(now, name).unwrap_or(Verdict::NotReporting);
             let as_shown = known && verdict == published.verdict;
-            Line {
+            MemberLine {
                 name: name.clone(),
                 verdict,
                 version: published.version,
@@ -45,7 +45,7 @@
                     .as_ref()
                     .and_then(|client| member.partly.get(client))
                     .copied()
-                    .filter(|_| as_shown && verdict == Verdict::Partly),
+                    .filter(|_| as_shown && verdict == Verdict::PartlyApplied),
             }
         };
         self.members.iter().map(line).collect()
--- a/crates/drift/src/detector/tree_walk.rs
+++ b/crates/drift/src/detector/tree_walk.rs
@@ -4,7 +4,7 @@
 use super::assess::MAX_DIFFERENCES;
 use super::desired::MemberTarget;
 use super::member::Member;
-use crate::report::{Tell, TreeNode};
+use crate::report::{TreeNode, TreeReply};
 use crate::tree::{EMPTY_DIGEST, MAX_DEPTH, Path, diff, node_digest};
 use crate::{Digest, Micros};
 
@@ -73,7 +73,7 @@
     pub(super) fn handle_reply(
         &mut self,
         now: Micros,
-        reply: &Tell,
+        reply: &TreeReply,
         target: &MemberTarget,
     ) -> Option<Vec<Path>> {
         if self.root != Some(reply.root) {
--- a/crates/drift/src/lib.rs
+++ b/crates/drift/src/lib.rs
@@ -23,21 +23,22 @@
 pub mod tree;
 pub mod view;
 
-pub use actions::{Act, Order, accepts};
+pub use actions::{Action, Order, accepts};
 pub use detector::{Config, Desired, Detector, Output};
 pub use history::{History, Record};
 pub use report::{
-    Ack, Answer, AppliedRules, Ask, Challenge, Digest, Health, Partly, Report, Tell, TreeNode, Verdict,
+    Ack, AppliedRules, Ask, Challenge, ChallengeAnswer, Digest, Health, PartlyApplied, Report, TreeNode,
+    TreeReply, Verdict,
 };
 pub use reporter::Reporter;
-pub use rollout::{Plan as RolloutPlan, Progress, Reach, Rollout};
+pub use rollout::{LoggedRollout, Plan as RolloutPlan, Progress, Rollout};
 pub use tree::Tree;
 
 /// A time in microseconds, on the caller's clock or, where a field says `wall`, since 1970 UTC.
 pub type Micros = i64;
 
 /// The longest client name in bytes; reports about longer ones are ignored.
-pub const MOST_NAME: usize = 64;
+pub const MAX_CLIENT_NAME_BYTES: usize = 64;
 
 /// The number of characters of a reason that are kept.
 pub const MAX_REASON_CHARS: usize = 200;
--- a/crates/drift/src/report.rs
+++ b/crates/drift/src/report.rs
@@ -77,7 +77,7 @@
 /// The reply to a [`Ask`]: one node. The detector verifies each node against the digest above it, down
 /// from the root, so that a node cannot be forged on its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tell {
+pub struct TreeReply {
     /// The replying member.
     pub life: Life,
     /// The sequence number, shared with the reports.
@@ -115,7 +115,7 @@
 
 /// The answer to a [`Challenge`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ChallengeAnswer {
     /// The answering member.
     pub life: Life,
     /// The nonce of the challenge.
@@ -136,12 +136,12 @@
     /// The reason why the member cannot apply the rules that it was sent.
     pub problem: Option<String>,
     /// Set if the member's senders do not all apply the same rules.
-    pub partly: Option<Partly>,
+    pub partly: Option<PartlyApplied>,
 }
 
 /// The progress of a member whose senders differ in what they apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Partly {
+pub struct PartlyApplied {
     /// The number of senders that apply the version.
     pub senders: u32,
     /// The total number of senders.
@@ -170,7 +170,7 @@
     Altered,
     /// The rules of only some clients, or only some of the member's senders, are up to date.
     #[serde(rename = "partly applied")]
-    Partly,
+    PartlyApplied,
     /// The member reports that it cannot apply the rules, with a reason.
     #[serde(rename = "can't apply")]
     CantApply,
@@ -179,7 +179,7 @@
     BeyondPlan,
     /// There is no fresh report.
     #[serde(rename = "not heard of")]
-    NotHeardOf,
+    NotReporting,
 }
 
 impl Verdict {
@@ -190,10 +190,10 @@
         Verdict::Lagging,
         Verdict::Ahead,
         Verdict::Altered,
-        Verdict::Partly,
+        Verdict::PartlyApplied,
         Verdict::CantApply,
         Verdict::BeyondPlan,
-        Verdict::NotHeardOf,
+        Verdict::NotReporting,
     ];
 
     /// Returns the text used in `fleet/drift`.
@@ -204,10 +204,10 @@
             Verdict::Lagging => "lagging",
             Verdict::Ahead => "ahead",
             Verdict::Altered => "altered",
-            Verdict::Partly => "partly applied",
+            Verdict::PartlyApplied => "partly applied",
             Verdict::CantApply => "can't apply",
             Verdict::BeyondPlan => "beyond plan",
-            Verdict::NotHeardOf => "not heard of",
+            Verdict::NotReporting => "not heard of",
         }
     }
 }
--- a/crates/drift/src/reporter.rs
+++ b/crates/drift/src/reporter.rs
@@ -4,8 +4,8 @@
 //! applied, never what the member was sent.
 
 use crate::report::{
-    Ack, Answer, AppliedRules, Ask, Challenge, Echo, Health, MAX_CLIENTS_PER_REPORT, Partly, Report, Tell,
-    TreeNode,
+    Ack, AppliedRules, Ask, Challenge, ChallengeAnswer, Echo, Health, MAX_CLIENTS_PER_REPORT, PartlyApplied,
+    Report, TreeNode, TreeReply,
 };
 use crate::tree::Tree;
 use crate::{Digest, content, truncate_reason};
@@ -31,7 +31,7 @@
     /// The changed clients, each with the number of the last report that listed it; 0 if none did.
     changed: BTreeMap<String, u64>,
     problems: BTreeMap<String, String>,
-    partly: BTreeMap<String, Partly>,
+    partly: BTreeMap<String, PartlyApplied>,
     echo: Option<Echo>,
 }
 
@@ -79,7 +79,7 @@
     /// Records how many senders apply the version of a client; `None` if all do. Must be called before
     /// [`Reporter::live`], since the applied rules then differ as well. Clients beyond [`MAX_PROBLEMS`] are
     /// left out and show by their version only.
-    pub fn partly(&mut self, client: &str, partly: Option<Partly>) {
+    pub fn partly(&mut self, client: &str, partly: Option<PartlyApplied>) {
         let before = self.partly.get(client).copied();
         match partly {
             Some(partly) if self.partly.len() < MAX_PROBLEMS || before.is_some() => {
@@ -87,7 +87,7 @@
             }
             _ => _ = self.partly.remove(client),
         }
-        let counts = |p: Option<Partly>| p.map(|p| (p.senders, p.of));
+        let counts = |p: Option<PartlyApplied>| p.map(|p| (p.senders, p.of));
         let room = self.changed.len() < MAX_CHANGED || self.changed.contains_key(client);
         if counts(before) != counts(self.partly.get(client).copied()) && room {
             self.changed.insert(client.to_owned(), 0);
@@ -137,7 +137,7 @@
 
     /// Handles an acknowledgement. Returns true if it is the first one of a term: the next report should then
     /// be sent at once, since only a report with this term's echo counts as fresh.
-    pub fn acked(&mut self, ack: &Ack) -> bool {
+    pub fn handle_ack(&mut self, ack: &Ack) -> bool {
         if ack.to != self.life
             || self.echo.is_some_and(|echo| (echo.term, echo.at) > (ack.echo.term, ack.echo.at))
         {
@@ -150,7 +150,7 @@
     }
 
     /// Answers a query for one node of the tree; the size of the reply is bounded by the kind of node.
-    pub fn tell(&mut self, query: &Ask) -> Option<Tell> {
+    pub fn tell(&mut self, query: &Ask) -> Option<TreeReply> {
         if query.to != self.life {
             return None;
         }
@@ -162,7 +162,7 @@
                 client.partly = self.partly.get(&client.client).copied();
             }
         }
-        Some(Tell {
+        Some(TreeReply {
             life: self.life.clone(),
             number: self.number,
             root: self.tree.root(),
@@ -172,8 +172,8 @@
     }
 
     /// Answers a challenge with the rules that the live tables hold for its client now.
-    pub fn answer(&self, challenge: &Challenge, live: &RuleSet) -> Option<Answer> {
-        (challenge.to == self.life).then(|| Answer {
+    pub fn answer(&self, challenge: &Challenge, live: &RuleSet) -> Option<ChallengeAnswer> {
+        (challenge.to == self.life).then(|| ChallengeAnswer {
             life: self.life.clone(),
             nonce: challenge.nonce,
             proof: content::proof(&challenge.nonce, live.version, &live.rules),
--- a/crates/drift/src/rollout/health.rs
+++ b/crates/drift/src/rollout/health.rs
@@ -7,7 +7,7 @@
 
 /// The thresholds from which the health with a new version counts as worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Worse {
+pub struct HealthThresholds {
     /// The number of refused or failed messages that the reached members must have seen before their rate is
     /// compared.
     pub min_events: u64,
@@ -19,9 +19,9 @@
     pub memory_percent: u64,
 }
 
-impl Default for Worse {
+impl Default for HealthThresholds {
     fn default() -> Self {
-        Worse { min_events: 20, rate_percent: 100, min_growth_bytes: 8 << 20, memory_percent: 20 }
+        HealthThresholds { min_events: 20, rate_percent: 100, min_growth_bytes: 8 << 20, memory_percent: 20 }
     }
 }
 
@@ -111,7 +111,11 @@
     }
 
     /// Describes the first figure that is worse than that of `others`, if there is one.
-    pub(crate) fn worse_figure(&self, others: &HealthTotals, worse: &Worse) -> Option<String> {
+    pub(crate) fn worse_figure(
+        &self,
+        others: &HealthTotals,
+        thresholds: &HealthThresholds,
+    ) -> Option<String> {
         if self.is_empty() || others.is_empty() {
             return None;
         }
@@ -121,8 +125,8 @@
             let own_scaled = u128::from(mine).saturating_mul(others.time.into()).saturating_mul(100);
             let others_scaled = u128::from(theirs)
                 .saturating_mul(self.time.into())
-                .saturating_mul(100 + u128::from(worse.rate_percent));
-            if mine >= worse.min_events && own_scaled > others_scaled {
+                .saturating_mul(100 + u128::from(thresholds.rate_percent));
+            if mine >= thresholds.min_events && own_scaled > others_scaled {
                 let (reached, rest) = (self.hourly_per_member(mine), others.hourly_per_member(theirs));
                 return Some(format!(
                     "{what}: {reached} an hour a member where it is applied, {rest} where it is not yet"
@@ -131,7 +135,9 @@
         }
         let grown = self.memory_now.saturating_sub(self.memory_base) / self.members;
         let (mine, theirs) = (self.growth_percent(), others.growth_percent());
-        if grown >= worse.min_growth_bytes && mine > theirs.saturating_add(i128::from(worse.memory_percent)) {
+        if grown >= thresholds.min_growth_bytes
+            && mine > theirs.saturating_add(i128::from(thresholds.memory_percent))
+        {
             return Some(format!("memory: {mine:+}% where it is applied, {theirs:+}% where it is not yet"));
         }
         None
--- a/crates/drift/src/rollout/mod.rs
+++ b/crates/drift/src/rollout/mod.rs
@@ -19,9 +19,9 @@
 mod state;
 
 pub use baseline::Baseline;
-pub use health::Worse;
+pub use health::HealthThresholds;
 pub use phase::{Phase, StopReason};
-pub use skipping::{DELIVERY_ASSUMED_AFTER, MOST_HEARD, MOST_PASSES, SKIP_DELAY};
+pub use skipping::{DELIVERY_ASSUMED_AFTER, MAX_LOGGED_RESPONSES, MAX_SKIPS_PER_WAVE, SKIP_DELAY};
 pub use state::Rollout;
 
 use crate::{Digest, Micros};
@@ -44,12 +44,12 @@
     /// microseconds.
     pub soak: Micros,
     /// The thresholds for worse health.
-    pub worse: Worse,
+    pub thresholds: HealthThresholds,
 }
 
 /// The state of a rollout according to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reach {
+pub struct LoggedRollout {
     /// The plan.
     pub plan: Plan,
     /// The members, each with the index of the wave that reaches it.
--- a/crates/drift/src/rollout/skipping.rs
+++ b/crates/drift/src/rollout/skipping.rs
@@ -1,13 +1,13 @@
 //! Tracks the members that responded since their wave started, and those that are gone without a response.
 
-use super::Reach;
+use super::LoggedRollout;
 use crate::Micros;
 use heronroute_fleet::Name;
 use std::collections::BTreeSet;
 
 /// The maximum number of skips per wave. A version that kills members before their first response thus
 /// reaches three first members at most.
-pub const MOST_PASSES: usize = 2;
+pub const MAX_SKIPS_PER_WAVE: usize = 2;
 
 /// The time after the start of a wave or term before a member may be skipped: long enough for two reports and
 /// for detecting a death.
@@ -19,7 +19,7 @@
 
 /// The maximum number of members whose response is logged; the silence of others counts as evidence with the
 /// current leader only.
-pub const MOST_HEARD: usize = 512;
+pub const MAX_LOGGED_RESPONSES: usize = 512;
 
 /// The minimum time between two log entries about responses while some members have not responded yet.
 const MIN_LOG_INTERVAL: Micros = 500_000;
@@ -42,8 +42,12 @@
 }
 
 impl SkipTracker {
-    pub(super) fn new(reach: &Reach) -> Self {
-        SkipTracker { responded: reach.heard.clone(), counts: reach.passes, ..SkipTracker::default() }
+    pub(super) fn new(logged_rollout: &LoggedRollout) -> Self {
+        SkipTracker {
+            responded: logged_rollout.heard.clone(),
+            counts: logged_rollout.passes,
+            ..SkipTracker::default()
+        }
     }
 
     /// Returns the number of skips in all waves.
@@ -52,10 +56,10 @@
     }
 
     /// Handles the start of a wave, or its continuation without some members.
-    pub(super) fn wave_started(&mut self, now: Micros, reach: &Reach) {
-        (self.counts, self.proposed_at, self.last_logged) = (reach.passes, None, Some(now));
+    pub(super) fn wave_started(&mut self, now: Micros, logged_rollout: &LoggedRollout) {
+        (self.counts, self.proposed_at, self.last_logged) = (logged_rollout.passes, None, Some(now));
         // Members that are skipped now are not proposed again.
-        self.gone.retain(|name| !reach.without.contains(name));
+        self.gone.retain(|name| !logged_rollout.without.contains(name));
     }
 
     /// Handles the responses found in the log.
@@ -81,7 +85,7 @@
     pub(super) fn record_response(&mut self, member: &Name) -> bool {
         self.gone.remove(member);
         let new = self.responded.insert(member.clone());
-        if new && self.responded.len() <= MOST_HEARD {
+        if new && self.responded.len() <= MAX_LOGGED_RESPONSES {
             self.unlogged.insert(member.clone());
         }
         new
@@ -105,7 +109,7 @@
     pub(super) fn may_skip(&self, wave: usize, missing: usize, awaited: usize) -> bool {
         let gone = self.gone.len();
         let enough_remain = wave == 0 || gone == 1 || gone * 2 <= awaited;
-        gone > 0 && gone == missing && enough_remain && self.counts.1 < MOST_PASSES
+        gone > 0 && gone == missing && enough_remain && self.counts.1 < MAX_SKIPS_PER_WAVE
     }
 
     /// Starts a proposal to skip the members that are gone, and returns them.
--- a/crates/drift/src/rollout/state/decide.rs
+++ b/crates/drift/src/rollout/state/decide.rs
@@ -9,8 +9,8 @@
 impl Rollout {
     /// Returns the next time at which [`Rollout::tick`] has something to decide.
     pub fn next(&self) -> Option<Micros> {
-        let skipping = matches!(self.wish, Some(Progress::Pass { .. }));
-        if self.phase != Phase::Running || self.wish.is_some() && !skipping {
+        let skipping = matches!(self.proposal, Some(Progress::Pass { .. }));
+        if self.phase != Phase::Running || self.proposal.is_some() && !skipping {
             return None;
         }
         // A wave that was in line just before its deadline still gets its soak time.
@@ -33,7 +33,7 @@
             return None;
         }
         let soaked = self.all_applied_since.is_some_and(|since| now >= since.saturating_add(self.plan.soak));
-        let skipping = matches!(self.wish, Some(Progress::Pass { .. }));
+        let skipping = matches!(self.proposal, Some(Progress::Pass { .. }));
         if now >= self.wave_started.saturating_add(self.plan.wave_for) {
             // A member that was silent for this long counts as gone, even if its death was not detected.
             let is_silent = |state: &MemberState| state.expected && state.wave <= self.wave && !state.applied;
@@ -52,7 +52,7 @@
             Progress::Done => self.phase = Phase::Done,
             Progress::Next { .. } | Progress::Pass { .. } | Progress::Superseded => {}
         }
-        self.wish = Some(proposal.clone());
+        self.proposal = Some(proposal.clone());
         Some(proposal)
     }
 
@@ -83,7 +83,7 @@
         if !rest.is_empty() {
             self.control = rest;
         }
-        if let Some(what) = sum(self, true).worse_figure(&self.control, &self.plan.worse) {
+        if let Some(what) = sum(self, true).worse_figure(&self.control, &self.plan.thresholds) {
             return Progress::Stopped(StopReason::Worse(what));
         }
         let next = self.members.values().map(|state| state.wave).filter(|wave| *wave > self.wave).min();
--- a/crates/drift/src/rollout/state/mod.rs
+++ b/crates/drift/src/rollout/state/mod.rs
@@ -4,7 +4,7 @@
 
 use super::health::{HealthTotals, HealthTracker};
 use super::skipping::{DELIVERY_ASSUMED_AFTER, SkipTracker};
-use super::{Baseline, MAX_MEMBERS, Phase, Plan, Progress, Reach, StopReason};
+use super::{Baseline, LoggedRollout, MAX_MEMBERS, Phase, Plan, Progress, StopReason};
 use crate::Micros;
 use crate::report::Health;
 use heronroute_fleet::{Name, Start};
@@ -50,23 +50,23 @@
     /// The responses, and the members to be skipped.
     skips: SkipTracker,
     /// The proposed log entry. It stays until the log changes.
-    wish: Option<Progress>,
+    proposal: Option<Progress>,
 }
 
 impl Rollout {
     /// Creates a rollout from its log state. Returns none if no wave has started, or if there are no members
     /// or more than [`MAX_MEMBERS`].
-    pub fn from_log(now: Micros, reach: &Reach) -> Option<Self> {
-        let wave = reach.wave?;
+    pub fn from_log(now: Micros, logged_rollout: &LoggedRollout) -> Option<Self> {
+        let wave = logged_rollout.wave?;
         let member =
             |wave| MemberState { wave, expected: true, applied: false, confirmed: false, health: None };
         let members: BTreeMap<_, _> =
-            reach.members.iter().map(|(name, wave)| (name.clone(), member(*wave))).collect();
+            logged_rollout.members.iter().map(|(name, wave)| (name.clone(), member(*wave))).collect();
         if members.is_empty() || members.len() > MAX_MEMBERS {
             return None;
         }
         let mut rollout = Rollout {
-            plan: reach.plan.clone(),
+            plan: logged_rollout.plan.clone(),
             phase: Phase::Running,
             wave,
             members,
@@ -75,42 +75,44 @@
             awaited: 0,
             missing: 0,
             unconfirmed: 0,
-            control: reach.baseline.control,
-            baseline: reach.baseline.clone(),
-            skips: SkipTracker::new(reach),
-            wish: None,
+            control: logged_rollout.baseline.control,
+            baseline: logged_rollout.baseline.clone(),
+            skips: SkipTracker::new(logged_rollout),
+            proposal: None,
         };
-        rollout.start_wave(now, wave, &reach.without);
-        rollout.apply_logged_stop(reach);
+        rollout.start_wave(now, wave, &logged_rollout.without);
+        rollout.apply_logged_stop(logged_rollout);
         Some(rollout)
     }
 
     /// Applies a new log state.
-    pub fn update(&mut self, now: Micros, reach: &Reach) {
-        if let Some(wave) =
-            reach.wave.filter(|wave| (*wave, reach.passes.0) > (self.wave, self.skips.total()))
+    pub fn update(&mut self, now: Micros, logged_rollout: &LoggedRollout) {
+        if let Some(wave) = logged_rollout
+            .wave
+            .filter(|wave| (*wave, logged_rollout.passes.0) > (self.wave, self.skips.total()))
         {
             // The replacement of a skipped first member was in a later wave until now.
-            for (name, wave) in &reach.members {
+            for (name, wave) in &logged_rollout.members {
                 self.members.entry(name.clone()).and_modify(|state| state.wave = *wave);
             }
-            self.baseline.clone_from(&reach.baseline);
-            self.skips.wave_started(now, reach);
-            self.start_wave(now, wave, &reach.without);
+            self.baseline.clone_from(&logged_rollout.baseline);
+            self.skips.wave_started(now, logged_rollout);
+            self.start_wave(now, wave, &logged_rollout.without);
         }
-        self.skips.record_logged(now, &reach.heard);
+        self.skips.record_logged(now, &logged_rollout.heard);
         // One of the members has responded to another leader in the meantime, so the log would reject this
         // proposal for ever.
-        if matches!(&self.wish, Some(Progress::Pass { members }) if !members.is_disjoint(&reach.heard)) {
-            self.wish = None;
+        if matches!(&self.proposal, Some(Progress::Pass { members }) if !members.is_disjoint(&logged_rollout.heard))
+        {
+            self.proposal = None;
         }
-        self.apply_logged_stop(reach);
+        self.apply_logged_stop(logged_rollout);
     }
 
-    fn apply_logged_stop(&mut self, reach: &Reach) {
-        if let Some(why) = &reach.halted {
+    fn apply_logged_stop(&mut self, logged_rollout: &LoggedRollout) {
+        if let Some(why) = &logged_rollout.halted {
             self.phase = Phase::Stopped(StopReason::Told(why.clone()));
-            self.wish = None;
+            self.proposal = None;
         }
     }
 
@@ -125,8 +127,8 @@
     }
 
     /// Returns the proposed log entry.
-    pub fn wish(&self) -> Option<&Progress> {
-        self.wish.as_ref()
+    pub fn proposal(&self) -> Option<&Progress> {
+        self.proposal.as_ref()
     }
 
     /// Returns the index of the wave that started last.
@@ -141,7 +143,7 @@
 
     /// Returns the members whose response should be logged now. Without this entry, the next leader could not
     /// tell a member that the version killed from one that was already gone.
-    pub fn news(&self, now: Micros) -> Option<BTreeSet<Name>> {
+    pub fn unlogged_responses(&self, now: Micros) -> Option<BTreeSet<Name>> {
         let soon = self.wave == 0 || self.missing == 0;
         (self.phase == Phase::Running).then(|| self.skips.due_for_log(now, soon)).flatten()
     }
@@ -205,9 +207,9 @@
             return;
         }
         if self.skips.record_response(member)
-            && matches!(&self.wish, Some(Progress::Pass { members }) if members.contains(member))
+            && matches!(&self.proposal, Some(Progress::Pass { members }) if members.contains(member))
         {
-            self.wish = None;
+            self.proposal = None;
         }
     }
 
@@ -244,7 +246,7 @@
     }
 
     fn reset_wave(&mut self, now: Micros) {
-        (self.wave_started, self.wish) = (now, None);
+        (self.wave_started, self.proposal) = (now, None);
         let (mut awaited, mut unconfirmed, mut missing) = (0, 0, 0);
         for state in self.members.values_mut() {
             state.confirmed = false;
--- a/crates/drift/src/tree/mod.rs
+++ b/crates/drift/src/tree/mod.rs
@@ -16,7 +16,7 @@
 pub use path::{MAX_DEPTH, Path, PathError};
 
 use crate::report::{AppliedRules, TreeNode};
-use crate::{Digest, MOST_NAME};
+use crate::{Digest, MAX_CLIENT_NAME_BYTES};
 use node::{Link, Node, build, count, distribute, hash};
 use path::Key;
 
@@ -178,8 +178,9 @@
         TreeNode::Branch(children) if children.len() == FAN_OUT => Some(node::branch_hash(children.iter())),
         TreeNode::Branch(_) => None,
         TreeNode::Bucket(clients) => {
-            let fits =
-                |a: &AppliedRules| a.client.len() <= MOST_NAME && Key::of(&a.client).below(path.steps());
+            let fits = |a: &AppliedRules| {
+                a.client.len() <= MAX_CLIENT_NAME_BYTES && Key::of(&a.client).below(path.steps())
+            };
             let rising = clients.windows(2).all(|pair| matches!(pair, [a, b] if a.client < b.client));
             (clients.len() <= MAX_BUCKET_CLIENTS && rising && clients.iter().all(fits))
                 .then(|| node::bucket_hash(clients.iter().map(|a| (a.client.as_str(), a.version, &a.digest))))
--- a/crates/drift/src/view.rs
+++ b/crates/drift/src/view.rs
@@ -1,6 +1,6 @@
 //! The reply of `fleet/drift`.
 
-use crate::report::{Partly, Verdict};
+use crate::report::{PartlyApplied, Verdict};
 use crate::{Detector, Micros};
 use heronroute_fleet::{Name, Term};
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub why: Option<String>,
     /// The members, sorted by name.
-    pub members: Vec<Line>,
+    pub members: Vec<MemberLine>,
     /// The running and the stopped rollouts.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub rollouts: Vec<RolloutLine>,
@@ -24,7 +24,7 @@
 
 /// The verdict on one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct MemberLine {
     /// The member.
     pub name: Name,
     /// The verdict.
@@ -46,7 +46,7 @@
     /// If the member's senders differ for `client`: how many of them apply the version, and since when they
     /// differ.
     #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub partly: Option<Partly>,
+    pub partly: Option<PartlyApplied>,
 }
 
 /// The state of one rollout.
@@ -75,10 +75,10 @@
     /// Returns the current view. Without a majority nothing is known: no member is reported as in line
     /// because of an earlier verdict.
     pub fn view(&self, now: Micros) -> View {
-        let known = self.acting(now);
+        let known = self.is_leading(now);
         let why = (!known).then(|| "not known: no majority, or another member is in charge".to_owned());
         View {
-            term: self.current(),
+            term: self.current_term(),
             known,
             why,
             members: self.member_lines(now, known),
--- a/crates/drift/tests/detector.rs
+++ b/crates/drift/tests/detector.rs
@@ -55,7 +55,7 @@
                 let outputs = self.outputs();
                 for output in &outputs {
                     if let Output::Ack(ack) = output {
-                        self.reporter.acked(ack);
+                        self.reporter.handle_ack(ack);
                     }
                 }
                 all.extend(outputs);
@@ -75,21 +75,21 @@
     let mut rig = Rig::new();
     let first = rig.reporter.report(Health::default());
     rig.detector.report(S, &first);
-    assert_eq!(rig.verdict(S), Verdict::NotHeardOf, "the time of writing is unknown");
+    assert_eq!(rig.verdict(S), Verdict::NotReporting, "the time of writing is unknown");
     rig.report_until(S, S);
     assert_eq!(rig.verdict(S), Verdict::InLine);
     // A report written at 2 s that is queued until 13 s proves nothing about 13 s.
     let late = rig.reporter.report(Health::default());
     rig.detector.term(9 * S, Term(2), true);
     assert_eq!(rig.verdict(11 * S), Verdict::InLine);
-    assert_eq!(rig.verdict(11 * S + 1), Verdict::NotHeardOf, "also without a tick");
+    assert_eq!(rig.verdict(11 * S + 1), Verdict::NotReporting, "also without a tick");
     rig.detector.report(13 * S, &late);
-    assert_eq!(rig.verdict(13 * S), Verdict::NotHeardOf);
+    assert_eq!(rig.verdict(13 * S), Verdict::NotReporting);
     // Nor does a report with an echo that the leader never sent.
     let mut ahead = rig.reporter.report(Health::default());
     ahead.echo = Some(Echo { term: Term(2), at: 900 * S });
     rig.detector.report(14 * S, &ahead);
-    assert_eq!(rig.verdict(14 * S), Verdict::NotHeardOf);
+    assert_eq!(rig.verdict(14 * S), Verdict::NotReporting);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     assert_eq!(rig.verdict(4 * S), Verdict::InLine);
     // No reports have been received from a later life yet.
     rig.detector.members(4 * S, &Life { name: name(1), start: Start(6) }, "north", Standing::Alive);
-    assert_eq!(rig.verdict(4 * S), Verdict::NotHeardOf);
+    assert_eq!(rig.verdict(4 * S), Verdict::NotReporting);
 }
 
 #[test]
@@ -123,13 +123,13 @@
     report.term = Term(3);
     rig.detector.report(4 * S, &report);
     assert_eq!(rig.outputs(), [Output::Superseded(Term(3))]);
-    assert!(!rig.detector.acting(4 * S));
+    assert!(!rig.detector.is_leading(4 * S));
     // A confirmation of its own older term does not restore its leadership.
     rig.detector.term(5 * S, Term(2), true);
     rig.detector.tick(60 * S);
-    assert_eq!((rig.outputs().len(), rig.verdict(5 * S)), (0, Verdict::NotHeardOf));
+    assert_eq!((rig.outputs().len(), rig.verdict(5 * S)), (0, Verdict::NotReporting));
     rig.detector.term(5 * S, Term(4), true);
-    assert!(rig.detector.acting(5 * S));
+    assert!(rig.detector.is_leading(5 * S));
     assert!(accepts(Term(3), Term(3)) && accepts(Term(4), Term(3)));
     assert!(!accepts(Term(2), Term(3)) && !accepts(Term(0), Term(0)));
 }
@@ -174,12 +174,12 @@
     rig.detector.members(4 * S, &rig.life.clone(), "north", Standing::Suspect);
     assert_eq!(rig.verdict(4 * S), Verdict::InLine, "a suspicion alone does not count yet");
     rig.report_until(6 * S, 10 * S);
-    assert_eq!(rig.verdict(10 * S), Verdict::NotHeardOf);
+    assert_eq!(rig.verdict(10 * S), Verdict::NotReporting);
     rig.detector.members(10 * S, &rig.life.clone(), "north", Standing::Alive);
     rig.report_until(12 * S, 20 * S);
     assert_eq!(rig.verdict(20 * S), Verdict::InLine);
     rig.detector.members(20 * S, &rig.life.clone(), "north", Standing::Dead);
-    assert_eq!(rig.verdict(20 * S), Verdict::NotHeardOf);
+    assert_eq!(rig.verdict(20 * S), Verdict::NotReporting);
 }
 
 #[test]
@@ -214,7 +214,7 @@
     assert_eq!(rig.verdict(44 * S), Verdict::Lagging, "neither");
     rig.reporter.live("y", 1, DIGEST, None);
     rig.report_until(46 * S, 52 * S);
-    assert_eq!(rig.verdict(52 * S), Verdict::Partly, "the later approval, but not the earlier one");
+    assert_eq!(rig.verdict(52 * S), Verdict::PartlyApplied, "the later approval, but not the earlier one");
     rig.reporter.live("x", 0, content::digest(&[]), Some("the store is full"));
     let outputs = rig.report_until(54 * S, 64 * S);
     assert_eq!(rig.verdict(64 * S), Verdict::CantApply);
@@ -222,18 +222,20 @@
         |o: &Output| matches!(o, Output::Verdict(r) if r.reason.as_deref() == Some("x: the store is full"));
     assert!(outputs.iter().any(record));
     assert!(
-        outputs.iter().any(|o| matches!(o, Output::Order(o) if o.act == Act::Fence { client: "x".into() }))
+        outputs
+            .iter()
+            .any(|o| matches!(o, Output::Order(o) if o.act == Action::Fence { client: "x".into() }))
     );
     rig.reporter.live("x", 2, DIGEST, None);
     let outputs = rig.report_until(66 * S, 140 * S);
     assert_eq!(rig.verdict(140 * S), Verdict::Ahead);
-    let revert_on_stop = Act::TakeBack { clients: vec!["x".into()] };
+    let revert_on_stop = Action::TakeBack { clients: vec!["x".into()] };
     assert!(outputs.iter().any(|o| matches!(o, Output::Order(o) if o.act == revert_on_stop)));
     rig.reporter.live("x", 1, DIGEST, None);
     let outputs = rig.report_until(142 * S, 170 * S);
     assert_eq!(rig.verdict(170 * S), Verdict::InLine);
     assert!(
-        outputs.iter().any(|o| matches!(o, Output::Order(o) if o.act == Act::Lift { client: "x".into() }))
+        outputs.iter().any(|o| matches!(o, Output::Order(o) if o.act == Action::Lift { client: "x".into() }))
     );
 }
 
@@ -278,7 +280,7 @@
     rig.reporter.live("c", 1, digest, None);
     let first = rig.report_until(0, 60 * S);
     assert!(first.iter().any(|o| matches!(o, Output::Verdict(r) if r.verdict == Verdict::InLine)));
-    assert_eq!(rig.verdict(60 * S), Verdict::NotHeardOf);
+    assert_eq!(rig.verdict(60 * S), Verdict::NotReporting);
     let later = rig.report_until(62 * S, 70 * S);
     let asked =
         later.iter().rev().find_map(|o| if let Output::Challenge(c) = o { Some(c.clone()) } else { None });
--- a/crates/drift/tests/rollouts.rs
+++ b/crates/drift/tests/rollouts.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use heronroute_drift::rollout::{Phase, Plan, Progress, Reach, Rollout, StopReason};
+use heronroute_drift::rollout::{LoggedRollout, Phase, Plan, Progress, Rollout, StopReason};
 use heronroute_drift::*;
 use heronroute_fleet::Start;
 use sim::{Event, Fault, S, World, name};
@@ -19,14 +19,19 @@
 
 /// Returns a rollout to four members whose first wave has started.
 fn first_wave_of_four() -> Rollout {
-    let plan =
-        Plan { client: "c0".into(), version: 2, wave_for: 30 * S, soak: 10 * S, worse: Default::default() };
-    Rollout::from_log(0, &reach(plan, 0)).unwrap()
+    let plan = Plan {
+        client: "c0".into(),
+        version: 2,
+        wave_for: 30 * S,
+        soak: 10 * S,
+        thresholds: Default::default(),
+    };
+    Rollout::from_log(0, &logged_rollout(plan, 0)).unwrap()
 }
 
-fn reach(plan: Plan, wave: usize) -> Reach {
+fn logged_rollout(plan: Plan, wave: usize) -> LoggedRollout {
     let members = (0..4).map(|m| (name(m), usize::from(m > 0))).collect();
-    Reach {
+    LoggedRollout {
         plan,
         members,
         meant: Vec::new(),
@@ -45,7 +50,7 @@
 
 fn assert_no_resends(world: &World) {
     for (at, _, order) in &world.orders {
-        assert!(matches!(order.act, Act::TellOperator { .. }), "at {at}: {order:?}");
+        assert!(matches!(order.act, Action::TellOperator { .. }), "at {at}: {order:?}");
     }
 }
 
@@ -61,9 +66,12 @@
             }
             // A member not reached yet is in line with the version that it is meant to apply, however long
             // the waves take.
-            let wave = world.reach.as_ref().map_or(9, |reach| reach.wave.unwrap());
+            let wave = world.logged_rollout.as_ref().map_or(9, |logged_rollout| logged_rollout.wave.unwrap());
             for member in 0..9 {
-                let reached = world.reach.as_ref().is_none_or(|reach| reach.members[member].1 <= wave);
+                let reached = world
+                    .logged_rollout
+                    .as_ref()
+                    .is_none_or(|logged_rollout| logged_rollout.members[member].1 <= wave);
                 let (verdict, live) = (world.verdict(member), world.members[member].live["c0"].0);
                 let line = if reached { 2 } else { 1 };
                 assert!(live == line || verdict != Verdict::InLine, "seed {seed}: {member} at {live}");
@@ -230,8 +238,8 @@
     assert_eq!(rollout.tick(40 * S - 1), None);
     let why = StopReason::Late { wave: 0, member: name(0), members: 1 };
     assert_eq!(rollout.tick(40 * S), Some(Progress::Stopped(why)));
-    assert_eq!(reported_at(&[S, 11 * S]).wish(), Some(&Progress::Next { wave: 1 }));
-    assert_eq!(reported_at(&[11 * S]).wish(), None, "the soak time begins with its first report");
+    assert_eq!(reported_at(&[S, 11 * S]).proposal(), Some(&Progress::Next { wave: 1 }));
+    assert_eq!(reported_at(&[11 * S]).proposal(), None, "the soak time begins with its first report");
 }
 
 /// Returns a rollout to four members whose second wave, of three, started at 0. The `gone` members are lost
@@ -241,7 +249,7 @@
     let plan = rollout.plan().clone();
     let health = Health { refused: 0, failed: 0, memory: 1 << 20 };
     rollout.report(0, &name(0), Start(1), true, health);
-    rollout.update(0, &reach(plan, 1));
+    rollout.update(0, &logged_rollout(plan, 1));
     for member in 0..4 {
         if word && member == 1 || !gone.contains(&member) {
             rollout.report(S / 2, &name(member), Start(1), true, health);
@@ -276,7 +284,7 @@
     let mut rollout = second_wave_with_gone(&[1], false);
     rollout.tick(5 * S);
     rollout.record_response(&name(1));
-    assert_eq!((rollout.wish(), rollout.news(6 * S).is_some()), (None, true));
+    assert_eq!((rollout.proposal(), rollout.unlogged_responses(6 * S).is_some()), (None, true));
     assert!(late(rollout));
     // A member that returns before the proposal, without a response, is waited for.
     let mut rollout = second_wave_with_gone(&[1], false);
@@ -286,10 +294,10 @@
     // proposal.
     let mut rollout = second_wave_with_gone(&[1], false);
     rollout.tick(5 * S);
-    let mut logged = reach(rollout.plan().clone(), 1);
+    let mut logged = logged_rollout(rollout.plan().clone(), 1);
     logged.heard.insert(name(1));
     rollout.update(6 * S, &logged);
-    assert_eq!(rollout.wish(), None);
+    assert_eq!(rollout.proposal(), None);
     assert!(late(rollout));
 }
 
@@ -297,13 +305,13 @@
 #[test]
 fn logged_responses_count_as_evidence() {
     for before in [false, true] {
-        let mut reach = reach(first_wave_of_four().plan().clone(), 0);
-        let mut rollout = Rollout::from_log(0, &reach).unwrap();
-        reach.heard.insert(name(0));
+        let mut logged_rollout = logged_rollout(first_wave_of_four().plan().clone(), 0);
+        let mut rollout = Rollout::from_log(0, &logged_rollout).unwrap();
+        logged_rollout.heard.insert(name(0));
         if before {
-            rollout = Rollout::from_log(0, &reach).unwrap();
+            rollout = Rollout::from_log(0, &logged_rollout).unwrap();
         } else {
-            rollout.update(S, &reach);
+            rollout.update(S, &logged_rollout);
         }
         rollout.resume(2 * S);
         rollout.member_lost(2 * S, &name(0));
@@ -320,7 +328,7 @@
         rollout.tick(at + 40 * S)
     };
     assert!(matches!(fall_silent(&mut rollout, S), Some(Progress::Pass { .. })));
-    let mut passed = reach(rollout.plan().clone(), 0);
+    let mut passed = logged_rollout(rollout.plan().clone(), 0);
     // The same member replaces itself here; only the number of skips matters.
     for passes in [1, 2] {
         passed.passes = (passes, passes);
--- a/crates/drift/tests/scale.rs
+++ b/crates/drift/tests/scale.rs
@@ -61,7 +61,7 @@
                     if let Output::Ack(ack) = output
                         && ack.to == report.life
                     {
-                        reporter.acked(&ack);
+                        reporter.handle_ack(&ack);
                     }
                 }
             }
--- a/crates/drift/tests/schedules.rs
+++ b/crates/drift/tests/schedules.rs
@@ -3,7 +3,7 @@
 
 mod sim;
 
-use heronroute_drift::{Act, Config, Micros, Verdict};
+use heronroute_drift::{Action, Config, Micros, Verdict};
 use heronroute_fleet::Name;
 use rand::Rng;
 use sim::{Event, Fault, Reporting, S, World, name};
@@ -210,7 +210,7 @@
         assert!(found <= 50 * S, "seed {seed}: found after {found} µs");
         assert_eq!((world.verdict(0), world.verdict(2)), (Verdict::InLine, Verdict::InLine));
         assert!(
-            world.orders.iter().any(|(_, _, o)| matches!(o.act, Act::Fence { .. })),
+            world.orders.iter().any(|(_, _, o)| matches!(o.act, Action::Fence { .. })),
             "seed {seed}: no fence"
         );
     }
@@ -226,8 +226,11 @@
     world.run(1520 * S, |world| check_invariants(world, 5));
     let into = world.records.iter().filter(|r| r.member == name(1) && r.verdict == Verdict::InLine).count();
     assert!(into <= 12, "{into} times in line");
-    let fences =
-        world.orders.iter().filter(|(_, _, o)| matches!(o.act, Act::Fence { .. } | Act::Lift { .. })).count();
+    let fences = world
+        .orders
+        .iter()
+        .filter(|(_, _, o)| matches!(o.act, Action::Fence { .. } | Action::Lift { .. }))
+        .count();
     assert!(fences <= 40, "{fences} fences and lifts");
     check_budgets(&world, 5);
 }
--- a/crates/drift/tests/sim/member.rs
+++ b/crates/drift/tests/sim/member.rs
@@ -131,12 +131,12 @@
         self.reporter.report(self.health)
     }
 
-    pub fn tell(&mut self, ask: &Ask, desired: &BTreeMap<String, Set>) -> Option<Tell> {
+    pub fn tell(&mut self, ask: &Ask, desired: &BTreeMap<String, Set>) -> Option<TreeReply> {
         self.update_reporter(desired);
         self.reporter.tell(ask)
     }
 
-    pub fn answer(&self, challenge: &Challenge) -> Option<Answer> {
+    pub fn answer(&self, challenge: &Challenge) -> Option<ChallengeAnswer> {
         let live = self.live.get(&challenge.client).map_or_else(RuleSet::default, |set| rules(*set));
         self.reporter.answer(challenge, &live)
     }
--- a/crates/drift/tests/sim/mod.rs
+++ b/crates/drift/tests/sim/mod.rs
@@ -48,8 +48,8 @@
 #[derive(Clone, Debug)]
 pub enum MemberMessage {
     Report(Report),
-    Tell(Tell),
-    Answer(Answer),
+    TreeReply(TreeReply),
+    ChallengeAnswer(ChallengeAnswer),
 }
 
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
     pub fail_on_new_version: bool,
     pub rollouts: Vec<(Micros, Progress)>,
     /// The log state of the rollout, and whether a stopped rollout is reverted.
-    pub reach: Option<Reach>,
+    pub logged_rollout: Option<LoggedRollout>,
     pub revert_on_stop: bool,
     pub traced: bool,
     /// If set, detectors are ticked at the times that they request, and not periodically.
@@ -105,7 +105,7 @@
 }
 
 pub use heronroute_drift::rollout::Progress;
-use heronroute_drift::rollout::{Plan, Worse};
+use heronroute_drift::rollout::{HealthThresholds, Plan};
 
 impl World {
     pub fn new(seed: u64, members: usize, clients: usize) -> Self {
@@ -137,7 +137,7 @@
             terms: Vec::new(),
             fail_on_new_version: false,
             rollouts: Vec::new(),
-            reach: None,
+            logged_rollout: None,
             revert_on_stop: false,
             traced: false,
             wake_on_demand: false,
@@ -210,9 +210,9 @@
         self.desired.insert(client.to_owned(), set);
         self.approvals.push(self.now);
         self.publish_desired(client, set);
-        if self.reach.take_if(|reach| reach.plan.client == client).is_some() {
+        if self.logged_rollout.take_if(|logged_rollout| logged_rollout.plan.client == client).is_some() {
             let now = self.now;
-            self.keepers.iter_mut().for_each(|k| k.detector.reached_all(now, client));
+            self.keepers.iter_mut().for_each(|k| k.detector.finish_rollout(now, client));
         }
         if spread {
             for member in 0..self.members.len() {
@@ -235,11 +235,11 @@
         let before = self.desired[client];
         let set = (before.0 + 1, 0);
         let wave = |m: usize| if m == 0 { 0 } else { 1 + usize::from(!m.is_multiple_of(3)) };
-        let worse = Worse::default();
+        let thresholds = HealthThresholds::default();
         let (wave_for, soak) = (30 * S, 10 * S);
-        let plan = Plan { client: client.into(), version: set.0, wave_for, soak, worse };
+        let plan = Plan { client: client.into(), version: set.0, wave_for, soak, thresholds };
         let of = |set: Set| (set.0, content::digest(&rules(set).rules));
-        self.reach = Some(Reach {
+        self.logged_rollout = Some(LoggedRollout {
             plan,
             members: (0..self.members.len()).map(|m| (name(m), wave(m))).collect(),
             meant: vec![of(before); 3],
@@ -257,25 +257,25 @@
     }
 
     fn publish_rollout(&mut self) {
-        let (Some(reach), now) = (self.reach.clone(), self.now) else { return };
-        self.keepers.iter_mut().for_each(|k| k.detector.reach(now, &reach));
+        let (Some(logged_rollout), now) = (self.logged_rollout.clone(), self.now) else { return };
+        self.keepers.iter_mut().for_each(|k| k.detector.logged_rollout(now, &logged_rollout));
     }
 
     /// Logs the start of a wave, once.
     fn start_wave(&mut self, wave: usize) {
-        let Some(reach) = &mut self.reach else { return };
-        if reach.wave.is_some_and(|before| before >= wave) || reach.halted.is_some() {
+        let Some(logged_rollout) = &mut self.logged_rollout else { return };
+        if logged_rollout.wave.is_some_and(|before| before >= wave) || logged_rollout.halted.is_some() {
             return;
         }
-        let (client, version) = (reach.plan.client.clone(), reach.plan.version);
-        reach.wave = Some(wave);
+        let (client, version) = (logged_rollout.plan.client.clone(), logged_rollout.plan.version);
+        logged_rollout.wave = Some(wave);
         let meant = (version, content::digest(&rules((version, 0)).rules));
-        reach.meant.iter_mut().take(wave + 1).for_each(|one| *one = meant);
-        let all = reach.members.clone();
+        logged_rollout.meant.iter_mut().take(wave + 1).for_each(|one| *one = meant);
+        let all = logged_rollout.members.clone();
         let detector = &self.keepers[self.leader].detector;
-        let gone = all.iter().filter(|(name, w)| *w == wave && !detector.lives(name));
+        let gone = all.iter().filter(|(name, w)| *w == wave && !detector.is_alive(name));
         let gone: Vec<Name> = gone.map(|(name, _)| name.clone()).collect();
-        reach.without.extend(gone);
+        logged_rollout.without.extend(gone);
         self.publish_rollout();
         for (member, _) in all.iter().enumerate().filter(|(_, (_, w))| *w == wave) {
             self.send(Event::ToMember(
@@ -290,15 +290,15 @@
             Progress::Next { wave } => self.start_wave(*wave),
             Progress::Stopped(_) if self.revert_on_stop => self.approve(client, true),
             Progress::Stopped(why) => {
-                if let Some(reach) = &mut self.reach {
-                    reach.halted.get_or_insert(why.to_string());
+                if let Some(logged_rollout) = &mut self.logged_rollout {
+                    logged_rollout.halted.get_or_insert(why.to_string());
                 }
                 self.publish_rollout();
             }
             Progress::Done => {
-                self.reach = None;
+                self.logged_rollout = None;
                 let now = self.now;
-                self.keepers.iter_mut().for_each(|k| k.detector.reached_all(now, client));
+                self.keepers.iter_mut().for_each(|k| k.detector.finish_rollout(now, client));
             }
             Progress::Pass { .. } | Progress::Superseded => {}
         }
@@ -406,8 +406,8 @@
         let detector = &mut self.keepers[keeper].detector;
         match message {
             MemberMessage::Report(report) => _ = detector.report(now, &report),
-            MemberMessage::Tell(tell) => detector.tell(now, &tell),
-            MemberMessage::Answer(answer) => {
+            MemberMessage::TreeReply(tell) => detector.tell(now, &tell),
+            MemberMessage::ChallengeAnswer(answer) => {
                 if let Some(set) = detector.challenged(&answer).and_then(|client| self.desired.get(client)) {
                     detector.answer(now, &answer, &rules(*set));
                 }
@@ -441,13 +441,15 @@
                 return;
             }
             KeeperMessage::Ack(ack) => {
-                if sim_member.reporter.acked(&ack) && !sim_member.reports_lost {
+                if sim_member.reporter.handle_ack(&ack) && !sim_member.reports_lost {
                     self.report(member);
                 }
                 return;
             }
-            KeeperMessage::Ask(ask) => sim_member.tell(&ask, desired).map(MemberMessage::Tell),
-            KeeperMessage::Challenge(challenge) => sim_member.answer(&challenge).map(MemberMessage::Answer),
+            KeeperMessage::Ask(ask) => sim_member.tell(&ask, desired).map(MemberMessage::TreeReply),
+            KeeperMessage::Challenge(challenge) => {
+                sim_member.answer(&challenge).map(MemberMessage::ChallengeAnswer)
+            }
         };
         if let Some(reply) = reply.filter(|_| !self.members[member].reports_lost) {
             self.send(Event::ToKeeper(self.leader, reply));
@@ -480,15 +482,15 @@
                     clients.iter().filter_map(|c| Some((c.clone(), *desired.get(c)?))).collect::<Vec<_>>()
                 };
                 let message = match &order.act {
-                    Act::SendAgain { clients } => {
+                    Action::SendAgain { clients } => {
                         KeeperMessage::Apply(order.term, of(clients, &self.desired))
                     }
-                    Act::SendWhole { except } => {
+                    Action::SendWhole { except } => {
                         let all: Vec<String> =
                             self.desired.keys().filter(|c| !except.contains(c)).cloned().collect();
                         KeeperMessage::Apply(order.term, of(&all, &self.desired))
                     }
-                    Act::TakeBack { clients } => KeeperMessage::TakeBack(order.term, clients.clone()),
+                    Action::TakeBack { clients } => KeeperMessage::TakeBack(order.term, clients.clone()),
                     _ => return,
                 };
                 self.send(Event::ToMember(member, message));
@@ -521,7 +523,7 @@
     }
 
     pub fn verdict(&self, member: usize) -> Verdict {
-        self.leader_detector().verdict(self.now, &name(member)).unwrap_or(Verdict::NotHeardOf)
+        self.leader_detector().verdict(self.now, &name(member)).unwrap_or(Verdict::NotReporting)
     }
 
     /// Makes the other keeper the leader, with a snapshot of the former leader or without. The former one
--- a/crates/drift/tests/trees.rs
+++ b/crates/drift/tests/trees.rs
@@ -117,7 +117,7 @@
                     largest = largest.max(postcard::to_stdvec(&tell).unwrap().len());
                     detector.tell(0, &tell);
                 }
-                Output::Ack(ack) => assert!(reporter.acked(&ack)),
+                Output::Ack(ack) => assert!(reporter.handle_ack(&ack)),
                 _ => {}
             }
         }
@@ -176,7 +176,7 @@
         };
         let steps: Vec<u8> = (0..rng.random_range(0..3)).map(|_| rng.random_range(0..16)).collect();
         let path = Path::try_from(steps).unwrap();
-        detector.tell(0, &Tell { life: life.clone(), number, root: [9; 32], path, node });
+        detector.tell(0, &TreeReply { life: life.clone(), number, root: [9; 32], path, node });
     }
     assert_eq!(detector.dropped().invalid_answers, 398);
     assert_ne!(detector.verdict(0, &life.name), Some(Verdict::InLine));
@@ -198,7 +198,7 @@
     let said: BTreeSet<&String> = first.clients.iter().chain(&second.clients).map(|a| &a.client).collect();
     assert_eq!(said.len(), 100, "unreported clients come first");
     let echo = heronroute_drift::report::Echo { term: Term(1), at: 5 };
-    assert!(reporter.acked(&Ack { to: life.clone(), number: 2, echo }));
+    assert!(reporter.handle_ack(&Ack { to: life.clone(), number: 2, echo }));
     assert!(reporter.report(Health::default()).clients.is_empty());
     reporter.live("c001", 2, digest_of(1), None);
     reporter.live("c001", 2, digest_of(1), None);
@@ -206,6 +206,6 @@
     assert_eq!((fourth.clients.len(), fourth.echo), (1, Some(echo)));
     reporter.live("c001", 3, digest_of(1), None);
     // The acknowledgement of an older state does not cover a later change.
-    assert!(!reporter.acked(&Ack { to: life, number: 4, echo }));
+    assert!(!reporter.handle_ack(&Ack { to: life, number: 4, echo }));
     assert_eq!(reporter.report(Health::default()).clients[0].version, 3);
 }
--- a/crates/drift/tests/wake_times.rs
+++ b/crates/drift/tests/wake_times.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use heronroute_drift::detector::STEP;
+use heronroute_drift::detector::MIN_CHECK_INTERVAL;
 use heronroute_drift::{Config, Desired, Detector, Health, Micros, Output, Reporter, Verdict};
 use heronroute_fleet::{Life, Name, Standing, Start, Term};
 use rand::Rng;
@@ -39,7 +39,7 @@
 fn run_wakes(detector: &mut Detector, from: Micros, until: Micros) -> usize {
     let (mut now, mut count) = (from, 0);
     while let Some(next) = detector.next(now).filter(|next| *next <= until) {
-        assert!(next >= now + STEP || count == 0, "{next} after {now}");
+        assert!(next >= now + MIN_CHECK_INTERVAL || count == 0, "{next} after {now}");
         now = next;
         count += 1;
         detector.term(now, Term(2), true);
@@ -67,7 +67,7 @@
         detector.report(now, &report);
         while let Some(output) = detector.poll() {
             if let Output::Ack(ack) = output {
-                reporter.acked(&ack);
+                reporter.handle_ack(&ack);
             }
         }
     }
--- a/crates/installation/src/charge.rs
+++ b/crates/installation/src/charge.rs
@@ -9,7 +9,7 @@
 use crate::rollouts;
 use crate::waves::Waves;
 use crate::wire::Piece;
-use heronroute_drift::{Act, Config, Detector, Output, Report, content};
+use heronroute_drift::{Action, Config, Detector, Output, Report, content};
 use heronroute_fleet::keepers::Charge;
 use heronroute_fleet::{Life, Name, Start, Term};
 use heronroute_rules::digest::plan_digest;
@@ -81,12 +81,12 @@
         let Some(charge) = charge else {
             self.begun = None;
             // Also where no greater term is known: a lease that has run out is not one's own any more.
-            if self.detector.acting(now) {
-                self.detector.term(now, known.max(self.detector.current()), false);
+            if self.detector.is_leading(now) {
+                self.detector.term(now, known.max(self.detector.current_term()), false);
             }
             return false;
         };
-        if !self.detector.acting(now) {
+        if !self.detector.is_leading(now) {
             // What it wanted before may not have got into the log.
             self.fences.clear();
             self.detector.fences(now, fences.all());
@@ -96,7 +96,7 @@
         if begins {
             (self.begun, self.since) = (Some(charge.term), now);
         }
-        begins && self.detector.acting(now)
+        begins && self.detector.is_leading(now)
     }
 
     /// Whether a member is there, as a rollout sees it; none where that is not known yet, as its term has just begun and no
@@ -104,7 +104,7 @@
     pub fn there(&self, now: Micros, name: &Name, patience: Micros) -> Option<bool> {
         let heard = self.detector.heard(now, name);
         let young = now < self.since.saturating_add(patience);
-        (heard || !young || !self.detector.lives(name)).then_some(heard)
+        (heard || !young || !self.detector.is_alive(name)).then_some(heard)
     }
 
     /// A report of this life, sent at this time of its clock. Guards against one that comes late, through a third member: an
@@ -128,11 +128,11 @@
                     // Its queue is emptied with the detector's, before the next one acts.
                     let member = &order.to.name;
                     match &order.act {
-                        Act::Fence { client } => {
+                        Action::Fence { client } => {
                             self.fences.push_back(Body::fence(order.term, member, client, true));
                             continue;
                         }
-                        Act::Lift { client } => {
+                        Action::Lift { client } => {
                             self.fences.push_back(Body::fence(order.term, member, client, false));
                             continue;
                         }
@@ -170,12 +170,12 @@
     /// What it found, where that is to be left to the next one now.
     pub fn save(&mut self, now: Micros, every: Micros) -> Option<Body> {
         let due = self.saved_at.is_none_or(|at| now >= at.saturating_add(every));
-        if !self.news || !due || !self.detector.acting(now) {
+        if !self.news || !due || !self.detector.is_leading(now) {
             return None;
         }
         (self.news, self.saved_at) = (false, Some(now));
         let saved = self.detector.snapshot(MOST_FOUND);
-        (saved.len() <= MOST_FOUND).then(|| Body::Found { term: self.detector.current(), saved })
+        (saved.len() <= MOST_FOUND).then(|| Body::Found { term: self.detector.current_term(), saved })
     }
 
     /// The next fence to be set or lifted.
--- a/crates/installation/src/fences.rs
+++ b/crates/installation/src/fences.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Octets of a client's name at most.
-const MOST_CLIENT: usize = heronroute_drift::MOST_NAME;
+const MOST_CLIENT: usize = heronroute_drift::MAX_CLIENT_NAME_BYTES;
 
 /// Clients by member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/installation/src/page.rs
+++ b/crates/installation/src/page.rs
@@ -145,8 +145,7 @@
         head.insert("majority".into(), majority.into());
         let why = if majority { "not known: the member in charge does not answer" } else { "no majority" };
         head.insert("why".into(), why.into());
-        let line =
-            |name: &Name| json!({"name": name.as_str(), "verdict": Verdict::NotHeardOf.word(), "version": 0});
+        let line = |name: &Name| json!({"name": name.as_str(), "verdict": Verdict::NotReporting.word(), "version": 0});
         let lines = names.map(|name| (After::Member(name.clone()), "members", line(name)));
         self.cut(head, lines.filter(|(place, ..)| self.begins(place)))
     }
--- a/crates/installation/src/process/drift.rs
+++ b/crates/installation/src/process/drift.rs
@@ -6,7 +6,7 @@
 use crate::charge::Watch;
 use crate::seam::Output;
 use crate::wire::Piece;
-use heronroute_drift::{Act, Order, accepts};
+use heronroute_drift::{Action, Order, accepts};
 use heronroute_fleet::Life;
 use heronroute_journal::Storage;
 use heronroute_rules::seam::Live;
@@ -16,7 +16,7 @@
     pub(super) fn live(&mut self, now: Micros, live: Live) {
         let sent = self.applier.sent(&live.client);
         if let Some(answer) = self.reports.live(self.wall, live, sent) {
-            self.report_to_charge(now, Piece::Answer(answer));
+            self.report_to_charge(now, Piece::ChallengeAnswer(answer));
         }
         self.report_at = self.report_at.min(now);
     }
@@ -30,8 +30,8 @@
         };
         let fits = match &piece {
             Piece::Report { report, .. } => its(&report.life),
-            Piece::Tell(tell) => its(&tell.life),
-            Piece::Answer(answer) => its(&answer.life),
+            Piece::TreeReply(tell) => its(&tell.life),
+            Piece::ChallengeAnswer(answer) => its(&answer.life),
             Piece::Ack(ack) => ack.to == *own,
             Piece::Ask(ask) => ask.to == *own,
             Piece::Challenge(challenge) => challenge.to == *own,
@@ -50,15 +50,17 @@
             return;
         }
         match piece {
-            Piece::Report { .. } | Piece::Tell(_) | Piece::Answer(_) => self.watched(now, piece),
+            Piece::Report { .. } | Piece::TreeReply(_) | Piece::ChallengeAnswer(_) => {
+                self.watched(now, piece)
+            }
             Piece::Ack(ack) => {
-                if self.reports.reporter.acked(&ack) {
+                if self.reports.reporter.handle_ack(&ack) {
                     self.report_at = self.report_at.min(now);
                 }
             }
             Piece::Ask(ask) => {
                 if let Some(tell) = self.reports.reporter.tell(&ask) {
-                    self.say(sayer.peer, Piece::Tell(tell));
+                    self.say(sayer.peer, Piece::TreeReply(tell));
                 }
             }
             Piece::Challenge(challenge) => self.challenged(now, challenge),
@@ -72,8 +74,8 @@
         let Some(watch) = &mut self.watch else { return };
         match piece {
             Piece::Report { report, sent } => watch.report(now, &report, sent),
-            Piece::Tell(tell) => watch.detector_mut().tell(now, &tell),
-            Piece::Answer(answer) => {
+            Piece::TreeReply(tell) => watch.detector_mut().tell(now, &tell),
+            Piece::ChallengeAnswer(answer) => {
                 let client = watch.detector().challenged(&answer).map(str::to_owned);
                 let desired = client.and_then(|c| self.machine.registry().desired(&c));
                 if let Some(desired) = desired {
@@ -118,21 +120,21 @@
     }
 
     /// Nothing of what is applied comes from an order: it only has what the log says applied once more.
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: Action) {
         match act {
-            Act::SendAgain { clients } | Act::TakeBack { clients } => {
+            Action::SendAgain { clients } | Action::TakeBack { clients } => {
                 let known = |client: &&String| self.machine.registry().desired(client).is_some();
                 let clients: Vec<_> = clients.iter().filter(known).cloned().collect();
                 clients.iter().for_each(|client| self.applier.mend(client));
             }
-            Act::SendWhole { except } => {
+            Action::SendWhole { except } => {
                 let all = self.machine.registry().all().map(|d| d.client);
                 let all: Vec<String> = all.filter(|client| !except.contains(client)).collect();
                 all.iter().for_each(|client| self.applier.mend(client));
             }
             // Fences come by the log alone: one by an order would be known to nobody after a restart.
-            Act::Fence { .. } | Act::Lift { .. } => self.counts.orders_refused += 1,
-            Act::TellOperator { text } => tracing::warn!(text, "drift"),
+            Action::Fence { .. } | Action::Lift { .. } => self.counts.orders_refused += 1,
+            Action::TellOperator { text } => tracing::warn!(text, "drift"),
         }
     }
 
--- a/crates/installation/src/process/mod.rs
+++ b/crates/installation/src/process/mod.rs
@@ -200,7 +200,7 @@
         if let Some(watch) = &mut self.watch
             && watch.confirm(now, charge.as_ref(), self.keepers.term(), self.machine.fences())
         {
-            let term = watch.detector().current();
+            let term = watch.detector().current_term();
             self.errands.replace(vec![Body::Begin { term }]);
         }
         self.region_stand(now, charge.map(|charge| charge.term));
--- a/crates/installation/src/process/roll.rs
+++ b/crates/installation/src/process/roll.rs
@@ -4,8 +4,8 @@
 use crate::Micros;
 use crate::machine::Body;
 use crate::waves::{Halt, Pass, Spread, Wave};
-use heronroute_drift::rollout::Worse;
-use heronroute_drift::{Progress, Reach, RolloutPlan, content};
+use heronroute_drift::rollout::HealthThresholds;
+use heronroute_drift::{LoggedRollout, Progress, RolloutPlan, content};
 use heronroute_fleet::{Name, Term};
 use heronroute_journal::Storage;
 use heronroute_rules::registry::Desired;
@@ -18,49 +18,54 @@
     /// What is desired for a client changed, or how far it has gone.
     pub(super) fn now_desired(&mut self, now: Micros, desired: &Desired) {
         self.applier.changed(&desired.client);
-        let reach =
-            self.machine.waves().of(&desired.client).map(|spread| self.reach(&desired.client, spread));
+        let logged_rollout = self
+            .machine
+            .waves()
+            .of(&desired.client)
+            .map(|spread| self.logged_rollout(&desired.client, spread));
         let Some(watch) = &mut self.watch else { return };
         let detector = watch.detector_mut();
         // First what each is held at: else all would be held against the new version for a moment.
-        if let Some(reach) = &reach {
-            detector.reach(now, reach);
+        if let Some(logged_rollout) = &logged_rollout {
+            detector.logged_rollout(now, logged_rollout);
         }
         watch.desired(now, desired);
-        if reach.is_none() {
-            watch.detector_mut().reached_all(now, &desired.client);
+        if logged_rollout.is_none() {
+            watch.detector_mut().finish_rollout(now, &desired.client);
         }
     }
 
     /// How far a client's version has gone changed.
     pub(super) fn now_reached(&mut self, now: Micros, client: &str) {
         self.applier.changed(client);
-        let reach = self.machine.waves().of(client).map(|spread| self.reach(client, spread));
+        let logged_rollout =
+            self.machine.waves().of(client).map(|spread| self.logged_rollout(client, spread));
         let Some(watch) = &mut self.watch else { return };
-        match reach {
-            Some(reach) => watch.detector_mut().reach(now, &reach),
-            None => watch.detector_mut().reached_all(now, client),
+        match logged_rollout {
+            Some(logged_rollout) => watch.detector_mut().logged_rollout(now, &logged_rollout),
+            None => watch.detector_mut().finish_rollout(now, client),
         }
     }
 
     /// Members gave word of a client's version: that changes nothing of what anybody applies.
     pub(super) fn now_heard(&mut self, now: Micros, client: &str) {
-        let reach = self.machine.waves().of(client).map(|spread| self.reach(client, spread));
-        if let (Some(watch), Some(reach)) = (&mut self.watch, reach) {
-            watch.detector_mut().reach(now, &reach);
+        let logged_rollout =
+            self.machine.waves().of(client).map(|spread| self.logged_rollout(client, spread));
+        if let (Some(watch), Some(logged_rollout)) = (&mut self.watch, logged_rollout) {
+            watch.detector_mut().logged_rollout(now, &logged_rollout);
         }
     }
 
-    fn reach(&self, client: &str, spread: &Spread) -> Reach {
+    fn logged_rollout(&self, client: &str, spread: &Spread) -> LoggedRollout {
         let Spread { version, wave, without, halted, meant, trial, .. } = spread;
         let of = |name: &Name| spread.place(name, &self.zones).unwrap_or(meant.len() - 1);
-        Reach {
+        LoggedRollout {
             plan: RolloutPlan {
                 client: client.to_owned(),
                 version: *version,
                 wave_for: self.cfg.rollout.wave_for,
                 soak: self.cfg.rollout.soak,
-                worse: Worse::default(),
+                thresholds: HealthThresholds::default(),
             },
             members: self.zones.keys().map(|name| (name.clone(), of(name))).collect(),
             meant: meant.iter().map(|set| (set.version, content::digest(&set.rules))).collect(),
@@ -83,13 +88,13 @@
                 continue;
             }
             let version = spread.version;
-            let wish = watch.detector().wish(now, client);
+            let proposal = watch.detector().proposal(now, client);
             // First who gave word: what is wished then may come from another one in charge.
-            if let Some(members) = watch.detector().news(now, client) {
+            if let Some(members) = watch.detector().unlogged_responses(now, client) {
                 bodies.push(Body::Heard { term, client: client.clone(), version, members });
                 continue;
             }
-            let body = match (spread.wave, wish) {
+            let body = match (spread.wave, proposal) {
                 (None, _) => {
                     waiting.insert((client.clone(), version));
                     self.first_wave(now, term, client, spread)
--- a/crates/installation/src/process/time.rs
+++ b/crates/installation/src/process/time.rs
@@ -5,7 +5,7 @@
 use crate::machine::Body;
 use crate::seam::Output;
 use crate::wire::Piece;
-use heronroute_drift::detector::STEP;
+use heronroute_drift::detector::MIN_CHECK_INTERVAL;
 use heronroute_journal::Storage;
 use heronroute_rules::registry::Command;
 
@@ -82,7 +82,7 @@
         let applies = self.applier.waits() && self.allows().applies;
         // Until members were heard of there is no next wave, and no other word of it.
         let rolls = self.in_charge(now).is_some() && self.machine.waves().running();
-        let unsent = rolls.then(|| now.saturating_add(10 * STEP));
+        let unsent = rolls.then(|| now.saturating_add(10 * MIN_CHECK_INTERVAL));
         let rest = [
             watch,
             unsent,
--- a/crates/installation/src/report.rs
+++ b/crates/installation/src/report.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 use crate::apply::Sent;
 use crate::limits;
-use heronroute_drift::{Answer, Challenge, Digest, Partly, Reporter, content};
+use heronroute_drift::{Challenge, ChallengeAnswer, Digest, PartlyApplied, Reporter, content};
 use heronroute_fleet::Life;
 use heronroute_rules::seam::Live;
 use heronroute_rules::share::empty_share;
@@ -61,7 +61,7 @@
 
     /// A node says what it applies; `sent` is what it was told last. Gives back the answer to a challenge that this was the
     /// last word for.
-    pub fn live(&mut self, wall: Micros, live: Live, sent: Option<&Sent>) -> Option<Answer> {
+    pub fn live(&mut self, wall: Micros, live: Live, sent: Option<&Sent>) -> Option<ChallengeAnswer> {
         let at = self.senders.iter().position(|number| *number == live.sender);
         let known = self.said.contains_key(&live.client) || self.said.len() < limits::LIVE;
         let Some(at) = at.filter(|_| known) else {
@@ -95,7 +95,7 @@
         let partly = match sides.partly(sent) {
             Some((senders, of)) => {
                 let since = *self.differ.entry(client.to_owned()).or_insert(wall);
-                Some(Partly { senders, of, since })
+                Some(PartlyApplied { senders, of, since })
             }
             None => {
                 self.differ.remove(client);
@@ -118,7 +118,7 @@
         true
     }
 
-    fn answer(&self, challenge: &Challenge, sent: Option<&Sent>) -> Option<Answer> {
+    fn answer(&self, challenge: &Challenge, sent: Option<&Sent>) -> Option<ChallengeAnswer> {
         let said = self.said.get(&challenge.client)?;
         let sides = Sides::new(&challenge.client, &self.senders, said);
         // Nothing is proved by senders that differ, or that have said nothing.
@@ -252,7 +252,7 @@
         r.live(90, live(OTHER, set(1, 10)), Some(&two));
         assert_eq!(told(&r).map(|t| t.0), Some(1), "the lowest version counts");
         let said = r.reporter.report(Default::default()).clients[0].partly;
-        assert_eq!(said, Some(Partly { senders: 1, of: 2, since: 70 }), "from when on they differed");
+        assert_eq!(said, Some(PartlyApplied { senders: 1, of: 2, since: 70 }), "from when on they differed");
         r.live(70, live(OTHER, set(2, 10)), Some(&two));
         assert_eq!(told(&r), Some((2, whole)));
         assert_eq!(r.reporter.report(Default::default()).clients[0].partly, None);
--- a/crates/installation/src/waves/mod.rs
+++ b/crates/installation/src/waves/mod.rs
@@ -16,7 +16,7 @@
 pub use trial::{Trial, Trials};
 
 use crate::Micros;
-use heronroute_drift::detector::MOST_ROLLOUTS;
+use heronroute_drift::detector::MAX_ROLLOUTS;
 use heronroute_drift::rollout::Baseline;
 use heronroute_fleet::Name;
 use heronroute_rules::check::plan_violations;
@@ -29,7 +29,7 @@
 /// Waves of a rollout, some of which may have nobody.
 pub const WAVES: usize = 3;
 /// Rollouts at once at most; a version approved beyond that is for all at once.
-pub const MOST: usize = MOST_ROLLOUTS;
+pub const MOST: usize = MAX_ROLLOUTS;
 /// Rollouts that stopped and went back that are known at most; the first that did is let go.
 const STOPS: usize = 64;
 /// Members named as gone at most, as many as there can be.
--- a/crates/installation/src/waves/trial.rs
+++ b/crates/installation/src/waves/trial.rs
@@ -1,7 +1,7 @@
 //! What is known of a version's trial: whose silence says something of it, and what it is compared with.
 
 use super::{GONE, Pass, Spread, WAVES, Waves, place};
-use heronroute_drift::rollout::{Baseline, MOST_HEARD, MOST_PASSES};
+use heronroute_drift::rollout::{Baseline, MAX_LOGGED_RESPONSES, MAX_SKIPS_PER_WAVE};
 use heronroute_fleet::Name;
 use heronroute_rules::RuleSet;
 use serde::{Deserialize, Serialize};
@@ -33,8 +33,8 @@
 
     fn sound(&self) -> bool {
         let (all, wave) = self.passes;
-        let few = wave <= MOST_PASSES && all <= WAVES * MOST_PASSES;
-        few && self.also.len() <= GONE && self.heard.len() <= MOST_HEARD && self.baseline.sound()
+        let few = wave <= MAX_SKIPS_PER_WAVE && all <= WAVES * MAX_SKIPS_PER_WAVE;
+        few && self.also.len() <= GONE && self.heard.len() <= MAX_LOGGED_RESPONSES && self.baseline.sound()
     }
 }
 
@@ -59,7 +59,7 @@
         let heard = &mut spread.trial.heard;
         let void = spread.version != version || spread.wave.is_none() || spread.halted.is_some();
         let new: Vec<Name> = members.difference(heard).cloned().collect();
-        if void || new.is_empty() || heard.len() + new.len() > MOST_HEARD {
+        if void || new.is_empty() || heard.len() + new.len() > MAX_LOGGED_RESPONSES {
             return false;
         }
         heard.extend(new);
@@ -73,7 +73,7 @@
             || set.version != pass.version
             || spread.halted.is_some()
             || spread.wave != Some(pass.wave)
-            || spread.trial.passes.1 >= MOST_PASSES
+            || spread.trial.passes.1 >= MAX_SKIPS_PER_WAVE
             || spread.without.len() + pass.members.len() > WAVES * GONE
             || pass.members.is_subset(&spread.without)
             || !pass.members.is_disjoint(&spread.trial.heard);
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -1,7 +1,7 @@
 //! What members say to each other: postcard, bounded, one enum for all kinds.
 
 use crate::Micros;
-use heronroute_drift::{Ack, Answer, Ask, Challenge, Order, Report, Tell};
+use heronroute_drift::{Ack, Ask, Challenge, ChallengeAnswer, Order, Report, TreeReply};
 use heronroute_fleet::queue::MOST_MESSAGE;
 use heronroute_fleet::{Kind, Life, Name};
 use heronroute_region::rights;
@@ -97,9 +97,9 @@
         sent: Micros,
     },
     /// To the member in charge.
-    Tell(Tell),
+    TreeReply(TreeReply),
     /// To the member in charge.
-    Answer(Answer),
+    ChallengeAnswer(ChallengeAnswer),
     /// From the member in charge.
     Ack(Ack),
     /// From the member in charge.
@@ -171,7 +171,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use heronroute_drift::{Act, Order};
+    use heronroute_drift::{Action, Order};
     use heronroute_fleet::{Start, Term};
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
@@ -181,8 +181,11 @@
         let mut reporter = heronroute_drift::Reporter::new(life.clone());
         reporter.live("oduya", 3, [7; 32], Some("no room"));
         let report = reporter.report(Default::default());
-        let order =
-            Order { term: Term(4), to: life.clone(), act: Act::SendAgain { clients: vec!["oduya".into()] } };
+        let order = Order {
+            term: Term(4),
+            to: life.clone(),
+            act: Action::SendAgain { clients: vec!["oduya".into()] },
+        };
         vec![
             Wire::Gossip(&[1, 2, 3]),
             Wire::Agreement(&[]),
--- a/crates/installation/tests/detour.rs
+++ b/crates/installation/tests/detour.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use heronroute_drift::{Act, Order, Verdict};
+use heronroute_drift::{Action, Order, Verdict};
 use heronroute_fleet::{Life, Start, Term};
 use heronroute_installation::Counts;
 use heronroute_installation::limits;
@@ -237,7 +237,7 @@
     let clock = w.nodes[far].clock(w.now);
     let term = w.nodes[far].member.as_ref().unwrap().keepers().term();
     let order = |term: Term, answers: i64| {
-        let order = Order { term, to: own.clone(), act: Act::SendAgain { clients: vec!["oduya".into()] } };
+        let order = Order { term, to: own.clone(), act: Action::SendAgain { clients: vec!["oduya".into()] } };
         Wire::Drift(vec![Piece::Order { order, answers }])
     };
     let earlier = |life: &Life| Life { start: Start(life.start.0 - 1), ..life.clone() };
--- a/crates/installation/tests/hard_cases.rs
+++ b/crates/installation/tests/hard_cases.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use heronroute_drift::{Act, Order, Verdict};
+use heronroute_drift::{Action, Order, Verdict};
 use heronroute_fleet::{Start, Term};
 use heronroute_installation::seam::Input;
 use heronroute_installation::wire::{Piece, Wire};
@@ -257,9 +257,9 @@
 fn a_member_that_reports_and_applies_nothing() {
     for (mode, verdict) in [
         (Mode::Deaf, Verdict::Lagging),
-        (Mode::Half, Verdict::Partly),
+        (Mode::Half, Verdict::PartlyApplied),
         (Mode::Unable, Verdict::CantApply),
-        (Mode::Hung, Verdict::NotHeardOf),
+        (Mode::Hung, Verdict::NotReporting),
     ] {
         let mut world = World::with(13, 3, 3, 2);
         world.nodes.iter_mut().for_each(|node| node.hasty = true);
@@ -316,7 +316,7 @@
     let (to, clock) = (node.life.clone(), node.clock(world.now));
     let term = node.member.as_ref().unwrap().keepers().term();
     let order = |term: u64, answers: i64| {
-        let act = Act::SendAgain { clients: vec!["oduya".into()] };
+        let act = Action::SendAgain { clients: vec!["oduya".into()] };
         let order = Order { term: Term(term), to: to.clone(), act };
         Wire::Drift(vec![Piece::Order { order, answers }]).pack().unwrap()
     };
@@ -332,7 +332,7 @@
     assert_eq!(give(&mut world, leader, order(term.0, clock + S)), (3, 2), "it answers what was not said");
     assert_eq!(give(&mut world, leader, order(term.0, clock)), (3, 2), "one that counts");
     let clock = world.nodes[at].clock(world.now);
-    let order = Order { term, to: to.clone(), act: Act::Fence { client: "oduya".into() } };
+    let order = Order { term, to: to.clone(), act: Action::Fence { client: "oduya".into() } };
     let fence = Wire::Drift(vec![Piece::Order { order, answers: clock }]).pack().unwrap();
     assert_eq!(give(&mut world, leader, fence), (4, 2), "a fence comes by the log, or a restart forgets it");
 }
--- a/crates/installation/tests/pages.rs
+++ b/crates/installation/tests/pages.rs
@@ -2,8 +2,8 @@
 
 mod rig;
 
-use heronroute_drift::view::{Line, View};
-use heronroute_drift::{History, Partly, Record, Verdict};
+use heronroute_drift::view::{MemberLine, View};
+use heronroute_drift::{History, PartlyApplied, Record, Verdict};
 use heronroute_fleet::{Name, Start, Term};
 use heronroute_installation::page::{MOST, Page};
 use rig::{S, World};
@@ -20,16 +20,16 @@
 }
 
 fn view(members: usize) -> View {
-    let line = |at| Line {
+    let line = |at| MemberLine {
         name: name(at),
-        verdict: Verdict::Partly,
+        verdict: Verdict::PartlyApplied,
         version: u64::MAX,
         client: Some(nasty(64, at)),
         since: i64::MIN,
         seen_by: name(0),
         term: Term(u64::MAX),
         reason: Some(nasty(200, at)),
-        partly: Some(Partly { senders: u32::MAX, of: u32::MAX, since: i64::MIN }),
+        partly: Some(PartlyApplied { senders: u32::MAX, of: u32::MAX, since: i64::MIN }),
     };
     View {
         term: Term(u64::MAX),
--- a/crates/installation/tests/rig/node.rs
+++ b/crates/installation/tests/rig/node.rs
@@ -170,7 +170,7 @@
         nonce[..8].copy_from_slice(&seed.to_le_bytes());
         let mut detector = heronroute_drift::Config::new(self.life.name.clone(), nonce);
         if self.hasty {
-            (detector.rollout_for, detector.stands_for) = (3_000_000, 1_000_000);
+            (detector.rollout_for, detector.confirm_for) = (3_000_000, 1_000_000);
         }
         let mut keepers = keepers::Tuning::default();
         if self.short {
--- a/crates/installation/tests/table.rs
+++ b/crates/installation/tests/table.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use heronroute_drift::{Act, Order};
+use heronroute_drift::{Action, Order};
 use heronroute_fleet::Start;
 use heronroute_installation::Condition;
 use heronroute_installation::condition::Facts;
@@ -96,7 +96,7 @@
         assert_eq!(told.contains(r#""certain":false"#), !allows.certain, "{say}: {told}");
         // An order of the one in charge.
         let clock = world.nodes[at].clock(world.now);
-        let order = Order { term, to: life, act: Act::SendAgain { clients: vec!["oduya".into()] } };
+        let order = Order { term, to: life, act: Action::SendAgain { clients: vec!["oduya".into()] } };
         let wire = Wire::Drift(vec![Piece::Order { order, answers: clock }]);
         let leader =
             world.nodes[at].member.as_ref().unwrap().keepers().leader().map(|(_, life)| life.name.clone());
