--- a/crates/drift/src/reporter.rs
+++ b/crates/drift/src/reporter.rs
@@ -1,38 +1,42 @@
-//! The member's side: what its live tables hold, as a tree, and the reports on it.
+//! The member's side: a tree of what its live tables hold, and the reports on it.
 //!
-//! The caller reads the live tables and says what it read ([`Reporter::live`]); it never says what it was sent.
+//! The caller reads the live tables and passes the result to [`Reporter::live`]. Reports describe what is
+//! applied, never what the member was sent.
 
 use crate::report::{
-    Ack, Answer, Applied, Ask, Challenge, Echo, Health, MOST_CLIENTS, Partly, Report, Tell, Told,
+    Ack, AppliedRules, Ask, Challenge, ChallengeAnswer, Echo, Health, MAX_CLIENTS_PER_REPORT, PartlyApplied,
+    Report, TreeNode, TreeReply,
 };
 use crate::tree::Tree;
-use crate::{Digest, content, cut};
+use crate::{Digest, content, truncate_reason};
 use heronroute_fleet::{Life, Term};
 use heronroute_rules::RuleSet;
 use std::collections::BTreeMap;
 
-/// Clients kept as changed at most. One beyond is left out: the root differs, and the detector asks its way down.
-pub const MOST_CHANGED: usize = 1024;
+/// The maximum number of clients tracked as changed. Others are left out of the reports; the root still
+/// differs, and the detector finds them by querying the tree.
+pub const MAX_CHANGED: usize = 1024;
 
-/// Troubles kept at most. One beyond is left out: the member is then called lagging instead of unable.
-pub const MOST_TROUBLES: usize = 64;
+/// The maximum number of tracked problems (clients whose rules cannot be applied), and of clients whose
+/// senders differ. A member with more is judged as lagging instead of unable to apply for the others.
+pub const MAX_PROBLEMS: usize = 64;
 
-/// Writes reports.
+/// Writes the reports of one member.
 #[derive(Debug)]
 pub struct Reporter {
     life: Life,
     number: u64,
     term: Term,
     tree: Tree,
-    /// Changed, and the number of the report that said so; 0: none yet.
+    /// The changed clients, each with the number of the last report that listed it; 0 if none did.
     changed: BTreeMap<String, u64>,
-    troubles: BTreeMap<String, String>,
-    partly: BTreeMap<String, Partly>,
+    problems: BTreeMap<String, String>,
+    partly: BTreeMap<String, PartlyApplied>,
     echo: Option<Echo>,
 }
 
 impl Reporter {
-    /// Of one life, with nothing applied.
+    /// Creates a reporter for one start of a member, with nothing applied.
     pub fn new(life: Life) -> Self {
         Reporter {
             life,
@@ -40,76 +44,83 @@
             term: Term::default(),
             tree: Tree::default(),
             changed: BTreeMap::new(),
-            troubles: BTreeMap::new(),
+            problems: BTreeMap::new(),
             partly: BTreeMap::new(),
             echo: None,
         }
     }
 
-    /// What was read from the live tables for a client, as a digest of its content, and why the last order for it could
-    /// not be applied. Costs the depth of the tree; nothing where it is as before.
-    pub fn live(&mut self, client: &str, version: u64, digest: Digest, trouble: Option<&str>) {
-        let held = held(version, digest);
+    /// Records the version and content digest that the live tables hold for a client, and why the last order
+    /// for it could not be applied. The cost is proportional to the depth of the tree, and constant if
+    /// nothing changed.
+    pub fn live(&mut self, client: &str, version: u64, digest: Digest, problem: Option<&str>) {
+        let tree_entry = tree_entry(version, digest);
         let before = self.tree.get(client).map(|leaf| (leaf.version, leaf.digest));
-        let trouble = trouble.map(cut);
-        if before == held && self.troubles.get(client) == trouble.as_ref() {
+        let problem = problem.map(truncate_reason);
+        if before == tree_entry && self.problems.get(client) == problem.as_ref() {
             return;
         }
-        if before != held {
-            self.tree.set(client, held);
+        if before != tree_entry {
+            self.tree.set(client, tree_entry);
         }
-        match trouble {
-            Some(why) if self.troubles.len() < MOST_TROUBLES || self.troubles.contains_key(client) => {
-                self.troubles.insert(client.to_owned(), why);
+        match problem {
+            Some(why) if self.problems.len() < MAX_PROBLEMS || self.problems.contains_key(client) => {
+                self.problems.insert(client.to_owned(), why);
             }
             _ => {
-                self.troubles.remove(client);
+                self.problems.remove(client);
             }
         }
-        if self.changed.len() < MOST_CHANGED || self.changed.contains_key(client) {
+        if self.changed.len() < MAX_CHANGED || self.changed.contains_key(client) {
             self.changed.insert(client.to_owned(), 0);
         }
     }
 
-    /// How many of its senders apply what they were told for a client; none: all alike. To be said before [`Reporter::live`]:
-    /// what they apply then differs as well. One beyond [`MOST_TROUBLES`] is left out, and shows by its version alone.
-    pub fn partly(&mut self, client: &str, partly: Option<Partly>) {
+    /// Records how many senders apply the version of a client; `None` if all do. Must be called before
+    /// [`Reporter::live`], since the applied rules then differ as well. Clients beyond [`MAX_PROBLEMS`] are
+    /// left out and show by their version only.
+    pub fn partly(&mut self, client: &str, partly: Option<PartlyApplied>) {
         let before = self.partly.get(client).copied();
         match partly {
-            Some(partly) if self.partly.len() < MOST_TROUBLES || before.is_some() => {
+            Some(partly) if self.partly.len() < MAX_PROBLEMS || before.is_some() => {
                 self.partly.insert(client.to_owned(), partly);
             }
             _ => _ = self.partly.remove(client),
         }
-        let told = |p: Option<Partly>| p.map(|p| (p.senders, p.of));
-        let room = self.changed.len() < MOST_CHANGED || self.changed.contains_key(client);
-        if told(before) != told(self.partly.get(client).copied()) && room {
+        let counts = |p: Option<PartlyApplied>| p.map(|p| (p.senders, p.of));
+        let room = self.changed.len() < MAX_CHANGED || self.changed.contains_key(client);
+        if counts(before) != counts(self.partly.get(client).copied()) && room {
             self.changed.insert(client.to_owned(), 0);
         }
     }
 
-    /// An order of this term was taken.
+    /// Records the term of an accepted order.
     pub fn term(&mut self, term: Term) {
         self.term = self.term.max(term);
     }
 
-    /// What it holds.
+    /// Returns the tree of the applied rules.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// The next report: the root and what changed since the last one that was acknowledged, [`MOST_CLIENTS`] of it.
+    /// Returns the next report: the root and up to [`MAX_CLIENTS_PER_REPORT`] clients that changed since the
+    /// last acknowledged report.
     pub fn report(&mut self, health: Health) -> Report {
         self.number += 1;
         let mut clients = Vec::new();
-        // Those never said come first, so that a long list gets through even where acknowledgements are slow.
-        for fresh in [true, false] {
-            for (client, said) in &mut self.changed {
-                if clients.len() < MOST_CLIENTS && (*said == 0) == fresh && *said != self.number {
-                    *said = self.number;
-                    let mut one = applied(&self.tree, &self.troubles, client);
-                    one.partly = self.partly.get(client).copied();
-                    clients.push(one);
+        // Unreported clients come first, so that a long list makes progress even if acknowledgements are
+        // slow.
+        for unreported in [true, false] {
+            for (client, reported_in) in &mut self.changed {
+                if clients.len() < MAX_CLIENTS_PER_REPORT
+                    && (*reported_in == 0) == unreported
+                    && *reported_in != self.number
+                {
+                    *reported_in = self.number;
+                    let mut entry = applied(&self.tree, &self.problems, client);
+                    entry.partly = self.partly.get(client).copied();
+                    clients.push(entry);
                 }
             }
         }
@@ -124,9 +135,9 @@
         }
     }
 
-    /// A report was taken in. True where it is the first one of a term: the next report should go out at once, as only a
-    /// report that bears this term's echo counts as fresh.
-    pub fn acked(&mut self, ack: &Ack) -> bool {
+    /// Handles an acknowledgement. Returns true if it is the first one of a term: the next report should then
+    /// be sent at once, since only a report with this term's echo counts as fresh.
+    pub fn handle_ack(&mut self, ack: &Ack) -> bool {
         if ack.to != self.life
             || self.echo.is_some_and(|echo| (echo.term, echo.at) > (ack.echo.term, ack.echo.at))
         {
@@ -134,35 +145,35 @@
         }
         let first = self.echo.is_none_or(|echo| echo.term < ack.echo.term);
         self.echo = Some(ack.echo);
-        self.changed.retain(|_, said| *said == 0 || *said > ack.number);
+        self.changed.retain(|_, reported_in| *reported_in == 0 || *reported_in > ack.number);
         first
     }
 
-    /// Answers what stands below a place; one node, bounded by its kind.
-    pub fn tell(&mut self, ask: &Ask) -> Option<Tell> {
-        if ask.to != self.life {
+    /// Answers a query for one node of the tree; the size of the reply is bounded by the kind of node.
+    pub fn tell(&mut self, query: &Ask) -> Option<TreeReply> {
+        if query.to != self.life {
             return None;
         }
         self.number += 1;
-        let mut node = self.tree.told(&ask.path);
-        if let Told::Bucket(clients) = &mut node {
+        let mut node = self.tree.node_at(&query.path);
+        if let TreeNode::Bucket(clients) = &mut node {
             for client in clients {
-                client.trouble = self.troubles.get(&client.client).cloned();
+                client.problem = self.problems.get(&client.client).cloned();
                 client.partly = self.partly.get(&client.client).copied();
             }
         }
-        Some(Tell {
+        Some(TreeReply {
             life: self.life.clone(),
             number: self.number,
             root: self.tree.root(),
-            path: ask.path.clone(),
+            path: query.path.clone(),
             node,
         })
     }
 
-    /// Answers a challenge from what the live tables hold for its client at this moment.
-    pub fn answer(&self, challenge: &Challenge, live: &RuleSet) -> Option<Answer> {
-        (challenge.to == self.life).then(|| Answer {
+    /// Answers a challenge with the rules that the live tables hold for its client now.
+    pub fn answer(&self, challenge: &Challenge, live: &RuleSet) -> Option<ChallengeAnswer> {
+        (challenge.to == self.life).then(|| ChallengeAnswer {
             life: self.life.clone(),
             nonce: challenge.nonce,
             proof: content::proof(&challenge.nonce, live.version, &live.rules),
@@ -170,19 +181,19 @@
     }
 }
 
-/// What a tree holds for a client: nothing where there is no version and no rule.
-pub(crate) fn held(version: u64, digest: Digest) -> Option<(u64, Digest)> {
+/// Returns the tree entry for a client: none if there is neither a version nor a rule.
+pub(crate) fn tree_entry(version: u64, digest: Digest) -> Option<(u64, Digest)> {
     (version != 0 || digest != content::digest(&[])).then_some((version, digest))
 }
 
-fn applied(tree: &Tree, troubles: &BTreeMap<String, String>, client: &str) -> Applied {
+fn applied(tree: &Tree, problems: &BTreeMap<String, String>, client: &str) -> AppliedRules {
     let (version, digest) =
         tree.get(client).map_or_else(|| (0, content::digest(&[])), |leaf| (leaf.version, leaf.digest));
-    Applied {
+    AppliedRules {
         client: client.to_owned(),
         version,
         digest,
-        trouble: troubles.get(client).cloned(),
+        problem: problems.get(client).cloned(),
         partly: None,
     }
 }
--- a/crates/drift/src/rollout/state/mod.rs
+++ b/crates/drift/src/rollout/state/mod.rs
@@ -1,277 +1,286 @@
-//! The state machine of a rollout, at the one in charge.
+//! The state machine of a rollout at the leader.
 
 mod decide;
 
-use super::fare::{Since, Sum};
-use super::passing::{Passing, WORD};
-use super::{Baseline, MOST_MEMBERS, Phase, Plan, Progress, Reach, Why};
+use super::health::{HealthTotals, HealthTracker};
+use super::skipping::{DELIVERY_ASSUMED_AFTER, SkipTracker};
+use super::{Baseline, LoggedRollout, MAX_MEMBERS, Phase, Plan, Progress, StopReason};
 use crate::Micros;
 use crate::report::Health;
 use heronroute_fleet::{Name, Start};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
-struct One {
-    /// By which wave.
+struct MemberState {
+    /// The wave that reaches the member.
     wave: usize,
-    /// It was there when its wave left.
-    waited: bool,
-    /// It applies the version, by its last report.
+    /// Whether the member was present when its wave started, and is waited for.
+    expected: bool,
+    /// Whether it applies the version, by its last report.
     applied: bool,
-    /// It said so again after the soak.
-    soaked: bool,
-    /// Its health since the last wave left.
-    since: Option<Since>,
+    /// Whether it reported so again after the soak time.
+    confirmed: bool,
+    /// Its health since the current wave started.
+    health: Option<HealthTracker>,
 }
 
-/// A rollout.
+/// A rollout as the leader observes it.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     plan: Plan,
     phase: Phase,
-    /// The wave that left last.
+    /// The index of the wave that started last.
     wave: usize,
-    members: BTreeMap<Name, One>,
-    /// When the last wave left.
-    left: Micros,
-    /// Since when all reached ones that are waited for apply it.
-    all: Option<Micros>,
-    /// How many those are.
+    members: BTreeMap<Name, MemberState>,
+    /// The time at which that wave started.
+    wave_started: Micros,
+    /// The time from which all reached members that are waited for apply the version.
+    all_applied_since: Option<Micros>,
+    /// The number of reached members that are waited for.
     awaited: usize,
-    /// Those that do not.
+    /// The number of those that do not apply the version.
     missing: usize,
-    /// Those that have not said so again after the soak.
-    unsoaked: usize,
-    /// Those not reached, when there were some last: the last wave leaves nobody to compare with.
-    control: Sum,
-    /// As the log has it of the wave that left last.
+    /// The number of those that have not confirmed the version after the soak time.
+    unconfirmed: usize,
+    /// The latest health of the members not yet reached, since the last wave leaves no member to compare
+    /// with.
+    control: HealthTotals,
+    /// The logged baseline of the current wave.
     baseline: Baseline,
-    /// Who gave word since its wave left, and who is to be passed over.
-    passing: Passing,
-    /// What the log should say next. It stays until the log says something.
-    wish: Option<Progress>,
+    /// The responses, and the members to be skipped.
+    skips: SkipTracker,
+    /// The proposed log entry. It stays until the log changes.
+    proposal: Option<Progress>,
 }
 
 impl Rollout {
-    /// As the log has it. None where no wave has left yet, or there is nobody or are more than [`MOST_MEMBERS`].
-    pub fn begin(now: Micros, reach: &Reach) -> Option<Self> {
-        let wave = reach.wave?;
-        let one = |wave| One { wave, waited: true, applied: false, soaked: false, since: None };
+    /// Creates a rollout from its log state. Returns none if no wave has started, or if there are no members
+    /// or more than [`MAX_MEMBERS`].
+    pub fn from_log(now: Micros, logged_rollout: &LoggedRollout) -> Option<Self> {
+        let wave = logged_rollout.wave?;
+        let member =
+            |wave| MemberState { wave, expected: true, applied: false, confirmed: false, health: None };
         let members: BTreeMap<_, _> =
-            reach.members.iter().map(|(name, wave)| (name.clone(), one(*wave))).collect();
-        if members.is_empty() || members.len() > MOST_MEMBERS {
+            logged_rollout.members.iter().map(|(name, wave)| (name.clone(), member(*wave))).collect();
+        if members.is_empty() || members.len() > MAX_MEMBERS {
             return None;
         }
         let mut rollout = Rollout {
-            plan: reach.plan.clone(),
+            plan: logged_rollout.plan.clone(),
             phase: Phase::Running,
             wave,
             members,
-            left: now,
-            all: None,
+            wave_started: now,
+            all_applied_since: None,
             awaited: 0,
             missing: 0,
-            unsoaked: 0,
-            control: reach.baseline.control,
-            baseline: reach.baseline.clone(),
-            passing: Passing::new(reach),
-            wish: None,
+            unconfirmed: 0,
+            control: logged_rollout.baseline.control,
+            baseline: logged_rollout.baseline.clone(),
+            skips: SkipTracker::new(logged_rollout),
+            proposal: None,
         };
-        rollout.leave(now, wave, &reach.without);
-        rollout.halt(reach);
+        rollout.start_wave(now, wave, &logged_rollout.without);
+        rollout.apply_logged_stop(logged_rollout);
         Some(rollout)
     }
 
-    /// The log says more of it.
-    pub fn reach(&mut self, now: Micros, reach: &Reach) {
-        if let Some(wave) =
-            reach.wave.filter(|wave| (*wave, reach.passes.0) > (self.wave, self.passing.total()))
+    /// Applies a new log state.
+    pub fn update(&mut self, now: Micros, logged_rollout: &LoggedRollout) {
+        if let Some(wave) = logged_rollout
+            .wave
+            .filter(|wave| (*wave, logged_rollout.passes.0) > (self.wave, self.skips.total()))
         {
-            // Whoever stands in for a first member that was passed over was in a later wave until now.
-            for (name, wave) in &reach.members {
-                self.members.entry(name.clone()).and_modify(|one| one.wave = *wave);
+            // The replacement of a skipped first member was in a later wave until now.
+            for (name, wave) in &logged_rollout.members {
+                self.members.entry(name.clone()).and_modify(|state| state.wave = *wave);
             }
-            self.baseline.clone_from(&reach.baseline);
-            self.passing.left(now, reach);
-            self.leave(now, wave, &reach.without);
+            self.baseline.clone_from(&logged_rollout.baseline);
+            self.skips.wave_started(now, logged_rollout);
+            self.start_wave(now, wave, &logged_rollout.without);
         }
-        self.passing.logged(now, &reach.heard);
-        // One of them gave word to another one in charge meanwhile: what the log would not take is not asked for on and on.
-        if matches!(&self.wish, Some(Progress::Pass { members }) if !members.is_disjoint(&reach.heard)) {
-            self.wish = None;
+        self.skips.record_logged(now, &logged_rollout.heard);
+        // One of the members has responded to another leader in the meantime, so the log would reject this
+        // proposal for ever.
+        if matches!(&self.proposal, Some(Progress::Pass { members }) if !members.is_disjoint(&logged_rollout.heard))
+        {
+            self.proposal = None;
         }
-        self.halt(reach);
+        self.apply_logged_stop(logged_rollout);
     }
 
-    fn halt(&mut self, reach: &Reach) {
-        if let Some(why) = &reach.halted {
-            self.phase = Phase::Stopped(Why::Told(why.clone()));
-            self.wish = None;
+    fn apply_logged_stop(&mut self, logged_rollout: &LoggedRollout) {
+        if let Some(why) = &logged_rollout.halted {
+            self.phase = Phase::Stopped(StopReason::Told(why.clone()));
+            self.proposal = None;
         }
     }
 
-    /// As it was planned.
+    /// Returns the plan.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// How far it is.
+    /// Returns the phase.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// What the log should say next.
-    pub fn wish(&self) -> Option<&Progress> {
-        self.wish.as_ref()
+    /// Returns the proposed log entry.
+    pub fn proposal(&self) -> Option<&Progress> {
+        self.proposal.as_ref()
     }
 
-    /// The wave that left last.
+    /// Returns the index of the wave that started last.
     pub fn wave(&self) -> usize {
         self.wave
     }
 
-    /// How often members were passed over, of all waves.
-    pub fn passes(&self) -> usize {
-        self.passing.total()
+    /// Returns the number of skips in all waves.
+    pub fn total_skips(&self) -> usize {
+        self.skips.total()
     }
 
-    /// Who gave word since its wave left and stands not in the log yet, where that is to be said now. A next one in charge
-    /// could not tell a member that died of the version from one that was gone before.
-    pub fn news(&self, now: Micros) -> Option<BTreeSet<Name>> {
+    /// Returns the members whose response should be logged now. Without this entry, the next leader could not
+    /// tell a member that the version killed from one that was already gone.
+    pub fn unlogged_responses(&self, now: Micros) -> Option<BTreeSet<Name>> {
         let soon = self.wave == 0 || self.missing == 0;
-        (self.phase == Phase::Running).then(|| self.passing.news(now, soon)).flatten()
+        (self.phase == Phase::Running).then(|| self.skips.due_for_log(now, soon)).flatten()
     }
 
-    /// How those not yet reached fare, or fared last, and what memory members use: for the log, with the next wave.
-    pub(crate) fn control(&self) -> Sum {
+    /// Returns the latest health of the members not yet reached, to be logged with the next wave.
+    pub(crate) fn control(&self) -> HealthTotals {
         self.control
     }
 
-    /// Was the member reached?
-    pub fn reached(&self, member: &Name) -> bool {
-        self.members.get(member).is_some_and(|one| one.wave <= self.wave)
+    /// Returns whether the version was sent to the member.
+    pub fn is_reached(&self, member: &Name) -> bool {
+        self.members.get(member).is_some_and(|state| state.wave <= self.wave)
     }
 
-    /// A member's report: does it apply the version, and how does it fare? Costs the same however many there are.
+    /// Handles a member's report: whether it applies the version, and its health. The cost does not depend on
+    /// the number of members.
     pub fn report(&mut self, now: Micros, member: &Name, start: Start, applied: bool, health: Health) {
         if self.phase != Phase::Running {
             return;
         }
-        let Some(one) = self.members.get_mut(member) else { return };
-        match &mut one.since {
-            Some(since) => since.report(now, start, health),
+        let Some(state) = self.members.get_mut(member) else { return };
+        match &mut state.health {
+            Some(tracker) => tracker.report(now, start, health),
             None => {
-                let since = Since::new(now, start, health).grown_from(self.baseline.memory(member));
-                one.since = Some(since);
+                let tracker =
+                    HealthTracker::new(now, start, health).with_base_memory(self.baseline.memory(member));
+                state.health = Some(tracker);
             }
         }
         if applied {
-            self.word(member);
+            self.record_response(member);
         }
-        self.passing.back(member);
-        self.mark(now, member, applied);
-        let soaked = self.all.is_some_and(|all| now >= all.saturating_add(self.plan.soak));
-        if let Some(one) = self.members.get_mut(member)
+        self.skips.member_returned(member);
+        self.set_applied(now, member, applied);
+        let soaked = self.all_applied_since.is_some_and(|since| now >= since.saturating_add(self.plan.soak));
+        if let Some(state) = self.members.get_mut(member)
             && soaked
-            && one.waited
-            && one.wave <= self.wave
-            && !std::mem::replace(&mut one.soaked, true)
+            && state.expected
+            && state.wave <= self.wave
+            && !std::mem::replace(&mut state.confirmed, true)
         {
-            self.unsoaked = self.unsoaked.saturating_sub(1);
+            self.unconfirmed = self.unconfirmed.saturating_sub(1);
         }
     }
 
-    /// A member is gone, or silent: what it applies is not known.
-    pub fn lost(&mut self, now: Micros, member: &Name) {
+    /// Handles the loss or silence of a member; it is then unknown what the member applies.
+    pub fn member_lost(&mut self, now: Micros, member: &Name) {
         if self.phase == Phase::Running {
-            self.mark(now, member, false);
-            if self.awaits(member) {
-                self.passing.gone(member);
+            self.set_applied(now, member, false);
+            if self.is_awaited(member) {
+                self.skips.member_gone(member);
             }
         }
     }
 
-    /// A member gave word since its wave left: that it applies the version, why it can't, or any other so late that it must
-    /// have got it. From here on its silence is evidence.
-    pub fn word(&mut self, member: &Name) {
-        if self.phase != Phase::Running || !self.awaits(member) {
+    /// Handles a response of a member since its wave started: it applies the version, cannot apply it, or
+    /// sent any report so late that the version must have been delivered. From then on its silence is
+    /// evidence against the version.
+    pub fn record_response(&mut self, member: &Name) {
+        if self.phase != Phase::Running || !self.is_awaited(member) {
             return;
         }
-        if self.passing.word(member)
-            && matches!(&self.wish, Some(Progress::Pass { members }) if members.contains(member))
+        if self.skips.record_response(member)
+            && matches!(&self.proposal, Some(Progress::Pass { members }) if members.contains(member))
         {
-            self.wish = None;
+            self.proposal = None;
         }
     }
 
-    /// Whether a report that was written after this says that the member has got the version, whatever else is in it.
-    pub fn late_word(&self, written: Micros) -> bool {
-        written >= self.left.saturating_add(WORD)
+    /// Returns whether a report that was written after this time proves that the version was delivered.
+    pub fn proves_delivery(&self, written: Micros) -> bool {
+        written >= self.wave_started.saturating_add(DELIVERY_ASSUMED_AFTER)
     }
 
-    fn awaits(&self, member: &Name) -> bool {
-        self.members.get(member).is_some_and(|one| one.waited && one.wave <= self.wave)
+    fn is_awaited(&self, member: &Name) -> bool {
+        self.members.get(member).is_some_and(|state| state.expected && state.wave <= self.wave)
     }
 
-    /// This one came into charge: what it heard of the members before may have changed since, and it hears for itself. What
-    /// its forerunner found and the log does not say counts for nothing.
+    /// Handles the start of this member's leadership. What it knew about the members may be out of date, so
+    /// it waits for new reports. Findings of the previous leader that are not in the log do not count.
     pub fn resume(&mut self, now: Micros) {
-        if matches!(self.phase, Phase::Stopped(Why::Told(_))) {
+        if matches!(self.phase, Phase::Stopped(StopReason::Told(_))) {
             return;
         }
         self.phase = Phase::Running;
-        for one in self.members.values_mut() {
-            (one.applied, one.since) = (false, None);
+        for state in self.members.values_mut() {
+            (state.applied, state.health) = (false, None);
         }
         self.control = self.baseline.control;
-        self.passing.resume();
-        self.begin_wave(now);
+        self.skips.resume();
+        self.reset_wave(now);
     }
 
-    fn leave(&mut self, now: Micros, wave: usize, without: &BTreeSet<Name>) {
+    fn start_wave(&mut self, now: Micros, wave: usize, without: &BTreeSet<Name>) {
         self.wave = wave;
-        for (name, one) in &mut self.members {
-            one.waited = !without.contains(name);
+        for (name, state) in &mut self.members {
+            state.expected = !without.contains(name);
         }
-        self.begin_wave(now);
+        self.reset_wave(now);
     }
 
-    fn begin_wave(&mut self, now: Micros) {
-        (self.left, self.wish) = (now, None);
-        let (mut awaited, mut unsoaked, mut missing) = (0, 0, 0);
-        for one in self.members.values_mut() {
-            one.soaked = false;
-            if one.wave <= self.wave && one.waited {
+    fn reset_wave(&mut self, now: Micros) {
+        (self.wave_started, self.proposal) = (now, None);
+        let (mut awaited, mut unconfirmed, mut missing) = (0, 0, 0);
+        for state in self.members.values_mut() {
+            state.confirmed = false;
+            if state.wave <= self.wave && state.expected {
                 awaited += 1;
-                unsoaked += 1;
-                missing += usize::from(!one.applied);
+                unconfirmed += 1;
+                missing += usize::from(!state.applied);
             }
-            // Reached and not reached are held against each other over the same time.
-            if let Some(since) = &mut one.since {
-                since.rebase(now);
+            // Reached and unreached members are compared over the same time.
+            if let Some(tracker) = &mut state.health {
+                tracker.rebase(now);
             }
         }
-        (self.awaited, self.missing, self.unsoaked) = (awaited, missing, unsoaked);
-        self.all = (missing == 0).then_some(now);
+        (self.awaited, self.missing, self.unconfirmed) = (awaited, missing, unconfirmed);
+        self.all_applied_since = (missing == 0).then_some(now);
     }
 
-    fn mark(&mut self, now: Micros, member: &Name, applied: bool) {
-        let Some(one) = self.members.get_mut(member) else { return };
-        let before = std::mem::replace(&mut one.applied, applied);
-        if one.wave > self.wave || !one.waited || before == applied {
+    fn set_applied(&mut self, now: Micros, member: &Name, applied: bool) {
+        let Some(state) = self.members.get_mut(member) else { return };
+        let before = std::mem::replace(&mut state.applied, applied);
+        if state.wave > self.wave || !state.expected || before == applied {
             return;
         }
         self.missing = if applied { self.missing.saturating_sub(1) } else { self.missing + 1 };
-        self.all = (self.missing == 0).then_some(now);
+        self.all_applied_since = (self.missing == 0).then_some(now);
         if self.missing > 0 {
             return;
         }
-        // All of them have to say it again after the soak that begins now.
-        let mut unsoaked = 0;
-        for one in self.members.values_mut().filter(|one| one.waited && one.wave <= self.wave) {
-            one.soaked = false;
-            unsoaked += 1;
+        // All of them have to confirm the version after the soak time that starts now.
+        let mut unconfirmed = 0;
+        for state in self.members.values_mut().filter(|state| state.expected && state.wave <= self.wave) {
+            state.confirmed = false;
+            unconfirmed += 1;
         }
-        self.unsoaked = unsoaked;
+        self.unconfirmed = unconfirmed;
     }
 }
--- a/crates/drift/src/tree/diff.rs
+++ b/crates/drift/src/tree/diff.rs
@@ -1,52 +1,53 @@
-//! Where two trees differ, looking only below nodes that do.
+//! Finds the differences of two trees, descending only into nodes that differ.
 
-use super::node::{Leaf, Link, Node, build, same, scatter};
-use super::{FAN, Tree};
+use super::node::{Leaf, Link, Node, build, distribute, same_content};
+use super::{FAN_OUT, Tree};
 
-/// A client for which two trees differ; an absent side holds nothing for it.
+/// A client for which two trees differ; a side without an entry is `None`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// In the first tree.
+    /// The entry in the first tree.
     pub left: Option<Leaf>,
-    /// In the second one.
+    /// The entry in the second tree.
     pub right: Option<Leaf>,
 }
 
 impl Difference {
-    /// The client.
+    /// Returns the name of the client.
     pub fn client(&self) -> &str {
         self.left.as_ref().or(self.right.as_ref()).map_or("", |leaf| &leaf.client)
     }
 }
 
-/// The first differences in order of keys, `most` of them: costs by their number and the depth, not by what both hold.
-pub fn diff(left: &Tree, right: &Tree, most: usize) -> Vec<Difference> {
+/// Returns the first `max` differences in key order. The cost depends on their number and the depth, not on
+/// the size of the trees.
+pub fn diff(left: &Tree, right: &Tree, max: usize) -> Vec<Difference> {
     let mut found = Vec::new();
-    walk(&left.0, &right.0, 0, most, &mut found);
+    walk(&left.0, &right.0, 0, max, &mut found);
     found
 }
 
-fn walk(left: &Link, right: &Link, depth: usize, most: usize, found: &mut Vec<Difference>) {
-    if found.len() >= most || same(left, right) {
+fn walk(left: &Link, right: &Link, depth: usize, max: usize, found: &mut Vec<Difference>) {
+    if found.len() >= max || same_content(left, right) {
         return;
     }
     let (a, b) = match (left.as_deref(), right.as_deref()) {
         (Some(Node::Branch { children: a, .. }), Some(Node::Branch { children: b, .. })) => {
-            return a.iter().zip(b).for_each(|(a, b)| walk(a, b, depth + 1, most, found));
+            return a.iter().zip(b).for_each(|(a, b)| walk(a, b, depth + 1, max, found));
         }
         (Some(Node::Branch { children, .. }), other) => {
-            let other = spread(other, depth);
-            return children.iter().zip(&other).for_each(|(a, b)| walk(a, b, depth + 1, most, found));
+            let other = as_children(other, depth);
+            return children.iter().zip(&other).for_each(|(a, b)| walk(a, b, depth + 1, max, found));
         }
         (other, Some(Node::Branch { children, .. })) => {
-            let other = spread(other, depth);
-            return other.iter().zip(children).for_each(|(a, b)| walk(a, b, depth + 1, most, found));
+            let other = as_children(other, depth);
+            return other.iter().zip(children).for_each(|(a, b)| walk(a, b, depth + 1, max, found));
         }
         (a, b) => (leaves(a), leaves(b)),
     };
     let mut a = a.iter().peekable();
     let mut b = b.iter().peekable();
-    while found.len() < most {
+    while found.len() < max {
         let (left, right) = match (a.peek(), b.peek()) {
             (None, None) => break,
             (Some(x), Some(y)) if x.client == y.client => (a.next(), b.next()),
@@ -67,7 +68,7 @@
     }
 }
 
-/// A bucket as the children that it would have.
-fn spread(node: Option<&Node>, depth: usize) -> [Link; FAN] {
-    scatter(leaves(node).to_vec(), depth).map(|below| build(below, depth + 1))
+/// Returns the children that a bucket would have as a branch.
+fn as_children(node: Option<&Node>, depth: usize) -> [Link; FAN_OUT] {
+    distribute(leaves(node).to_vec(), depth).map(|below| build(below, depth + 1))
 }
