--- a/crates/installation/src/apply.rs
+++ b/crates/installation/src/apply.rs
@@ -1,8 +1,9 @@
-//! Approved versions on their way to the process's nodes.
+//! Delivery of approved versions to the process's nodes.
 //!
-//! Nothing leaves before this life has seen an entry of its own decided. An old folder holds versions that were approved and
-//! are so no more: applied, they would let go of what the newer ones keep. Until then nodes go on under the rules that
-//! they have on disk. From then on all that is applied was decided by a majority and read here from the log.
+//! Nothing is sent before this life has seen an entry of its own committed. An old folder may hold versions
+//! that are approved no more: applied, they would drop what newer ones keep. Until then nodes keep the rules
+//! that they have on disk. From then on all that is applied was committed by a majority and read from the
+//! log.
 
 use crate::machine::Machine;
 use crate::waves::Zones;
@@ -14,95 +15,96 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Clients whose rules leave in one turn at most; the others' leave with the next, at once.
-pub const MOST_AT_ONCE: usize = 64;
+/// The most clients whose rules are sent in one turn; the others follow in the next one, at once.
+pub const MAX_CLIENTS_PER_TURN: usize = 64;
 
-/// What the nodes were told last for a client.
+/// What the nodes were sent last for a client.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// As it was approved, for the whole installation.
+pub struct SentRules {
+    /// The rules as approved, for the whole installation.
     pub whole: Arc<RuleSet>,
-    /// This member's share of it.
+    /// This member's share of the rules.
     pub share: Arc<RuleSet>,
-    /// This member's part of paces.
+    /// This member's part of release rates.
     pub turn: Turn,
-    /// The plan.
     pub plan: Arc<Plan>,
 }
 
-/// What was told and is to be told.
+/// What was sent to the nodes and what is due.
 #[derive(Debug)]
 pub struct Applier {
-    place: usize,
+    index: usize,
     members: usize,
     senders: usize,
-    certain: bool,
-    sent: BTreeMap<String, Sent>,
+    settled: bool,
+    sent: BTreeMap<String, SentRules>,
     due: BTreeSet<String>,
-    /// Of those due, the ones that an order mends: they pass a fence, as nothing else would ever lift it.
-    mends: BTreeSet<String>,
-    /// Fenced clients, each with what is approved for it.
-    fenced: BTreeMap<String, Option<Sent>>,
-    /// What the nodes were told of fences in this life: they outlive it, and may know of one that was lifted meanwhile.
-    told: BTreeMap<String, Option<Arc<RuleSet>>>,
+    /// Due clients that an order has sent again: their rules pass a fence, which nothing else would ever
+    /// lift.
+    forced: BTreeSet<String>,
+    /// Fenced clients, each with the rules approved for it.
+    fenced: BTreeMap<String, Option<SentRules>>,
+    /// What the nodes were told of fences in this life. Nodes outlive it, and may still have a fence that was
+    /// lifted meanwhile.
+    told_fences: BTreeMap<String, Option<Arc<RuleSet>>>,
     probed: Option<String>,
 }
 
 impl Applier {
-    /// For the member at this place, by the order of names, and its senders.
-    pub fn new(place: usize, members: usize, senders: usize) -> Self {
+    /// Creates the state for the member at this index, by the order of names, with its number of senders.
+    pub fn new(index: usize, members: usize, senders: usize) -> Self {
         Applier {
-            place,
+            index,
             members,
             senders,
-            certain: false,
+            settled: false,
             sent: BTreeMap::new(),
             due: BTreeSet::new(),
-            mends: BTreeSet::new(),
+            forced: BTreeSet::new(),
             fenced: BTreeMap::new(),
-            told: BTreeMap::new(),
+            told_fences: BTreeMap::new(),
             probed: None,
         }
     }
 
-    /// What is desired for a client changed.
+    /// Marks a client as due: what is desired for it changed.
     pub fn changed(&mut self, client: &str) {
         self.due.insert(client.to_owned());
     }
 
-    /// The member in charge has it sent once more.
-    pub fn mend(&mut self, client: &str) {
+    /// Sends a client's rules again, by an order of the leader.
+    pub fn force_resend(&mut self, client: &str) {
         self.due.insert(client.to_owned());
-        self.mends.insert(client.to_owned());
+        self.forced.insert(client.to_owned());
     }
 
-    /// An entry of this life was decided: all that was decided before is known.
-    pub fn settle(&mut self) {
-        self.certain = true;
+    /// Records that an entry of this life was committed: all that was committed before it is known.
+    pub fn entry_committed(&mut self) {
+        self.settled = true;
     }
 
-    /// Whether it was.
-    pub fn settled(&self) -> bool {
-        self.certain
+    /// Returns whether an entry of this life was committed.
+    pub fn is_settled(&self) -> bool {
+        self.settled
     }
 
-    /// Takes no more changes of a client.
+    /// Fences a client: its changes are not applied any more.
     pub fn fence(&mut self, client: &str) {
-        if self.fenced.len() < crate::limits::FENCED && !self.is_fenced(client) {
+        if self.fenced.len() < crate::limits::MAX_FENCES && !self.is_fenced(client) {
             self.fenced.insert(client.to_owned(), None);
             self.changed(client);
         }
     }
 
-    /// Takes them again.
+    /// Lifts the fence of a client.
     pub fn lift(&mut self, client: &str) {
         if self.fenced.remove(client).is_some() {
             self.changed(client);
         }
     }
 
-    /// These are fenced and no others: the log was learnt as a whole.
-    pub fn fences<'a>(&mut self, clients: impl Iterator<Item = &'a str>) {
+    /// Replaces all fences, after the log was restored as a whole.
+    pub fn replace_fences<'a>(&mut self, clients: impl Iterator<Item = &'a str>) {
         let clients: BTreeSet<&str> = clients.collect();
         let gone = self.fenced.keys().filter(|client| !clients.contains(client.as_str()));
         let gone: Vec<String> = gone.cloned().collect();
@@ -110,101 +112,101 @@
         clients.iter().for_each(|client| self.fence(client));
     }
 
-    /// Whether changes of a client are not taken.
+    /// Returns whether a client is fenced.
     pub fn is_fenced(&self, client: &str) -> bool {
         self.fenced.contains_key(client)
     }
 
-    /// What the nodes' words are held against: what they were told last, or where this life told them nothing behind a fence,
-    /// what is approved.
-    pub fn sent(&self, client: &str) -> Option<&Sent> {
+    /// Returns what the nodes' reports are compared with: what they were sent last, or what is approved if
+    /// this life sent them nothing because of a fence.
+    pub fn sent(&self, client: &str) -> Option<&SentRules> {
         self.sent.get(client).or_else(|| self.fenced.get(client)?.as_ref())
     }
 
-    /// Whether something can leave at once.
-    pub fn waits(&self) -> bool {
-        self.certain && !self.due.is_empty()
+    /// Returns whether something can be sent at once.
+    pub fn has_due(&self) -> bool {
+        self.settled && !self.due.is_empty()
     }
 
-    /// What the nodes are to apply now, and the fences that they are to know of before.
-    pub fn next(&mut self, machine: &Machine, own: &Name, zones: &Zones) -> (Vec<Fence>, Vec<Apply>) {
+    /// Returns what the nodes are to apply now, and the fences that they have to know before.
+    pub fn take_due(&mut self, machine: &Machine, own: &Name, zones: &Zones) -> (Vec<Fence>, Vec<Apply>) {
         let (mut fences, mut out) = (Vec::new(), Vec::new());
-        while self.certain && out.len().max(fences.len()) < MOST_AT_ONCE {
+        while self.settled && out.len().max(fences.len()) < MAX_CLIENTS_PER_TURN {
             let Some(client) = self.due.pop_first() else { break };
-            // A wave that has not left counts here as little as a version that is not approved.
-            let meant = machine.meant(&client, own, zones).map(|d| self.shared(&d));
-            fences.extend(self.stands(&client, meant.as_ref()));
-            // Fenced, its nodes are told what they were told before.
-            let again = !self.mends.remove(&client) && self.is_fenced(&client);
-            if let Some(sent) = meant.filter(|_| !again) {
+            // A wave that has not started counts as little as a version that is not approved.
+            let meant = machine.meant(&client, own, zones).map(|d| self.rules_to_send(&d));
+            fences.extend(self.fence_update(&client, meant.as_ref()));
+            // Nodes of a fenced client are sent what they were sent before.
+            let fence_holds = !self.forced.remove(&client) && self.is_fenced(&client);
+            if let Some(sent) = meant.filter(|_| !fence_holds) {
                 self.sent.insert(client.clone(), sent);
             }
-            out.extend(self.again(&client));
+            out.extend(self.resend(&client));
         }
         (fences, out)
     }
 
-    /// What the nodes are to be told of a client's fence, where they don't know it.
-    fn stands(&mut self, client: &str, meant: Option<&Sent>) -> Option<Fence> {
+    /// Returns what the nodes have to be told of a client's fence, if they don't know it.
+    fn fence_update(&mut self, client: &str, meant: Option<&SentRules>) -> Option<Fence> {
         let fenced = self.fenced.get_mut(client);
-        // Of a client without approved rules nothing is stricter than what is applied: no rule at all.
+        // Without approved rules nothing is stricter than what is applied: no rule at all.
         let under = fenced.as_ref().map(|_| meant.map_or_else(Arc::default, |sent| Arc::clone(&sent.share)));
         if let Some(approved) = fenced {
             *approved = meant.cloned();
         }
-        if self.told.get(client) == Some(&under) {
+        if self.told_fences.get(client) == Some(&under) {
             return None;
         }
-        self.told.insert(client.to_owned(), under.clone());
+        self.told_fences.insert(client.to_owned(), under.clone());
         Some(Fence { client: client.to_owned(), under, turn: self.turn() })
     }
 
-    /// The same once more: nodes that have it answer what they really apply.
-    pub fn again(&self, client: &str) -> Option<Apply> {
+    /// Returns the same rules again: nodes that have them answer what they really apply.
+    pub fn resend(&self, client: &str) -> Option<Apply> {
         let sent = self.sent.get(client)?;
         Some(Apply {
             client: client.to_owned(),
             set: Arc::clone(&sent.share),
             turn: sent.turn,
             plan: Arc::clone(&sent.plan),
-            certain: self.certain,
+            certain: self.settled,
         })
     }
 
-    /// One client after the other, for [`Applier::again`].
-    pub fn probe(&mut self) -> Option<Apply> {
+    /// Returns the rules of the next client in turn, as [`Applier::resend`] does.
+    pub fn next_probe(&mut self) -> Option<Apply> {
         let after = self.probed.as_ref().map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
         let next = self.sent.range::<String, _>((after, std::ops::Bound::Unbounded)).next();
         let client = next.or_else(|| self.sent.first_key_value()).map(|(client, _)| client.clone())?;
         self.probed = Some(client.clone());
-        self.again(&client)
+        self.resend(&client)
     }
 
-    /// Which part of a pace is this member's.
+    /// Returns which part of a release rate is this member's.
     pub fn turn(&self) -> Turn {
         let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         Turn {
-            place: number(self.place),
+            place: number(self.index),
             members: number(self.members),
             senders: number(self.senders.max(1)),
         }
     }
 
-    /// This member's share of rules.
+    /// Returns this member's share of rules.
     pub fn share(&self, set: &RuleSet) -> RuleSet {
-        share(set, self.place, self.members)
+        share(set, self.index, self.members)
     }
 
-    /// What of rules is too little to be had by all.
+    /// Returns notices of limits that are too small to be shared by all members.
     pub fn empty_share_notices(&self, set: &RuleSet) -> Vec<Notice> {
         empty_share_notices(set, self.members)
     }
 
-    fn shared(&self, desired: &Desired) -> Sent {
-        let mine = self.share(&desired.set);
-        Sent {
+    fn rules_to_send(&self, desired: &Desired) -> SentRules {
+        let share = self.share(&desired.set);
+        SentRules {
             whole: Arc::clone(&desired.set),
-            share: Arc::new(mine),
+            share: Arc::new(share),
             turn: self.turn(),
             plan: Arc::clone(&desired.plan),
         }
--- a/crates/installation/src/asks/mod.rs
+++ b/crates/installation/src/asks/mod.rs
@@ -1,44 +1,45 @@
-//! What clients ask: read ([`read`]), and waiting for the keepers' answer ([`open`]) or for what nodes weigh ([`weighing`]),
-//! as often as [`rate`] lets them.
+//! Clients' requests: parsing ([`read`]), waiting for the keepers' answer ([`pending`]) or for dry runs
+//! ([`dry_runs`]), and rate limits ([`rate`]).
 
-pub mod open;
+pub mod dry_runs;
+pub mod pending;
 pub mod rate;
 pub mod read;
-pub mod weighing;
 
-pub use open::Open;
-pub use read::{Question, read};
+pub use pending::PendingRequests;
+pub use read::{ParsedRequest, read};
 
 use crate::Micros;
 use heronroute_rules::registry::Reply;
 use heronroute_rules::seam::{ClientRequest, Told};
 
-/// An answer.
+/// Returns an answer with this text.
 pub fn told(ask: &ClientRequest, text: String, state: &'static str) -> Told {
     Told { token: ask.token, text, state }
 }
 
-/// What the registry says.
+/// Returns the registry's reply as an answer.
 pub fn reply(ask: &ClientRequest, reply: &Reply) -> Told {
     told(ask, reply.json(), reply.state())
 }
 
-/// There is nothing of the kind, or it is not the asker's to see: told in the same words.
+/// Returns the answer for what does not exist or is hidden from the client, in the same words for both.
 pub fn unknown(ask: &ClientRequest) -> Told {
     reply(ask, &Reply::Unknown)
 }
 
-/// It can't be decided now; asked again it is the same request.
+/// Returns the answer that nothing can be decided now; repeated, it is the same request.
 pub fn no_majority(ask: &ClientRequest) -> Told {
     told(ask, heronroute_rules::json::NO_MAJORITY.to_owned(), "no majority")
 }
 
-/// Too much waits; nothing is known to have been done, and asked again it is the same request.
+/// Returns the answer that too many requests wait. It is not known to have been executed; repeated, it is the
+/// same request.
 pub fn busy(ask: &ClientRequest) -> Told {
     told(ask, r#"{"state":"busy"}"#.to_owned(), "busy")
 }
 
-/// It is asked too often: to come back after so long. Nothing was looked at.
+/// Returns the answer to a client over its rate, with the time to wait. Nothing was examined.
 pub fn too_often(ask: &ClientRequest, wait: Micros) -> Told {
     let after = u64::try_from(wait).unwrap_or(0).div_ceil(1_000);
     told(ask, format!(r#"{{"state":"busy","after_ms":{after}}}"#), "busy")
--- a/crates/installation/src/condition.rs
+++ b/crates/installation/src/condition.rs
@@ -1,11 +1,11 @@
-//! The table "While they disagree or are cut off" of `docs/fleet.md`: what a member goes on doing, refuses and says of itself.
+//! A member's condition, and what it goes on doing, refuses and says of itself in each one: the table "While
+//! they disagree or are cut off" of `docs/fleet.md`.
 //!
-//! The code asks [`Condition::allows`] wherever it is about to do one of these things; there is no second place that
-//! decides it.
+//! All code asks [`Condition::allows`] before it does one of these things; the decision is made nowhere else.
 
 use serde::Serialize;
 
-/// How a member stands to its installation.
+/// The condition of a member in its installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum Condition {
     /// It reaches a majority of the keepers, or a keeper that does.
@@ -17,63 +17,64 @@
     /// It reaches others, and no majority.
     #[serde(rename = "without majority")]
     Minority,
-    /// It reaches nobody.
+    /// It reaches no other member.
     #[serde(rename = "alone")]
     Alone,
-    /// Its clock jumped: it was paused, and what it knew may be no more so. Or it has just started and heard nobody.
+    /// Its clock jumped: it was paused, and its knowledge may be outdated. Or it has just started and
+    /// received nothing.
     #[serde(rename = "awake again")]
     Awake,
-    /// It came with something on disk, and does not know yet what was decided since.
+    /// It started with data on disk, and does not know yet what was committed since.
     #[serde(rename = "old disk")]
     OldDisk,
-    /// It came with nothing, and does not know yet what was decided.
+    /// It started without data, and does not know yet what was committed.
     #[serde(rename = "empty disk")]
     EmptyDisk,
-    /// Another process bears its name with a later start.
+    /// Another process has its name with a later start.
     #[serde(rename = "outlived")]
     Outlived,
 }
 
-/// What is known, from which the condition follows.
+/// The facts that the condition follows from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Facts {
-    /// A majority of keepers was heard lately.
+    /// Whether a majority of the keepers was reached lately.
     pub majority: bool,
-    /// A link to somebody stands.
+    /// Whether any link is up.
     pub linked: bool,
-    /// [`heronroute_fleet::members::Members::stale`].
+    /// Whether the membership is stale: [`heronroute_fleet::members::Members::stale`].
     pub stale: bool,
-    /// Others suspected it lately.
+    /// Whether others suspected it lately.
     pub suspected: bool,
-    /// An entry of this life was decided and seen.
+    /// Whether an entry of this life was committed and seen.
     pub settled: bool,
-    /// Something of the log was on its disk when it started.
+    /// Whether its disk had any part of the log when it started.
     pub disk: bool,
-    /// A later start of its name is known.
+    /// Whether a later start of its name is known.
     pub outlived: bool,
 }
 
-/// What a member may do. Delivering is not in it: that never stops.
+/// What a member may do. Delivery of messages is not among it, as it never stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowed {
-    /// Sends edits, approvals and refusals on to the keepers. If not, it answers `no majority` at once.
+    /// Sends edits, approvals and refusals to the keepers. Otherwise it answers `no majority` at once.
     pub edits: bool,
-    /// Says that what it shows is what holds. If not, it shows what it has and says that it is not certain.
+    /// Presents what it shows as the current state. Otherwise it marks it as uncertain.
     pub certain: bool,
-    /// Has its nodes apply what was decided, also what destroys.
+    /// Has its nodes apply what was committed, also what drops messages.
     pub applies: bool,
-    /// Takes orders of the member in charge.
+    /// Accepts orders of the leader.
     pub obeys: bool,
-    /// Gives orders, where the keepers put it in charge.
+    /// Gives orders, if it is the leader.
     pub leads: bool,
-    /// Says what it applies.
+    /// Reports what it applies.
     pub reports: bool,
-    /// Takes part in agreement, asks for the log and serves it; hands on what two members without a link say to each other.
+    /// Takes part in agreement, requests and serves the log, and relays between two members without a link.
     pub agrees: bool,
 }
 
 impl Condition {
-    /// All of them, in the table's order.
+    /// All conditions, in the table's order.
     pub const ALL: [Condition; 8] = [
         Condition::Majority,
         Condition::Minority,
@@ -85,7 +86,7 @@
         Condition::Outlived,
     ];
 
-    /// The one that holds: of several the one that allows least.
+    /// Returns the condition for these facts: of several the one that allows least.
     pub fn of(facts: Facts) -> Condition {
         if facts.outlived {
             Condition::Outlived
@@ -104,7 +105,7 @@
         }
     }
 
-    /// What it may do.
+    /// Returns what a member may do.
     pub fn allows(self) -> Allowed {
         let all = Allowed {
             edits: true,
@@ -121,7 +122,8 @@
             Condition::OldDisk | Condition::EmptyDisk => {
                 Allowed { certain: false, applies: false, obeys: false, leads: false, ..all }
             }
-            // What it has decided already stays decided. Reports go to whoever was in charge last: they harm nobody.
+            // What it committed already stays committed. Its reports go to the last known leader and do no
+            // harm.
             Condition::Minority => {
                 Allowed { edits: false, certain: false, obeys: false, leads: false, ..all }
             }
@@ -140,7 +142,7 @@
         }
     }
 
-    /// What it says of itself.
+    /// Returns the name that is shown to clients and operators.
     pub fn word(self) -> &'static str {
         match self {
             Condition::Majority => "with majority",
--- a/crates/installation/src/config.rs
+++ b/crates/installation/src/config.rs
@@ -1,4 +1,4 @@
-//! What the settings gave, as plain values.
+//! The settings of a member as plain values.
 
 use crate::Micros;
 use heronroute_fleet::{Life, Name, Peer, keepers, members};
@@ -7,57 +7,59 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A member of an installation, before it runs.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The installation's name, the same at all members.
     pub installation: String,
     /// This member, in the life that begins now ([`heronroute_fleet::start::raise`]).
     pub own: Life,
-    /// This life began because the one before was outlived ([`crate::seam::Output::StartAbove`]). Outlived again, there are two
-    /// processes of one name, and this one keeps still: else the two would raise their numbers above each other for ever.
+    /// Whether this life began because a later start than the one before was known
+    /// ([`crate::seam::Output::StartAbove`]). If that happens again, there are two processes of one name, and
+    /// this one stays silent: otherwise the two would raise their numbers above each other's for ever.
     pub raised: bool,
-    /// All members as the settings name them, this one included; messages name them by their places here.
+    /// All members as the settings name them, with this one; messages name members by their index here.
     pub peers: Vec<Peer>,
-    /// Clients by system_id.
+    /// The clients by system_id.
     pub clients: BTreeMap<String, Client>,
-    /// Numbers of the process's senders, as [`heronroute_rules::seam::Live`] bears them.
+    /// The numbers of the process's senders, as used in [`heronroute_rules::seam::Live`].
     pub senders: Vec<usize>,
-    /// New at each start.
+    /// The random seed, new at each start.
     pub seed: u64,
-    /// Figures of agreement.
+    /// The tuning of agreement.
     pub keepers: keepers::Tuning,
-    /// Figures of membership.
+    /// The tuning of membership.
     pub members: members::Tuning,
-    /// Figures of the detector, which runs at the keeper in charge. Its `wall` and `lease` are set from here on.
+    /// The tuning of the drift detector, which runs at the leader. Its `wall` and `lease` are replaced by the
+    /// member.
     pub detector: heronroute_drift::Config,
-    /// Figures of what joins them.
+    /// The intervals and timeouts of the member itself.
     pub pace: Pace,
-    /// How approved versions are rolled out. Those of the member in charge count.
+    /// How approved versions are rolled out. The leader's settings count.
     pub rollout: Rolling,
-    /// Members stand in regions. Nothing: none of that is done.
+    /// The members' regions; none switches regions off.
     pub regions: Option<Regions>,
 }
 
-/// Members in regions. Those of the member in charge count.
+/// The members' regions. The leader's settings count.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Regions {
-    /// Each member's.
+    /// The region of each member.
     pub of: BTreeMap<Name, Region>,
-    /// Figures of rights, the same at all members.
+    /// The tuning of leases, the same at all members.
     pub rights: rights::Tuning,
 }
 
-/// How approved versions are rolled out. Spans in microseconds.
+/// How approved versions are rolled out. Durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rolling {
-    /// In waves; else all members apply a version at once.
+    /// Whether they go in waves; otherwise all members apply a version at once.
     pub waves: bool,
-    /// A wave must have been in line for so long before the next one leaves.
+    /// How long a wave must be in line before the next one starts.
     pub soak: Micros,
-    /// A wave has so long to be in line; it stops the rollout else.
+    /// How long a wave may take to be in line before the rollout stops.
     pub wave_for: Micros,
-    /// A rollout that stopped goes back: the rules from before are a new version, for all.
+    /// Whether a stopped rollout is rolled back: the rules from before become a new version, for all members.
     pub back: bool,
 }
 
@@ -67,10 +69,10 @@
     }
 }
 
-/// A client as the settings name it.
+/// A client in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Client {
-    /// It approves and refuses others' versions, and sees `fleet/drift`.
+    /// Whether it approves and refuses others' versions, and sees `fleet/drift`.
     pub operator: bool,
     /// What it may set for itself.
     pub plan: Planned,
@@ -79,33 +81,36 @@
 /// A client's plan in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Planned {
-    /// None: it sets nothing.
+    /// No plan: the client may set nothing.
     #[default]
     Nothing,
-    /// It names one that can't be read: what is approved stays.
+    /// The plan can't be read: what is approved stays.
     Unreadable,
-    /// This one.
+    /// The plan.
     Plan(Arc<Plan>),
 }
 
-/// Figures, in microseconds.
+/// Intervals and timeouts, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
-    /// Between two reports to the member in charge.
+    /// The interval of reports to the leader.
     pub report: Micros,
-    /// Between two reports at the least, where something changed.
+    /// The shortest interval of reports, used when something changed.
     pub report_soon: Micros,
-    /// The same while a version goes in waves: the next one waits for word from the last one.
+    /// The interval of reports while a version goes in waves: the next wave waits for reports of the last
+    /// one.
     pub report_rolling: Micros,
-    /// Every so often the nodes are told one client's rules again, so that they read back what they apply.
+    /// The interval after which the nodes are sent the next client's rules again, so that they report what
+    /// they apply.
     pub probe: Micros,
-    /// A node that has not answered for so long is hung: nothing is reported, as what is known of it may be no more so.
+    /// How long a node may take to answer before it counts as hung: then nothing is reported, as what is
+    /// known of it may be outdated.
     pub hung: Micros,
-    /// An order counts so long after the report that it answers was sent.
+    /// How long after the report that it answers an order still counts.
     pub order: Micros,
-    /// An answer that another member has to give is waited for so long.
+    /// How long another member's answer is waited for.
     pub patience: Micros,
-    /// What the member in charge has found is written to the log no more often than this.
+    /// The shortest interval between two saves of the leader's findings to the log.
     pub save: Micros,
 }
 
--- a/crates/installation/src/lib.rs
+++ b/crates/installation/src/lib.rs
@@ -1,32 +1,34 @@
-//! One process of an installation.
+//! One member of an installation (a fleet of processes that agree on clients' rules).
 //!
-//! Does: joins the members and the agreed log of `heronroute_fleet` with the rules of `heronroute_rules` and the
-//! detector of `heronroute_drift` into one state machine, [`Installation`]: inputs and a time in, outputs out ([`seam`] has
-//! the types by which senders' nodes ask and are told). Answers `rules/...` and `fleet/...` ([`asks`]), has approved
-//! versions applied by the process's nodes ([`apply`]), reports what they really apply ([`report`]), and where the
-//! keepers put it in charge watches over all members ([`charge`]). Approved versions go in waves ([`waves`]).
-//! Where two members have no link, what they say of drift goes through a third one ([`detour`]).
-//! Decides: what a member goes on doing, refuses and says of itself while it is cut off ([`condition`], the table in
-//! `docs/fleet.md`); whether an order counts.
-//! Never: touches a socket, a thread, a clock or a random source of the machine; decides anything about a message; applies
-//! rules that it did not read from the log.
+//! [`Installation`] joins the membership and the replicated log of `heronroute_fleet` with the rules of
+//! `heronroute_rules` and the detector of `heronroute_drift` into one state machine: inputs and a time in,
+//! outputs out. [`seam`] has the types by which nodes (a process's senders) ask and are answered. It answers
+//! `rules/...` and `fleet/...` ([`asks`]), has approved versions applied by the process's nodes ([`apply`]),
+//! reports what they really apply ([`report`]), and monitors all members while this one is the leader
+//! ([`leader`]). Approved versions are rolled out in waves ([`waves`]). Drift messages between two members
+//! without a link go through a third one ([`relay`]).
+//!
+//! It decides what a member goes on doing, refuses and says of itself while it is cut off ([`condition`], the
+//! table in `docs/fleet.md`), and whether an order of the leader counts. It never touches a socket, a thread,
+//! a clock or a random source of the machine, decides nothing about a message, and applies only rules that it
+//! read from the log.
 
 #![forbid(unsafe_code)]
 
 pub mod apply;
 pub mod asks;
-pub mod charge;
 pub mod condition;
 pub mod config;
-pub mod detour;
-pub mod errands;
 pub mod fences;
+pub mod leader;
 pub mod limits;
 pub mod machine;
 pub mod page;
 mod process;
+pub mod proposals;
+pub mod relay;
 pub mod report;
-pub mod rollouts;
+pub mod rollout_view;
 pub mod seam;
 pub mod waves;
 pub mod wire;
--- a/crates/installation/src/machine/body.rs
+++ b/crates/installation/src/machine/body.rs
@@ -1,6 +1,6 @@
-//! What the log's entries say.
+//! The bodies of the log's entries.
 
-use crate::waves::{Halt, Pass, Wave};
+use crate::waves::{Halt, PassOver, Wave};
 use heronroute_drift::rollout::Baseline;
 use heronroute_fleet::{Name, Term};
 use heronroute_region::agreed;
@@ -8,154 +8,154 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The body of an entry. A variant or a field is only ever added at the end.
+/// The body of an entry. Variants and fields are only ever added at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// About clients' rules.
+    /// A command about clients' rules.
     Rules(Command),
-    /// A member is here: once it sees this, it knows all that was decided before it started.
-    Here,
-    /// A term begins: what members in charge before it had written and is decided only after this is void.
+    /// A member joined: once it sees this entry, it knows all that was committed before it started.
+    Joined,
+    /// A term begins: proposals of earlier leaders that are committed only after this are void.
     Begin {
-        /// Which.
+        /// The term.
         term: Term,
     },
-    /// What the settings of the member in charge say of a client.
+    /// What the leader's settings say of a client.
     Settings {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
         /// [`Command::Plan`] or [`Command::Drop`].
         command: Command,
     },
-    /// What the member in charge has found ([`heronroute_drift::Detector::snapshot`]), for the next one.
-    Found {
-        /// In whose term.
+    /// The leader's findings ([`heronroute_drift::Detector::snapshot`]), for the next leader.
+    Findings {
+        /// The leader's term.
         term: Term,
-        /// [`MOST_FOUND`] octets at most.
+        /// The encoded findings, at most [`MAX_FINDINGS_BYTES`](super::MAX_FINDINGS_BYTES).
         saved: Vec<u8>,
     },
-    /// Whether versions go in waves, by the settings of the member in charge.
+    /// Whether versions are rolled out in waves, by the leader's settings.
     Pace {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
-        /// They do.
+        /// True for waves.
         waves: bool,
     },
-    /// A wave of a version leaves.
+    /// A wave of a version starts, without a baseline.
     Reach {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
-        /// Which.
+        /// The wave.
         wave: Wave,
     },
-    /// All that a version is meant for are in line with it.
+    /// All members that a version is for are in line with it.
     Reached {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
-        /// Whose version.
+        /// The client whose version it is.
         client: String,
-        /// Which.
+        /// The version.
         version: u64,
     },
-    /// A rollout stops, and goes back where that is so planned.
+    /// A rollout stops, and is rolled back if so planned.
     Halt {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
-        /// Which, and why.
+        /// The rollout and the reason.
         halt: Halt,
     },
-    /// Changes of a client are fenced off at a member, or taken again.
+    /// A client's changes are fenced off at a member, or accepted again.
     Fence {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
-        /// At which member.
+        /// The member with the fence.
         member: Name,
-        /// Whose changes.
+        /// The client whose changes are fenced.
         client: String,
-        /// False: it is lifted.
+        /// True to set the fence, false to lift it.
         stands: bool,
     },
-    /// A wave of a version leaves, with what it is compared with.
-    Leave {
-        /// In whose term.
+    /// A wave of a version starts, with a baseline.
+    StartWave {
+        /// The leader's term.
         term: Term,
-        /// Which.
+        /// The wave.
         wave: Wave,
-        /// How those not reached fare, and what memory members use.
+        /// How the members that were not reached fare, and how much memory members use.
         baseline: Baseline,
     },
-    /// Members gave word since their wave left: from here on their silence is evidence.
-    Heard {
-        /// In whose term.
+    /// Members reported since their wave started: from here on their silence is evidence.
+    MembersReported {
+        /// The leader's term.
         term: Term,
-        /// Whose version.
+        /// The client whose version it is.
         client: String,
-        /// Which.
+        /// The version.
         version: u64,
-        /// They.
+        /// The members that reported.
         members: BTreeSet<Name>,
     },
-    /// Members that gave no word since their wave left, and are gone, are passed over.
-    Pass {
-        /// In whose term.
+    /// Members that are gone and have not reported since their wave started are passed over.
+    PassOver {
+        /// The leader's term.
         term: Term,
-        /// Which.
-        pass: Pass,
+        /// The members and their wave.
+        pass: PassOver,
     },
-    /// About regions.
+    /// A command about regions.
     Region(agreed::Command),
 }
 
 impl Body {
-    /// The client whose rollout it is about.
+    /// Returns the client whose rollout it is about.
     pub fn rolls(&self) -> Option<&str> {
         match self {
-            Body::Reach { wave, .. } | Body::Leave { wave, .. } => Some(&wave.client),
-            Body::Heard { client, .. } => Some(client),
-            Body::Pass { pass, .. } => Some(&pass.client),
+            Body::Reach { wave, .. } | Body::StartWave { wave, .. } => Some(&wave.client),
+            Body::MembersReported { client, .. } => Some(client),
+            Body::PassOver { pass, .. } => Some(&pass.client),
             Body::Reached { client, .. } => Some(client),
             Body::Halt { halt, .. } => Some(&halt.client),
             _ => None,
         }
     }
 
-    /// In whose term it counts, where it is of the member in charge.
+    /// Returns the term that it is valid in, if a leader proposed it.
     pub(super) fn term(&self) -> Option<Term> {
         match self {
-            Body::Rules(_) | Body::Here => None,
+            Body::Rules(_) | Body::Joined => None,
             Body::Region(command) => command.term(),
             Body::Begin { term }
             | Body::Settings { term, .. }
-            | Body::Found { term, .. }
+            | Body::Findings { term, .. }
             | Body::Pace { term, .. }
             | Body::Reach { term, .. }
             | Body::Reached { term, .. }
             | Body::Halt { term, .. }
             | Body::Fence { term, .. }
-            | Body::Leave { term, .. }
-            | Body::Heard { term, .. }
-            | Body::Pass { term, .. } => Some(*term),
+            | Body::StartWave { term, .. }
+            | Body::MembersReported { term, .. }
+            | Body::PassOver { term, .. } => Some(*term),
         }
     }
 
-    /// Whether a member wants it written only while it is in charge.
-    pub fn leads(&self) -> bool {
+    /// Returns whether a member proposes it only as the leader.
+    pub fn is_leaders(&self) -> bool {
         let own = |command: &agreed::Command| command.term().is_none();
-        !matches!(self, Body::Here) && !matches!(self, Body::Region(command) if own(command))
+        !matches!(self, Body::Joined) && !matches!(self, Body::Region(command) if own(command))
     }
 
-    /// As octets.
+    /// Encodes the body.
     pub fn pack(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// A fence, set or lifted in a term.
+    /// Returns the body that sets or lifts a fence in a term.
     pub fn fence(term: Term, member: &Name, client: &str, stands: bool) -> Body {
         Body::Fence { term, member: member.clone(), client: client.to_owned(), stands }
     }
 
-    pub(super) fn unpack(octets: &[u8]) -> Option<Body> {
-        let (body, rest) = postcard::take_from_bytes(octets).ok()?;
+    pub(super) fn unpack(bytes: &[u8]) -> Option<Body> {
+        let (body, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(body)
     }
 }
--- a/crates/installation/src/machine/mod.rs
+++ b/crates/installation/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! What all members hold alike, from the same entries in the same order.
+//! The replicated state: all members compute the same one from the same entries in the same order.
 
 mod body;
 
@@ -15,48 +15,43 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Octets of what the member in charge has found that are kept in the log.
-pub const MOST_FOUND: usize = 16 * 1024;
+/// The largest saved findings of the leader that are kept in the log, in bytes.
+pub const MAX_FINDINGS_BYTES: usize = 16 * 1024;
 
-/// What an entry came to.
+/// The effect of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Rules.
+    /// A command about clients' rules was executed.
     Rules(Outcome),
-    /// A member is here.
-    Here,
+    /// A member joined.
+    Joined,
     /// A term began.
-    Begun(Term),
-    /// What was found, of a term not older than the one before.
-    Found,
-    /// How far versions of these clients have gone, and what is desired where it went back.
+    TermBegan(Term),
+    /// Findings were saved, in a term not older than the one before.
+    FindingsSaved,
+    /// Rollouts of these clients changed.
     Spread {
-        /// Whose.
         clients: Vec<String>,
-        /// A version that has the rules from before.
+        /// What is desired now where a rollout was rolled back: a version with the rules from before.
         changed: Vec<Desired>,
     },
-    /// Who gave word of this client's version.
-    Heard {
-        /// Whose.
-        client: String,
-    },
+    /// Members' first reports about this client's version were recorded.
+    MembersReported { client: String },
     /// A fence was set at a member, or lifted.
     Fenced {
-        /// At which member.
         member: Name,
-        /// Whose changes.
+        /// The client whose changes are fenced.
         client: String,
-        /// False: it is lifted.
+        /// True if it was set, false if it was lifted.
         stands: bool,
     },
-    /// About regions.
+    /// An entry about regions was executed.
     Region(agreed::Effect),
-    /// Nothing: it can't be read, here as at every other member, or is of an older term.
+    /// None: the entry can't be read, here as at every other member, or is of an older term.
     Nothing,
 }
 
-/// The state.
+/// The replicated state of an installation.
 #[derive(Clone, Debug, Default)]
 pub struct Machine {
     registry: Registry,
@@ -69,104 +64,105 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct SnapshotFields {
     registry: Vec<u8>,
     term: Term,
     found: Vec<u8>,
 }
 
-/// What stands behind the rest of a snapshot, and what behind that; nothing there: as in a state from before it was kept.
-fn behind<T: Default + DeserializeOwned>(rest: &[u8]) -> Option<(T, &[u8])> {
+/// Reads the next part of a snapshot. Without any bytes left it is the default: the snapshot is of a version
+/// that did not have this part.
+fn next_part<T: Default + DeserializeOwned>(rest: &[u8]) -> Option<(T, &[u8])> {
     if rest.is_empty() { Some((T::default(), rest)) } else { postcard::take_from_bytes(rest).ok() }
 }
 
 impl Machine {
-    /// Clients' rules.
+    /// Returns the clients' rules.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// What the member in charge found last; empty: nothing yet.
+    /// Returns the findings that a leader saved last; empty if there are none.
     pub fn found(&self) -> &[u8] {
         &self.found
     }
 
-    /// How far versions have gone.
+    /// Returns the rollouts.
     pub fn waves(&self) -> &Waves {
         &self.waves
     }
 
-    /// What a member is meant to apply for a client now.
+    /// Returns what a member should apply for a client now.
     pub fn meant(&self, client: &str, name: &Name, zones: &Zones) -> Option<Desired> {
         let desired = self.registry.desired(client)?;
-        Some(match self.waves.meant(client, name, zones) {
+        Some(match self.waves.target(client, name, zones) {
             Some(set) => Desired { set: Arc::clone(set), ..desired },
             None => desired,
         })
     }
 
-    /// Which clients are fenced where.
+    /// Returns which clients are fenced at which members.
     pub fn fences(&self) -> &Fences {
         &self.fences
     }
 
-    /// What is agreed of regions.
+    /// Returns the agreed state of regions.
     pub fn agreed(&self) -> &Agreed {
         &self.agreed
     }
 
-    /// The term that began last.
+    /// Returns the term that began last.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Place of the last entry applied.
+    /// Returns the index of the last entry applied.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Takes the next entry.
+    /// Applies the next entry.
     pub fn apply(&mut self, decided: &Decided) -> Effect {
         self.index = decided.index;
         self.agreed.heard(&decided.entry.request.from);
         let Some(body) = Body::unpack(&decided.entry.body) else { return Effect::Nothing };
-        // What an older term had on the way is void.
+        // Entries proposed in an older term are void.
         if body.term().is_some_and(|term| term < self.term) {
             return Effect::Nothing;
         }
         let wall = decided.entry.wall;
-        let spread = |clients| Effect::Spread { clients, changed: Vec::new() };
+        let rollouts_changed = |clients| Effect::Spread { clients, changed: Vec::new() };
         match body {
             Body::Rules(command) | Body::Settings { command, .. } => {
-                Effect::Rules(self.rules(wall, &command))
+                Effect::Rules(self.execute(wall, &command))
             }
-            Body::Here => Effect::Here,
+            Body::Joined => Effect::Joined,
             Body::Begin { term } => {
                 self.term = term;
-                Effect::Begun(term)
+                Effect::TermBegan(term)
             }
-            Body::Found { saved, .. } if saved.len() <= MOST_FOUND => {
+            Body::Findings { saved, .. } if saved.len() <= MAX_FINDINGS_BYTES => {
                 self.found = saved;
-                Effect::Found
+                Effect::FindingsSaved
             }
-            Body::Pace { waves, .. } => spread(self.waves.set(waves)),
-            Body::Reach { wave, .. } => self.leaves(wave, Baseline::default()),
-            Body::Leave { wave, baseline, .. } => self.leaves(wave, baseline),
-            Body::Heard { client, version, members, .. } => {
-                match self.waves.heard(&client, version, members) {
-                    true => Effect::Heard { client },
+            Body::Pace { waves, .. } => rollouts_changed(self.waves.set_enabled(waves)),
+            Body::Reach { wave, .. } => self.start_wave(wave, Baseline::default()),
+            Body::StartWave { wave, baseline, .. } => self.start_wave(wave, baseline),
+            Body::MembersReported { client, version, members, .. } => {
+                match self.waves.record_reports(&client, version, members) {
+                    true => Effect::MembersReported { client },
                     false => Effect::Nothing,
                 }
             }
-            Body::Pass { pass, .. } => {
+            Body::PassOver { pass, .. } => {
                 let set = self.registry.desired(&pass.client).map(|desired| desired.set);
-                match set.is_some_and(|set| self.waves.pass(&pass, &set)) {
-                    true => spread(vec![pass.client]),
+                match set.is_some_and(|set| self.waves.pass_over(&pass, &set)) {
+                    true => rollouts_changed(vec![pass.client]),
                     false => Effect::Nothing,
                 }
             }
-            Body::Reached { client, version, .. } if self.waves.done(&client, version) => {
-                spread(vec![client])
+            Body::Reached { client, version, .. } if self.waves.finish(&client, version) => {
+                rollouts_changed(vec![client])
             }
             Body::Halt { halt, .. } => match self.waves.halt(&mut self.registry, wall, &halt) {
                 Some(changed) => Effect::Spread { clients: vec![halt.client], changed },
@@ -177,66 +173,69 @@
                 false => Effect::Nothing,
             },
             Body::Region(command) => Effect::Region(self.agreed.apply(&command)),
-            Body::Found { .. } | Body::Reached { .. } => Effect::Nothing,
+            Body::Findings { .. } | Body::Reached { .. } => Effect::Nothing,
         }
     }
 
-    fn leaves(&mut self, wave: Wave, baseline: Baseline) -> Effect {
+    fn start_wave(&mut self, wave: Wave, baseline: Baseline) -> Effect {
         let set = self.registry.desired(&wave.client).map(|desired| desired.set);
-        match set.is_some_and(|set| self.waves.reach(&wave, baseline, &set)) {
+        match set.is_some_and(|set| self.waves.start_wave(&wave, baseline, &set)) {
             true => Effect::Spread { clients: vec![wave.client], changed: Vec::new() },
             false => Effect::Nothing,
         }
     }
 
-    /// A command, and what it means for rollouts: only what the command's own client wished for goes in waves.
-    fn rules(&mut self, wall: Micros, command: &Command) -> Outcome {
+    /// Executes a command and updates the rollouts: only a version that the command's own client submitted
+    /// goes in waves.
+    fn execute(&mut self, wall: Micros, command: &Command) -> Outcome {
         let own = command.client();
         let mut before =
             own.and_then(|client| self.registry.desired(client)).map(|d| d.set).unwrap_or_default();
         let outcome = self.registry.apply(wall, command);
         for desired in &outcome.changed {
             if Some(desired.client.as_str()) == own {
-                self.waves.changed(&before, desired);
+                self.waves.desired_changed(&before, desired);
                 before = Arc::clone(&desired.set);
             } else {
-                // A cut that was due.
-                self.waves.changed(&Arc::default(), desired);
+                // A cut by a plan that was due.
+                self.waves.desired_changed(&Arc::default(), desired);
             }
         }
         outcome
     }
 
-    /// As octets, for [`heronroute_fleet::keepers::Keepers::snapshot`].
+    /// Encodes the state, for [`heronroute_fleet::keepers::Keepers::snapshot`].
     pub fn snapshot(&self) -> Vec<u8> {
-        let kept = Kept { registry: self.registry.snapshot(), term: self.term, found: self.found.clone() };
-        let mut octets = postcard::to_stdvec(&kept).unwrap_or_default();
-        // Behind the rest, each in its turn: a state from before there were waves, fences, trials or regions ends there.
-        octets.extend(postcard::to_stdvec(&self.waves).unwrap_or_default());
-        octets.extend(postcard::to_stdvec(&self.fences).unwrap_or_default());
-        octets.extend(postcard::to_stdvec(&self.waves.trials()).unwrap_or_default());
-        octets.extend(postcard::to_stdvec(&self.agreed).unwrap_or_default());
-        octets
+        let fields =
+            SnapshotFields { registry: self.registry.snapshot(), term: self.term, found: self.found.clone() };
+        let mut bytes = postcard::to_stdvec(&fields).unwrap_or_default();
+        // Appended in the order in which they were introduced: a snapshot from before there were waves,
+        // fences, trials or regions ends earlier.
+        bytes.extend(postcard::to_stdvec(&self.waves).unwrap_or_default());
+        bytes.extend(postcard::to_stdvec(&self.fences).unwrap_or_default());
+        bytes.extend(postcard::to_stdvec(&self.waves.trials()).unwrap_or_default());
+        bytes.extend(postcard::to_stdvec(&self.agreed).unwrap_or_default());
+        bytes
     }
 
-    /// Takes over the state after entry `index`; that before the first has no octets. False where the octets are none: then
-    /// nothing changed.
-    pub fn restore(&mut self, index: u64, octets: &[u8]) -> bool {
-        if index == 0 && octets.is_empty() {
+    /// Restores the state after entry `index`; the state before the first entry has no bytes. Returns false,
+    /// and changes nothing, where the bytes are not a valid snapshot.
+    pub fn restore(&mut self, index: u64, bytes: &[u8]) -> bool {
+        if index == 0 && bytes.is_empty() {
             *self = Machine::default();
             return true;
         }
-        let Ok((kept, rest)) = postcard::take_from_bytes::<Kept>(octets) else { return false };
-        let Ok(registry) = Registry::restore(&kept.registry) else { return false };
-        let Some((mut waves, rest)) = behind::<Waves>(rest) else { return false };
-        let Some((fences, rest)) = behind::<Fences>(rest) else { return false };
-        let Some((trials, rest)) = behind::<Trials>(rest) else { return false };
-        let Some((agreed, _)) = behind::<Agreed>(rest) else { return false };
-        waves.try_on(trials);
-        if !waves.sound() || !agreed.sound() {
+        let Ok((fields, rest)) = postcard::take_from_bytes::<SnapshotFields>(bytes) else { return false };
+        let Ok(registry) = Registry::restore(&fields.registry) else { return false };
+        let Some((mut waves, rest)) = next_part::<Waves>(rest) else { return false };
+        let Some((fences, rest)) = next_part::<Fences>(rest) else { return false };
+        let Some((trials, rest)) = next_part::<Trials>(rest) else { return false };
+        let Some((agreed, _)) = next_part::<Agreed>(rest) else { return false };
+        waves.restore_trials(trials);
+        if !waves.is_valid() || !agreed.sound() {
             return false;
         }
-        *self = Machine { registry, term: kept.term, found: kept.found, waves, fences, agreed, index };
+        *self = Machine { registry, term: fields.term, found: fields.found, waves, fences, agreed, index };
         true
     }
 }
--- a/crates/installation/src/machine/tests.rs
+++ b/crates/installation/src/machine/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::waves::Pass;
+use crate::waves::PassOver;
 use heronroute_fleet::{Entry, Life, Name, Request, Start};
 use heronroute_rules::Plan;
 use heronroute_rules::RuleSet;
@@ -32,7 +32,10 @@
     assert!(again.restore(5, &machine.snapshot()));
     assert_eq!(again.apply(&entry(6, settings(5, 9))), Effect::Nothing);
     assert_eq!((rules(&again), again.index()), (3, 6));
-    assert_eq!(again.apply(&entry(7, Body::Found { term: Term(6), saved: vec![1] })), Effect::Found);
+    assert_eq!(
+        again.apply(&entry(7, Body::Findings { term: Term(6), saved: vec![1] })),
+        Effect::FindingsSaved
+    );
     let whole = again.snapshot();
     assert!(!machine.restore(9, &whole[..whole.len() / 2]) && machine.index() == 5, "a half of one is none");
 }
@@ -59,19 +62,20 @@
     let lifted = Effect::Fenced { member: b.clone(), client: "c".into(), stands: false };
     assert_eq!(again.apply(&entry(6, fence(6, false))), lifted);
     assert!(again.fences().is_empty() && !machine.fences().is_empty());
-    // States that were written before there were regions, trials or fences in them: the last fields are not there.
+    // Snapshots from before there were regions, trials or fences: the last fields are missing.
     let regions = postcard::to_stdvec(machine.agreed()).unwrap().len();
     for less in [regions, regions + 1, regions + 2] {
         let before = &old[..old.len() - less];
         assert!(again.restore(7, before) && again.fences().is_empty() && again.index() == 7, "{less}");
     }
-    for n in 0..2 * crate::limits::FENCED {
+    for n in 0..2 * crate::limits::MAX_FENCES {
         again.fences.set(&b, &format!("c{n}"), true);
     }
-    assert_eq!(again.fences().len(), crate::limits::FENCED);
+    assert_eq!(again.fences().len(), crate::limits::MAX_FENCES);
 }
 
-/// A wave with its trial outlives a snapshot, and one from before there were trials is read as one without.
+/// A rollout with its trial survives a snapshot, and a snapshot from before there were trials is read as one
+/// without.
 #[test]
 fn who_gave_word_and_who_was_passed_over_outlives_a_snapshot() {
     let name = |n: &str| Name::new(n).unwrap();
@@ -82,11 +86,11 @@
     let desired = machine.registry().desired("c").unwrap();
     let set = Arc::new(RuleSet { version: desired.set.version + 1, ..(*desired.set).clone() });
     let version = set.version;
-    machine.waves.changed(&desired.set, &Desired { set: Arc::clone(&set), ..desired });
+    machine.waves.desired_changed(&desired.set, &Desired { set: Arc::clone(&set), ..desired });
     let wave =
         |wave| Wave { client: "c".into(), version, first: name("a"), wave, without: Default::default() };
-    assert!(machine.waves.reach(&wave(0), Baseline::default(), &set));
-    let pass = |wave, member: &str, next: Option<&str>| Pass {
+    assert!(machine.waves.start_wave(&wave(0), Baseline::default(), &set));
+    let pass = |wave, member: &str, next: Option<&str>| PassOver {
         client: "c".into(),
         version,
         wave,
@@ -94,21 +98,21 @@
         next: next.map(name),
     };
     let before = machine.snapshot();
-    assert!(!machine.waves.pass(&pass(1, "a", Some("b")), &set), "that wave has not left");
-    assert!(!machine.waves.pass(&pass(0, "a", None), &set), "nobody stands in");
-    assert!(machine.waves.pass(&pass(0, "a", Some("b")), &set));
-    assert!(!machine.waves.pass(&pass(0, "a", Some("c")), &set), "the same again");
-    assert!(machine.waves.heard("c", version, [name("b")].into()));
-    assert!(!machine.waves.heard("c", version, [name("b")].into()), "that is known");
-    assert!(!machine.waves.pass(&pass(0, "b", Some("c")), &set), "it gave word");
+    assert!(!machine.waves.pass_over(&pass(1, "a", Some("b")), &set), "that wave has not left");
+    assert!(!machine.waves.pass_over(&pass(0, "a", None), &set), "nobody stands in");
+    assert!(machine.waves.pass_over(&pass(0, "a", Some("b")), &set));
+    assert!(!machine.waves.pass_over(&pass(0, "a", Some("c")), &set), "the same again");
+    assert!(machine.waves.record_reports("c", version, [name("b")].into()));
+    assert!(!machine.waves.record_reports("c", version, [name("b")].into()), "that is known");
+    assert!(!machine.waves.pass_over(&pass(0, "b", Some("c")), &set), "it gave word");
     let mut again = Machine::default();
     assert!(again.restore(4, &machine.snapshot()));
     let (one, other) = (machine.waves.of("c").unwrap(), again.waves.of("c").unwrap());
     assert!(one == other && one.trial.passes == (1, 1) && one.first == Some(name("b")), "{other:?}");
     let zones = Zones::from([(name("a"), "x".into()), (name("b"), "x".into()), (name("z"), "y".into())]);
-    let places = ["a", "b", "z"].map(|n| other.place(&name(n), &zones));
-    assert_eq!(places, [Some(0), Some(0), Some(2)], "whoever may have it stays with those who do");
-    // The last fields not there: an empty map is one octet there, this one has one client.
+    let waves_of = ["a", "b", "z"].map(|n| other.wave_of(&name(n), &zones));
+    assert_eq!(waves_of, [Some(0), Some(0), Some(2)], "whoever may have it stays with those who do");
+    // The last fields are missing: an empty map is one byte there, this one has one client.
     let trials = postcard::to_stdvec(&again.waves.trials()).unwrap().len();
     let trials = trials + postcard::to_stdvec(again.agreed()).unwrap().len();
     let whole = again.snapshot();
--- a/crates/installation/src/page.rs
+++ b/crates/installation/src/page.rs
@@ -1,7 +1,7 @@
-//! `fleet/drift` in pages: members by name, then rollouts by client, then what was said before, the newest first.
+//! The pages of `fleet/drift`: members by name, then rollouts by client, then the history, the newest first.
 //!
-//! Guards against an answer that outgrows what a client of MQTT takes: each page is under [`MOST`] octets, whatever names and
-//! reasons stand in it, and says behind what the next one begins.
+//! Clients of MQTT limit the size of a packet, so each page is under [`MAX_PAGE_BYTES`], whatever names and
+//! reasons it contains, and names the position after which the next one begins.
 
 use heronroute_drift::view::View;
 use heronroute_drift::{Record, Verdict};
@@ -12,69 +12,70 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// Octets of a page at most.
+/// The largest page, in bytes.
 pub const MOST: usize = 8 * 1024;
 
-/// Of these, for the place of the next page, with all its signs escaped.
-const NEXT: usize = 512;
+/// The part of a page that is reserved for the position of the next one, with all its characters escaped.
+const MAX_NEXT_BYTES: usize = 512;
 
-/// Octets of a place at most.
-const MOST_AFTER: usize = 128;
+/// The longest position in a request, in bytes.
+const MAX_POSITION_BYTES: usize = 128;
 
-/// Which page is asked for.
+/// A requested page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    after: After,
+    after: Position,
     most: Option<usize>,
 }
 
-/// Behind what it begins.
+/// The position after which a page begins.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-enum After {
+enum Position {
     #[default]
     Nothing,
     Member(Name),
     Rollout(String),
-    History(Key),
+    History(RecordKey),
 }
 
-/// What records are in order by.
-type Key = (Term, i64, Name, Start, Verdict);
+/// The sort key of records.
+type RecordKey = (Term, i64, Name, Start, Verdict);
 
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct Body {
+struct PageRequest {
     after: String,
     most: Option<u32>,
 }
 
 impl Page {
-    /// Reads the body of a question.
+    /// Parses the body of a request.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns what is wrong with it.
     pub fn read(body: &[u8]) -> Result<Page, Reply> {
         if body.is_empty() {
             return Ok(Page::default());
         }
         if body.len() > heronroute_rules::limits::MAX_BODY_BYTES {
-            return Err(refused("", "the body is over 64KiB"));
+            return Err(refusal("", "the body is over 64KiB"));
         }
-        let body: Option<Body> = serde_json::from_slice(body).map_err(|e| refused("", &e.to_string()))?;
+        let body: Option<PageRequest> =
+            serde_json::from_slice(body).map_err(|e| refusal("", &e.to_string()))?;
         let body = body.unwrap_or_default();
         Page::of(&body.after, body.most)
     }
 
-    /// Behind this place, with so many lines at most.
+    /// Returns the page after this position, with at most this many lines.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns what is wrong with the arguments.
     pub fn of(after: &str, most: Option<u32>) -> Result<Page, Reply> {
         if most == Some(0) {
-            return Err(refused("most", "at least 1"));
+            return Err(refusal("most", "at least 1"));
         }
-        let after = place(after).ok_or_else(|| {
-            refused(
+        let after = parse_position(after).ok_or_else(|| {
+            refusal(
                 "after",
                 "no such page: the place is the `next` of the page before, or empty for the first",
             )
@@ -82,37 +83,37 @@
         Ok(Page { after, most: most.map(|most| most as usize) })
     }
 
-    /// Whether there is such a page, where these are the members.
+    /// Checks that the page's member exists.
     ///
     /// # Errors
-    /// That there is none.
+    /// Returns the refusal if it does not.
     pub fn exists(&self, known: impl Fn(&Name) -> bool) -> Result<(), Reply> {
         match &self.after {
-            After::Member(name) if !known(name) => {
-                Err(refused("after", &format!("no such page: there is no member {}", name.as_str())))
+            Position::Member(name) if !known(name) => {
+                Err(refusal("after", &format!("no such page: there is no member {}", name.as_str())))
             }
             _ => Ok(()),
         }
     }
 
-    /// The place that it begins behind, to be read again by [`Page::of`].
+    /// Returns the position after which it begins, as accepted by [`Page::of`].
     pub fn after(&self) -> String {
         match &self.after {
-            After::Nothing => String::new(),
-            After::Member(name) => format!("member/{}", name.as_str()),
-            After::Rollout(client) => format!("rollout/{client}"),
-            After::History((term, since, member, start, verdict)) => {
+            Position::Nothing => String::new(),
+            Position::Member(name) => format!("member/{}", name.as_str()),
+            Position::Rollout(client) => format!("rollout/{client}"),
+            Position::History((term, since, member, start, verdict)) => {
                 format!("history/{}/{since}/{}/{}/{}", term.0, member.as_str(), start.0, verdict.word())
             }
         }
     }
 
-    /// Lines at most, where that was asked for.
+    /// Returns the requested maximum of lines.
     pub fn most(&self) -> Option<u32> {
         self.most.and_then(|most| u32::try_from(most).ok())
     }
 
-    /// The page of what is known, rollouts by client, the records from the oldest to the newest.
+    /// Returns the page of a view, with rollouts by client and records from the oldest to the newest.
     pub fn shown<'a>(
         &self,
         view: &View,
@@ -127,17 +128,19 @@
         if let Some(why) = &view.why {
             head.insert("why".into(), why.as_str().into());
         }
-        let members = view.members.iter().filter(|line| self.begins(&After::Member(line.name.clone())));
-        let members = members.map(|line| (After::Member(line.name.clone()), "members", value(line)));
-        let rollouts =
-            rollouts.iter().map(|(client, line)| (After::Rollout(client.clone()), "rollouts", line.clone()));
-        let rollouts = rollouts.filter(|(place, ..)| self.begins(place));
-        let records = records.rev().filter(|record| self.begins(&After::History(key(record))));
-        let records = records.map(|record| (After::History(key(record)), "history", value(record)));
-        self.cut(head, members.chain(rollouts).chain(records))
+        let members = view.members.iter().filter(|line| self.includes(&Position::Member(line.name.clone())));
+        let members = members.map(|line| (Position::Member(line.name.clone()), "members", to_json(line)));
+        let rollouts = rollouts
+            .iter()
+            .map(|(client, line)| (Position::Rollout(client.clone()), "rollouts", line.clone()));
+        let rollouts = rollouts.filter(|(position, ..)| self.includes(position));
+        let records = records.rev().filter(|record| self.includes(&Position::History(record_key(record))));
+        let records =
+            records.map(|record| (Position::History(record_key(record)), "history", to_json(record)));
+        self.fill(head, members.chain(rollouts).chain(records))
     }
 
-    /// The page where nothing is known of anybody; names in order.
+    /// Returns the page of a member that knows nothing of the others; names are in order.
     pub fn unknown<'a>(&self, term: Term, majority: bool, names: impl Iterator<Item = &'a Name>) -> String {
         let mut head = Map::new();
         head.insert("term".into(), term.0.into());
@@ -147,42 +150,42 @@
         head.insert("why".into(), why.into());
         let line =
             |name: &Name| json!({"name": name.as_str(), "verdict": Verdict::NotHeardOf.word(), "version": 0});
-        let lines = names.map(|name| (After::Member(name.clone()), "members", line(name)));
-        self.cut(head, lines.filter(|(place, ..)| self.begins(place)))
+        let lines = names.map(|name| (Position::Member(name.clone()), "members", line(name)));
+        self.fill(head, lines.filter(|(position, ..)| self.includes(position)))
     }
 
-    /// Whether what stands at a place is on this page or a later one.
-    fn begins(&self, place: &After) -> bool {
-        match (&self.after, place) {
-            (After::Nothing, _) => true,
-            (After::Member(last), After::Member(name)) => name > last,
-            (After::Rollout(last), After::Rollout(client)) => client > last,
-            // The newest first.
-            (After::History(last), After::History(key)) => key < last,
-            (After::Member(_), _) | (After::Rollout(_), After::History(_)) => true,
+    /// Returns whether the line at a position is on this page or a later one.
+    fn includes(&self, position: &Position) -> bool {
+        match (&self.after, position) {
+            (Position::Nothing, _) => true,
+            (Position::Member(last), Position::Member(name)) => name > last,
+            (Position::Rollout(last), Position::Rollout(client)) => client > last,
+            // The newest records come first.
+            (Position::History(last), Position::History(key)) => key < last,
+            (Position::Member(_), _) | (Position::Rollout(_), Position::History(_)) => true,
             _ => false,
         }
     }
 
-    /// As many lines as fit; one at least fits, as each is bounded by its parts.
-    fn cut(
+    /// Fills a page with as many lines as fit; at least one does, as the parts of a line are bounded.
+    fn fill(
         &self,
         mut page: Map<String, Value>,
-        lines: impl Iterator<Item = (After, &'static str, Value)>,
+        lines: impl Iterator<Item = (Position, &'static str, Value)>,
     ) -> String {
         for list in ["members", "rollouts", "history"] {
             page.insert(list.into(), Vec::<Value>::new().into());
         }
-        let mut room = MOST.saturating_sub(NEXT + Value::from(page.clone()).to_string().len());
-        let mut left = self.most.unwrap_or(usize::MAX);
-        let mut last = After::Nothing;
-        for (place, list, line) in lines {
+        let mut room = MOST.saturating_sub(MAX_NEXT_BYTES + Value::from(page.clone()).to_string().len());
+        let mut lines_left = self.most.unwrap_or(usize::MAX);
+        let mut last = Position::Nothing;
+        for (position, list, line) in lines {
             let size = line.to_string().len() + 1;
-            if left == 0 || size > room {
+            if lines_left == 0 || size > room {
                 page.insert("next".into(), Page { after: last, most: None }.after().into());
                 break;
             }
-            (left, room, last) = (left - 1, room - size, place);
+            (lines_left, room, last) = (lines_left - 1, room - size, position);
             if let Some(Value::Array(all)) = page.get_mut(list) {
                 all.push(line);
             }
@@ -191,37 +194,37 @@
     }
 }
 
-fn value(line: &impl Serialize) -> Value {
+fn to_json(line: &impl Serialize) -> Value {
     serde_json::to_value(line).unwrap_or_default()
 }
 
-fn key(record: &Record) -> Key {
+fn record_key(record: &Record) -> RecordKey {
     (record.term, record.since, record.member.clone(), record.start, record.verdict)
 }
 
-fn place(text: &str) -> Option<After> {
+fn parse_position(text: &str) -> Option<Position> {
     if text.is_empty() {
-        return Some(After::Nothing);
+        return Some(Position::Nothing);
     }
-    if text.len() > MOST_AFTER {
+    if text.len() > MAX_POSITION_BYTES {
         return None;
     }
     let (kind, rest) = text.split_once('/')?;
     match kind {
-        "member" => Some(After::Member(Name::new(rest).ok()?)),
-        "rollout" => Some(After::Rollout(rest.to_owned())),
+        "member" => Some(Position::Member(Name::new(rest).ok()?)),
+        "rollout" => Some(Position::Rollout(rest.to_owned())),
         "history" => {
             let parts: Vec<&str> = rest.splitn(5, '/').collect();
             let [term, since, member, start, verdict] = parts.as_slice() else { return None };
             let verdict = Verdict::ALL.into_iter().find(|v| v.word() == *verdict)?;
             let (term, start) = (Term(term.parse().ok()?), Start(start.parse().ok()?));
-            Some(After::History((term, since.parse().ok()?, Name::new(member).ok()?, start, verdict)))
+            Some(Position::History((term, since.parse().ok()?, Name::new(member).ok()?, start, verdict)))
         }
         _ => None,
     }
 }
 
-fn refused(field: &str, why: &str) -> Reply {
+fn refusal(field: &str, why: &str) -> Reply {
     let findings = Findings::one(Finding::new("", field, "", "", why));
     Reply::Refused { version: None, findings }
 }
--- a/crates/installation/src/process/answers.rs
+++ b/crates/installation/src/process/answers.rs
@@ -1,11 +1,11 @@
-//! Answers to clients.
+//! Answers to clients and to other members' questions.
 
 use super::Installation;
-use super::carry::Sayer;
+use super::relay::MessageSource;
 use crate::Micros;
-use crate::asks::{self, Question};
+use crate::asks::{self, ParsedRequest};
 use crate::page::Page;
-use crate::rollouts;
+use crate::rollout_view;
 use crate::seam::Output;
 use crate::wire::Wire;
 use heronroute_fleet::{Name, Standing};
@@ -16,46 +16,46 @@
 use serde_json::{Value, json};
 
 impl<S: Storage> Installation<S> {
-    pub(super) fn ask(&mut self, now: Micros, ask: ClientRequest) {
+    pub(super) fn handle_client_request(&mut self, now: Micros, ask: ClientRequest) {
         let operator = self.cfg.clients.get(&ask.client).is_some_and(|c| c.operator);
-        let question = match asks::read(&ask, operator, self.machine.registry()) {
-            Ok(question) => question,
-            Err(reply) => return self.told(asks::reply(&ask, &reply)),
+        let parsed = match asks::read(&ask, operator, self.machine.registry()) {
+            Ok(parsed) => parsed,
+            Err(reply) => return self.answer_client(asks::reply(&ask, &reply)),
         };
-        match question {
-            Question::Show(client) => {
-                let told = self.show(&ask, operator, &client);
-                self.told(told);
+        match parsed {
+            ParsedRequest::Show(client) => {
+                let answer = self.rules_answer(&ask, operator, &client);
+                self.answer_client(answer);
             }
-            Question::Check(command) => self.check(now, ask, &command),
-            Question::Decide(_) if !self.allows().edits => self.told(asks::no_majority(&ask)),
-            Question::Decide(command) => self.propose(now, ask, command),
-            Question::Members => {
+            ParsedRequest::Check(command) => self.start_check(now, ask, &command),
+            ParsedRequest::Decide(_) if !self.allows().edits => self.answer_client(asks::no_majority(&ask)),
+            ParsedRequest::Decide(command) => self.propose(now, ask, command),
+            ParsedRequest::Members => {
                 let text = self.members_json();
-                self.told(asks::told(&ask, text, "shown"));
+                self.answer_client(asks::told(&ask, text, "shown"));
             }
-            Question::Drift(page) => self.drift(now, ask, &page),
+            ParsedRequest::Drift(page) => self.answer_drift(now, ask, &page),
         }
     }
 
-    pub(super) fn told(&mut self, told: Told) {
+    pub(super) fn answer_client(&mut self, told: Told) {
         self.outputs.push(Output::Told(told));
     }
 
-    fn show(&self, ask: &ClientRequest, operator: bool, client: &str) -> Told {
+    fn rules_answer(&self, ask: &ClientRequest, operator: bool, client: &str) -> Told {
         let viewer = Viewer { client: &ask.client, operator };
         match self.machine.registry().view(viewer, client) {
             Some(mut view) => {
                 view.notices.extend(self.applier.empty_share_notices(&view.set));
-                asks::told(ask, self.marked(self.rolled(json::show(&view), client)), "shown")
+                asks::told(ask, self.with_certainty(self.with_rollout(json::show(&view), client)), "shown")
             }
             None => asks::unknown(ask),
         }
     }
 
-    /// With how far the last version has gone, where it is not meant for all, and why it stopped.
-    fn rolled(&self, text: String, client: &str) -> String {
-        let Some(rollout) = rollouts::of(self.machine.waves(), client) else { return text };
+    /// Adds the progress of the client's rollout, where there is one, and why it stopped.
+    fn with_rollout(&self, text: String, client: &str) -> String {
+        let Some(rollout) = rollout_view::of(self.machine.waves(), client) else { return text };
         let mut value: Value = serde_json::from_str(&text).unwrap_or_default();
         if let Some(object) = value.as_object_mut() {
             object.insert("rollout".into(), rollout);
@@ -63,8 +63,9 @@
         value.to_string()
     }
 
-    /// Says so where it is not certain that this is what holds.
-    pub(super) fn marked(&self, text: String) -> String {
+    /// Adds that the answer is uncertain and the condition, where this member can't be sure that it shows the
+    /// current state.
+    pub(super) fn with_certainty(&self, text: String) -> String {
         if self.allows().certain {
             return text;
         }
@@ -79,9 +80,9 @@
     fn members_json(&self) -> String {
         let stale = self.members.stale();
         let others = self.members.rows().iter().filter(|row| row.name != self.cfg.own.name);
-        let line = |row: &heronroute_fleet::members::Row| {
+        let row_json = |row: &heronroute_fleet::members::Row| {
             let state = match row.standing {
-                // What was believed before a pause is not said to be so.
+                // What was believed before a pause is not reported as fact.
                 Standing::Alive if stale => "suspect",
                 Standing::Alive => "alive",
                 Standing::Suspect => "suspect",
@@ -100,57 +101,65 @@
             "condition": self.condition.word(),
             "term": self.keepers.term().0,
             "charge": leader.map(|(_, life)| life.name.as_str()),
-            "members": others.map(line).collect::<Vec<_>>(),
+            "members": others.map(row_json).collect::<Vec<_>>(),
         })
         .to_string()
     }
 
-    fn drift(&mut self, now: Micros, ask: ClientRequest, page: &Page) {
-        if let Err(reply) = page.exists(|name| self.places.contains_key(name)) {
-            return self.told(asks::reply(&ask, &reply));
+    fn answer_drift(&mut self, now: Micros, ask: ClientRequest, page: &Page) {
+        if let Err(reply) = page.exists(|name| self.peer_indexes.contains_key(name)) {
+            return self.answer_client(asks::reply(&ask, &reply));
         }
         if self.in_charge(now).is_some()
-            && let Some(watch) = &self.watch
+            && let Some(watch) = &self.drift_monitor
         {
-            let text = watch.shown(now, true, self.machine.waves(), page);
-            return self.told(asks::told(&ask, text, "shown"));
+            let text = watch.drift_page(now, true, self.machine.waves(), page);
+            return self.answer_client(asks::told(&ask, text, "shown"));
         }
         let leader = self.keepers.leader().map(|(_, life)| life.name.clone());
         let peer =
-            leader.filter(|name| *name != self.cfg.own.name).and_then(|n| self.places.get(&n).copied());
-        let Some(peer) = peer.filter(|_| self.allows().edits) else { return self.nothing_known(&ask) };
+            leader.filter(|name| *name != self.cfg.own.name).and_then(|n| self.peer_indexes.get(&n).copied());
+        let Some(peer) = peer.filter(|_| self.allows().edits) else { return self.answer_unknown(&ask) };
         let number = self.next_number();
-        if let Some(over) = self.open.seek(number, ask, now.saturating_add(self.cfg.pace.patience)) {
-            self.nothing_known(&over);
+        if let Some(evicted) = self.pending.add_query(number, ask, now.saturating_add(self.cfg.pace.patience))
+        {
+            self.answer_unknown(&evicted);
         }
         let wire = Wire::Page { number, after: page.after(), most: page.most() };
-        self.pass(now, peer, None, &wire);
+        self.send_or_relay(now, peer, None, &wire);
     }
 
-    pub(super) fn nothing_known(&mut self, ask: &ClientRequest) {
+    pub(super) fn answer_unknown(&mut self, ask: &ClientRequest) {
         let page = Page::read(&ask.body).unwrap_or_default();
-        let text = page.unknown(self.keepers.term(), self.allows().edits, self.places.keys());
-        self.told(asks::told(ask, text, "shown"));
+        let text = page.unknown(self.keepers.term(), self.allows().edits, self.peer_indexes.keys());
+        self.answer_client(asks::told(ask, text, "shown"));
     }
 
-    /// Another member asks for one of its operators. One that is not in charge says nothing: it is not known here.
-    pub(super) fn sought(&mut self, now: Micros, sayer: &Sayer, number: u64, page: &Page) {
-        let text = match &self.watch {
+    /// Answers another member's question for one of its operators. A member that is not the leader does not
+    /// answer, as it does not know.
+    pub(super) fn handle_drift_query(
+        &mut self,
+        now: Micros,
+        source: &MessageSource,
+        number: u64,
+        page: &Page,
+    ) {
+        let text = match &self.drift_monitor {
             Some(watch) if self.in_charge(now).is_some() => {
-                watch.shown(now, true, self.machine.waves(), page)
+                watch.drift_page(now, true, self.machine.waves(), page)
             }
             _ => return,
         };
-        self.pass(now, sayer.peer, sayer.carried.as_ref(), &Wire::Shown { number, text });
+        self.send_or_relay(now, source.peer, source.relayed_life.as_ref(), &Wire::Shown { number, text });
     }
 
-    pub(super) fn shown(&mut self, from: &Name, number: u64, text: String) {
+    pub(super) fn handle_drift_answer(&mut self, from: &Name, number: u64, text: String) {
         if self.keepers.leader().is_none_or(|(_, life)| life.name != *from) {
             self.counts.misrouted += 1;
             return;
         }
-        if let Some(ask) = self.open.shown(number) {
-            self.told(asks::told(&ask, text, "shown"));
+        if let Some(ask) = self.pending.take_query(number) {
+            self.answer_client(asks::told(&ask, text, "shown"));
         }
     }
 }
--- a/crates/installation/src/process/drift.rs
+++ b/crates/installation/src/process/drift.rs
@@ -1,9 +1,9 @@
-//! What is said of drift: by the member in charge and to it.
+//! Drift messages, sent by the leader and to it.
 
 use super::Installation;
-use super::carry::Sayer;
+use super::relay::MessageSource;
 use crate::Micros;
-use crate::charge::Watch;
+use crate::leader::DriftMonitor;
 use crate::seam::Output;
 use crate::wire::Piece;
 use heronroute_drift::{Act, Order, accepts};
@@ -12,21 +12,22 @@
 use heronroute_rules::seam::Live;
 
 impl<S: Storage> Installation<S> {
-    /// A node says what it applies.
-    pub(super) fn live(&mut self, now: Micros, live: Live) {
+    /// Handles a node's report of what it applies.
+    pub(super) fn handle_live(&mut self, now: Micros, live: Live) {
         let sent = self.applier.sent(&live.client);
         if let Some(answer) = self.reports.live(self.wall, live, sent) {
-            self.report_to_charge(now, Piece::Answer(answer));
+            self.send_to_leader(now, Piece::Answer(answer));
         }
         self.report_at = self.report_at.min(now);
     }
 
-    /// A piece came from a member; whatever it says of itself has to be its own, and of this very life where another handed it on.
-    pub(super) fn piece(&mut self, now: Micros, sayer: &Sayer, piece: Piece) {
+    /// Handles a drift message of a member. Whatever it says of itself has to be about that member, and about
+    /// the very life named by the relay if it was relayed.
+    pub(super) fn handle_piece(&mut self, now: Micros, source: &MessageSource, piece: Piece) {
         let own = &self.cfg.own;
-        let its = |life: &Life| match &sayer.carried {
-            Some(carried) => *life == *carried,
-            None => life.name == sayer.name,
+        let its = |life: &Life| match &source.relayed_life {
+            Some(relayed) => *life == *relayed,
+            None => life.name == source.name,
         };
         let fits = match &piece {
             Piece::Report { report, .. } => its(&report.life),
@@ -38,11 +39,11 @@
             Piece::Order { order, .. } => order.to == *own,
             Piece::Right(ask) => its(&ask.life),
             Piece::Given(give) => {
-                // Handed on by another, it counts only from the life that the log has in charge: guards against a right made up
-                // by a carrier.
+                // A relayed lease counts only from the life that the log names as leader, so that a relay
+                // can't make one up.
                 let leads = |l: &Life| self.keepers.leader().is_some_and(|(_, life)| life == l);
-                let keeper = self.cfg.peers.iter().any(|p| p.keeper && p.name == sayer.name);
-                give.to == *own && keeper && sayer.carried.as_ref().is_none_or(leads)
+                let keeper = self.cfg.peers.iter().any(|p| p.keeper && p.name == source.name);
+                give.to == *own && keeper && source.relayed_life.as_ref().is_none_or(leads)
             }
         };
         if !fits {
@@ -50,7 +51,7 @@
             return;
         }
         match piece {
-            Piece::Report { .. } | Piece::Tell(_) | Piece::Answer(_) => self.watched(now, piece),
+            Piece::Report { .. } | Piece::Tell(_) | Piece::Answer(_) => self.handle_at_keeper(now, piece),
             Piece::Ack(ack) => {
                 if self.reports.reporter.acked(&ack) {
                     self.report_at = self.report_at.min(now);
@@ -58,18 +59,18 @@
             }
             Piece::Ask(ask) => {
                 if let Some(tell) = self.reports.reporter.tell(&ask) {
-                    self.say(sayer.peer, Piece::Tell(tell));
+                    self.queue_piece(source.peer, Piece::Tell(tell));
                 }
             }
-            Piece::Challenge(challenge) => self.challenged(now, challenge),
-            Piece::Order { order, answers } => self.order(now, sayer, order, answers),
-            Piece::Right(ask) => self.right_asked(now, &ask),
-            Piece::Given(give) => self.right_given(now, &give),
+            Piece::Challenge(challenge) => self.handle_challenge(now, challenge),
+            Piece::Order { order, answers } => self.handle_order(now, source, order, answers),
+            Piece::Right(ask) => self.handle_lease_request(now, &ask),
+            Piece::Given(give) => self.handle_lease(now, &give),
         }
     }
 
-    fn watched(&mut self, now: Micros, piece: Piece) {
-        let Some(watch) = &mut self.watch else { return };
+    fn handle_at_keeper(&mut self, now: Micros, piece: Piece) {
+        let Some(watch) = &mut self.drift_monitor else { return };
         match piece {
             Piece::Report { report, sent } => watch.report(now, &report, sent),
             Piece::Tell(tell) => watch.detector_mut().tell(now, &tell),
@@ -84,25 +85,28 @@
         }
     }
 
-    fn challenged(&mut self, now: Micros, challenge: heronroute_drift::Challenge) {
+    fn handle_challenge(&mut self, now: Micros, challenge: heronroute_drift::Challenge) {
         let client = challenge.client.clone();
-        if let Some(apply) = self.applier.again(&client)
+        if let Some(apply) = self.applier.resend(&client)
             && self.reports.challenge(challenge)
         {
-            self.reports.asked(now);
+            self.reports.expect_answers(now);
             self.outputs.push(Output::Apply(apply));
         }
     }
 
-    /// An order counts where it comes from the one that the log puts in charge, in its term, as an answer to a report that
-    /// this life sent a short while ago.
-    fn order(&mut self, now: Micros, sayer: &Sayer, order: Order, answers: Micros) {
-        let known = self.keepers.term().max(self.obeyed);
+    /// Handles an order. It counts if it comes from the leader in the log, in its term, and answers a report
+    /// that this life sent a short while ago.
+    fn handle_order(&mut self, now: Micros, source: &MessageSource, order: Order, answers: Micros) {
+        let known = self.keepers.term().max(self.obeyed_term);
         let leads = match self.keepers.leader() {
-            Some((term, life)) if *term == order.term => life.name == sayer.name,
-            // A term that the log has not told here yet: its keeper may know. A carrier's word is not enough for that: one that
-            // named a term far ahead would have all later orders refused.
-            _ => sayer.carried.is_none() && self.cfg.peers.iter().any(|p| p.keeper && p.name == sayer.name),
+            Some((term, life)) if *term == order.term => life.name == source.name,
+            // A term that this member's log does not have yet: its keeper may know it. A relayed message does
+            // not suffice: one that named a term far ahead would have all later orders refused.
+            _ => {
+                source.relayed_life.is_none()
+                    && self.cfg.peers.iter().any(|p| p.keeper && p.name == source.name)
+            }
         };
         if !self.allows().obeys || !leads || !accepts(order.term, known) {
             self.counts.orders_refused += 1;
@@ -112,71 +116,72 @@
             self.counts.orders_late += 1;
             return;
         }
-        self.obeyed = order.term;
+        self.obeyed_term = order.term;
         self.reports.reporter.term(order.term);
-        self.act(order.act);
+        self.execute_order(order.act);
     }
 
-    /// Nothing of what is applied comes from an order: it only has what the log says applied once more.
-    fn act(&mut self, act: Act) {
+    /// Executes an order. An order never says what to apply: it only has the rules from the log applied once
+    /// more.
+    fn execute_order(&mut self, act: Act) {
         match act {
             Act::SendAgain { clients } | Act::TakeBack { clients } => {
                 let known = |client: &&String| self.machine.registry().desired(client).is_some();
                 let clients: Vec<_> = clients.iter().filter(known).cloned().collect();
-                clients.iter().for_each(|client| self.applier.mend(client));
+                clients.iter().for_each(|client| self.applier.force_resend(client));
             }
             Act::SendWhole { except } => {
                 let all = self.machine.registry().all().map(|d| d.client);
                 let all: Vec<String> = all.filter(|client| !except.contains(client)).collect();
-                all.iter().for_each(|client| self.applier.mend(client));
+                all.iter().for_each(|client| self.applier.force_resend(client));
             }
-            // Fences come by the log alone: one by an order would be known to nobody after a restart.
+            // Fences come by the log alone: one set by an order would be forgotten at a restart.
             Act::Fence { .. } | Act::Lift { .. } => self.counts.orders_refused += 1,
             Act::TellOperator { text } => tracing::warn!(text, "drift"),
         }
     }
 
-    /// What the watch wants said.
-    pub(super) fn watch_out(&mut self, now: Micros) {
-        while let Some(body) = self.watch.as_mut().and_then(Watch::fence) {
-            self.errands.add(body);
+    /// Sends the outputs of the drift monitor.
+    pub(super) fn drain_drift_monitor(&mut self, now: Micros) {
+        while let Some(body) = self.drift_monitor.as_mut().and_then(DriftMonitor::next_fence) {
+            self.proposals.add(body);
         }
-        while let Some((to, piece)) = self.watch.as_mut().and_then(|watch| watch.poll()) {
+        while let Some((to, piece)) = self.drift_monitor.as_mut().and_then(|watch| watch.poll()) {
             if to == self.cfg.own {
-                let peer = self.places.get(&to.name).copied().unwrap_or(0);
-                self.piece(now, &Sayer { name: to.name, peer, carried: None }, piece);
+                let peer = self.peer_indexes.get(&to.name).copied().unwrap_or(0);
+                self.handle_piece(now, &MessageSource { name: to.name, peer, relayed_life: None }, piece);
             } else {
-                self.say_to(&to, piece);
+                self.queue_piece_to(&to, piece);
             }
         }
     }
 
-    /// To whoever is in charge by the log; to oneself without a detour.
-    pub(super) fn report_to_charge(&mut self, now: Micros, piece: Piece) {
+    /// Sends a message to the leader in the log; if that is this member, handles it directly.
+    pub(super) fn send_to_leader(&mut self, now: Micros, piece: Piece) {
         let Some(leader) = self.keepers.leader().map(|(_, life)| life.clone()) else { return };
         if leader.name == self.cfg.own.name {
             match piece {
-                Piece::Right(ask) => self.right_asked(now, &ask),
-                piece => self.watched(now, piece),
+                Piece::Right(ask) => self.handle_lease_request(now, &ask),
+                piece => self.handle_at_keeper(now, piece),
             }
         } else {
-            self.say_to(&leader, piece);
+            self.queue_piece_to(&leader, piece);
         }
     }
 
-    pub(super) fn say_to(&mut self, to: &Life, piece: Piece) {
-        if let Some(peer) = self.places.get(&to.name).copied() {
-            self.say(peer, piece);
+    pub(super) fn queue_piece_to(&mut self, to: &Life, piece: Piece) {
+        if let Some(peer) = self.peer_indexes.get(&to.name).copied() {
+            self.queue_piece(peer, piece);
         }
     }
 
-    fn say(&mut self, peer: usize, piece: Piece) {
-        // To oneself nothing is sent.
+    fn queue_piece(&mut self, peer: usize, piece: Piece) {
+        // Nothing is sent to oneself.
         if self.cfg.peers.get(peer).is_some_and(|p| p.name != self.cfg.own.name) {
-            self.pieces.entry(peer).or_default().push(piece);
+            self.drift_outbox.entry(peer).or_default().push(piece);
         } else {
-            let now = self.last;
-            self.watched(now, piece);
+            let now = self.latest_time;
+            self.handle_at_keeper(now, piece);
         }
     }
 }
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -1,7 +1,7 @@
-//! Inputs, each to the part that it is for.
+//! Dispatch of inputs to the components.
 
 use super::Installation;
-use super::carry::Sayer;
+use super::relay::MessageSource;
 use crate::Micros;
 use crate::asks;
 use crate::machine::Body;
@@ -13,41 +13,42 @@
 use heronroute_journal::Storage;
 
 impl<S: Storage> Installation<S> {
-    pub(super) fn take(&mut self, now: Micros, input: Input) {
+    pub(super) fn handle_input(&mut self, now: Micros, input: Input) {
         match input {
             Input::Tick => {}
-            Input::Linked { peer, life } => self.link(now, peer, Some(life)),
-            Input::Unlinked { peer } => self.link(now, peer, None),
-            Input::Message { peer, payload } => self.message(now, peer, &payload),
-            Input::Outlived(start) => self.over(start),
-            Input::ClientRequest(ask) => self.ask(now, ask),
-            Input::Live(live) => self.live(now, live),
+            Input::Linked { peer, life } => self.handle_link(now, peer, Some(life)),
+            Input::Unlinked { peer } => self.handle_link(now, peer, None),
+            Input::Message { peer, payload } => self.handle_message(now, peer, &payload),
+            Input::Outlived(start) => self.life_is_over(start),
+            Input::ClientRequest(ask) => self.handle_client_request(now, ask),
+            Input::Live(live) => self.handle_live(now, live),
             Input::DryRunResult(weighed) => {
-                let whole = self.weighings.sender(&weighed);
-                self.weighed(whole);
+                let whole = self.dry_runs.sender_answered(&weighed);
+                self.finish_dry_run(whole);
             }
             Input::Health(health) => self.health = health,
-            Input::TookUp(took) => self.took_up(took),
-            Input::Copies(copies) => self.copied(copies),
+            Input::TookUp(took) => self.handle_takeover_done(took),
+            Input::Copies(copies) => self.handle_copies(copies),
             Input::Clients(clients) => {
                 self.cfg.clients = clients;
-                // As at the beginning of a term, and behind it: guards against plans of before that are still on their way.
+                // As at the beginning of a term, and after it in the log: plans of the old settings may still
+                // be on their way.
                 if let Some(charge) = self.in_charge(now) {
-                    self.errands.replace(vec![Body::Begin { term: charge.term }]);
+                    self.proposals.replace(vec![Body::Begin { term: charge.term }]);
                 }
             }
         }
     }
 
-    fn link(&mut self, now: Micros, peer: usize, life: Option<Life>) {
+    fn handle_link(&mut self, now: Micros, peer: usize, life: Option<Life>) {
         let Some(name) = self.cfg.peers.get(peer).map(|p| p.name.clone()) else { return };
         if name == self.cfg.own.name {
             return;
         }
         let stands = life.is_some();
         match life {
-            Some(life) => self.detour.linked(peer, life),
-            None => self.detour.unlinked(peer),
+            Some(life) => self.relay_routes.linked(peer, life),
+            None => self.relay_routes.unlinked(peer),
         }
         let stood = self.members.rows().get(peer).is_some_and(|row| row.linked);
         self.members.link(now, peer, stands);
@@ -63,7 +64,7 @@
         }
     }
 
-    fn message(&mut self, now: Micros, peer: usize, payload: &[u8]) {
+    fn handle_message(&mut self, now: Micros, peer: usize, payload: &[u8]) {
         let name = self.cfg.peers.get(peer).map(|p| p.name.clone());
         let (Some(name), Some(wire)) = (name, Wire::unpack(payload)) else {
             self.counts.undecodable += 1;
@@ -72,46 +73,48 @@
         let agrees = self.allows().agrees;
         match wire {
             Wire::Gossip(octets) => self.members.receive(now, peer, octets),
-            // Of a life that is over nothing is promised any more.
+            // A life that is over takes no part in agreement.
             Wire::Agreement(_) | Wire::Log(_) if !agrees => {}
             Wire::Agreement(octets) => self.keepers.handle(now, &name, Lane::Agreement, octets),
             Wire::Log(octets) => self.keepers.handle(now, &name, Lane::Log, octets),
-            // As of a life that is over: it hands nothing on.
+            // Nor does it relay anything.
             Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } if !agrees => {}
-            Wire::Carry { to, payload } => self.carry(now, peer, to, payload),
-            Wire::Carried { from, to, payload } => self.carried(now, peer, from, &to, payload),
-            Wire::Astray { to } => self.astray(now, peer, &to),
-            wire => self.said(now, &Sayer { name, peer, carried: None }, wire),
+            Wire::Carry { to, payload } => self.relay_message(now, peer, to, payload),
+            Wire::Carried { from, to, payload } => self.handle_relayed(now, peer, from, &to, payload),
+            Wire::Astray { to } => self.handle_no_route(now, peer, &to),
+            wire => self.handle_member_message(now, &MessageSource { name, peer, relayed_life: None }, wire),
         }
     }
 
-    /// What comes over a member's own link or through a neighbour.
-    pub(super) fn said(&mut self, now: Micros, sayer: &Sayer, wire: Wire<'_>) {
+    /// Handles a message that came over a member's own link or through a neighbour.
+    pub(super) fn handle_member_message(&mut self, now: Micros, source: &MessageSource, wire: Wire<'_>) {
         match wire {
             Wire::Drift(pieces) => {
                 for piece in pieces {
-                    self.piece(now, sayer, piece);
+                    self.handle_piece(now, source, piece);
                 }
             }
-            Wire::Seek { number } => self.sought(now, sayer, number, &Page::default()),
+            Wire::Seek { number } => self.handle_drift_query(now, source, number, &Page::default()),
             Wire::Page { number, after, most } => match Page::of(&after, most) {
-                Ok(page) => self.sought(now, sayer, number, &page),
+                Ok(page) => self.handle_drift_query(now, source, number, &page),
                 Err(_) => self.counts.undecodable += 1,
             },
-            Wire::Shown { number, text } => self.shown(&sayer.name, number, text),
-            Wire::DryRun { number, client, rules } => self.weigh_for(now, sayer, number, &client, rules),
+            Wire::Shown { number, text } => self.handle_drift_answer(&source.name, number, text),
+            Wire::DryRun { number, client, rules } => {
+                self.dry_run_for_member(now, source, number, &client, rules)
+            }
             Wire::DryRunResult { number, would } => {
-                let whole = self.weighings.member(sayer.peer, number, would);
-                self.weighed(whole);
+                let whole = self.dry_runs.member_answered(source.peer, number, would);
+                self.finish_dry_run(whole);
             }
-            // Never carried, and heard before this.
+            // These are never relayed and were handled before.
             Wire::Gossip(_) | Wire::Agreement(_) | Wire::Log(_) => {}
             Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } => {}
         }
     }
 
-    /// This life is over.
-    pub(super) fn over(&mut self, start: Start) {
+    /// Handles the news that this life is over, because a later start of its name is known.
+    pub(super) fn life_is_over(&mut self, start: Start) {
         if start <= self.cfg.own.start || self.outlived.is_some_and(|known| known >= start) {
             return;
         }
@@ -122,23 +125,24 @@
         let first = self.outlived.is_none();
         self.outlived = Some(start);
         if first {
-            self.end_asks();
+            self.answer_all_pending();
             if !self.cfg.raised {
                 self.outputs.push(Output::StartAbove(start));
             }
         }
     }
 
-    /// Guards against clients that would never hear: the life that begins anew knows nothing of what this one was asked. What
-    /// waits for the keepers may be decided yet; asked again, it is the same request.
-    pub(super) fn end_asks(&mut self) {
-        self.stand(self.last);
-        let (requests, sought) = self.open.end();
+    /// Answers all waiting clients: the next life knows nothing of this life's requests, so they would never
+    /// get an answer. A request that waits for the keepers may still be committed; repeated, it counts as the
+    /// same request.
+    pub(super) fn answer_all_pending(&mut self) {
+        self.update_condition(self.latest_time);
+        let (requests, sought) = self.pending.take_all();
         for ask in requests {
-            self.told(asks::no_majority(&ask));
+            self.answer_client(asks::no_majority(&ask));
         }
         for ask in sought {
-            self.nothing_known(&ask);
+            self.answer_unknown(&ask);
         }
     }
 }
--- a/crates/installation/src/process/log.rs
+++ b/crates/installation/src/process/log.rs
@@ -1,9 +1,9 @@
-//! What the keepers' part says: entries in their order, and what became of requests.
+//! Outputs of the keepers: committed entries in order, and the results of requests.
 
 use super::Installation;
 use crate::Micros;
 use crate::asks;
-use crate::charge::settings;
+use crate::leader::term_start_proposals;
 use crate::machine::{Body, Effect};
 use crate::seam::Output;
 use crate::wire::Wire;
@@ -15,11 +15,11 @@
 use heronroute_rules::seam::ClientRequest;
 
 impl<S: Storage> Installation<S> {
-    pub(super) fn learn(&mut self, now: Micros) {
+    pub(super) fn drain_keepers(&mut self, now: Micros) {
         while let Some(output) = self.keepers.poll() {
             match output {
                 keepers::Output::Send { to, lane, octets } if self.allows().agrees => {
-                    let Some(peer) = self.places.get(&to).copied() else { continue };
+                    let Some(peer) = self.peer_indexes.get(&to).copied() else { continue };
                     let wire = match lane {
                         Lane::Agreement => Wire::Agreement(&octets),
                         Lane::Log => Wire::Log(&octets),
@@ -27,75 +27,80 @@
                     self.send(peer, &wire);
                 }
                 keepers::Output::Send { .. } => {}
-                keepers::Output::Decided(decided) => self.decided(now, decided),
-                keepers::Output::Restore { index, machine } => self.restored(now, index, &machine),
+                keepers::Output::Decided(decided) => self.handle_decided(now, decided),
+                keepers::Output::Restore { index, machine } => self.handle_restored(now, index, &machine),
                 keepers::Output::WantSnapshot { index } => {
                     if index == self.machine.index() {
                         let machine = self.machine.snapshot();
                         self.keepers.snapshot(index, machine);
                     }
                 }
-                keepers::Output::Answer { request, answer } => self.answered(now, &request, answer),
+                keepers::Output::Answer { request, answer } => self.handle_answer(now, &request, answer),
                 keepers::Output::Standing(standing) => tracing::info!(?standing, "part in agreement"),
             }
         }
     }
 
-    fn decided(&mut self, now: Micros, decided: Decided) {
+    fn handle_decided(&mut self, now: Micros, decided: Decided) {
         let effect = self.machine.apply(&decided);
         self.outputs.push(Output::Decided(decided.clone()));
         let request = &decided.entry.request;
         let own = request.from == self.cfg.own;
-        self.region_heard(now, &request.from);
+        self.region_life_seen(now, &request.from);
         match effect {
             Effect::Rules(outcome) => {
-                outcome.changed.iter().for_each(|desired| self.now_desired(now, desired));
-                if own && let Some((ask, _)) = self.open.answered(request.number) {
+                outcome.changed.iter().for_each(|desired| self.handle_desired_change(now, desired));
+                if own && let Some((ask, _)) = self.pending.take_request(request.number) {
                     self.outputs.push(Output::Told(asks::reply(&ask, &outcome.reply)));
                 }
             }
-            Effect::Here => {}
-            // Only now: what another one in charge had on the way before this is decided too, or void.
-            Effect::Begun(term) if own && self.in_charge(now).is_some_and(|charge| charge.term == term) => {
-                let mut bodies = settings(self.machine.registry(), &self.cfg.clients, term);
+            Effect::Joined => {}
+            // Only now: proposals that another leader made before this entry are committed too, or void.
+            Effect::TermBegan(term)
+                if own && self.in_charge(now).is_some_and(|charge| charge.term == term) =>
+            {
+                let mut bodies = term_start_proposals(self.machine.registry(), &self.cfg.clients, term);
                 let waves = self.cfg.rollout.waves && self.cfg.peers.len() > 1;
-                bodies.extend(self.region_list(term));
-                if waves != self.machine.waves().on() {
+                bodies.extend(self.region_list_proposal(term));
+                if waves != self.machine.waves().enabled() {
                     bodies.insert(0, Body::Pace { term, waves });
                 }
-                // Of a member that is no longer in the settings nobody else would lift them.
-                let gone =
-                    self.machine.fences().all().filter(|(member, _)| !self.places.contains_key(*member));
+                // Nobody else would lift the fences of a member that is no longer in the settings.
+                let gone = self
+                    .machine
+                    .fences()
+                    .all()
+                    .filter(|(member, _)| !self.peer_indexes.contains_key(*member));
                 bodies.extend(gone.map(|(member, client)| Body::fence(term, member, client, false)));
-                self.errands.replace(bodies);
-                if let Some(watch) = &mut self.watch {
-                    watch.fences(now, self.machine.fences());
+                self.proposals.replace(bodies);
+                if let Some(watch) = &mut self.drift_monitor {
+                    watch.load_fences(now, self.machine.fences());
                 }
             }
-            Effect::Begun(_) => {}
+            Effect::TermBegan(_) => {}
             Effect::Spread { clients, changed } => {
-                changed.iter().for_each(|desired| self.now_desired(now, desired));
-                clients.iter().for_each(|client| self.spread(now, client));
+                changed.iter().for_each(|desired| self.handle_desired_change(now, desired));
+                clients.iter().for_each(|client| self.handle_rollout_change(now, client));
             }
-            Effect::Heard { client } => self.now_heard(now, &client),
-            Effect::Found => {
-                if let Some(watch) = self.watch.as_mut().filter(|_| !own) {
-                    watch.found(now, self.machine.found());
-                    watch.fences(now, self.machine.fences());
+            Effect::MembersReported { client } => self.update_wave_reports(now, &client),
+            Effect::FindingsSaved => {
+                if let Some(watch) = self.drift_monitor.as_mut().filter(|_| !own) {
+                    watch.restore_findings(now, self.machine.found());
+                    watch.load_fences(now, self.machine.fences());
                 }
             }
-            Effect::Fenced { member, client, stands } => self.fenced(now, &member, &client, stands),
+            Effect::Fenced { member, client, stands } => self.handle_fence(now, &member, &client, stands),
             Effect::Region(effect) => self.region_effect(&effect),
             Effect::Nothing => tracing::debug!(index = decided.index, "an entry that says nothing here"),
         }
-        if own && !self.broken {
-            self.applier.settle();
+        if own && !self.incomplete {
+            self.applier.entry_committed();
         }
     }
 
-    /// How far a client's version has gone, for the nodes, the detector and the log.
-    fn spread(&mut self, now: Micros, client: &str) {
-        self.now_reached(now, client);
+    /// Reports the progress of a client's rollout to the nodes, the detector and the event log.
+    fn handle_rollout_change(&mut self, now: Micros, client: &str) {
+        self.update_rollout(now, client);
         let waves = self.machine.waves();
         match (waves.of(client), waves.stop(client)) {
             (Some(one), _) => match &one.halted {
@@ -126,55 +131,57 @@
         }
     }
 
-    fn restored(&mut self, now: Micros, index: u64, machine: &[u8]) {
-        self.broken = !self.machine.restore(index, machine);
-        // A log that was not the other keepers' was given up: nothing that it said is left.
-        self.disk &= index > 0;
-        if self.broken {
-            // Written by a newer version of the program, or broken: what is known stays, and is not called whole.
+    fn handle_restored(&mut self, now: Micros, index: u64, machine: &[u8]) {
+        self.incomplete = !self.machine.restore(index, machine);
+        // A log that diverged from the other keepers' was dropped, with everything in it.
+        self.had_disk &= index > 0;
+        if self.incomplete {
+            // The snapshot is damaged or of a newer version of the program: the old state stays and is marked
+            // as incomplete.
             tracing::error!(index, "the state that the keepers sent can't be read");
             return;
         }
         let all: Vec<_> = self.machine.registry().all().collect();
-        all.iter().for_each(|desired| self.now_desired(now, desired));
-        self.applier.fences(self.machine.fences().of(&self.cfg.own.name));
+        all.iter().for_each(|desired| self.handle_desired_change(now, desired));
+        self.applier.replace_fences(self.machine.fences().of(&self.cfg.own.name));
         self.region_restored();
-        if let Some(watch) = &mut self.watch {
-            watch.found(now, self.machine.found());
-            watch.fences(now, self.machine.fences());
+        if let Some(watch) = &mut self.drift_monitor {
+            watch.restore_findings(now, self.machine.found());
+            watch.load_fences(now, self.machine.fences());
         }
     }
 
-    /// A fence was set or lifted, here or at another member.
-    fn fenced(&mut self, now: Micros, member: &Name, client: &str, stands: bool) {
+    /// Handles a fence that was set or lifted at a member.
+    fn handle_fence(&mut self, now: Micros, member: &Name, client: &str, stands: bool) {
         if *member == self.cfg.own.name {
             match stands {
                 true => self.applier.fence(client),
                 false => self.applier.lift(client),
             }
         }
-        if let Some(watch) = &mut self.watch {
+        if let Some(watch) = &mut self.drift_monitor {
             watch.detector_mut().fenced(now, member, client, stands);
         }
     }
 
-    fn answered(&mut self, now: Micros, request: &Request, answer: Answer) {
-        if matches!(answer, Answer::Decided(_)) && !self.broken {
-            self.applier.settle();
+    fn handle_answer(&mut self, now: Micros, request: &Request, answer: Answer) {
+        if matches!(answer, Answer::Decided(_)) && !self.incomplete {
+            self.applier.entry_committed();
         }
-        if request.from != self.cfg.own || self.errands.answered(now, request.number, answer) {
+        if request.from != self.cfg.own || self.proposals.answered(now, request.number, answer) {
             return;
         }
-        let Some((ask, command)) = self.open.answered(request.number) else { return };
+        let Some((ask, command)) = self.pending.take_request(request.number) else { return };
         let told = match answer {
-            // Its entry is in a state that was learnt as a whole: the registry knows the request, and says the same again.
+            // The entry is part of a restored snapshot: the registry knows the request and gives the same
+            // reply again.
             Answer::Decided(_) => {
                 let again = self.machine.registry().preview(self.wall, &command);
                 asks::reply(&ask, &again.reply)
             }
             Answer::NoMajority | Answer::Superseded => asks::no_majority(&ask),
             Answer::Busy => asks::busy(&ask),
-            Answer::Long => asks::reply(&ask, &long()),
+            Answer::Long => asks::reply(&ask, &too_long_reply()),
         };
         self.outputs.push(Output::Told(told));
     }
@@ -187,25 +194,25 @@
     ) {
         let number = self.next_number();
         let body = Body::Rules(command.clone()).pack();
-        if let Some(over) = self.open.request(number, ask, command) {
-            self.outputs.push(Output::Told(asks::busy(&over)));
+        if let Some(evicted) = self.pending.add_request(number, ask, command) {
+            self.outputs.push(Output::Told(asks::busy(&evicted)));
         }
         let request = Request { from: self.cfg.own.clone(), number };
         self.keepers.propose(now, request, self.wall, body);
     }
 
-    pub(super) fn run_errand(&mut self, now: Micros) {
-        let number = self.number + 1;
+    pub(super) fn propose_next(&mut self, now: Micros) {
+        let number = self.last_number + 1;
         let leads = self.in_charge(now).is_some();
-        if let Some(body) = self.errands.next(now, number, leads) {
-            self.number = number;
+        if let Some(body) = self.proposals.next(now, number, leads) {
+            self.last_number = number;
             let request = Request { from: self.cfg.own.clone(), number };
             self.keepers.propose(now, request, self.wall, body);
         }
     }
 }
 
-fn long() -> Reply {
+fn too_long_reply() -> Reply {
     let findings = Findings::one(Finding::new("", "rules", "", "48KiB", "too long to be agreed on"));
     Reply::Refused { version: None, findings }
 }
--- a/crates/installation/src/process/mod.rs
+++ b/crates/installation/src/process/mod.rs
@@ -1,33 +1,33 @@
-//! The state machine.
+//! The state machine of a member.
 //!
-//! Each input goes to the part that it is for; then all parts' outputs go to the parts that they are for, until none is left
-//! ([`Installation::settle`]). Whether this member is in charge is asked anew before each input: a process that was paused
-//! finds its lease over before it looks at what lay in its sockets.
+//! Each input goes to its component; then the outputs of all components are passed on until none is left
+//! ([`Installation::drain_components`]). Whether this member leads is checked before each input: a process
+//! that was paused finds its lease expired before it looks at what its sockets received meanwhile.
 
 mod answers;
-mod carry;
 mod drift;
+mod dry_run;
 mod inputs;
 mod log;
+mod membership;
 mod region;
-mod roll;
+mod relay;
+mod rollout;
 mod start;
-mod swim;
-mod time;
-mod weigh;
+mod timers;
 
 pub use start::StartError;
 
 use crate::apply::Applier;
-use crate::asks::Open;
+use crate::asks::PendingRequests;
+use crate::asks::dry_runs::OpenDryRuns;
 use crate::asks::rate::Rates;
-use crate::asks::weighing::Weighings;
-use crate::charge::Watch;
 use crate::condition::{Allowed, Condition, Facts};
 use crate::config::Config;
-use crate::detour::Detour;
-use crate::errands::Errands;
+use crate::leader::DriftMonitor;
 use crate::machine::{Body, Machine};
+use crate::proposals::PendingProposals;
+use crate::relay::RelayRoutes;
 use crate::report::Reports;
 use crate::seam::{Input, Member, Output};
 use crate::waves::Zones;
@@ -41,134 +41,133 @@
 use heronroute_rules::registry::Registry;
 use std::collections::BTreeMap;
 
-/// What was dropped, since the start.
+/// Counts of what was dropped since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages that are none, or from no peer.
+    /// Messages that can't be decoded or come from no peer.
     pub undecodable: u64,
-    /// What a peer said in another's name, or what is not for this life.
+    /// Messages in another member's name, or for another life.
     pub misrouted: u64,
-    /// Orders of an older term, from one that is not in charge, or while none is taken.
+    /// Orders of an older term, from a member that is not the leader, or received while none is taken.
     pub orders_refused: u64,
-    /// Orders that answer a report of too long ago.
+    /// Orders that answer a report sent too long ago.
     pub orders_late: u64,
-    /// Messages too long to be sent.
+    /// Messages too long to send.
     pub unsent: u64,
-    /// Messages for members that neither a link nor a neighbour leads to.
+    /// Messages for members that are reachable neither by a link nor through a neighbour.
     pub unreached: u64,
-    /// Of others, that were handed on. Not dropped.
+    /// Messages relayed for others. Not dropped.
     pub carried: u64,
-    /// Of others, that were not handed on: more came from one neighbour than it may have carried.
+    /// Messages of others that were not relayed, because their neighbour exceeded its quota.
     pub overloaded: u64,
 }
 
-/// One process of an installation. `S` keeps a keeper's promises.
+/// One member of an installation. `S` stores a keeper's promises.
 pub struct Installation<S: Storage> {
     cfg: Config,
-    /// Places of the peers by name; the own one too.
-    places: BTreeMap<Name, usize>,
-    /// Zones of the peers by name.
+    /// Indexes of the peers by name, with this member's own.
+    peer_indexes: BTreeMap<Name, usize>,
     zones: Zones,
     members: Members,
     keepers: Keepers<S>,
     machine: Machine,
     applier: Applier,
     reports: Reports,
-    /// Nothing without regions in the settings.
-    custody: Option<region::Custody>,
-    /// At keepers only: no other member is ever in charge.
-    watch: Option<Watch>,
-    open: Open,
-    weighings: Weighings,
+    /// None without regions in the settings.
+    region_state: Option<region::RegionState>,
+    /// Only at keepers: no other member ever leads.
+    drift_monitor: Option<DriftMonitor>,
+    pending: PendingRequests,
+    dry_runs: OpenDryRuns,
     rates: Rates,
-    errands: Errands,
-    /// In charge: versions whose first wave has not left, and since when that is known.
-    unsent: BTreeMap<(String, u64), Micros>,
-    /// Of the last request of this life.
-    number: u64,
-    /// The greatest term that an order taken bore.
-    obeyed: Term,
+    proposals: PendingProposals,
+    /// At the leader: versions whose first wave has not started, and since when that is known.
+    unstarted_since: BTreeMap<(String, u64), Micros>,
+    /// The number of the last request of this life.
+    last_number: u64,
+    /// The greatest term among accepted orders.
+    obeyed_term: Term,
     health: Health,
     condition: Condition,
     linked: usize,
-    detour: Detour,
-    disk: bool,
+    relay_routes: RelayRoutes,
+    had_disk: bool,
     outlived: Option<Start>,
-    /// Since it was outlived it has kept still.
-    still: bool,
-    /// A state that the keepers sent could not be read: what is here is not whole.
-    broken: bool,
+    /// Whether it has stopped sending since a later start of its name became known.
+    silenced: bool,
+    /// Whether a snapshot sent by the keepers could not be read, so that the local state is incomplete.
+    incomplete: bool,
     /// How often others declared this life dead, and until when that counts.
-    renewed: (u64, Micros),
+    declared_dead: (u64, Micros),
     report_at: Micros,
     report_soon: Micros,
     probe_at: Micros,
-    last: Micros,
+    latest_time: Micros,
     wall: Micros,
-    /// Of drift, to be sent at the end of the turn.
-    pieces: BTreeMap<usize, Vec<Piece>>,
+    /// Drift messages by peer, sent at the end of the turn.
+    drift_outbox: BTreeMap<usize, Vec<Piece>>,
     outputs: Vec<Output>,
     counts: Counts,
 }
 
 impl<S: Storage + Send> Member for Installation<S> {
     fn handle(&mut self, now: Micros, wall: Micros, input: Input, out: &mut Vec<Output>) {
-        self.last = self.last.max(now);
+        self.latest_time = self.latest_time.max(now);
         self.wall = wall;
-        let now = self.last;
-        // Before the input: whether it was paused, and is in charge no more, has to be known when that is read.
+        let now = self.latest_time;
+        // Before the input is read: it has to be known whether the process was paused and leads no more.
         self.members.tick(now);
-        self.stand(now);
-        self.take(now, input);
-        self.time(now);
-        for _ in 0..limits::TURNS {
-            if !self.settle(now) {
+        self.update_condition(now);
+        self.handle_input(now, input);
+        self.run_timers(now);
+        for _ in 0..limits::MAX_ROUNDS_PER_INPUT {
+            if !self.drain_components(now) {
                 break;
             }
         }
-        self.stand(now);
-        self.leave(now);
+        self.update_condition(now);
+        self.emit_outputs(now);
         out.append(&mut self.outputs);
     }
 }
 
 impl<S: Storage> Installation<S> {
-    /// How this member stands.
+    /// Returns the member's condition.
     pub fn condition(&self) -> Condition {
         self.condition
     }
 
-    /// Clients' rules as far as they are known here.
+    /// Returns the clients' rules as far as they are known here.
     pub fn registry(&self) -> &Registry {
         self.machine.registry()
     }
 
-    /// What the log says, as far as it is known here.
+    /// Returns the replicated state as far as it is known here.
     pub fn machine(&self) -> &Machine {
         &self.machine
     }
 
-    /// Whether this member is in charge and may act.
+    /// Returns the lease if this member is the leader and may act.
     pub fn in_charge(&self, now: Micros) -> Option<Charge> {
         self.keepers.in_charge(now).filter(|_| self.allows().leads)
     }
 
-    /// Who is there.
+    /// Returns the membership.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The agreed log.
+    /// Returns the agreed log.
     pub fn keepers(&self) -> &Keepers<S> {
         &self.keepers
     }
 
-    /// At keepers, what is known of all members while in charge.
-    pub fn watch(&self) -> Option<&Watch> {
-        self.watch.as_ref()
+    /// Returns what a keeper knows of all members while it leads.
+    pub fn watch(&self) -> Option<&DriftMonitor> {
+        self.drift_monitor.as_ref()
     }
 
-    /// What was dropped.
+    /// Returns the counts of what was dropped.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -177,19 +176,19 @@
         self.condition.allows()
     }
 
-    /// How it stands now, and whether it is in charge.
-    fn stand(&mut self, now: Micros) {
+    /// Updates the condition and whether this member leads.
+    fn update_condition(&mut self, now: Micros) {
         let renewed = self.members.counts().renewed;
-        if renewed > self.renewed.0 {
-            self.renewed = (renewed, now.saturating_add(time::DOUBTED));
+        if renewed > self.declared_dead.0 {
+            self.declared_dead = (renewed, now.saturating_add(timers::SUSPECTED_FOR));
         }
         let condition = Condition::of(Facts {
             majority: self.keepers.majority(now),
             linked: self.linked > 0,
             stale: self.members.stale(),
-            suspected: now < self.renewed.1,
-            settled: self.applier.settled(),
-            disk: self.disk,
+            suspected: now < self.declared_dead.1,
+            settled: self.applier.is_settled(),
+            disk: self.had_disk,
             outlived: self.outlived.is_some(),
         });
         if condition != self.condition {
@@ -197,45 +196,45 @@
             self.condition = condition;
         }
         let charge = self.in_charge(now);
-        if let Some(watch) = &mut self.watch
-            && watch.confirm(now, charge.as_ref(), self.keepers.term(), self.machine.fences())
+        if let Some(watch) = &mut self.drift_monitor
+            && watch.update_leadership(now, charge.as_ref(), self.keepers.term(), self.machine.fences())
         {
             let term = watch.detector().current();
-            self.errands.replace(vec![Body::Begin { term }]);
+            self.proposals.replace(vec![Body::Begin { term }]);
         }
-        self.region_stand(now, charge.map(|charge| charge.term));
+        self.region_set_leader(now, charge.map(|charge| charge.term));
     }
 
-    /// Outputs of the parts go on to others. True where there may be more.
-    fn settle(&mut self, now: Micros) -> bool {
-        let before = self.number;
-        self.swim(now);
+    /// Passes the components' outputs on to others. Returns true where there may be more.
+    fn drain_components(&mut self, now: Micros) -> bool {
+        let before = self.last_number;
+        self.drain_membership(now);
         self.keepers.flush(now);
-        self.learn(now);
-        self.run_errand(now);
-        self.watch_out(now);
-        before != self.number
+        self.drain_keepers(now);
+        self.propose_next(now);
+        self.drain_drift_monitor(now);
+        before != self.last_number
     }
 
-    /// What is to leave at the end of a turn.
-    fn leave(&mut self, now: Micros) {
+    /// Emits what is sent at the end of a turn.
+    fn emit_outputs(&mut self, now: Micros) {
         if self.allows().applies {
-            let (fences, applies) = self.applier.next(&self.machine, &self.cfg.own.name, &self.zones);
+            let (fences, applies) = self.applier.take_due(&self.machine, &self.cfg.own.name, &self.zones);
             self.outputs.extend(fences.into_iter().map(Output::Fence));
             for apply in applies {
                 let client = apply.client.clone();
-                self.reports.asked(now);
+                self.reports.expect_answers(now);
                 self.outputs.push(Output::Apply(apply));
-                self.reports.tell(self.wall, &client, self.applier.sent(&client));
+                self.reports.update(self.wall, &client, self.applier.sent(&client));
             }
         }
-        self.region_leave(now);
-        for (peer, pieces) in std::mem::take(&mut self.pieces) {
-            for some in pieces.chunks(crate::wire::MOST_PIECES) {
-                self.pass(now, peer, None, &Wire::Drift(some.to_vec()));
+        self.region_emit_outputs(now);
+        for (peer, pieces) in std::mem::take(&mut self.drift_outbox) {
+            for some in pieces.chunks(crate::wire::MAX_DRIFT_PIECES) {
+                self.send_or_relay(now, peer, None, &Wire::Drift(some.to_vec()));
             }
         }
-        let wake = self.wake(now);
+        let wake = self.next_wake(now);
         self.outputs.push(Output::Wake(wake));
     }
 
@@ -247,7 +246,7 @@
     }
 
     fn next_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+        self.last_number += 1;
+        self.last_number
     }
 }
--- a/crates/installation/src/process/start.rs
+++ b/crates/installation/src/process/start.rs
@@ -1,18 +1,18 @@
-//! From the settings to a member that runs.
+//! Creation of a member from its settings.
 
-use super::region::Custody;
+use super::region::RegionState;
 use super::{Counts, Installation};
 use crate::Micros;
 use crate::apply::Applier;
-use crate::asks::Open;
+use crate::asks::PendingRequests;
+use crate::asks::dry_runs::OpenDryRuns;
 use crate::asks::rate::Rates;
-use crate::asks::weighing::Weighings;
-use crate::charge::Watch;
 use crate::condition::Condition;
 use crate::config::Config;
-use crate::detour::Detour;
-use crate::errands::Errands;
+use crate::leader::DriftMonitor;
 use crate::machine::{Body, Machine};
+use crate::proposals::PendingProposals;
+use crate::relay::RelayRoutes;
 use crate::report::Reports;
 use heronroute_drift::Health;
 use heronroute_fleet::keepers::{self, Keepers};
@@ -21,28 +21,29 @@
 use heronroute_journal::Storage;
 use std::collections::BTreeMap;
 
-/// Why a member can't begin.
+/// Why a member can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings contradict themselves.
+    /// The settings contradict each other.
     #[error(transparent)]
     Members(#[from] MembersError),
-    /// The keepers' part can't begin.
+    /// The keepers' component can't start.
     #[error(transparent)]
     Keepers(#[from] keepers::StartError),
-    /// The regions are none.
+    /// The list of regions is not valid.
     #[error(transparent)]
     Regions(#[from] heronroute_region::list::ListError),
 }
 
 impl<S: Storage> Installation<S> {
-    /// A member that starts now. `storage` is a keeper's, and none at all others; its life's number was raised on disk
-    /// before ([`heronroute_fleet::start::raise`]). What is on a keeper's disk comes with the first input.
+    /// Creates a member. `storage` is given at keepers and nowhere else; the number of this life was raised
+    /// on disk before ([`heronroute_fleet::start::raise`]). What is on a keeper's disk comes with the first
+    /// input.
     ///
     /// # Errors
-    /// Where the settings don't fit together or the keeper's file can't be used.
+    /// Returns an error where the settings don't fit together or the keeper's file can't be used.
     pub fn new(now: Micros, wall: Micros, cfg: Config, storage: Option<S>) -> Result<Self, StartError> {
-        let places: BTreeMap<_, _> =
+        let peer_indexes: BTreeMap<_, _> =
             cfg.peers.iter().enumerate().map(|(at, peer)| (peer.name.clone(), at)).collect();
         let members = Members::new(now, cfg.own.clone(), &cfg.peers, cfg.seed, cfg.members.clone())?;
         let keeper = storage.is_some();
@@ -50,10 +51,10 @@
         let keepers =
             Keepers::new(now, own, &cfg.installation, &cfg.peers, storage, cfg.seed ^ 0x6B65, cfg.keepers)?;
         let lease = cfg.keepers.lease;
-        let watch = keeper.then(|| Watch::new(now, wall, cfg.detector.clone(), lease));
-        let watch = watch.map(|mut watch| {
+        let drift_monitor = keeper.then(|| DriftMonitor::new(now, wall, cfg.detector.clone(), lease));
+        let drift_monitor = drift_monitor.map(|mut watch| {
             for peer in &cfg.peers {
-                // Those of whom nothing was heard are told of as well: as not heard of.
+                // Members of whom nothing was received are registered too, to be listed as not heard of.
                 let own = peer.name == cfg.own.name;
                 let unknown = Life { name: peer.name.clone(), start: Start(0) };
                 let (life, standing) =
@@ -62,47 +63,48 @@
             }
             watch
         });
-        // By the order of names, the same at all members whatever the order of their settings.
-        let place = places.keys().position(|name| *name == cfg.own.name).unwrap_or(0);
-        let applier = Applier::new(place, places.len(), cfg.senders.len());
+        // By the order of names, which is the same at all members whatever the order of their settings.
+        let index = peer_indexes.keys().position(|name| *name == cfg.own.name).unwrap_or(0);
+        let applier = Applier::new(index, peer_indexes.len(), cfg.senders.len());
         let reports = Reports::new(cfg.own.clone(), cfg.senders.clone());
-        let mut errands = Errands::default();
-        errands.add(Body::Here);
-        let custody = cfg.regions.as_ref().map(|regions| Custody::new(now, &cfg.own, regions)).transpose()?;
+        let mut proposals = PendingProposals::default();
+        proposals.add(Body::Joined);
+        let region_state =
+            cfg.regions.as_ref().map(|regions| RegionState::new(now, &cfg.own, regions)).transpose()?;
         let zones = cfg.peers.iter().map(|peer| (peer.name.clone(), peer.zone.clone())).collect();
         Ok(Installation {
-            places,
+            peer_indexes,
             zones,
             members,
-            disk: keepers.sizes().0 > 0,
+            had_disk: keepers.sizes().0 > 0,
             keepers,
             machine: Machine::default(),
             applier,
             reports,
-            custody,
-            watch,
-            open: Open::default(),
-            weighings: Weighings::default(),
+            region_state,
+            drift_monitor,
+            pending: PendingRequests::default(),
+            dry_runs: OpenDryRuns::default(),
             rates: Rates::default(),
-            errands,
-            unsent: BTreeMap::new(),
-            number: 0,
-            obeyed: Term(0),
+            proposals,
+            unstarted_since: BTreeMap::new(),
+            last_number: 0,
+            obeyed_term: Term(0),
             health: Health::default(),
             condition: Condition::Alone,
             linked: 0,
-            detour: Detour::default(),
+            relay_routes: RelayRoutes::default(),
             outlived: None,
-            still: false,
-            broken: false,
-            renewed: (0, Micros::MIN),
-            // Members started at one moment do not all report at one moment.
+            silenced: false,
+            incomplete: false,
+            declared_dead: (0, Micros::MIN),
+            // Members that start at the same moment must not all report at the same moment.
             report_at: now.saturating_add((cfg.seed % cfg.pace.report.max(1) as u64) as Micros),
             report_soon: now,
             probe_at: now.saturating_add(cfg.pace.probe),
-            last: now,
+            latest_time: now,
             wall,
-            pieces: BTreeMap::new(),
+            drift_outbox: BTreeMap::new(),
             outputs: Vec::new(),
             counts: Counts::default(),
             cfg,
--- a/crates/installation/src/seam.rs
+++ b/crates/installation/src/seam.rs
@@ -1,4 +1,4 @@
-//! What the process's thread gives to an installation's member and takes from it.
+//! The inputs and outputs of a member, exchanged with the process's thread.
 
 use crate::config::Client;
 pub use heronroute_drift::Health;
@@ -11,97 +11,102 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What happened.
+/// An event for the member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Time went on; see [`Output::Wake`].
+    /// Time passed; see [`Output::Wake`].
     Tick,
-    /// A link to a peer (by its place in the settings) stands, after both sides said who they are.
+    /// A link to a peer is up, after both sides identified themselves.
     Linked {
-        /// The peer.
+        /// The peer's index in the settings.
         peer: usize,
-        /// Which life of it.
+        /// The peer's life.
         life: Life,
     },
-    /// It stands no more.
+    /// The link to a peer is down.
     Unlinked {
-        /// The peer.
+        /// The peer's index in the settings.
         peer: usize,
     },
-    /// A whole message came, already proved by the installation's key.
+    /// A whole message arrived, already authenticated with the installation's key.
     Message {
-        /// From whom.
+        /// The sending peer's index in the settings.
         peer: usize,
-        /// Its octets.
+        /// The message's bytes.
         payload: Vec<u8>,
     },
-    /// Others heard this member under this later start than its own: its folder was put back from before, or another
-    /// process bears its name. They don't link with it until it starts above that.
+    /// Others know a later start of this member than its own: its folder was restored from an older copy, or
+    /// another process has its name. They don't link with it until it starts with a greater number.
     Outlived(heronroute_fleet::Start),
-    /// A client asks at one of the nodes.
+    /// A client's request at one of the nodes.
     ClientRequest(ClientRequest),
-    /// A node says what it really applies.
+    /// A node's report of what it really applies.
     Live(Live),
-    /// A node answers [`Output::Weigh`].
+    /// A node's answer to [`Output::DryRun`].
     DryRunResult(DryRunResult),
-    /// How the process fares; the newest counts.
+    /// The health of the process; the newest counts.
     Health(Health),
-    /// The settings were read again: what they say of clients now. Where this member is in charge, plans that changed are put
-    /// to the keepers; elsewhere they count from when it is.
+    /// The settings were reloaded: what they say of clients now. The leader proposes plans that changed; at
+    /// other members they count from when they lead.
     Clients(BTreeMap<String, Client>),
-    /// Nodes took on what [`Output::TakeUp`] said; said again until [`Output::TakenUp`] or [`Output::GiveUp`].
+    /// Nodes took over what [`Output::TakeUp`] named; repeated until [`Output::TakenUp`] or
+    /// [`Output::GiveUp`].
     TookUp(TookUp),
-    /// Others have a copy of this member's journals than before; said again after each start of the member.
+    /// Other members than before have a copy of this member's journals; repeated after each start of the
+    /// member.
     Copies(Copies),
 }
 
-/// What is to be done, in order.
+/// An action for the thread; actions are done in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this to a peer, if its link stands; else it is dropped.
+    /// Send this to a peer if its link is up; otherwise it is dropped.
     Send {
-        /// The peer.
+        /// The peer's index in the settings.
         peer: usize,
-        /// Of those that wait for a slow peer, the order and what is given up go by kind.
+        /// The kind, which decides the order and what is dropped in the queue of a slow peer.
         kind: Kind,
-        /// Its octets.
+        /// The message's bytes.
         payload: Vec<u8>,
     },
     /// Give [`Input::Tick`] at this time at the latest.
     Wake(crate::Micros),
     /// An answer for a client.
     Told(Told),
-    /// To be applied by all nodes.
+    /// Rules to be applied by all nodes.
     Apply(Apply),
-    /// What would applying this let go? Asked of all nodes.
+    /// Ask all nodes what applying this would drop.
     DryRun(DryRun),
-    /// A fence is set or lifted, to be told to all nodes; again after each start of the member.
+    /// A fence to be set or lifted at all nodes; repeated after each start of the member.
     Fence(Fence),
-    /// For the log and the tests: an entry was decided, seen here in its order.
+    /// An entry was committed, reported in log order; for event logs and tests.
     Decided(Decided),
-    /// This life of the member is over, as a later start of its name is known: it says nothing more. The process raises its
-    /// number on disk above this one and begins the member anew ([`heronroute_fleet::start::raise`]). Nodes go on.
+    /// This life of the member is over, as a later start of its name is known, and it sends nothing more. The
+    /// process raises the start number on disk above this one and starts the member anew
+    /// ([`heronroute_fleet::start::raise`]). Nodes go on.
     StartAbove(heronroute_fleet::Start),
-    /// With regions, as all that follows: until when nodes may begin attempts and tell final answers. Before the first of a life come
-    /// its fence and whatever it has to take up: what was taken on and is not named by then was given up.
+    /// With regions, as all that follows: the lease, until when nodes may begin attempts and report final
+    /// answers. It is preceded, in each life, by the life's fence and all takeovers under way; earlier
+    /// takeovers that are not named by then were given up.
     Right(Right),
-    /// By the newest right: whose duties are others'.
+    /// By the newest lease: the members whose duties are others'.
     Out(Out),
-    /// The list changed, or is known now.
+    /// The list of regions changed, or is known now.
     List(Arc<List>),
-    /// Of what was taken on before, nodes send and answer nothing any more.
+    /// Nodes stop sending and answering what was taken over from this member.
     Fenced(Fenced),
-    /// Nodes take on what another member left.
+    /// Nodes take over what another member left.
     TakeUp(TakeUp),
-    /// It is theirs.
+    /// The takeover is complete.
     TakenUp(TakenUp),
-    /// It is not.
+    /// The takeover is given up.
     GiveUp(GiveUp),
 }
 
-/// The state machine of one process of an installation, driven by the thread that holds its sockets.
+/// The state machine of one member of an installation, driven by the thread that owns its sockets.
 pub trait Member: Send {
-    /// Takes what happened and says what is to be done, in order. `now` is on the thread's clock and never goes back, `wall`
-    /// is the time of day; both in microseconds. Must not block: links and other members' messages wait meanwhile.
+    /// Handles an event and appends the actions, in order. `now` is on the thread's clock and never goes
+    /// back, `wall` is the time of day; both in microseconds. Must not block: links and other members'
+    /// messages wait meanwhile.
     fn handle(&mut self, now: crate::Micros, wall: crate::Micros, input: Input, out: &mut Vec<Output>);
 }
--- a/crates/installation/src/waves/entry.rs
+++ b/crates/installation/src/waves/entry.rs
@@ -1,48 +1,49 @@
-//! What the log's entries say of rollouts.
+//! The parts of log entries that are about rollouts.
 
 use heronroute_fleet::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A wave of a version leaves.
+/// The start of a wave of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// Whose version.
+    /// The client whose version it is.
     pub client: String,
-    /// Which.
+    /// The version.
     pub version: u64,
-    /// The member of the first wave; where one was named before, that holds.
+    /// The member of the first wave; ignored if the rollout already has one.
     pub first: Name,
-    /// Counted from 0.
+    /// The wave, counted from 0.
     pub wave: usize,
-    /// Its members that are gone.
+    /// The wave's members that are gone.
     pub without: BTreeSet<Name>,
 }
 
-/// A rollout stops.
+/// The stop of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Halt {
-    /// Whose.
+    /// The client whose rollout it is.
     pub client: String,
-    /// Of which version.
+    /// The version.
     pub version: u64,
-    /// Why.
+    /// The reason.
     pub why: String,
-    /// It goes back, with this entry.
+    /// Whether this entry also rolls it back.
     pub back: bool,
 }
 
-/// Members that gave no word since their wave left, and are gone, are passed over: the wave goes on without them.
+/// The passing over of members that are gone and have not reported since their wave started: the wave goes on
+/// without them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pass {
-    /// Whose version.
+pub struct PassOver {
+    /// The client whose version it is.
     pub client: String,
-    /// Which.
+    /// The version.
     pub version: u64,
-    /// Of this wave, which left last.
+    /// Their wave, which is the one that started last.
     pub wave: usize,
-    /// They.
+    /// The members that are passed over.
     pub members: BTreeSet<Name>,
-    /// Of the first wave: whoever it leaves for now.
+    /// For the first wave: the member that replaces the one passed over.
     pub next: Option<Name>,
 }
--- a/crates/installation/src/waves/mod.rs
+++ b/crates/installation/src/waves/mod.rs
@@ -1,18 +1,17 @@
-//! How far approved versions have gone: one member, its zone, all. Part of what all members hold alike, from the same entries
-//! in the same order.
+//! Rollouts of approved versions in waves: one member, its zone, all. Part of the replicated state.
 //!
-//! A version that a client wished for is meant for nobody until the member in charge has its first wave leave, and then for
-//! the waves that left. Until its wave has, a member is meant to apply what it was meant to before. What a plan makes of rules,
-//! and what goes back, is for all at once.
+//! A version that a client submitted is for nobody until the leader starts its first wave, and then for the
+//! waves that started. Until its wave starts, a member keeps applying what it was to apply before. Versions
+//! cut by a plan, and rollbacks, are for all members at once.
 //!
-//! The first member is named in the entry, not found from the settings alone: the first one by name may be gone, and
-//! members' settings may differ while they are changed. All else of the waves follows from its zone, and from who stands in
-//! for a first member that was passed over ([`Trial`]).
+//! The first member is named in the entry, not computed from the settings: the first one by name may be gone,
+//! and members' settings may differ while they are changed. The rest of the waves follows from its zone, and
+//! from the replacements of first members that were passed over ([`Trial`]).
 
 mod entry;
 mod trial;
 
-pub use entry::{Halt, Pass, Wave};
+pub use entry::{Halt, PassOver, Wave};
 pub use trial::{Trial, Trials};
 
 use crate::Micros;
@@ -26,20 +25,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Waves of a rollout, some of which may have nobody.
+/// The number of waves of a rollout; a wave may have no members.
 pub const WAVES: usize = 3;
-/// Rollouts at once at most; a version approved beyond that is for all at once.
+/// The most rollouts at once; a version approved beyond that goes to all members at once.
 pub const MOST: usize = MOST_ROLLOUTS;
-/// Rollouts that stopped and went back that are known at most; the first that did is let go.
-const STOPS: usize = 64;
-/// Members named as gone at most, as many as there can be.
-const GONE: usize = 512;
+/// The most rolled-back rollouts that are remembered; beyond it the oldest is dropped.
+const MAX_ROLLED_BACK: usize = 64;
+/// The most members in a list of members that are gone: as many as there can be.
+const MAX_GONE_MEMBERS: usize = 512;
 
-/// Members by name, with their zones, as the settings have them.
+/// The zone of each member, by the settings.
 pub type Zones = BTreeMap<Name, String>;
 
-/// The wave that reaches a member, where nobody stands in for the first.
-fn place(first: &Name, name: &Name, zones: &Zones) -> usize {
+/// Returns the wave of a member, without replacements of the first one.
+fn wave_of(first: &Name, name: &Name, zones: &Zones) -> usize {
     if first == name {
         return 0;
     }
@@ -47,186 +46,191 @@
     if zone.is_some() && zones.get(name) == zone { 1 } else { 2 }
 }
 
-/// All rollouts.
+/// All rollouts, and those that were rolled back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Waves {
-    /// By the settings of the member in charge.
-    on: bool,
-    spreads: BTreeMap<String, Spread>,
+    /// Whether versions go in waves, by the leader's settings.
+    enabled: bool,
+    rollouts: BTreeMap<String, Rollout>,
     stops: BTreeMap<String, Stop>,
 }
 
-/// A version on its way.
+/// A rollout under way.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spread {
-    /// Which.
+pub struct Rollout {
+    /// The version that is rolled out.
     pub version: u64,
-    /// The member of the first wave, once one was chosen.
+    /// The member of the first wave, once chosen.
     pub first: Option<Name>,
-    /// The wave that left last.
+    /// The wave that started last, counted from 0.
     pub wave: Option<usize>,
-    /// Members that were gone when their wave left, or were passed over since, and are not waited for.
+    /// Members that were gone when their wave started, or were passed over since; they are not waited for.
     pub without: BTreeSet<Name>,
-    /// It was stopped, and why.
+    /// The reason if it was stopped.
     pub halted: Option<String>,
-    /// What each wave is meant to apply.
-    pub meant: [Arc<RuleSet>; WAVES],
-    /// What all were meant to apply last, without a rollout under way: where it goes back to.
-    pub proved: Arc<RuleSet>,
-    /// Who gave word of it, who was passed over, and what it is compared with.
+    /// The rules that each wave is to apply.
+    pub targets: [Arc<RuleSet>; WAVES],
+    /// The rules that all members were to apply last, without a rollout under way: the target of a rollback.
+    pub last_stable: Arc<RuleSet>,
+    /// The members that reported or were passed over, and the baseline.
     #[serde(skip)]
     pub trial: Trial,
 }
 
-/// A rollout that stopped and went back.
+/// A rollout that was stopped and rolled back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stop {
-    /// Of this version.
+    /// The version that was rolled out.
     pub version: u64,
-    /// Why.
+    /// The reason.
     pub why: String,
-    /// The version that has the rules from before.
+    /// The version with the rules from before.
     pub back: u64,
-    /// When, by the time of day.
+    /// The time of day when it was rolled back.
     pub at: Micros,
 }
 
 impl Waves {
-    /// Whether versions go in waves.
-    pub fn on(&self) -> bool {
-        self.on
+    /// Returns whether versions go in waves.
+    pub fn enabled(&self) -> bool {
+        self.enabled
     }
 
-    /// The rollout of a client.
-    pub fn of(&self, client: &str) -> Option<&Spread> {
-        self.spreads.get(client)
+    /// Returns the rollout of a client.
+    pub fn of(&self, client: &str) -> Option<&Rollout> {
+        self.rollouts.get(client)
     }
 
-    /// All rollouts, by client.
-    pub fn all(&self) -> impl Iterator<Item = (&String, &Spread)> {
-        self.spreads.iter()
+    /// Returns all rollouts under way, by client.
+    pub fn all(&self) -> impl Iterator<Item = (&String, &Rollout)> {
+        self.rollouts.iter()
     }
 
-    /// A client's last rollout, where that stopped and went back.
+    /// Returns a client's last rollout, if it was rolled back.
     pub fn stop(&self, client: &str) -> Option<&Stop> {
         self.stops.get(client)
     }
 
-    /// All that stopped and went back, by client.
+    /// Returns all rolled-back rollouts, by client.
     pub fn stops(&self) -> impl Iterator<Item = (&String, &Stop)> {
         self.stops.iter()
     }
 
-    /// Whether it can be so; the bounds hold for what is read as for what is made.
-    pub(crate) fn sound(&self) -> bool {
-        let fits =
-            |one: &Spread| one.wave.is_none_or(|wave| wave < WAVES) && one.without.len() <= WAVES * GONE;
-        self.spreads.len() <= MOST && self.stops.len() <= STOPS && self.spreads.values().all(fits)
+    /// Returns whether the value is valid: a decoded value has the same bounds as one built here.
+    pub(crate) fn is_valid(&self) -> bool {
+        let fits = |one: &Rollout| {
+            one.wave.is_none_or(|wave| wave < WAVES) && one.without.len() <= WAVES * MAX_GONE_MEMBERS
+        };
+        self.rollouts.len() <= MOST && self.stops.len() <= MAX_ROLLED_BACK && self.rollouts.values().all(fits)
     }
 
-    /// Waves still leave.
+    /// Returns whether any rollout still starts waves.
     pub fn running(&self) -> bool {
-        self.spreads.values().any(|spread| spread.halted.is_none())
+        self.rollouts.values().any(|rollout| rollout.halted.is_none())
     }
 
-    /// What a member is meant to apply for a client; none: what is desired.
-    pub fn meant(&self, client: &str, name: &Name, zones: &Zones) -> Option<&Arc<RuleSet>> {
-        let spread = self.spreads.get(client)?;
-        spread.meant.get(spread.place(name, zones).unwrap_or(WAVES - 1))
+    /// Returns the rules that a member should apply for a client; none means the desired ones.
+    pub fn target(&self, client: &str, name: &Name, zones: &Zones) -> Option<&Arc<RuleSet>> {
+        let rollout = self.rollouts.get(client)?;
+        rollout.targets.get(rollout.wave_of(name, zones).unwrap_or(WAVES - 1))
     }
 
-    /// What is desired of a client changed from these rules.
-    pub(crate) fn changed(&mut self, before: &Arc<RuleSet>, now: &Desired) {
+    /// Handles a change of what is desired for a client, which had these rules before.
+    pub(crate) fn desired_changed(&mut self, before: &Arc<RuleSet>, now: &Desired) {
         let client = &now.client;
         if before.version == now.set.version {
-            // The plan alone. Where it is stricter than what some are held at, and not than what the others apply, nothing
-            // will be cut: they must not stay beyond it until their wave comes.
+            // Only the plan changed. Where it is stricter than the rules that some members still apply, but
+            // not than the new ones, nothing will be cut: those members must not exceed it until their wave
+            // starts, so the rollout ends.
             let over = |set: &Arc<RuleSet>| !plan_violations(&set.rules, &now.plan).is_empty();
-            if !over(&now.set) && self.spreads.get(client).is_some_and(|one| one.meant.iter().any(over)) {
-                self.spreads.remove(client);
+            if !over(&now.set) && self.rollouts.get(client).is_some_and(|one| one.targets.iter().any(over)) {
+                self.rollouts.remove(client);
             }
             return;
         }
         self.stops.remove(client);
-        let room = self.spreads.len() < MOST || self.spreads.contains_key(client);
-        if !self.on || now.by_plan || !room {
-            self.spreads.remove(client);
+        let room = self.rollouts.len() < MOST || self.rollouts.contains_key(client);
+        if !self.enabled || now.by_plan || !room {
+            self.rollouts.remove(client);
             return;
         }
-        let last = self.spreads.remove(client);
-        // The same member is the first again: so whoever has gone further than others is among them each time.
-        let (first, meant, proved, trial) = match last {
-            Some(last) => (last.first, last.meant, last.proved, last.trial.next()),
+        let last = self.rollouts.remove(client);
+        // The same member is the first again, so that a member that applied more than others stays in the
+        // first wave.
+        let (first, targets, last_stable, trial) = match last {
+            Some(last) => (last.first, last.targets, last.last_stable, last.trial.for_next_version()),
             None => {
-                let meant = std::array::from_fn(|_| Arc::clone(before));
-                (None, meant, Arc::clone(before), Trial::default())
+                let targets = std::array::from_fn(|_| Arc::clone(before));
+                (None, targets, Arc::clone(before), Trial::default())
             }
         };
-        let spread = Spread {
+        let rollout = Rollout {
             version: now.set.version,
             first,
             wave: None,
             without: BTreeSet::new(),
             halted: None,
-            meant,
-            proved,
+            targets,
+            last_stable,
             trial,
         };
-        self.spreads.insert(client.clone(), spread);
+        self.rollouts.insert(client.clone(), rollout);
     }
 
-    /// Versions go in waves from here on, or for all at once. Whose rollouts that ended.
-    pub(crate) fn set(&mut self, on: bool) -> Vec<String> {
-        self.on = on;
-        if on { Vec::new() } else { std::mem::take(&mut self.spreads).into_keys().collect() }
+    /// Switches waves on or off. Returns the clients whose rollouts ended with that.
+    pub(crate) fn set_enabled(&mut self, on: bool) -> Vec<String> {
+        self.enabled = on;
+        if on { Vec::new() } else { std::mem::take(&mut self.rollouts).into_keys().collect() }
     }
 
-    /// A wave leaves. False where that is void: it left before, it was stopped, or another version took its place.
-    pub(crate) fn reach(&mut self, wave: &Wave, baseline: Baseline, set: &Arc<RuleSet>) -> bool {
-        let Some(spread) = self.spreads.get_mut(&wave.client) else { return false };
-        let void = spread.version != wave.version
+    /// Starts a wave. Returns false where that is void: the wave started before, the rollout was stopped, or
+    /// another version replaced it.
+    pub(crate) fn start_wave(&mut self, wave: &Wave, baseline: Baseline, set: &Arc<RuleSet>) -> bool {
+        let Some(rollout) = self.rollouts.get_mut(&wave.client) else { return false };
+        let is_void = rollout.version != wave.version
             || set.version != wave.version
-            || spread.halted.is_some()
+            || rollout.halted.is_some()
             || wave.wave >= WAVES
-            || wave.without.len() > GONE
+            || wave.without.len() > MAX_GONE_MEMBERS
             || !baseline.sound()
-            || spread.wave.is_some_and(|last| last >= wave.wave);
-        if void {
+            || rollout.wave.is_some_and(|last| last >= wave.wave);
+        if is_void {
             return false;
         }
-        spread.first.get_or_insert_with(|| wave.first.clone());
-        spread.wave = Some(wave.wave);
-        spread.without.extend(wave.without.iter().cloned());
-        spread.trial.passes.1 = 0;
-        spread.trial.baseline = baseline;
-        spread.meant.iter_mut().take(wave.wave + 1).for_each(|meant| *meant = Arc::clone(set));
+        rollout.first.get_or_insert_with(|| wave.first.clone());
+        rollout.wave = Some(wave.wave);
+        rollout.without.extend(wave.without.iter().cloned());
+        rollout.trial.passes.1 = 0;
+        rollout.trial.baseline = baseline;
+        rollout.targets.iter_mut().take(wave.wave + 1).for_each(|targets| *targets = Arc::clone(set));
         true
     }
 
-    /// All are in line. False where that is void.
-    pub(crate) fn done(&mut self, client: &str, version: u64) -> bool {
-        let fits = |one: &Spread| one.version == version && one.halted.is_none() && one.wave.is_some();
-        self.spreads.get(client).is_some_and(fits) && self.spreads.remove(client).is_some()
+    /// Ends a rollout that all members are in line with. Returns false where that is void.
+    pub(crate) fn finish(&mut self, client: &str, version: u64) -> bool {
+        let fits = |one: &Rollout| one.version == version && one.halted.is_none() && one.wave.is_some();
+        self.rollouts.get(client).is_some_and(fits) && self.rollouts.remove(client).is_some()
     }
 
-    /// It stops, and goes back where that is wanted and can be done. None where that is void.
+    /// Stops a rollout, and rolls it back if that is wanted and possible. Returns none where that is void.
     pub(crate) fn halt(
         &mut self,
         registry: &mut Registry,
         wall: Micros,
         halt: &Halt,
     ) -> Option<Vec<Desired>> {
-        let spread = self.spreads.get_mut(&halt.client)?;
-        if spread.version != halt.version || spread.halted.is_some() {
+        let rollout = self.rollouts.get_mut(&halt.client)?;
+        if rollout.version != halt.version || rollout.halted.is_some() {
             return None;
         }
         let why = limits::shorten(&halt.why, limits::MAX_REASON_CHARS);
-        spread.halted = Some(why.clone());
-        let back = halt.back.then(|| registry.undo_rollout(wall, &halt.client, halt.version, &spread.proved));
+        rollout.halted = Some(why.clone());
+        let back =
+            halt.back.then(|| registry.undo_rollout(wall, &halt.client, halt.version, &rollout.last_stable));
         let changed = back.unwrap_or_default();
         if let Some(desired) = changed.iter().find(|desired| desired.client == halt.client) {
-            self.spreads.remove(&halt.client);
-            if self.stops.len() >= STOPS
+            self.rollouts.remove(&halt.client);
+            if self.stops.len() >= MAX_ROLLED_BACK
                 && let Some(oldest) =
                     self.stops.iter().min_by_key(|(_, stop)| stop.at).map(|(c, _)| c.clone())
             {
--- a/crates/installation/src/waves/trial.rs
+++ b/crates/installation/src/waves/trial.rs
@@ -1,6 +1,6 @@
-//! What is known of a version's trial: whose silence says something of it, and what it is compared with.
+//! The evidence of a rollout: which members' silence counts, and what the members are compared with.
 
-use super::{GONE, Pass, Spread, WAVES, Waves, place};
+use super::{MAX_GONE_MEMBERS, PassOver, Rollout, WAVES, Waves, wave_of};
 use heronroute_drift::rollout::{Baseline, MOST_HEARD, MOST_PASSES};
 use heronroute_fleet::Name;
 use heronroute_rules::RuleSet;
@@ -8,106 +8,114 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Of a version on its way.
+/// The evidence of a version under way.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
-    /// Members of the first wave beside the first: those that were passed over, and whoever stands in for them. They stay in
-    /// it, also for the versions that take this one's place: whoever may apply a version is never meant to go back from it.
-    pub also: BTreeSet<Name>,
-    /// Members that gave word since their wave left: their silence is evidence.
+    /// Members of the first wave besides the first: those that were passed over, and their replacements. They
+    /// stay in it for later versions too: a member that may apply a version must never be made to go back
+    /// from it.
+    pub first_wave_extras: BTreeSet<Name>,
+    /// Members that reported since their wave started: their silence is evidence.
     pub heard: BTreeSet<Name>,
-    /// How often members were passed over: of all waves, and of the one that left last.
+    /// How often members were passed over: in all waves, and in the one that started last.
     pub passes: (usize, usize),
-    /// What the wave that left last is compared with.
+    /// What the wave that started last is compared with.
     pub baseline: Baseline,
 }
 
-/// Those of all rollouts, by client.
+/// The trials of all rollouts, by client.
 pub type Trials = BTreeMap<String, Trial>;
 
 impl Trial {
-    /// Of the version that takes this one's place.
-    pub(super) fn next(self) -> Trial {
-        Trial { also: self.also, ..Trial::default() }
+    /// Returns the trial of the version that replaces this one.
+    pub(super) fn for_next_version(self) -> Trial {
+        Trial { first_wave_extras: self.first_wave_extras, ..Trial::default() }
     }
 
-    fn sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let (all, wave) = self.passes;
         let few = wave <= MOST_PASSES && all <= WAVES * MOST_PASSES;
-        few && self.also.len() <= GONE && self.heard.len() <= MOST_HEARD && self.baseline.sound()
+        few && self.first_wave_extras.len() <= MAX_GONE_MEMBERS
+            && self.heard.len() <= MOST_HEARD
+            && self.baseline.sound()
     }
 }
 
 impl Waves {
-    /// For a snapshot: they stand apart there, as one from before there were any has none.
+    /// Returns the trials, for a snapshot. They are a separate part of it, as old snapshots have none.
     pub(crate) fn trials(&self) -> Trials {
-        self.spreads.iter().map(|(client, spread)| (client.clone(), spread.trial.clone())).collect()
+        self.rollouts.iter().map(|(client, rollout)| (client.clone(), rollout.trial.clone())).collect()
     }
 
-    /// Of a snapshot. Those that can't be so are as none.
-    pub(crate) fn try_on(&mut self, trials: Trials) {
-        for (client, trial) in trials.into_iter().filter(|(_, trial)| trial.sound()) {
-            if let Some(spread) = self.spreads.get_mut(&client) {
-                spread.trial = trial;
+    /// Restores the trials of a snapshot, without those that are not valid.
+    pub(crate) fn restore_trials(&mut self, trials: Trials) {
+        for (client, trial) in trials.into_iter().filter(|(_, trial)| trial.is_valid()) {
+            if let Some(rollout) = self.rollouts.get_mut(&client) {
+                rollout.trial = trial;
             }
         }
     }
 
-    /// Members gave word. False where that is void.
-    pub(crate) fn heard(&mut self, client: &str, version: u64, members: BTreeSet<Name>) -> bool {
-        let Some(spread) = self.spreads.get_mut(client) else { return false };
-        let heard = &mut spread.trial.heard;
-        let void = spread.version != version || spread.wave.is_none() || spread.halted.is_some();
+    /// Records that members reported. Returns false where that is void.
+    pub(crate) fn record_reports(&mut self, client: &str, version: u64, members: BTreeSet<Name>) -> bool {
+        let Some(rollout) = self.rollouts.get_mut(client) else { return false };
+        let heard = &mut rollout.trial.heard;
+        let is_void = rollout.version != version || rollout.wave.is_none() || rollout.halted.is_some();
         let new: Vec<Name> = members.difference(heard).cloned().collect();
-        if void || new.is_empty() || heard.len() + new.len() > MOST_HEARD {
+        if is_void || new.is_empty() || heard.len() + new.len() > MOST_HEARD {
             return false;
         }
         heard.extend(new);
         true
     }
 
-    /// Members are passed over. False where that is void: one of them gave word meanwhile, or it was done too often.
-    pub(crate) fn pass(&mut self, pass: &Pass, set: &Arc<RuleSet>) -> bool {
-        let Some(spread) = self.spreads.get_mut(&pass.client) else { return false };
-        let void = spread.version != pass.version
+    /// Passes members over. Returns false where that is void: one of them reported meanwhile, or it was done
+    /// too often.
+    pub(crate) fn pass_over(&mut self, pass: &PassOver, set: &Arc<RuleSet>) -> bool {
+        let Some(rollout) = self.rollouts.get_mut(&pass.client) else { return false };
+        let is_void = rollout.version != pass.version
             || set.version != pass.version
-            || spread.halted.is_some()
-            || spread.wave != Some(pass.wave)
-            || spread.trial.passes.1 >= MOST_PASSES
-            || spread.without.len() + pass.members.len() > WAVES * GONE
-            || pass.members.is_subset(&spread.without)
-            || !pass.members.is_disjoint(&spread.trial.heard);
-        if void || pass.wave == 0 && !spread.stand_in(pass.next.as_ref()) {
+            || rollout.halted.is_some()
+            || rollout.wave != Some(pass.wave)
+            || rollout.trial.passes.1 >= MOST_PASSES
+            || rollout.without.len() + pass.members.len() > WAVES * MAX_GONE_MEMBERS
+            || pass.members.is_subset(&rollout.without)
+            || !pass.members.is_disjoint(&rollout.trial.heard);
+        if is_void || pass.wave == 0 && !rollout.replace_first(pass.next.as_ref()) {
             return false;
         }
-        spread.without.extend(pass.members.iter().cloned());
-        spread.trial.passes.0 += 1;
-        spread.trial.passes.1 += 1;
+        rollout.without.extend(pass.members.iter().cloned());
+        rollout.trial.passes.0 += 1;
+        rollout.trial.passes.1 += 1;
         true
     }
 }
 
-impl Spread {
-    /// The wave that reaches a member; none where the first one was not chosen yet.
-    pub fn place(&self, name: &Name, zones: &super::Zones) -> Option<usize> {
+impl Rollout {
+    /// Returns the wave of a member; none if the first member was not chosen yet.
+    pub fn wave_of(&self, name: &Name, zones: &super::Zones) -> Option<usize> {
         let first = self.first.as_ref()?;
-        Some(if self.trial.also.contains(name) { 0 } else { place(first, name, zones) })
+        Some(if self.trial.first_wave_extras.contains(name) { 0 } else { wave_of(first, name, zones) })
     }
 
-    /// The first wave leaves for another member. False where nobody is named, or there is no room.
-    fn stand_in(&mut self, next: Option<&Name>) -> bool {
+    /// Replaces the first member. Returns false if no replacement is named, or there is no room.
+    fn replace_first(&mut self, next: Option<&Name>) -> bool {
         let (Some(next), Some(first)) = (next, self.first.clone()) else { return false };
-        if *next == first || self.trial.also.contains(next) || self.trial.also.len() >= GONE {
+        if *next == first
+            || self.trial.first_wave_extras.contains(next)
+            || self.trial.first_wave_extras.len() >= MAX_GONE_MEMBERS
+        {
             return false;
         }
-        // The next wave is its zone then; but where a version before this one reached the zone of the one before, those there
-        // must not be meant to go back from that: then that zone stays the next wave.
-        let [_, zone, rest] = &self.meant;
+        // The next wave is then the replacement's zone. But if an earlier version reached the zone of the
+        // member before, those members must not be made to go back from it: then that zone stays the next
+        // wave.
+        let [_, zone, rest] = &self.targets;
         if zone.version == rest.version {
             self.first = Some(next.clone());
-            self.trial.also.insert(first);
+            self.trial.first_wave_extras.insert(first);
         } else {
-            self.trial.also.insert(next.clone());
+            self.trial.first_wave_extras.insert(next.clone());
         }
         true
     }
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -1,4 +1,4 @@
-//! What members say to each other: postcard, bounded, one enum for all kinds.
+//! Messages between members: one enum for all kinds, encoded with postcard and bounded in size.
 
 use crate::Micros;
 use heronroute_drift::{Ack, Answer, Ask, Challenge, Order, Report, Tell};
@@ -9,119 +9,120 @@
 use heronroute_rules::{Rule, limits};
 use serde::{Deserialize, Serialize};
 
-/// Pieces in one message at most.
-pub const MOST_PIECES: usize = 64;
-/// Octets of an answer that one member gives for another, at most.
-pub const MOST_SHOWN: usize = 512 * 1024;
+/// The most drift messages in one message.
+pub const MAX_DRIFT_PIECES: usize = 64;
+/// The longest answer that one member gives for another, in bytes.
+pub const MAX_ANSWER_BYTES: usize = 512 * 1024;
 
-/// A message.
+/// A message between members. Variants and fields are encoded by their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Wire<'a> {
-    /// Who is there; read by [`heronroute_fleet::members`].
+    /// Membership gossip; handled by [`heronroute_fleet::members`].
     Gossip(&'a [u8]),
-    /// Agreement; read by [`heronroute_fleet::keepers`].
+    /// Agreement; handled by [`heronroute_fleet::keepers`].
     Agreement(&'a [u8]),
-    /// The decided log; read by [`heronroute_fleet::keepers`].
+    /// The committed log; handled by [`heronroute_fleet::keepers`].
     Log(&'a [u8]),
-    /// All that is to be said of drift at one moment: the queue for a slow peer keeps only the newest few messages, and an
-    /// order must not be lost to the acknowledgement that leaves with it.
+    /// All drift messages of one turn. They leave as one message because the queue of a slow peer keeps only
+    /// the newest few, and an order must not be lost to the acknowledgement that leaves with it.
     Drift(Vec<Piece>),
-    /// What does `fleet/drift` answer first? Asked of the member in charge, by members that know of no pages.
+    /// The query for the first page of `fleet/drift`, sent to the leader by members of a version without
+    /// pages.
     Seek {
-        /// Given back.
+        /// The number of the query, returned with the answer.
         number: u64,
     },
-    /// It answers this.
+    /// The answer to a query of `fleet/drift`.
     Shown {
-        /// As it was asked.
+        /// The number of the query.
         number: u64,
-        /// JSON.
+        /// The page as JSON.
         text: String,
     },
-    /// What would this member's share of these rules let go of a client's, if it were applied?
+    /// The query what the receiver's share of these rules would drop of a client's, if it were applied.
     DryRun {
-        /// Given back.
+        /// The number of the query, returned with the answer.
         number: u64,
-        /// Whose.
+        /// The client.
         client: String,
         /// All rules, for the whole installation.
         rules: Vec<Rule>,
     },
-    /// The answer, of all senders of the member's process.
+    /// The answer, for all senders of the member's process.
     DryRunResult {
-        /// As it was asked.
+        /// The number of the query.
         number: u64,
-        /// What.
+        /// What would be dropped.
         would: LossCounts,
     },
-    /// As [`Wire::Seek`], for a page; see [`crate::page::Page::of`].
+    /// The query for a page of `fleet/drift`; see [`crate::page::Page::of`].
     Page {
-        /// Given back.
+        /// The number of the query, returned with the answer.
         number: u64,
-        /// Behind this place.
+        /// The position after which the page begins.
         after: String,
-        /// Lines at most.
+        /// The most lines.
         most: Option<u32>,
     },
-    /// For a member that the sender has no link to: whoever gets this hands it on over a link of its own, once.
+    /// A message for a member that the sender has no link to: the receiver relays it once, over its own link.
     Carry {
-        /// To whom.
+        /// The final receiver.
         to: Life,
-        /// A message that [`Wire::carries`] is true of.
+        /// A message for which [`Wire::is_relayable`] is true.
         payload: &'a [u8],
     },
-    /// It is handed on, and never once more.
+    /// A relayed message, which is never relayed again.
     Carried {
-        /// Whose link with the carrier it came by; the carrier's word alone says so.
+        /// The origin, by the word of the relay alone: the member whose link it came by.
         from: Life,
-        /// To whom.
+        /// The final receiver.
         to: Life,
-        /// As it was given.
+        /// The message as the origin sent it.
         payload: &'a [u8],
     },
-    /// What was to be handed on to this member can't be: no link to it stands here either.
+    /// The reply that a message can't be relayed: there is no link to the receiver here either.
     Astray {
-        /// To whom.
+        /// The final receiver.
         to: Name,
     },
 }
 
-/// Of drift.
+/// A drift message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Piece {
-    /// To the member in charge.
+    /// A report to the leader.
     Report {
-        /// What.
+        /// The report.
         report: Report,
-        /// The reporter's clock, given back with orders.
+        /// The time on the reporter's clock, returned with orders.
         sent: Micros,
     },
-    /// To the member in charge.
+    /// Requested details, to the leader.
     Tell(Tell),
-    /// To the member in charge.
+    /// The answer to a challenge, to the leader.
     Answer(Answer),
-    /// From the member in charge.
+    /// The leader's acknowledgement of a report.
     Ack(Ack),
-    /// From the member in charge.
+    /// The leader's request for details.
     Ask(Ask),
-    /// From the member in charge.
+    /// The leader's challenge to prove what is applied.
     Challenge(Challenge),
-    /// From the member in charge.
+    /// The leader's order.
     Order {
-        /// What.
+        /// The order.
         order: Order,
-        /// When the report that it answers was sent, on the receiver's clock: one that slept does not take an order from
-        /// before that for a new one.
+        /// When the report that it answers was sent, on the receiver's clock: a member that slept must not
+        /// take an order from before for a new one.
         answers: Micros,
     },
-    /// To the member in charge.
+    /// A request for a region lease, to the leader.
     Right(rights::Ask),
-    /// From the member in charge.
+    /// A region lease, granted by the leader.
     Given(rights::Give),
 }
 
 impl<'a> Wire<'a> {
-    /// How it is queued.
+    /// Returns the kind, which decides how it is queued.
     pub fn kind(&self) -> Kind {
         match self {
             Wire::Gossip(_) => Kind::Gossip,
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Whether it may go through a third member. Who is there and what is agreed on have ways of their own; what is carried
-    /// already is never carried again.
+    /// Returns whether it may be relayed by a third member. Membership and agreement have paths of their own,
+    /// and what was relayed is never relayed again.
     pub fn carries(&self) -> bool {
         match self {
             Wire::Drift(_) | Wire::Seek { .. } | Wire::Page { .. } | Wire::Shown { .. } => true,
@@ -144,20 +145,20 @@
         }
     }
 
-    /// As octets; none where they would be too many.
+    /// Encodes the message; none if it is too long.
     pub fn pack(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok().filter(|octets| octets.len() <= MOST_MESSAGE)
+        postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MOST_MESSAGE)
     }
 
-    /// Reads a message; none where the octets are not wholly one, or one beyond its bounds.
-    pub fn unpack(octets: &'a [u8]) -> Option<Self> {
-        if octets.len() > MOST_MESSAGE {
+    /// Decodes a message; none if the bytes are not exactly one message within its bounds.
+    pub fn unpack(bytes: &'a [u8]) -> Option<Self> {
+        if bytes.len() > MOST_MESSAGE {
             return None;
         }
-        let (wire, rest) = postcard::take_from_bytes::<Wire<'a>>(octets).ok()?;
+        let (wire, rest) = postcard::take_from_bytes::<Wire<'a>>(bytes).ok()?;
         let fits = match &wire {
-            Wire::Drift(pieces) => pieces.len() <= MOST_PIECES,
-            Wire::Shown { text, .. } => text.len() <= MOST_SHOWN,
+            Wire::Drift(pieces) => pieces.len() <= MAX_DRIFT_PIECES,
+            Wire::Shown { text, .. } => text.len() <= MAX_ANSWER_BYTES,
             Wire::DryRun { client, rules, .. } => {
                 client.len() <= limits::MAX_CLIENT_NAME_BYTES
                     && check::octets(rules) <= limits::MAX_RULES_BYTES
@@ -206,10 +207,10 @@
     #[test]
     fn what_is_written_is_read_again_and_nothing_behind_it() {
         for wire in samples() {
-            let mut octets = wire.pack().unwrap();
-            assert_eq!(Wire::unpack(&octets), Some(wire));
-            octets.push(0);
-            assert_eq!(Wire::unpack(&octets), None);
+            let mut bytes = wire.pack().unwrap();
+            assert_eq!(Wire::unpack(&bytes), Some(wire));
+            bytes.push(0);
+            assert_eq!(Wire::unpack(&bytes), None);
         }
     }
 
@@ -218,26 +219,26 @@
         let mut rng = SmallRng::seed_from_u64(34);
         let whole: Vec<Vec<u8>> = samples().iter().map(|w| w.pack().unwrap()).collect();
         for round in 0..20_000 {
-            let mut octets = whole[round % whole.len()].clone();
+            let mut bytes = whole[round % whole.len()].clone();
             match rng.random_range(0..4) {
-                0 => octets.truncate(rng.random_range(0..=octets.len())),
-                1 => octets = (0..rng.random_range(0..200)).map(|_| rng.random()).collect(),
+                0 => bytes.truncate(rng.random_range(0..=bytes.len())),
+                1 => bytes = (0..rng.random_range(0..200)).map(|_| rng.random()).collect(),
                 _ => {
                     for _ in 0..rng.random_range(1..6) {
-                        let at = rng.random_range(0..octets.len());
-                        octets[at] = rng.random();
+                        let at = rng.random_range(0..bytes.len());
+                        bytes[at] = rng.random();
                     }
                 }
             }
-            if let Some(read) = Wire::unpack(&octets) {
+            if let Some(read) = Wire::unpack(&bytes) {
                 assert!(read.pack().is_some());
             }
         }
-        let long = Wire::Drift(vec![samples_piece(); MOST_PIECES + 1]).pack().unwrap();
+        let long = Wire::Drift(vec![sample_piece(); MAX_DRIFT_PIECES + 1]).pack().unwrap();
         assert_eq!(Wire::unpack(&long), None);
     }
 
-    fn samples_piece() -> Piece {
+    fn sample_piece() -> Piece {
         let Some(Wire::Drift(pieces)) = samples().into_iter().nth(3) else { unreachable!() };
         pieces[1].clone()
     }
