--- a/crates/installation/src/apply.rs
+++ b/crates/installation/src/apply.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct SentRules {
     /// The rules as approved, for the whole installation.
-    pub whole: Arc<RuleSet>,
+    pub approved: Arc<RuleSet>,
     /// This member's share of the rules.
     pub share: Arc<RuleSet>,
     /// This member's part of release rates.
@@ -205,7 +205,7 @@
     fn rules_to_send(&self, desired: &Desired) -> SentRules {
         let share = self.share(&desired.set);
         SentRules {
-            whole: Arc::clone(&desired.set),
+            approved: Arc::clone(&desired.set),
             share: Arc::new(share),
             turn: self.turn(),
             plan: Arc::clone(&desired.plan),
--- a/crates/installation/src/asks/rate.rs
+++ b/crates/installation/src/asks/rate.rs
@@ -22,11 +22,11 @@
     ///
     /// # Errors
     /// Returns how long to wait.
-    fn after(self, now: Micros, full_at: Micros) -> Result<Micros, Micros> {
+    fn take_one(self, now: Micros, full_at: Micros) -> Result<Micros, Micros> {
         let one = SECOND / Micros::from(self.per_second.max(1));
         let next = full_at.max(now).saturating_add(one);
-        let over = next - now - one * Micros::from(self.burst.max(1));
-        if over > 0 { Err(over) } else { Ok(next) }
+        let wait = next - now - one * Micros::from(self.burst.max(1));
+        if wait > 0 { Err(wait) } else { Ok(next) }
     }
 }
 
@@ -53,8 +53,8 @@
     pub fn client(&mut self, now: Micros, client: &str) -> Result<(), Micros> {
         let full_at = self.clients.get(client).copied().unwrap_or(Micros::MIN);
         let (client_budget, all) = (
-            limits::CLIENT_CHECK_RATE.after(now, full_at),
-            limits::PROCESS_CHECK_RATE.after(now, self.process),
+            limits::CLIENT_CHECK_RATE.take_one(now, full_at),
+            limits::PROCESS_CHECK_RATE.take_one(now, self.process),
         );
         let (client_budget, all) = both(client_budget, all)?;
         if self.clients.len() >= limits::MAX_CHECK_BUDGETS {
@@ -70,8 +70,8 @@
     pub fn peer(&mut self, now: Micros, peer: usize) -> bool {
         let full_at = self.peers.get(&peer).copied().unwrap_or(Micros::MIN);
         let (one, all) = (
-            limits::MEMBER_DRY_RUN_RATE.after(now, full_at),
-            limits::TOTAL_DRY_RUN_RATE.after(now, self.others),
+            limits::MEMBER_DRY_RUN_RATE.take_one(now, full_at),
+            limits::TOTAL_DRY_RUN_RATE.take_one(now, self.others),
         );
         let Ok((one, all)) = both(one, all) else { return false };
         self.peers.insert(peer, one);
@@ -94,7 +94,7 @@
     use rand::{Rng, SeedableRng};
 
     #[test]
-    fn nobody_has_more_than_its_rate_and_who_waits_as_told_is_heard() {
+    fn rates_are_kept_and_a_client_that_waits_is_served() {
         for seed in 0..50 {
             let mut rng = SmallRng::seed_from_u64(seed);
             let (mut rates, mut now) = (Rates::default(), 0);
@@ -109,7 +109,7 @@
                         assert_eq!(
                             rates.client(now, &client_number.to_string()),
                             Err(wait),
-                            "seed {seed}: it costs nothing"
+                            "seed {seed}: a refusal takes nothing"
                         );
                         if rng.random_bool(0.1) {
                             now += wait;
@@ -119,16 +119,17 @@
                     }
                 }
             }
-            let check = |rate: Rate, client_budget: &dyn Fn(usize) -> bool| {
+            let check = |rate: Rate, includes: &dyn Fn(usize) -> bool| {
                 let of: Vec<Micros> = served
                     .iter()
-                    .filter(|(_, client_number)| client_budget(*client_number))
+                    .filter(|(_, client_number)| includes(*client_number))
                     .map(|(at, _)| *at)
                     .collect();
                 for (first, from) in of.iter().enumerate() {
                     for (n, to) in of.iter().enumerate().skip(first) {
-                        let most = i64::from(rate.burst) + (to - from) * i64::from(rate.per_second) / SECOND;
-                        assert!((n - first + 1) as i64 <= most, "seed {seed}: {from} to {to}");
+                        let allowed =
+                            i64::from(rate.burst) + (to - from) * i64::from(rate.per_second) / SECOND;
+                        assert!((n - first + 1) as i64 <= allowed, "seed {seed}: {from} to {to}");
                     }
                 }
             };
@@ -141,7 +142,7 @@
     }
 
     #[test]
-    fn clients_without_number_are_not_remembered() {
+    fn budgets_of_many_clients_are_bounded() {
         let mut rates = Rates::default();
         for n in 0..10_000 {
             assert_eq!(rates.client(n * SECOND, &n.to_string()), Ok(()));
@@ -150,16 +151,16 @@
     }
 
     #[test]
-    fn a_member_that_asks_without_end_leaves_others_theirs() {
+    fn a_member_that_floods_leaves_others_their_rate() {
         let mut rates = Rates::default();
-        let heard = (0..1_000).filter(|_| rates.peer(0, 1)).count();
-        assert_eq!(heard, limits::MEMBER_DRY_RUN_RATE.burst as usize);
+        let accepted = (0..1_000).filter(|_| rates.peer(0, 1)).count();
+        assert_eq!(accepted, limits::MEMBER_DRY_RUN_RATE.burst as usize);
         assert!(rates.peer(0, 2));
         let all = (0..1_000).filter(|n| rates.peer(0, 3 + n % 50)).count();
         assert_eq!(
-            all + heard + 1,
+            all + accepted + 1,
             limits::TOTAL_DRY_RUN_RATE.burst as usize,
-            "and all together have theirs"
+            "all members together have a rate too"
         );
         assert!(!rates.peer(0, 99) && rates.peer(SECOND, 99));
         // A member that gets no other requests answers all that a process may send at its own rate.
--- a/crates/installation/src/config.rs
+++ b/crates/installation/src/config.rs
@@ -94,38 +94,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
     /// The interval of reports to the leader.
-    pub report: Micros,
+    pub report_interval: Micros,
     /// The shortest interval of reports, used when something changed.
-    pub report_soon: Micros,
+    pub min_report_interval: Micros,
     /// The interval of reports while a version goes in waves: the next wave waits for reports of the last
     /// one.
-    pub report_rolling: Micros,
+    pub rollout_report_interval: Micros,
     /// The interval after which the nodes are sent the next client's rules again, so that they report what
     /// they apply.
-    pub probe: Micros,
+    pub probe_interval: Micros,
     /// How long a node may take to answer before it counts as hung: then nothing is reported, as what is
     /// known of it may be outdated.
-    pub hung: Micros,
+    pub hung_after: Micros,
     /// How long after the report that it answers an order still counts.
-    pub order: Micros,
+    pub order_valid_for: Micros,
     /// How long another member's answer is waited for.
-    pub patience: Micros,
+    pub peer_timeout: Micros,
     /// The shortest interval between two saves of the leader's findings to the log.
-    pub save: Micros,
+    pub save_interval: Micros,
 }
 
 impl Default for Pace {
     fn default() -> Self {
         const S: Micros = 1_000_000;
         Pace {
-            report: 2 * S,
-            report_soon: S / 10,
-            report_rolling: S / 2,
-            probe: 5 * S,
-            hung: 15 * S,
-            order: 5 * S,
-            patience: S,
-            save: 5 * S,
+            report_interval: 2 * S,
+            min_report_interval: S / 10,
+            rollout_report_interval: S / 2,
+            probe_interval: 5 * S,
+            hung_after: 15 * S,
+            order_valid_for: 5 * S,
+            peer_timeout: S,
+            save_interval: 5 * S,
         }
     }
 }
--- a/crates/installation/src/fences.rs
+++ b/crates/installation/src/fences.rs
@@ -18,8 +18,8 @@
 impl Fences {
     /// Sets or lifts a fence. Returns false if nothing changed: it is so already, or there is no room for one
     /// more (the leader requests it again).
-    pub fn set(&mut self, member: &Name, client: &str, stands: bool) -> bool {
-        if !stands {
+    pub fn set(&mut self, member: &Name, client: &str, is_set: bool) -> bool {
+        if !is_set {
             let Some(own) = self.0.get_mut(member) else { return false };
             let was = own.remove(client);
             if own.is_empty() {
--- a/crates/installation/src/leader.rs
+++ b/crates/installation/src/leader.rs
@@ -81,11 +81,11 @@
     pub fn update_leadership(
         &mut self,
         now: Micros,
-        charge: Option<&Charge>,
+        lease: Option<&Charge>,
         known: Term,
         fences: &Fences,
     ) -> bool {
-        let Some(charge) = charge else {
+        let Some(lease) = lease else {
             self.begun_term = None;
             // Also without a greater known term: an expired lease must not be used any more.
             if self.detector.acting(now) {
@@ -98,10 +98,10 @@
             self.fences.clear();
             self.detector.fences(now, fences.all());
         }
-        self.detector.term(now, charge.term, true);
-        let begins = self.begun_term.is_none_or(|begun_term| charge.term > begun_term);
+        self.detector.term(now, lease.term, true);
+        let begins = self.begun_term.is_none_or(|begun_term| lease.term > begun_term);
         if begins {
-            (self.begun_term, self.begun_at) = (Some(charge.term), now);
+            (self.begun_term, self.begun_at) = (Some(lease.term), now);
         }
         begins && self.detector.acting(now)
     }
@@ -110,8 +110,8 @@
     /// the term has just begun and no report arrived.
     pub fn is_present(&self, now: Micros, name: &Name, patience: Micros) -> Option<bool> {
         let reported = self.detector.heard(now, name);
-        let young = now < self.begun_at.saturating_add(patience);
-        (reported || !young || !self.detector.lives(name)).then_some(reported)
+        let is_new = now < self.begun_at.saturating_add(patience);
+        (reported || !is_new || !self.detector.lives(name)).then_some(reported)
     }
 
     /// Handles a report of this life, sent at this time of its clock. An older report that arrives late
@@ -165,7 +165,7 @@
                     continue;
                 }
                 Output::Superseded(term) => {
-                    tracing::info!(term = term.0, "another member is in charge");
+                    tracing::info!(term = term.0, "another member is the leader");
                     continue;
                 }
             };
@@ -199,7 +199,7 @@
     /// Restores what another leader saved.
     pub fn restore_findings(&mut self, now: Micros, saved: &[u8]) {
         if !saved.is_empty() && self.detector.restore(now, saved).is_err() {
-            tracing::warn!("what the member in charge left can't be read");
+            tracing::warn!("the findings saved by the previous leader can't be read");
         }
     }
 
--- a/crates/installation/src/limits.rs
+++ b/crates/installation/src/limits.rs
@@ -19,7 +19,7 @@
 /// The most messages that are relayed for one neighbour in a second; beyond it they are dropped and counted.
 pub const CARRIED: u32 = 256;
 /// The most bytes that are relayed for one neighbour in a second; likewise.
-pub const CARRIED_OCTETS: usize = 2 << 20;
+pub const MAX_RELAYED_BYTES_PER_SECOND: usize = 2 << 20;
 /// The most fences; one beyond is not set, and is requested again.
 pub const MAX_FENCES: usize = 1024;
 /// The most clients that nodes report about; reports about others are dropped and counted.
@@ -35,8 +35,8 @@
 /// The rate for all clients of a process; likewise. At some 2 ms each, they take a fiftieth of a sender's
 /// time at most.
 pub const PROCESS_CHECK_RATE: Rate = Rate { per_second: 10, burst: 20 };
-/// The most clients whose budget is remembered. Full budgets are forgotten; at [`CHECKS`], at most 40 are not
-/// full at a time.
+/// The most clients whose budget is remembered. Full budgets are forgotten; at [`PROCESS_CHECK_RATE`], at most
+/// 40 are not full at a time.
 pub const MAX_CHECK_BUDGETS: usize = 128;
 /// The rate of dry runs for one other member; beyond it there is no answer, and this member is listed as `not
 /// heard`.
--- a/crates/installation/src/machine/body.rs
+++ b/crates/installation/src/machine/body.rs
@@ -73,7 +73,7 @@
         /// The client whose changes are fenced.
         client: String,
         /// True to set the fence, false to lift it.
-        stands: bool,
+        is_set: bool,
     },
     /// A wave of a version starts, with a baseline.
     StartWave {
@@ -150,8 +150,8 @@
     }
 
     /// Returns the body that sets or lifts a fence in a term.
-    pub fn fence(term: Term, member: &Name, client: &str, stands: bool) -> Body {
-        Body::Fence { term, member: member.clone(), client: client.to_owned(), stands }
+    pub fn fence(term: Term, member: &Name, client: &str, is_set: bool) -> Body {
+        Body::Fence { term, member: member.clone(), client: client.to_owned(), is_set }
     }
 
     pub(super) fn unpack(bytes: &[u8]) -> Option<Body> {
--- a/crates/installation/src/machine/mod.rs
+++ b/crates/installation/src/machine/mod.rs
@@ -43,7 +43,7 @@
         /// The client whose changes are fenced.
         client: String,
         /// True if it was set, false if it was lifted.
-        stands: bool,
+        is_set: bool,
     },
     /// An entry about regions was executed.
     Region(agreed::Effect),
@@ -56,7 +56,7 @@
 pub struct Machine {
     registry: Registry,
     term: Term,
-    found: Vec<u8>,
+    findings: Vec<u8>,
     waves: Waves,
     fences: Fences,
     agreed: Agreed,
@@ -67,7 +67,7 @@
 struct SnapshotFields {
     registry: Vec<u8>,
     term: Term,
-    found: Vec<u8>,
+    findings: Vec<u8>,
 }
 
 /// Reads the next part of a snapshot. Without any bytes left it is the default: the snapshot is of a version
@@ -83,8 +83,8 @@
     }
 
     /// Returns the findings that a leader saved last; empty if there are none.
-    pub fn found(&self) -> &[u8] {
-        &self.found
+    pub fn findings(&self) -> &[u8] {
+        &self.findings
     }
 
     /// Returns the rollouts.
@@ -142,7 +142,7 @@
                 Effect::TermBegan(term)
             }
             Body::Findings { saved, .. } if saved.len() <= MAX_FINDINGS_BYTES => {
-                self.found = saved;
+                self.findings = saved;
                 Effect::FindingsSaved
             }
             Body::Pace { waves, .. } => rollouts_changed(self.waves.set_enabled(waves)),
@@ -168,8 +168,8 @@
                 Some(changed) => Effect::Spread { clients: vec![halt.client], changed },
                 None => Effect::Nothing,
             },
-            Body::Fence { member, client, stands, .. } => match self.fences.set(&member, &client, stands) {
-                true => Effect::Fenced { member, client, stands },
+            Body::Fence { member, client, is_set, .. } => match self.fences.set(&member, &client, is_set) {
+                true => Effect::Fenced { member, client, is_set },
                 false => Effect::Nothing,
             },
             Body::Region(command) => Effect::Region(self.agreed.apply(&command)),
@@ -206,8 +206,11 @@
 
     /// Encodes the state, for [`heronroute_fleet::keepers::Keepers::snapshot`].
     pub fn snapshot(&self) -> Vec<u8> {
-        let fields =
-            SnapshotFields { registry: self.registry.snapshot(), term: self.term, found: self.found.clone() };
+        let fields = SnapshotFields {
+            registry: self.registry.snapshot(),
+            term: self.term,
+            findings: self.findings.clone(),
+        };
         let mut bytes = postcard::to_stdvec(&fields).unwrap_or_default();
         // Appended in the order in which they were introduced: a snapshot from before there were waves,
         // fences, trials or regions ends earlier.
@@ -235,7 +238,8 @@
         if !waves.is_valid() || !agreed.sound() {
             return false;
         }
-        *self = Machine { registry, term: fields.term, found: fields.found, waves, fences, agreed, index };
+        *self =
+            Machine { registry, term: fields.term, findings: fields.findings, waves, fences, agreed, index };
         true
     }
 }
--- a/crates/installation/src/machine/tests.rs
+++ b/crates/installation/src/machine/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_an_older_term_had_on_the_way_is_void_and_a_snapshot_knows_it() {
+fn proposals_of_an_older_term_are_void_also_after_a_restore() {
     let mut machine = Machine::default();
     let rules = |m: &Machine| m.registry().desired("c").unwrap().plan.rules;
     machine.apply(&entry(1, Body::Begin { term: Term(4) }));
@@ -36,30 +36,33 @@
         again.apply(&entry(7, Body::Findings { term: Term(6), saved: vec![1] })),
         Effect::FindingsSaved
     );
-    let whole = again.snapshot();
-    assert!(!machine.restore(9, &whole[..whole.len() / 2]) && machine.index() == 5, "a half of one is none");
+    let snapshot = again.snapshot();
+    assert!(
+        !machine.restore(9, &snapshot[..snapshot.len() / 2]) && machine.index() == 5,
+        "half a snapshot is not valid"
+    );
 }
 
 #[test]
-fn a_fence_is_set_and_lifted_by_the_newest_term_alone_and_a_snapshot_knows_it() {
+fn fences_change_only_in_the_newest_term_and_survive_a_snapshot() {
     let mut machine = Machine::default();
     let b = Name::new("b").unwrap();
-    let fence = |term: u64, stands| Body::Fence {
+    let fence = |term: u64, is_set| Body::Fence {
         term: Term(term),
         member: Name::new("b").unwrap(),
         client: "c".into(),
-        stands,
+        is_set,
     };
     machine.apply(&entry(1, Body::Begin { term: Term(4) }));
     let old = machine.snapshot();
-    let set = Effect::Fenced { member: b.clone(), client: "c".into(), stands: true };
+    let set = Effect::Fenced { member: b.clone(), client: "c".into(), is_set: true };
     assert_eq!(machine.apply(&entry(2, fence(4, true))), set);
-    assert_eq!(machine.apply(&entry(3, fence(4, true))), Effect::Nothing, "it stands already");
+    assert_eq!(machine.apply(&entry(3, fence(4, true))), Effect::Nothing, "already set");
     machine.apply(&entry(4, Body::Begin { term: Term(6) }));
     assert_eq!(machine.apply(&entry(5, fence(5, false))), Effect::Nothing, "of an older term");
     let mut again = Machine::default();
     assert!(again.restore(5, &machine.snapshot()) && again.fences().stands(&b, "c"));
-    let lifted = Effect::Fenced { member: b.clone(), client: "c".into(), stands: false };
+    let lifted = Effect::Fenced { member: b.clone(), client: "c".into(), is_set: false };
     assert_eq!(again.apply(&entry(6, fence(6, false))), lifted);
     assert!(again.fences().is_empty() && !machine.fences().is_empty());
     // Snapshots from before there were regions, trials or fences: the last fields are missing.
@@ -77,7 +80,7 @@
 /// A rollout with its trial survives a snapshot, and a snapshot from before there were trials is read as one
 /// without.
 #[test]
-fn who_gave_word_and_who_was_passed_over_outlives_a_snapshot() {
+fn reports_and_passed_over_members_survive_a_snapshot() {
     let name = |n: &str| Name::new(n).unwrap();
     let mut machine = Machine::default();
     machine.apply(&entry(1, Body::Begin { term: Term(4) }));
@@ -98,25 +101,29 @@
         next: next.map(name),
     };
     let before = machine.snapshot();
-    assert!(!machine.waves.pass_over(&pass(1, "a", Some("b")), &set), "that wave has not left");
-    assert!(!machine.waves.pass_over(&pass(0, "a", None), &set), "nobody stands in");
+    assert!(!machine.waves.pass_over(&pass(1, "a", Some("b")), &set), "that wave has not started");
+    assert!(!machine.waves.pass_over(&pass(0, "a", None), &set), "no replacement is named");
     assert!(machine.waves.pass_over(&pass(0, "a", Some("b")), &set));
-    assert!(!machine.waves.pass_over(&pass(0, "a", Some("c")), &set), "the same again");
+    assert!(!machine.waves.pass_over(&pass(0, "a", Some("c")), &set), "passed over already");
     assert!(machine.waves.record_reports("c", version, [name("b")].into()));
-    assert!(!machine.waves.record_reports("c", version, [name("b")].into()), "that is known");
-    assert!(!machine.waves.pass_over(&pass(0, "b", Some("c")), &set), "it gave word");
+    assert!(!machine.waves.record_reports("c", version, [name("b")].into()), "recorded already");
+    assert!(!machine.waves.pass_over(&pass(0, "b", Some("c")), &set), "it reported");
     let mut again = Machine::default();
     assert!(again.restore(4, &machine.snapshot()));
     let (one, other) = (machine.waves.of("c").unwrap(), again.waves.of("c").unwrap());
     assert!(one == other && one.trial.passes == (1, 1) && one.first == Some(name("b")), "{other:?}");
     let zones = Zones::from([(name("a"), "x".into()), (name("b"), "x".into()), (name("z"), "y".into())]);
     let waves_of = ["a", "b", "z"].map(|n| other.wave_of(&name(n), &zones));
-    assert_eq!(waves_of, [Some(0), Some(0), Some(2)], "whoever may have it stays with those who do");
+    assert_eq!(
+        waves_of,
+        [Some(0), Some(0), Some(2)],
+        "members that may apply the version stay in the first wave"
+    );
     // The last fields are missing: an empty map is one byte there, this one has one client.
     let trials = postcard::to_stdvec(&again.waves.trials()).unwrap().len();
     let trials = trials + postcard::to_stdvec(again.agreed()).unwrap().len();
-    let whole = again.snapshot();
-    assert!(again.restore(5, &whole[..whole.len() - trials]));
+    let snapshot = again.snapshot();
+    assert!(again.restore(5, &snapshot[..snapshot.len() - trials]));
     assert_eq!(again.waves.of("c").unwrap().trial, Default::default());
     assert!(again.restore(6, &before) && again.waves.of("c").unwrap().trial.passes == (0, 0));
 }
--- a/crates/installation/src/process/answers.rs
+++ b/crates/installation/src/process/answers.rs
@@ -121,7 +121,8 @@
             leader.filter(|name| *name != self.cfg.own.name).and_then(|n| self.peer_indexes.get(&n).copied());
         let Some(peer) = peer.filter(|_| self.allows().edits) else { return self.answer_unknown(&ask) };
         let number = self.next_number();
-        if let Some(evicted) = self.pending.add_query(number, ask, now.saturating_add(self.cfg.pace.patience))
+        if let Some(evicted) =
+            self.pending.add_query(number, ask, now.saturating_add(self.cfg.pace.peer_timeout))
         {
             self.answer_unknown(&evicted);
         }
--- a/crates/installation/src/process/drift.rs
+++ b/crates/installation/src/process/drift.rs
@@ -112,7 +112,7 @@
             self.counts.orders_refused += 1;
             return;
         }
-        if answers > now || now > answers.saturating_add(self.cfg.pace.order) {
+        if answers > now || now > answers.saturating_add(self.cfg.pace.order_valid_for) {
             self.counts.orders_late += 1;
             return;
         }
--- a/crates/installation/src/process/dry_run.rs
+++ b/crates/installation/src/process/dry_run.rs
@@ -53,8 +53,8 @@
             let rules = set.rules.clone();
             self.send_or_relay(now, peer, None, &Wire::DryRun { number, client: client.clone(), rules });
         }
-        let whole = self.dry_runs.take_if_complete(number);
-        self.finish_dry_run(whole);
+        let complete = self.dry_runs.take_if_complete(number);
+        self.finish_dry_run(complete);
     }
 
     /// Returns the other members to ask: those that are linked or alive, if the rules are small enough to be
@@ -91,7 +91,7 @@
             senders: self.cfg.senders.iter().copied().collect::<BTreeSet<_>>(),
             local: LossCounts::default(),
             others: others.iter().map(|at| (*at, None)).collect::<BTreeMap<_, _>>(),
-            deadline: now.saturating_add(self.cfg.pace.patience),
+            deadline: now.saturating_add(self.cfg.pace.peer_timeout),
         };
         let evicted = self.dry_runs.open(number, dry_run);
         self.finish_dry_run(evicted);
@@ -119,8 +119,8 @@
                 &set,
                 &[],
             );
-            let whole = self.dry_runs.take_if_complete(own);
-            self.finish_dry_run(whole);
+            let complete = self.dry_runs.take_if_complete(own);
+            self.finish_dry_run(complete);
         }
     }
 
@@ -139,15 +139,15 @@
             }
             Requester::Member(..) => {}
             Requester::Client(ask, mut value, state) => {
-                let heard: Vec<usize> =
+                let answered: Vec<usize> =
                     others.iter().filter_map(|(at, answer)| answer.map(|_| *at)).collect();
-                let whole = others.values().flatten().fold(local, |sum, answer| sum.and(*answer));
+                let total = others.values().flatten().fold(local, |sum, answer| sum.and(*answer));
                 let own = self.peer_indexes.get(&self.cfg.own.name).copied().filter(|_| senders.is_empty());
                 let names = self.cfg.peers.iter().enumerate();
-                let silent = names.filter(|(at, _)| Some(*at) != own && !heard.contains(at));
+                let silent = names.filter(|(at, _)| Some(*at) != own && !answered.contains(at));
                 let silent: Vec<&str> = silent.map(|(_, peer)| peer.name.as_str()).collect();
                 if let Some(object) = value.as_object_mut() {
-                    object.insert("would".into(), json!(whole));
+                    object.insert("would".into(), json!(total));
                     object.insert("here".into(), json!(local));
                     object.insert("members heard".into(), (self.cfg.peers.len() - silent.len()).into());
                     if !silent.is_empty() {
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -23,8 +23,8 @@
             Input::ClientRequest(ask) => self.handle_client_request(now, ask),
             Input::Live(live) => self.handle_live(now, live),
             Input::DryRunResult(weighed) => {
-                let whole = self.dry_runs.sender_answered(&weighed);
-                self.finish_dry_run(whole);
+                let complete = self.dry_runs.sender_answered(&weighed);
+                self.finish_dry_run(complete);
             }
             Input::Health(health) => self.health = health,
             Input::TookUp(took) => self.handle_takeover_done(took),
@@ -33,8 +33,8 @@
                 self.cfg.clients = clients;
                 // As at the beginning of a term, and after it in the log: plans of the old settings may still
                 // be on their way.
-                if let Some(charge) = self.in_charge(now) {
-                    self.proposals.replace(vec![Body::Begin { term: charge.term }]);
+                if let Some(lease) = self.in_charge(now) {
+                    self.proposals.replace(vec![Body::Begin { term: lease.term }]);
                 }
             }
         }
@@ -45,19 +45,19 @@
         if name == self.cfg.own.name {
             return;
         }
-        let stands = life.is_some();
+        let is_linked = life.is_some();
         match life {
             Some(life) => self.relay_routes.linked(peer, life),
             None => self.relay_routes.unlinked(peer),
         }
-        let stood = self.members.rows().get(peer).is_some_and(|row| row.linked);
-        self.members.link(now, peer, stands);
-        match (stood, stands) {
+        let was_linked = self.members.rows().get(peer).is_some_and(|row| row.linked);
+        self.members.link(now, peer, is_linked);
+        match (was_linked, is_linked) {
             (false, true) => self.linked += 1,
             (true, false) => self.linked = self.linked.saturating_sub(1),
             _ => {}
         }
-        if stands {
+        if is_linked {
             self.keepers.reconnected(now, &name);
         } else {
             self.keepers.lost(now, &name);
@@ -72,11 +72,11 @@
         };
         let agrees = self.allows().agrees;
         match wire {
-            Wire::Gossip(octets) => self.members.receive(now, peer, octets),
+            Wire::Gossip(bytes) => self.members.receive(now, peer, bytes),
             // A life that is over takes no part in agreement.
             Wire::Agreement(_) | Wire::Log(_) if !agrees => {}
-            Wire::Agreement(octets) => self.keepers.handle(now, &name, Lane::Agreement, octets),
-            Wire::Log(octets) => self.keepers.handle(now, &name, Lane::Log, octets),
+            Wire::Agreement(bytes) => self.keepers.handle(now, &name, Lane::Agreement, bytes),
+            Wire::Log(bytes) => self.keepers.handle(now, &name, Lane::Log, bytes),
             // Nor does it relay anything.
             Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } if !agrees => {}
             Wire::Carry { to, payload } => self.relay_message(now, peer, to, payload),
@@ -104,8 +104,8 @@
                 self.dry_run_for_member(now, source, number, &client, rules)
             }
             Wire::DryRunResult { number, would } => {
-                let whole = self.dry_runs.member_answered(source.peer, number, would);
-                self.finish_dry_run(whole);
+                let complete = self.dry_runs.member_answered(source.peer, number, would);
+                self.finish_dry_run(complete);
             }
             // These are never relayed and were handled before.
             Wire::Gossip(_) | Wire::Agreement(_) | Wire::Log(_) => {}
@@ -120,7 +120,7 @@
         }
         tracing::warn!(
             start = start.0,
-            "a later start of this member's name is known: this life says nothing more"
+            "a later start of this member's name is known; this life stops sending"
         );
         let first = self.outlived.is_none();
         self.outlived = Some(start);
@@ -137,11 +137,11 @@
     /// same request.
     pub(super) fn answer_all_pending(&mut self) {
         self.update_condition(self.latest_time);
-        let (requests, sought) = self.pending.take_all();
+        let (requests, queries) = self.pending.take_all();
         for ask in requests {
             self.answer_client(asks::no_majority(&ask));
         }
-        for ask in sought {
+        for ask in queries {
             self.answer_unknown(&ask);
         }
     }
--- a/crates/installation/src/process/log.rs
+++ b/crates/installation/src/process/log.rs
@@ -36,7 +36,7 @@
                     }
                 }
                 keepers::Output::Answer { request, answer } => self.handle_answer(now, &request, answer),
-                keepers::Output::Standing(standing) => tracing::info!(?standing, "part in agreement"),
+                keepers::Output::Standing(standing) => tracing::info!(?standing, "role in agreement changed"),
             }
         }
     }
@@ -56,9 +56,7 @@
             }
             Effect::Joined => {}
             // Only now: proposals that another leader made before this entry are committed too, or void.
-            Effect::TermBegan(term)
-                if own && self.in_charge(now).is_some_and(|charge| charge.term == term) =>
-            {
+            Effect::TermBegan(term) if own && self.in_charge(now).is_some_and(|lease| lease.term == term) => {
                 let mut bodies = term_start_proposals(self.machine.registry(), &self.cfg.clients, term);
                 let waves = self.cfg.rollout.waves && self.cfg.peers.len() > 1;
                 bodies.extend(self.region_list_proposal(term));
@@ -85,13 +83,13 @@
             Effect::MembersReported { client } => self.update_wave_reports(now, &client),
             Effect::FindingsSaved => {
                 if let Some(watch) = self.drift_monitor.as_mut().filter(|_| !own) {
-                    watch.restore_findings(now, self.machine.found());
+                    watch.restore_findings(now, self.machine.findings());
                     watch.load_fences(now, self.machine.fences());
                 }
             }
-            Effect::Fenced { member, client, stands } => self.handle_fence(now, &member, &client, stands),
+            Effect::Fenced { member, client, is_set } => self.handle_fence(now, &member, &client, is_set),
             Effect::Region(effect) => self.region_effect(&effect),
-            Effect::Nothing => tracing::debug!(index = decided.index, "an entry that says nothing here"),
+            Effect::Nothing => tracing::debug!(index = decided.index, "a log entry had no effect"),
         }
         if own && !self.incomplete {
             self.applier.entry_committed();
@@ -108,7 +106,7 @@
                     client,
                     version = one.version,
                     why,
-                    "a rollout stopped, and stays as it is"
+                    "a rollout stopped, without a rollback"
                 ),
                 None => tracing::info!(
                     client,
@@ -127,7 +125,7 @@
                     "a rollout stopped, and goes back"
                 );
             }
-            (None, None) => tracing::info!(client, "a version has reached all"),
+            (None, None) => tracing::info!(client, "a rollout reached all members"),
         }
     }
 
@@ -138,7 +136,7 @@
         if self.incomplete {
             // The snapshot is damaged or of a newer version of the program: the old state stays and is marked
             // as incomplete.
-            tracing::error!(index, "the state that the keepers sent can't be read");
+            tracing::error!(index, "the snapshot sent by the keepers can't be read");
             return;
         }
         let all: Vec<_> = self.machine.registry().all().collect();
@@ -146,21 +144,21 @@
         self.applier.replace_fences(self.machine.fences().of(&self.cfg.own.name));
         self.region_restored();
         if let Some(watch) = &mut self.drift_monitor {
-            watch.restore_findings(now, self.machine.found());
+            watch.restore_findings(now, self.machine.findings());
             watch.load_fences(now, self.machine.fences());
         }
     }
 
     /// Handles a fence that was set or lifted at a member.
-    fn handle_fence(&mut self, now: Micros, member: &Name, client: &str, stands: bool) {
+    fn handle_fence(&mut self, now: Micros, member: &Name, client: &str, is_set: bool) {
         if *member == self.cfg.own.name {
-            match stands {
+            match is_set {
                 true => self.applier.fence(client),
                 false => self.applier.lift(client),
             }
         }
         if let Some(watch) = &mut self.drift_monitor {
-            watch.detector_mut().fenced(now, member, client, stands);
+            watch.detector_mut().fenced(now, member, client, is_set);
         }
     }
 
@@ -172,7 +170,7 @@
             return;
         }
         let Some((ask, command)) = self.pending.take_request(request.number) else { return };
-        let told = match answer {
+        let reply = match answer {
             // The entry is part of a restored snapshot: the registry knows the request and gives the same
             // reply again.
             Answer::Decided(_) => {
@@ -183,7 +181,7 @@
             Answer::Busy => asks::busy(&ask),
             Answer::Long => asks::reply(&ask, &too_long_reply()),
         };
-        self.outputs.push(Output::Told(told));
+        self.outputs.push(Output::Told(reply));
     }
 
     pub(super) fn propose(
--- a/crates/installation/src/process/membership.rs
+++ b/crates/installation/src/process/membership.rs
@@ -10,7 +10,7 @@
     pub(super) fn drain_membership(&mut self, now: Micros) {
         while let Some(output) = self.members.next_output() {
             match output {
-                Output::Send(peer, octets) => self.send(peer, &Wire::Gossip(&octets)),
+                Output::Send(peer, bytes) => self.send(peer, &Wire::Gossip(&bytes)),
                 Output::Change(change) => self.handle_member_change(now, change),
             }
         }
@@ -26,16 +26,18 @@
                     watch.detector_mut().members(now, &life, zone, standing);
                 }
             }
-            Change::Stale(stale) => tracing::info!(stale, "what is believed of others"),
+            Change::Stale(stale) => tracing::info!(stale, "membership staleness changed"),
             // The earlier process stays silent until the later one is gone: if both raised their start
             // numbers above each other's, they would never stop.
             Change::Twin(life) if life.name == self.cfg.own.name && life.start > self.cfg.own.start => {
-                tracing::error!(start = life.start.0, "another process bears this member's name");
+                tracing::error!(start = life.start.0, "another process has this member's name");
                 if self.outlived.replace(life.start.max(self.outlived.unwrap_or_default())).is_none() {
                     self.answer_all_pending();
                 }
             }
-            Change::Twin(life) => tracing::error!(member = %life.name, "two processes bear one name"),
+            Change::Twin(life) => {
+                tracing::error!(member = %life.name, "two processes have the same member name")
+            }
             Change::Behind(start) => self.life_is_over(start),
         }
     }
--- a/crates/installation/src/process/mod.rs
+++ b/crates/installation/src/process/mod.rs
@@ -195,14 +195,14 @@
             tracing::info!(from = self.condition.word(), to = condition.word(), "condition");
             self.condition = condition;
         }
-        let charge = self.in_charge(now);
+        let lease = self.in_charge(now);
         if let Some(watch) = &mut self.drift_monitor
-            && watch.update_leadership(now, charge.as_ref(), self.keepers.term(), self.machine.fences())
+            && watch.update_leadership(now, lease.as_ref(), self.keepers.term(), self.machine.fences())
         {
             let term = watch.detector().current();
             self.proposals.replace(vec![Body::Begin { term }]);
         }
-        self.region_set_leader(now, charge.map(|charge| charge.term));
+        self.region_set_leader(now, lease.map(|lease| lease.term));
     }
 
     /// Passes the components' outputs on to others. Returns true where there may be more.
@@ -230,8 +230,8 @@
         }
         self.region_emit_outputs(now);
         for (peer, pieces) in std::mem::take(&mut self.drift_outbox) {
-            for some in pieces.chunks(crate::wire::MAX_DRIFT_PIECES) {
-                self.send_or_relay(now, peer, None, &Wire::Drift(some.to_vec()));
+            for chunk in pieces.chunks(crate::wire::MAX_DRIFT_PIECES) {
+                self.send_or_relay(now, peer, None, &Wire::Drift(chunk.to_vec()));
             }
         }
         let wake = self.next_wake(now);
--- a/crates/installation/src/process/region.rs
+++ b/crates/installation/src/process/region.rs
@@ -60,10 +60,10 @@
     }
 
     /// Reports whether this member leads; called before each input and before dead members are examined.
-    pub(super) fn region_set_leader(&mut self, now: Micros, charge: Option<Term>) {
+    pub(super) fn region_set_leader(&mut self, now: Micros, lead_term: Option<Term>) {
         let begun = self.machine.term();
         if let Some(region_state) = &mut self.region_state {
-            region_state.giver.stand(now, charge, begun);
+            region_state.giver.stand(now, lead_term, begun);
         }
     }
 
@@ -97,7 +97,7 @@
         let Some(region_state) = &mut self.region_state else { return };
         let agreed = self.machine.agreed();
         for command in region_state.deaths.due(now, &mut region_state.giver, agreed, &region_state.partners) {
-            tracing::warn!(?command, "a life is to be taken over");
+            tracing::warn!(?command, "proposing the takeover of a dead life");
             self.proposals.add(Body::Region(command));
         }
     }
@@ -196,16 +196,16 @@
         let Some(taken) = agreed.taken(&own.name) else { return };
         let upto = taken.done.then(|| agreed.upto(&own.name).to_vec());
         let of = Life { name: own.name.clone(), start: taken.start };
-        let over = agreed.is_over(&own);
+        let is_over = agreed.is_over(&own);
         self.outputs.push(Output::Fenced(Fenced { of: of.clone(), upto }));
         let Some(region_state) =
-            self.region_state.as_mut().filter(|region_state| over && !region_state.taken_over)
+            self.region_state.as_mut().filter(|region_state| is_over && !region_state.taken_over)
         else {
             return;
         };
         region_state.taken_over = true;
         region_state.holder.end();
-        tracing::warn!(start = own.start.0, "this life was taken over while it was away: another begins");
+        tracing::warn!(start = own.start.0, "this life was taken over while it was away; starting a new one");
         self.outputs.push(Output::StartAbove(of.start));
     }
 
--- a/crates/installation/src/process/relay.rs
+++ b/crates/installation/src/process/relay.rs
@@ -41,9 +41,9 @@
     /// message names.
     pub(super) fn relay_message(&mut self, now: Micros, peer: usize, to: Life, payload: &[u8]) {
         let from = self.relay_routes.neighbour(peer).cloned();
-        let place =
+        let index =
             self.peer_indexes.get(&to.name).copied().filter(|at| *at != peer && to.name != self.cfg.own.name);
-        let (Some(from), Some(place)) = (from, place) else {
+        let (Some(from), Some(index)) = (from, index) else {
             self.counts.misrouted += 1;
             return;
         };
@@ -52,39 +52,39 @@
             self.counts.overloaded += 1;
             return;
         }
-        if self.relay_routes.neighbour(place).is_none() {
+        if self.relay_routes.neighbour(index).is_none() {
             return self.send(peer, &Wire::Astray { to: to.name });
         }
         self.counts.carried += 1;
-        self.send(place, &Wire::Carried { from, to, payload });
+        self.send(index, &Wire::Carried { from, to, payload });
     }
 
     /// Handles a message that a neighbour relayed. Only the life that it is for accepts it: it may answer a
     /// question of an earlier life.
     pub(super) fn handle_relayed(&mut self, now: Micros, peer: usize, from: Life, to: &Life, payload: &[u8]) {
-        let place =
+        let index =
             self.peer_indexes.get(&from.name).copied().filter(|at| *at != peer && from.name != to.name);
-        let Some(place) = place.filter(|_| *to == self.cfg.own) else {
+        let Some(index) = index.filter(|_| *to == self.cfg.own) else {
             self.counts.misrouted += 1;
             return;
         };
-        let Some(wire) = Wire::unpack(payload).filter(Wire::carries) else {
+        let Some(wire) = Wire::unpack(payload).filter(Wire::is_relayable) else {
             self.counts.undecodable += 1;
             return;
         };
-        self.relay_routes.learn_route(place, peer);
-        let source = MessageSource { name: from.name.clone(), peer: place, relayed_life: Some(from) };
+        self.relay_routes.learn_route(index, peer);
+        let source = MessageSource { name: from.name.clone(), peer: index, relayed_life: Some(from) };
         self.handle_member_message(now, &source, wire);
     }
 
     /// Handles a neighbour's reply that it has no link to the receiver either. The message is lost; a report
     /// is soon followed by the next one.
     pub(super) fn handle_no_route(&mut self, now: Micros, peer: usize, to: &Name) {
-        let Some(place) = self.peer_indexes.get(to).copied() else {
+        let Some(index) = self.peer_indexes.get(to).copied() else {
             self.counts.misrouted += 1;
             return;
         };
-        if self.relay_routes.no_route(place, peer)
+        if self.relay_routes.no_route(index, peer)
             && self.keepers.leader().is_some_and(|(_, life)| life.name == *to)
         {
             self.report_at = self.report_at.min(now);
--- a/crates/installation/src/process/start.rs
+++ b/crates/installation/src/process/start.rs
@@ -99,9 +99,9 @@
             incomplete: false,
             declared_dead: (0, Micros::MIN),
             // Members that start at the same moment must not all report at the same moment.
-            report_at: now.saturating_add((cfg.seed % cfg.pace.report.max(1) as u64) as Micros),
+            report_at: now.saturating_add((cfg.seed % cfg.pace.report_interval.max(1) as u64) as Micros),
             report_soon: now,
-            probe_at: now.saturating_add(cfg.pace.probe),
+            probe_at: now.saturating_add(cfg.pace.probe_interval),
             latest_time: now,
             wall,
             drift_outbox: BTreeMap::new(),
--- a/crates/installation/src/process/timers.rs
+++ b/crates/installation/src/process/timers.rs
@@ -35,26 +35,26 @@
     /// Does the leader's timed work: the detector's timers, cuts of plans that are due, and saving of
     /// findings.
     fn run_leader_timers(&mut self, now: Micros) {
-        let Some(charge) = self.in_charge(now) else {
+        let Some(lease) = self.in_charge(now) else {
             self.unstarted_since.clear();
             return;
         };
         let Some(watch) = &mut self.drift_monitor else { return };
         watch.detector_mut().tick(now);
-        if let Some(body) = watch.take_findings(now, self.cfg.pace.save) {
+        if let Some(body) = watch.take_findings(now, self.cfg.pace.save_interval) {
             self.proposals.add(body);
         }
         if self.machine.registry().due().is_some_and(|due| due <= self.wall) && self.proposals.idle() {
             self.proposals.add(Body::Rules(Command::Tick));
         }
-        self.propose_rollout_steps(now, charge.term);
+        self.propose_rollout_steps(now, lease.term);
     }
 
     fn probe_if_due(&mut self, now: Micros) {
         if now < self.probe_at {
             return;
         }
-        self.probe_at = now.saturating_add(self.cfg.pace.probe);
+        self.probe_at = now.saturating_add(self.cfg.pace.probe_interval);
         if let Some(apply) = self.applier.next_probe().filter(|_| self.allows().applies) {
             self.reports.expect_answers(now);
             self.outputs.push(Output::Apply(apply));
@@ -66,11 +66,12 @@
             return;
         }
         let rolling = self.machine.waves().running();
-        let every = if rolling { self.cfg.pace.report_rolling } else { self.cfg.pace.report };
-        self.report_at = now.saturating_add(every.min(self.cfg.pace.report));
-        self.report_soon = now.saturating_add(self.cfg.pace.report_soon);
+        let every =
+            if rolling { self.cfg.pace.rollout_report_interval } else { self.cfg.pace.report_interval };
+        self.report_at = now.saturating_add(every.min(self.cfg.pace.report_interval));
+        self.report_soon = now.saturating_add(self.cfg.pace.min_report_interval);
         // What a hung node reported last may be outdated, and its silence must not count as health.
-        if !self.allows().reports || self.reports.hung(now, self.cfg.pace.hung) {
+        if !self.allows().reports || self.reports.hung(now, self.cfg.pace.hung_after) {
             return;
         }
         let report = self.reports.reporter.report(self.health);
--- a/crates/installation/src/relay.rs
+++ b/crates/installation/src/relay.rs
@@ -30,7 +30,7 @@
 struct RelayUsage {
     since: Micros,
     messages: u32,
-    octets: usize,
+    bytes: usize,
 }
 
 /// The links that are up, and routes around those that are not, by members' indexes in the settings; at most
@@ -64,8 +64,8 @@
     /// other neighbour. `first` is tried first where no route is known.
     pub fn next_hop(&mut self, now: Micros, to: usize, first: Option<usize>) -> Option<usize> {
         let known = self.routes.get(&to).copied();
-        let stands = known.filter(|route| self.neighbours.contains_key(&route.through));
-        let route = match stands {
+        let up = known.filter(|route| self.neighbours.contains_key(&route.through));
+        let route = match up {
             Some(route)
                 if route.unanswered_since.is_none_or(|since| now < since.saturating_add(ROUTE_TIMEOUT)) =>
             {
@@ -107,22 +107,22 @@
 
     /// Returns the neighbour after an index, in a circle.
     fn neighbour_after(&self, index: usize, to: usize) -> Option<usize> {
-        let behind = self.neighbours.range((Excluded(index), Unbounded));
-        behind.chain(&self.neighbours).map(|(at, _)| *at).find(|at| *at != to)
+        let following = self.neighbours.range((Excluded(index), Unbounded));
+        following.chain(&self.neighbours).map(|(at, _)| *at).find(|at| *at != to)
     }
 
     /// Returns whether a message of this many bytes is relayed for a neighbour, and counts it.
-    pub fn admit(&mut self, now: Micros, peer: usize, octets: usize) -> bool {
-        let fresh = RelayUsage { since: now, messages: 0, octets: 0 };
+    pub fn admit(&mut self, now: Micros, peer: usize, bytes: usize) -> bool {
+        let fresh = RelayUsage { since: now, messages: 0, bytes: 0 };
         let used = self.usage.entry(peer).or_insert(fresh);
         if now >= used.since.saturating_add(1_000_000) {
             *used = fresh;
         }
-        let (messages, octets) = (used.messages.saturating_add(1), used.octets.saturating_add(octets));
-        if messages > limits::CARRIED || octets > limits::CARRIED_OCTETS {
+        let (messages, bytes) = (used.messages.saturating_add(1), used.bytes.saturating_add(bytes));
+        if messages > limits::CARRIED || bytes > limits::MAX_RELAYED_BYTES_PER_SECOND {
             return false;
         }
-        (used.messages, used.octets) = (messages, octets);
+        (used.messages, used.bytes) = (messages, bytes);
         true
     }
 }
@@ -144,17 +144,17 @@
     }
 
     #[test]
-    fn neighbours_are_tried_in_turn_until_something_comes_back() {
+    fn neighbours_are_tried_in_turn_until_an_answer_arrives() {
         let mut d = relay_routes(&[1, 2, 5]);
-        assert_eq!(d.next_hop(0, 7, Some(5)), Some(5), "the one in charge first");
+        assert_eq!(d.next_hop(0, 7, Some(5)), Some(5), "the leader first");
         assert!(d.no_route(7, 5));
-        assert!(!d.no_route(7, 5), "a word that came twice");
+        assert!(!d.no_route(7, 5), "a repeated reply");
         assert_eq!(d.next_hop(0, 7, Some(5)), Some(1));
         // It does not answer at all.
         assert_eq!(d.next_hop(ROUTE_TIMEOUT - 1, 7, None), Some(1));
         assert_eq!(d.next_hop(ROUTE_TIMEOUT, 7, None), Some(2));
         d.learn_route(7, 2);
-        assert_eq!(d.next_hop(99 * S, 7, Some(5)), Some(2), "a good way stays");
+        assert_eq!(d.next_hop(99 * S, 7, Some(5)), Some(2), "a working route stays");
         d.unlinked(2);
         assert_eq!(d.next_hop(99 * S, 7, None), Some(5), "its link is gone");
         assert_eq!(relay_routes(&[7]).next_hop(0, 7, None), None);
@@ -162,7 +162,7 @@
     }
 
     #[test]
-    fn where_nobody_has_a_way_all_are_asked_once_and_then_no_faster() {
+    fn without_a_route_each_neighbour_is_tried_once_without_delay() {
         let mut d = relay_routes(&[1, 2, 5]);
         let at_once = (0..9).filter(|_| {
             let through = d.next_hop(0, 7, None).unwrap();
@@ -170,18 +170,17 @@
         });
         assert_eq!(at_once.count(), 2);
         d.learn_route(7, 2);
-        assert!(d.no_route(7, 2), "a way that was found is lost");
+        assert!(d.no_route(7, 2), "a working route is lost");
     }
 
     #[test]
-    fn what_is_carried_for_one_is_bounded_and_takes_nothing_of_another() {
+    fn relay_quotas_are_per_neighbour() {
         let mut d = relay_routes(&[1, 2]);
-        let taken = |d: &mut RelayRoutes, now, peer, octets| {
-            (0..10_000).filter(|_| d.admit(now, peer, octets)).count()
-        };
-        assert_eq!(taken(&mut d, 0, 1, 10), limits::CARRIED as usize);
-        assert_eq!(taken(&mut d, 0, 2, 1 << 20), limits::CARRIED_OCTETS >> 20);
-        assert_eq!(taken(&mut d, S - 1, 1, 10), 0);
-        assert_eq!(taken(&mut d, S, 1, 10), limits::CARRIED as usize);
+        let admitted =
+            |d: &mut RelayRoutes, now, peer, bytes| (0..10_000).filter(|_| d.admit(now, peer, bytes)).count();
+        assert_eq!(admitted(&mut d, 0, 1, 10), limits::CARRIED as usize);
+        assert_eq!(admitted(&mut d, 0, 2, 1 << 20), limits::MAX_RELAYED_BYTES_PER_SECOND >> 20);
+        assert_eq!(admitted(&mut d, S - 1, 1, 10), 0);
+        assert_eq!(admitted(&mut d, S, 1, 10), limits::CARRIED as usize);
     }
 }
--- a/crates/installation/src/report.rs
+++ b/crates/installation/src/report.rs
@@ -28,7 +28,7 @@
     /// Builds the reports to the leader.
     pub reporter: Reporter,
     senders: Vec<usize>,
-    said: BTreeMap<String, SenderReports>,
+    reported: BTreeMap<String, SenderReports>,
     /// For each sender, since when an answer is outstanding.
     awaiting_since: Vec<Option<Micros>>,
     /// The open challenges by client, each with the senders that have not answered since.
@@ -44,8 +44,8 @@
     pub fn new(life: Life, senders: Vec<usize>) -> Self {
         let awaiting_since = vec![None; senders.len()];
         let reporter = Reporter::new(life);
-        let (said, challenges, differ_since) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Reports { reporter, senders, said, awaiting_since, challenges, differ_since, dropped: 0 }
+        let (reported, challenges, differ_since) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        Reports { reporter, senders, reported, awaiting_since, challenges, differ_since, dropped: 0 }
     }
 
     /// Records that the nodes were sent something and have to answer.
@@ -64,7 +64,8 @@
     /// challenge, if this was the last report that it needed.
     pub fn live(&mut self, wall: Micros, live: Live, sent: Option<&SentRules>) -> Option<Answer> {
         let at = self.senders.iter().position(|number| *number == live.sender);
-        let known = self.said.contains_key(&live.client) || self.said.len() < limits::MAX_REPORTED_CLIENTS;
+        let known =
+            self.reported.contains_key(&live.client) || self.reported.len() < limits::MAX_REPORTED_CLIENTS;
         let Some(at) = at.filter(|_| known) else {
             self.dropped += 1;
             return None;
@@ -74,8 +75,8 @@
         }
         let client = live.client;
         let senders = self.senders.len();
-        let said = self.said.entry(client.clone()).or_insert_with(|| vec![None; senders]);
-        if let Some(slot) = said.get_mut(at) {
+        let reports = self.reported.entry(client.clone()).or_insert_with(|| vec![None; senders]);
+        if let Some(slot) = reports.get_mut(at) {
             *slot = Some(((live.set, live.turn), live.trouble));
         }
         self.update(wall, &client, sent);
@@ -91,8 +92,8 @@
     /// Updates what is reported for a client, after a node's report or after the nodes were sent something
     /// else, which gives their reports another meaning.
     pub fn update(&mut self, wall: Micros, client: &str, sent: Option<&SentRules>) {
-        let Some(said) = self.said.get(client) else { return };
-        let states = SenderStates::new(client, &self.senders, said);
+        let Some(reports) = self.reported.get(client) else { return };
+        let states = SenderStates::new(client, &self.senders, reports);
         let (version, digest) = states.digest(sent);
         let partly = match states.partly(sent) {
             Some((senders, of)) => {
@@ -105,7 +106,7 @@
             }
         };
         self.reporter.partly(client, partly);
-        let trouble = said.iter().flatten().find_map(|(_, trouble)| trouble.as_deref());
+        let trouble = reports.iter().flatten().find_map(|(_, trouble)| trouble.as_deref());
         self.reporter.live(client, version, digest, trouble);
     }
 
@@ -121,12 +122,12 @@
     }
 
     fn answer(&self, challenge: &Challenge, sent: Option<&SentRules>) -> Option<Answer> {
-        let said = self.said.get(&challenge.client)?;
-        let states = SenderStates::new(&challenge.client, &self.senders, said);
+        let reports = self.reported.get(&challenge.client)?;
+        let states = SenderStates::new(&challenge.client, &self.senders, reports);
         // Senders that differ, or have not reported, prove nothing.
-        let (first, _) = states.common().filter(|_| said.iter().all(Option::is_some))?;
-        let whole = sent.filter(|sent| states.matching(sent) == said.len()).map(|sent| &*sent.whole);
-        self.reporter.answer(challenge, whole.unwrap_or(first))
+        let (first, _) = states.common().filter(|_| reports.iter().all(Option::is_some))?;
+        let approved = sent.filter(|sent| states.matching(sent) == reports.len()).map(|sent| &*sent.approved);
+        self.reporter.answer(challenge, approved.unwrap_or(first))
     }
 }
 
@@ -139,10 +140,10 @@
 static NO_RULES: LazyLock<Applied> = LazyLock::new(Applied::default);
 
 impl<'a> SenderStates<'a> {
-    fn new(client: &str, senders: &[usize], said: &'a SenderReports) -> Self {
+    fn new(client: &str, senders: &[usize], reports: &'a SenderReports) -> Self {
         let whose = Turn { senders: u32::try_from(senders.len()).unwrap_or(u32::MAX), ..Turn::default() };
         let (mut home, mut others) = (None, Vec::new());
-        for (sender, one) in senders.iter().zip(said) {
+        for (sender, one) in senders.iter().zip(reports) {
             let applied = one.as_ref().map_or(&*NO_RULES, |(applied, _)| applied);
             if home.is_none() && whose.is_home(client, *sender) {
                 home = Some(applied);
@@ -187,7 +188,7 @@
         if let Some(sent) = sent
             && self.matching(sent) == self.all().count()
         {
-            return (version, content::digest(&sent.whole.rules));
+            return (version, content::digest(&sent.approved.rules));
         }
         if self.all().all(|(set, _)| set.rules.is_empty()) {
             return (version, content::digest(&[]));
@@ -228,7 +229,7 @@
     }
     fn sent(version: u64) -> SentRules {
         SentRules {
-            whole: set(version, 30).into(),
+            approved: set(version, 30).into(),
             share: set(version, 10).into(),
             turn: TURN,
             plan: Arc::new(Plan::default()),
@@ -248,15 +249,15 @@
     }
 
     #[test]
-    fn only_senders_that_all_apply_the_share_are_in_line() {
+    fn a_member_is_in_line_only_if_all_senders_apply_the_share() {
         let mut r = reports();
         let (two, whole) = (sent(2), content::digest(&set(2, 30).rules));
         r.live(70, live(HOME, set(2, 10)), Some(&two));
-        assert_ne!(reported(&r), Some((2, whole)), "one of two has said nothing yet");
+        assert_ne!(reported(&r), Some((2, whole)), "one of two has not reported yet");
         r.live(90, live(OTHER, set(1, 10)), Some(&two));
         assert_eq!(reported(&r).map(|t| t.0), Some(1), "the lowest version counts");
-        let said = r.reporter.report(Default::default()).clients[0].partly;
-        assert_eq!(said, Some(Partly { senders: 1, of: 2, since: 70 }), "from when on they differed");
+        let reports = r.reporter.report(Default::default()).clients[0].partly;
+        assert_eq!(reports, Some(Partly { senders: 1, of: 2, since: 70 }), "since when they differ");
         r.live(70, live(OTHER, set(2, 10)), Some(&two));
         assert_eq!(reported(&r), Some((2, whole)));
         assert_eq!(r.reporter.report(Default::default()).clients[0].partly, None);
@@ -265,21 +266,25 @@
         assert_ne!(
             reported(&r),
             Some((2, whole)),
-            "the figure of the whole installation is more than its share"
+            "the limit of the whole installation is more than its share"
         );
         r.live(70, Live { turn: Turn::default(), ..live(HOME, set(2, 10)) }, Some(&two));
-        assert_ne!(reported(&r), Some((2, whole)), "it takes all members' turns at the pace");
+        assert_ne!(reported(&r), Some((2, whole)), "it uses all members' turns of the release rate");
         r.live(70, live(HOME, set(2, 10)), Some(&two));
         assert_eq!(reported(&r), Some((2, whole)));
         let whole_too = Live { sender: OTHER, ..live(HOME, set(2, 10)) };
         r.live(70, whole_too, Some(&two));
-        assert_ne!(reported(&r), Some((2, whole)), "the share twice, at the home and beside it");
+        assert_ne!(
+            reported(&r),
+            Some((2, whole)),
+            "the share is applied twice, at the home and at the other sender"
+        );
         r.live(70, live(9, set(2, 10)), Some(&two));
         assert_eq!(r.dropped, 1, "no such sender");
     }
 
     #[test]
-    fn a_challenge_is_answered_by_what_was_read_after_it() {
+    fn a_challenge_is_answered_by_later_reports() {
         let mut r = reports();
         let two = sent(2);
         r.live(70, live(HOME, set(2, 10)), Some(&two));
@@ -295,6 +300,6 @@
         assert_eq!(r.live(70, live(OTHER, set(1, 10)), Some(&two)), None, "they differ");
         r.expect_answers(5);
         r.live(70, live(OTHER, set(2, 10)), Some(&two));
-        assert!(!r.hung(15, 10) && r.hung(16, 10), "the home owes an answer since 5");
+        assert!(!r.hung(15, 10) && r.hung(16, 10), "the home has not answered since 5");
     }
 }
--- a/crates/installation/src/waves/mod.rs
+++ b/crates/installation/src/waves/mod.rs
@@ -142,8 +142,10 @@
             // Only the plan changed. Where it is stricter than the rules that some members still apply, but
             // not than the new ones, nothing will be cut: those members must not exceed it until their wave
             // starts, so the rollout ends.
-            let over = |set: &Arc<RuleSet>| !plan_violations(&set.rules, &now.plan).is_empty();
-            if !over(&now.set) && self.rollouts.get(client).is_some_and(|one| one.targets.iter().any(over)) {
+            let exceeds_plan = |set: &Arc<RuleSet>| !plan_violations(&set.rules, &now.plan).is_empty();
+            if !exceeds_plan(&now.set)
+                && self.rollouts.get(client).is_some_and(|one| one.targets.iter().any(exceeds_plan))
+            {
                 self.rollouts.remove(client);
             }
             return;
--- a/crates/installation/src/waves/trial.rs
+++ b/crates/installation/src/waves/trial.rs
@@ -59,13 +59,13 @@
     /// Records that members reported. Returns false where that is void.
     pub(crate) fn record_reports(&mut self, client: &str, version: u64, members: BTreeSet<Name>) -> bool {
         let Some(rollout) = self.rollouts.get_mut(client) else { return false };
-        let heard = &mut rollout.trial.heard;
+        let reported = &mut rollout.trial.heard;
         let is_void = rollout.version != version || rollout.wave.is_none() || rollout.halted.is_some();
-        let new: Vec<Name> = members.difference(heard).cloned().collect();
-        if is_void || new.is_empty() || heard.len() + new.len() > MOST_HEARD {
+        let new: Vec<Name> = members.difference(reported).cloned().collect();
+        if is_void || new.is_empty() || reported.len() + new.len() > MOST_HEARD {
             return false;
         }
-        heard.extend(new);
+        reported.extend(new);
         true
     }
 
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -73,7 +73,7 @@
     },
     /// A relayed message, which is never relayed again.
     Carried {
-        /// The origin, by the word of the relay alone: the member whose link it came by.
+        /// The origin as named by the relay, which is not verified further: the member whose link it came by.
         from: Life,
         /// The final receiver.
         to: Life,
@@ -136,7 +136,7 @@
 
     /// Returns whether it may be relayed by a third member. Membership and agreement have paths of their own,
     /// and what was relayed is never relayed again.
-    pub fn carries(&self) -> bool {
+    pub fn is_relayable(&self) -> bool {
         match self {
             Wire::Drift(_) | Wire::Seek { .. } | Wire::Page { .. } | Wire::Shown { .. } => true,
             Wire::DryRun { .. } | Wire::DryRunResult { .. } => true,
@@ -205,7 +205,7 @@
     }
 
     #[test]
-    fn what_is_written_is_read_again_and_nothing_behind_it() {
+    fn messages_round_trip_and_trailing_bytes_are_rejected() {
         for wire in samples() {
             let mut bytes = wire.pack().unwrap();
             assert_eq!(Wire::unpack(&bytes), Some(wire));
@@ -215,7 +215,7 @@
     }
 
     #[test]
-    fn octets_of_any_kind_are_read_or_dropped() {
+    fn arbitrary_bytes_are_decoded_or_rejected() {
         let mut rng = SmallRng::seed_from_u64(34);
         let whole: Vec<Vec<u8>> = samples().iter().map(|w| w.pack().unwrap()).collect();
         for round in 0..20_000 {
