--- a/crates/installation/src/apply.rs
+++ b/crates/installation/src/apply.rs
@@ -27,6 +27,7 @@
     pub share: Arc<RuleSet>,
     /// This member's part of release rates.
     pub turn: Turn,
+    /// The client's plan.
     pub plan: Arc<Plan>,
 }
 
--- a/crates/installation/src/asks/pending.rs
+++ b/crates/installation/src/asks/pending.rs
@@ -20,10 +20,10 @@
     pub fn add_request(
         &mut self,
         number: u64,
-        ask: ClientRequest,
+        client_request: ClientRequest,
         command: Command,
     ) -> Option<ClientRequest> {
-        let own = |(_, (other, _)): &(&u64, &(ClientRequest, Command))| other.client == ask.client;
+        let own = |(_, (other, _)): &(&u64, &(ClientRequest, Command))| other.client == client_request.client;
         let mut of_client = self.requests.iter().filter(own).map(|(number, _)| *number);
         // A client that sends requests without end displaces its own, not others'.
         let (first, count) = (of_client.next(), of_client.count());
@@ -32,8 +32,10 @@
             _ if self.requests.len() >= limits::MAX_OPEN_REQUESTS => self.requests.keys().next().copied(),
             _ => None,
         };
-        let evicted = evicted.and_then(|evicted| self.requests.remove(&evicted)).map(|(ask, _)| ask);
-        self.requests.insert(number, (ask, command));
+        let evicted = evicted
+            .and_then(|evicted| self.requests.remove(&evicted))
+            .map(|(client_request, _)| client_request);
+        self.requests.insert(number, (client_request, command));
         evicted
     }
 
@@ -43,16 +45,22 @@
     }
 
     /// Adds a query that goes to the leader. Returns the one that is given up for it.
-    pub fn add_query(&mut self, number: u64, ask: ClientRequest, deadline: Micros) -> Option<ClientRequest> {
+    pub fn add_query(
+        &mut self,
+        number: u64,
+        client_request: ClientRequest,
+        deadline: Micros,
+    ) -> Option<ClientRequest> {
         let full = self.queries.len() >= limits::MAX_QUERIES;
-        let evicted = if full { self.queries.pop_first().map(|(_, (ask, _))| ask) } else { None };
-        self.queries.insert(number, (ask, deadline));
+        let evicted =
+            if full { self.queries.pop_first().map(|(_, (client_request, _))| client_request) } else { None };
+        self.queries.insert(number, (client_request, deadline));
         evicted
     }
 
     /// Removes a query that the leader answered.
     pub fn take_query(&mut self, number: u64) -> Option<ClientRequest> {
-        self.queries.remove(&number).map(|(ask, _)| ask)
+        self.queries.remove(&number).map(|(client_request, _)| client_request)
     }
 
     /// Removes a query that timed out. They are in the order of their numbers, with the same timeout each.
@@ -68,8 +76,10 @@
 
     /// Removes all, requests before queries, when this life ends.
     pub fn take_all(&mut self) -> (Vec<ClientRequest>, Vec<ClientRequest>) {
-        let requests = std::mem::take(&mut self.requests).into_values().map(|(ask, _)| ask);
-        let queries = std::mem::take(&mut self.queries).into_values().map(|(ask, _)| ask);
+        let requests =
+            std::mem::take(&mut self.requests).into_values().map(|(client_request, _)| client_request);
+        let queries =
+            std::mem::take(&mut self.queries).into_values().map(|(client_request, _)| client_request);
         (requests.collect(), queries.collect())
     }
 
--- a/crates/installation/src/asks/read.rs
+++ b/crates/installation/src/asks/read.rs
@@ -40,18 +40,22 @@
 /// # Errors
 /// Returns the reply if it is not a valid request: the same for what does not exist and for what the client
 /// may not ask.
-pub fn read(ask: &ClientRequest, operator: bool, registry: &Registry) -> Result<ParsedRequest, Reply> {
-    let client = ask.client.clone();
-    let topic: Vec<&str> = ask.words.iter().map(String::as_str).collect();
-    let viewer = Viewer { client: &ask.client, operator };
+pub fn read(
+    client_request: &ClientRequest,
+    operator: bool,
+    registry: &Registry,
+) -> Result<ParsedRequest, Reply> {
+    let client = client_request.client.clone();
+    let topic: Vec<&str> = client_request.words.iter().map(String::as_str).collect();
+    let viewer = Viewer { client: &client_request.client, operator };
     let parsed = match topic.as_slice() {
         ["rules", "show"] => ParsedRequest::Show(client),
         ["rules", "show", whose] if operator => ParsedRequest::Show((*whose).to_owned()),
-        ["rules", "check"] => ParsedRequest::Check(parse_submit(ask)?),
-        ["rules", "submit"] => ParsedRequest::Decide(parse_submit(ask)?),
+        ["rules", "check"] => ParsedRequest::Check(parse_submit(client_request)?),
+        ["rules", "submit"] => ParsedRequest::Decide(parse_submit(client_request)?),
         ["rules", "back", version] => {
             let version = parse_number(version)?;
-            let body: BackBody = parse_body(&ask.body)?;
+            let body: BackBody = parse_body(&client_request.body)?;
             // The request is named by the version that it was based on: repeated after it was granted, it is
             // still the same request.
             let base = body.base.unwrap_or_else(|| registry.desired(&client).map_or(0, |d| d.set.version));
@@ -64,12 +68,13 @@
         }
         ["rules", "refuse", whose, version] => {
             let (whose, version) = ((*whose).to_owned(), parse_number(version)?);
-            let why = if operator { parse_body::<RefuseBody>(&ask.body)?.why } else { String::new() };
+            let why =
+                if operator { parse_body::<RefuseBody>(&client_request.body)?.why } else { String::new() };
             let why = limits::shorten(&why, limits::MAX_REASON_CHARS);
             ParsedRequest::Decide(Command::Refuse { client: whose, version, by: client, why })
         }
         ["fleet", "members"] => ParsedRequest::Members,
-        ["fleet", "drift"] if operator => ParsedRequest::Drift(Page::read(&ask.body)?),
+        ["fleet", "drift"] if operator => ParsedRequest::Drift(Page::read(&client_request.body)?),
         _ => return Err(Reply::Unknown),
     };
     match &parsed {
@@ -78,10 +83,16 @@
     }
 }
 
-fn parse_submit(ask: &ClientRequest) -> Result<Command, Reply> {
-    let draft = json::read(&ask.body).map_err(|findings| Reply::Refused { version: None, findings })?;
-    let request = draft.request(&ask.client);
-    Ok(Command::Submit { request, client: ask.client.clone(), base: draft.base, rules: draft.rules })
+fn parse_submit(client_request: &ClientRequest) -> Result<Command, Reply> {
+    let draft =
+        json::read(&client_request.body).map_err(|findings| Reply::Refused { version: None, findings })?;
+    let request = draft.request(&client_request.client);
+    Ok(Command::Submit {
+        request,
+        client: client_request.client.clone(),
+        base: draft.base,
+        rules: draft.rules,
+    })
 }
 
 fn parse_number(text: &str) -> Result<u64, Reply> {
--- a/crates/installation/src/leader.rs
+++ b/crates/installation/src/leader.rs
@@ -108,9 +108,9 @@
 
     /// Returns whether a member is present, as a rollout sees it; none while that is not known yet, because
     /// the term has just begun and no report arrived.
-    pub fn is_present(&self, now: Micros, name: &Name, patience: Micros) -> Option<bool> {
+    pub fn is_present(&self, now: Micros, name: &Name, grace: Micros) -> Option<bool> {
         let reported = self.detector.heard(now, name);
-        let is_new = now < self.begun_at.saturating_add(patience);
+        let is_new = now < self.begun_at.saturating_add(grace);
         (reported || !is_new || !self.detector.lives(name)).then_some(reported)
     }
 
--- a/crates/installation/src/lib.rs
+++ b/crates/installation/src/lib.rs
@@ -8,9 +8,9 @@
 //! ([`leader`]). Approved versions are rolled out in waves ([`waves`]). Drift messages between two members
 //! without a link go through a third one ([`relay`]).
 //!
-//! A *life* of a member is one run of its process, with its name and a start number that grows with each start.
-//! *Keepers* are the members that store the log and vote on it; the *leader* is the keeper that holds the lease of
-//! the current term. *Nodes* are the process's senders, which apply rules to messages.
+//! A *life* of a member is one run of its process, with its name and a start number that grows with each
+//! start. *Keepers* are the members that store the log and vote on it; the *leader* is the keeper that holds
+//! the lease of the current term. *Nodes* are the process's senders, which apply rules to messages.
 //!
 //! It decides what a member goes on doing, refuses and says of itself while it is cut off ([`condition`], the
 //! table in `docs/fleet.md`), and whether an order of the leader counts. It never touches a socket, a thread,
--- a/crates/installation/src/limits.rs
+++ b/crates/installation/src/limits.rs
@@ -35,8 +35,8 @@
 /// The rate for all clients of a process; likewise. At some 2 ms each, they take a fiftieth of a sender's
 /// time at most.
 pub const PROCESS_CHECK_RATE: Rate = Rate { per_second: 10, burst: 20 };
-/// The most clients whose budget is remembered. Full budgets are forgotten; at [`PROCESS_CHECK_RATE`], at most
-/// 40 are not full at a time.
+/// The most clients whose budget is remembered. Full budgets are forgotten; at [`PROCESS_CHECK_RATE`],
+/// at most 40 are not full at a time.
 pub const MAX_CHECK_BUDGETS: usize = 128;
 /// The rate of dry runs for one other member; beyond it there is no answer, and this member is listed as `not
 /// heard`.
--- a/crates/installation/src/machine/mod.rs
+++ b/crates/installation/src/machine/mod.rs
@@ -31,14 +31,19 @@
     FindingsSaved,
     /// Rollouts of these clients changed.
     Spread {
+        /// The clients.
         clients: Vec<String>,
         /// What is desired now where a rollout was rolled back: a version with the rules from before.
         changed: Vec<Desired>,
     },
     /// Members' first reports about this client's version were recorded.
-    MembersReported { client: String },
+    MembersReported {
+        /// The client.
+        client: String,
+    },
     /// A fence was set at a member, or lifted.
     Fenced {
+        /// The member with the fence.
         member: Name,
         /// The client whose changes are fenced.
         client: String,
--- a/crates/installation/src/process/answers.rs
+++ b/crates/installation/src/process/answers.rs
@@ -16,25 +16,27 @@
 use serde_json::{Value, json};
 
 impl<S: Storage> Installation<S> {
-    pub(super) fn handle_client_request(&mut self, now: Micros, ask: ClientRequest) {
-        let operator = self.cfg.clients.get(&ask.client).is_some_and(|c| c.operator);
-        let parsed = match asks::read(&ask, operator, self.machine.registry()) {
+    pub(super) fn handle_client_request(&mut self, now: Micros, client_request: ClientRequest) {
+        let operator = self.cfg.clients.get(&client_request.client).is_some_and(|c| c.operator);
+        let parsed = match asks::read(&client_request, operator, self.machine.registry()) {
             Ok(parsed) => parsed,
-            Err(reply) => return self.answer_client(asks::reply(&ask, &reply)),
+            Err(reply) => return self.answer_client(asks::reply(&client_request, &reply)),
         };
         match parsed {
             ParsedRequest::Show(client) => {
-                let answer = self.rules_answer(&ask, operator, &client);
+                let answer = self.rules_answer(&client_request, operator, &client);
                 self.answer_client(answer);
             }
-            ParsedRequest::Check(command) => self.start_check(now, ask, &command),
-            ParsedRequest::Decide(_) if !self.allows().edits => self.answer_client(asks::no_majority(&ask)),
-            ParsedRequest::Decide(command) => self.propose(now, ask, command),
+            ParsedRequest::Check(command) => self.start_check(now, client_request, &command),
+            ParsedRequest::Decide(_) if !self.allows().edits => {
+                self.answer_client(asks::no_majority(&client_request))
+            }
+            ParsedRequest::Decide(command) => self.propose(now, client_request, command),
             ParsedRequest::Members => {
                 let text = self.members_json();
-                self.answer_client(asks::told(&ask, text, "shown"));
+                self.answer_client(asks::answer(&client_request, text, "shown"));
             }
-            ParsedRequest::Drift(page) => self.answer_drift(now, ask, &page),
+            ParsedRequest::Drift(page) => self.answer_drift(now, client_request, &page),
         }
     }
 
@@ -42,14 +44,18 @@
         self.outputs.push(Output::Told(told));
     }
 
-    fn rules_answer(&self, ask: &ClientRequest, operator: bool, client: &str) -> Told {
-        let viewer = Viewer { client: &ask.client, operator };
+    fn rules_answer(&self, client_request: &ClientRequest, operator: bool, client: &str) -> Told {
+        let viewer = Viewer { client: &client_request.client, operator };
         match self.machine.registry().view(viewer, client) {
             Some(mut view) => {
                 view.notices.extend(self.applier.empty_share_notices(&view.set));
-                asks::told(ask, self.with_certainty(self.with_rollout(json::show(&view), client)), "shown")
+                asks::answer(
+                    client_request,
+                    self.with_certainty(self.with_rollout(json::show(&view), client)),
+                    "shown",
+                )
             }
-            None => asks::unknown(ask),
+            None => asks::unknown(client_request),
         }
     }
 
@@ -106,23 +112,25 @@
         .to_string()
     }
 
-    fn answer_drift(&mut self, now: Micros, ask: ClientRequest, page: &Page) {
+    fn answer_drift(&mut self, now: Micros, client_request: ClientRequest, page: &Page) {
         if let Err(reply) = page.exists(|name| self.peer_indexes.contains_key(name)) {
-            return self.answer_client(asks::reply(&ask, &reply));
+            return self.answer_client(asks::reply(&client_request, &reply));
         }
         if self.in_charge(now).is_some()
             && let Some(watch) = &self.drift_monitor
         {
             let text = watch.drift_page(now, true, self.machine.waves(), page);
-            return self.answer_client(asks::told(&ask, text, "shown"));
+            return self.answer_client(asks::answer(&client_request, text, "shown"));
         }
         let leader = self.keepers.leader().map(|(_, life)| life.name.clone());
         let peer =
             leader.filter(|name| *name != self.cfg.own.name).and_then(|n| self.peer_indexes.get(&n).copied());
-        let Some(peer) = peer.filter(|_| self.allows().edits) else { return self.answer_unknown(&ask) };
+        let Some(peer) = peer.filter(|_| self.allows().edits) else {
+            return self.answer_unknown(&client_request);
+        };
         let number = self.next_number();
         if let Some(evicted) =
-            self.pending.add_query(number, ask, now.saturating_add(self.cfg.pace.peer_timeout))
+            self.pending.add_query(number, client_request, now.saturating_add(self.cfg.pace.peer_timeout))
         {
             self.answer_unknown(&evicted);
         }
@@ -130,10 +138,10 @@
         self.send_or_relay(now, peer, None, &wire);
     }
 
-    pub(super) fn answer_unknown(&mut self, ask: &ClientRequest) {
-        let page = Page::read(&ask.body).unwrap_or_default();
+    pub(super) fn answer_unknown(&mut self, client_request: &ClientRequest) {
+        let page = Page::read(&client_request.body).unwrap_or_default();
         let text = page.unknown(self.keepers.term(), self.allows().edits, self.peer_indexes.keys());
-        self.answer_client(asks::told(ask, text, "shown"));
+        self.answer_client(asks::answer(client_request, text, "shown"));
     }
 
     /// Answers another member's question for one of its operators. A member that is not the leader does not
@@ -159,8 +167,8 @@
             self.counts.misrouted += 1;
             return;
         }
-        if let Some(ask) = self.pending.take_query(number) {
-            self.answer_client(asks::told(&ask, text, "shown"));
+        if let Some(client_request) = self.pending.take_query(number) {
+            self.answer_client(asks::answer(&client_request, text, "shown"));
         }
     }
 }
--- a/crates/installation/src/process/drift.rs
+++ b/crates/installation/src/process/drift.rs
@@ -37,8 +37,8 @@
             Piece::Ask(ask) => ask.to == *own,
             Piece::Challenge(challenge) => challenge.to == *own,
             Piece::Order { order, .. } => order.to == *own,
-            Piece::Right(ask) => its(&ask.life),
-            Piece::Given(give) => {
+            Piece::LeaseRequest(ask) => its(&ask.life),
+            Piece::LeaseGrant(give) => {
                 // A relayed lease counts only from the life that the log names as leader, so that a relay
                 // can't make one up.
                 let leads = |l: &Life| self.keepers.leader().is_some_and(|(_, life)| life == l);
@@ -64,8 +64,8 @@
             }
             Piece::Challenge(challenge) => self.handle_challenge(now, challenge),
             Piece::Order { order, answers } => self.handle_order(now, source, order, answers),
-            Piece::Right(ask) => self.handle_lease_request(now, &ask),
-            Piece::Given(give) => self.handle_lease(now, &give),
+            Piece::LeaseRequest(ask) => self.handle_lease_request(now, &ask),
+            Piece::LeaseGrant(give) => self.handle_lease(now, &give),
         }
     }
 
@@ -161,7 +161,7 @@
         let Some(leader) = self.keepers.leader().map(|(_, life)| life.clone()) else { return };
         if leader.name == self.cfg.own.name {
             match piece {
-                Piece::Right(ask) => self.handle_lease_request(now, &ask),
+                Piece::LeaseRequest(ask) => self.handle_lease_request(now, &ask),
                 piece => self.handle_at_keeper(now, piece),
             }
         } else {
--- a/crates/installation/src/process/dry_run.rs
+++ b/crates/installation/src/process/dry_run.rs
@@ -22,16 +22,16 @@
 impl<S: Storage> Installation<S> {
     /// Answers `rules/check`: what `rules/submit` would say, whether anything that is kept would be dropped,
     /// and how much.
-    pub(super) fn start_check(&mut self, now: Micros, ask: ClientRequest, command: &Command) {
+    pub(super) fn start_check(&mut self, now: Micros, client_request: ClientRequest, command: &Command) {
         // A client that asks as fast as it can would occupy the senders of every member.
-        if let Err(wait) = self.rates.client(now, &ask.client) {
-            return self.answer_client(asks::too_often(&ask, wait));
+        if let Err(wait) = self.rates.client(now, &client_request.client) {
+            return self.answer_client(asks::too_often(&client_request, wait));
         }
         let (outcome, set) = self.machine.registry().dry_run(self.wall, command);
         let state = outcome.reply.state();
         let mut value: Value = serde_json::from_str(&outcome.reply.json()).unwrap_or_default();
         if let Some(object) = value.as_object_mut() {
-            let own = |d: &&heronroute_rules::registry::Desired| d.client == ask.client;
+            let own = |d: &&heronroute_rules::registry::Desired| d.client == client_request.client;
             if let Some(desired) = outcome.changed.iter().find(own) {
                 object.insert("destroys".into(), desired.destroys.into());
             }
@@ -43,11 +43,11 @@
         }
         let Some(set) = set else {
             let text = self.with_certainty(value.to_string());
-            return self.answer_client(asks::told(&ask, text, state));
+            return self.answer_client(asks::answer(&client_request, text, state));
         };
-        let client = ask.client.clone();
+        let client = client_request.client.clone();
         let others = self.dry_run_peers(&set.rules);
-        let requester = Requester::Client(ask, value, state);
+        let requester = Requester::Client(client_request, value, state);
         let number = self.start_dry_run(now, requester, &client, &set, &others);
         for peer in others {
             let rules = set.rules.clone();
@@ -138,7 +138,7 @@
                 );
             }
             Requester::Member(..) => {}
-            Requester::Client(ask, mut value, state) => {
+            Requester::Client(client_request, mut value, state) => {
                 let answered: Vec<usize> =
                     others.iter().filter_map(|(at, answer)| answer.map(|_| *at)).collect();
                 let total = others.values().flatten().fold(local, |sum, answer| sum.and(*answer));
@@ -156,7 +156,7 @@
                     }
                 }
                 let text = self.with_certainty(value.to_string());
-                self.answer_client(asks::told(&ask, text, state));
+                self.answer_client(asks::answer(&client_request, text, state));
             }
         }
     }
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -20,7 +20,7 @@
             Input::Unlinked { peer } => self.handle_link(now, peer, None),
             Input::Message { peer, payload } => self.handle_message(now, peer, &payload),
             Input::Outlived(start) => self.life_is_over(start),
-            Input::ClientRequest(ask) => self.handle_client_request(now, ask),
+            Input::ClientRequest(client_request) => self.handle_client_request(now, client_request),
             Input::Live(live) => self.handle_live(now, live),
             Input::DryRunResult(weighed) => {
                 let complete = self.dry_runs.sender_answered(&weighed);
@@ -138,11 +138,11 @@
     pub(super) fn answer_all_pending(&mut self) {
         self.update_condition(self.latest_time);
         let (requests, queries) = self.pending.take_all();
-        for ask in requests {
-            self.answer_client(asks::no_majority(&ask));
+        for client_request in requests {
+            self.answer_client(asks::no_majority(&client_request));
         }
-        for ask in queries {
-            self.answer_unknown(&ask);
+        for client_request in queries {
+            self.answer_unknown(&client_request);
         }
     }
 }
--- a/crates/installation/src/process/log.rs
+++ b/crates/installation/src/process/log.rs
@@ -50,8 +50,8 @@
         match effect {
             Effect::Rules(outcome) => {
                 outcome.changed.iter().for_each(|desired| self.handle_desired_change(now, desired));
-                if own && let Some((ask, _)) = self.pending.take_request(request.number) {
-                    self.outputs.push(Output::Told(asks::reply(&ask, &outcome.reply)));
+                if own && let Some((client_request, _)) = self.pending.take_request(request.number) {
+                    self.outputs.push(Output::Told(asks::reply(&client_request, &outcome.reply)));
                 }
             }
             Effect::Joined => {}
@@ -169,17 +169,17 @@
         if request.from != self.cfg.own || self.proposals.answered(now, request.number, answer) {
             return;
         }
-        let Some((ask, command)) = self.pending.take_request(request.number) else { return };
+        let Some((client_request, command)) = self.pending.take_request(request.number) else { return };
         let reply = match answer {
             // The entry is part of a restored snapshot: the registry knows the request and gives the same
             // reply again.
             Answer::Decided(_) => {
                 let again = self.machine.registry().preview(self.wall, &command);
-                asks::reply(&ask, &again.reply)
+                asks::reply(&client_request, &again.reply)
             }
-            Answer::NoMajority | Answer::Superseded => asks::no_majority(&ask),
-            Answer::Busy => asks::busy(&ask),
-            Answer::Long => asks::reply(&ask, &too_long_reply()),
+            Answer::NoMajority | Answer::Superseded => asks::no_majority(&client_request),
+            Answer::Busy => asks::busy(&client_request),
+            Answer::Long => asks::reply(&client_request, &too_long_reply()),
         };
         self.outputs.push(Output::Told(reply));
     }
@@ -187,12 +187,12 @@
     pub(super) fn propose(
         &mut self,
         now: Micros,
-        ask: ClientRequest,
+        client_request: ClientRequest,
         command: heronroute_rules::registry::Command,
     ) {
         let number = self.next_number();
         let body = Body::Rules(command.clone()).pack();
-        if let Some(evicted) = self.pending.add_request(number, ask, command) {
+        if let Some(evicted) = self.pending.add_request(number, client_request, command) {
             self.outputs.push(Output::Told(asks::busy(&evicted)));
         }
         let request = Request { from: self.cfg.own.clone(), number };
--- a/crates/installation/src/process/region.rs
+++ b/crates/installation/src/process/region.rs
@@ -92,7 +92,7 @@
         let quiet = self.incomplete || self.outlived.is_some();
         let Some(region_state) = &mut self.region_state else { return };
         if let Some(ask) = region_state.holder.poll(now).filter(|_| !quiet) {
-            self.send_to_leader(now, Piece::Right(ask));
+            self.send_to_leader(now, Piece::LeaseRequest(ask));
         }
         let Some(region_state) = &mut self.region_state else { return };
         let agreed = self.machine.agreed();
@@ -115,7 +115,7 @@
         if give.to == self.cfg.own {
             self.handle_lease(now, &give);
         } else {
-            self.queue_piece_to(&ask.life, Piece::Given(give));
+            self.queue_piece_to(&ask.life, Piece::LeaseGrant(give));
         }
     }
 
--- a/crates/installation/src/process/timers.rs
+++ b/crates/installation/src/process/timers.rs
@@ -20,8 +20,8 @@
             // Members answer this life again: the other process of its name is gone.
             (self.outlived, self.silenced) = (None, false);
         }
-        while let Some(ask) = self.pending.take_expired(now) {
-            self.answer_unknown(&ask);
+        while let Some(client_request) = self.pending.take_expired(now) {
+            self.answer_unknown(&client_request);
         }
         while let Some(late) = self.dry_runs.take_expired(now) {
             self.finish_dry_run(Some(late));
--- a/crates/installation/src/relay.rs
+++ b/crates/installation/src/relay.rs
@@ -64,8 +64,8 @@
     /// other neighbour. `first` is tried first where no route is known.
     pub fn next_hop(&mut self, now: Micros, to: usize, first: Option<usize>) -> Option<usize> {
         let known = self.routes.get(&to).copied();
-        let up = known.filter(|route| self.neighbours.contains_key(&route.through));
-        let route = match up {
+        let usable = known.filter(|route| self.neighbours.contains_key(&route.through));
+        let route = match usable {
             Some(route)
                 if route.unanswered_since.is_none_or(|since| now < since.saturating_add(ROUTE_TIMEOUT)) =>
             {
--- a/crates/installation/src/waves/mod.rs
+++ b/crates/installation/src/waves/mod.rs
@@ -204,7 +204,7 @@
         rollout.without.extend(wave.without.iter().cloned());
         rollout.trial.passes.1 = 0;
         rollout.trial.baseline = baseline;
-        rollout.targets.iter_mut().take(wave.wave + 1).for_each(|targets| *targets = Arc::clone(set));
+        rollout.targets.iter_mut().take(wave.wave + 1).for_each(|target| *target = Arc::clone(set));
         true
     }
 
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -116,9 +116,9 @@
         answers: Micros,
     },
     /// A request for a region lease, to the leader.
-    Right(rights::Ask),
+    LeaseRequest(rights::Ask),
     /// A region lease, granted by the leader.
-    Given(rights::Give),
+    LeaseGrant(rights::Give),
 }
 
 impl<'a> Wire<'a> {
