--- a/crates/cli/src/installation.rs
+++ b/crates/cli/src/installation.rs
@@ -6,7 +6,9 @@
 use heronroute_fleet::start::{Found, raise};
 use heronroute_fleet::{Life, Name, Peer, Start, keepers, members};
 use heronroute_installation::seam::{Input, Member, Output};
-use heronroute_installation::{self as installation, Client, Installation, Micros, Pace, Planned, Rolling};
+use heronroute_installation::{
+    self as installation, Client, Installation, Micros, PlanSetting, RolloutSettings, Timing,
+};
 use heronroute_journal::dir::Dir;
 use heronroute_net::Clock;
 use heronroute_net::fleet::Setup;
@@ -41,7 +43,7 @@
     peers: Vec<Peer>,
     clients: BTreeMap<String, Client>,
     senders: Vec<usize>,
-    rollout: Rolling,
+    rollout: RolloutSettings,
     folder: PathBuf,
     key: Key,
     seed: u64,
@@ -105,7 +107,7 @@
             keepers: keepers::Tuning::default(),
             members: members::Tuning::for_size(self.peers.len()),
             detector: heronroute_drift::Config::new(own.name.clone(), secret(b"heronroute detector")),
-            pace: Pace::default(),
+            timing: Timing::default(),
             rollout: self.rollout,
             regions: None,
         };
@@ -142,9 +144,9 @@
     Key::read(&text).map_err(|e| e.to_string())
 }
 
-fn rollout(cfg: RolloutConfig) -> Rolling {
+fn rollout(cfg: RolloutConfig) -> RolloutSettings {
     let RolloutConfig { waves, soak, wave_for, back } = cfg;
-    Rolling { waves, soak, wave_for, back }
+    RolloutSettings { waves, soak, wave_for, back }
 }
 
 fn peer(place: usize, member: &MemberConfig) -> Result<Peer, String> {
@@ -160,12 +162,12 @@
 
 fn client(cfg: &Config, client: &ClientConfig) -> Client {
     let plan = match &client.plan {
-        None => Planned::Nothing,
+        None => PlanSetting::Nothing,
         Some(name) => cfg
             .plans
             .iter()
             .find(|plan| plan.name == *name)
-            .map_or(Planned::Unreadable, |plan| Planned::Plan(Arc::new(plan.clone()))),
+            .map_or(PlanSetting::Unreadable, |plan| PlanSetting::Plan(Arc::new(plan.clone()))),
     };
     Client { operator: client.operator, plan }
 }
--- a/crates/contracts/src/member/mod.rs
+++ b/crates/contracts/src/member/mod.rs
@@ -9,7 +9,7 @@
 
 use heronroute_fleet::{Life, Name, Peer, Start, keepers, members};
 use heronroute_installation::seam::Member;
-use heronroute_installation::{Client, Config, Installation, Pace};
+use heronroute_installation::{Client, Config, Installation, Timing};
 use heronroute_journal::disk::Disk;
 use std::net::SocketAddr;
 
@@ -50,8 +50,8 @@
             keepers: keepers::Tuning::default(),
             members: members::Tuning::for_size(of),
             detector: heronroute_drift::Config::new(name(0), [1; 32]),
-            pace: Pace::default(),
-            rollout: heronroute_installation::Rolling::default(),
+            timing: Timing::default(),
+            rollout: heronroute_installation::RolloutSettings::default(),
             regions: None,
         };
         Box::new(
--- a/crates/fleet/src/kind.rs
+++ b/crates/fleet/src/kind.rs
@@ -15,7 +15,7 @@
     Drift,
     /// What goes through a third member, as two have no link: the newest counts, in a room of its own, so that what is carried
     /// for others takes nobody's place.
-    Carried,
+    Relayed,
 }
 
 impl Kind {
@@ -24,7 +24,7 @@
 
     /// All, in the order of [`Kind::index`].
     pub const ALL: [Kind; Kind::COUNT] =
-        [Kind::Agreement, Kind::Gossip, Kind::Log, Kind::Drift, Kind::Carried];
+        [Kind::Agreement, Kind::Gossip, Kind::Log, Kind::Drift, Kind::Relayed];
 
     /// Its place in tables by kind.
     pub fn index(self) -> usize {
--- a/crates/installation/src/apply.rs
+++ b/crates/installation/src/apply.rs
@@ -135,11 +135,11 @@
         while self.settled && out.len().max(fences.len()) < MAX_CLIENTS_PER_TURN {
             let Some(client) = self.due.pop_first() else { break };
             // A wave that has not started counts as little as a version that is not approved.
-            let meant = machine.meant(&client, own, zones).map(|d| self.rules_to_send(&d));
-            fences.extend(self.fence_update(&client, meant.as_ref()));
+            let target = machine.target(&client, own, zones).map(|d| self.rules_to_send(&d));
+            fences.extend(self.fence_update(&client, target.as_ref()));
             // Nodes of a fenced client are sent what they were sent before.
             let fence_holds = !self.forced.remove(&client) && self.is_fenced(&client);
-            if let Some(sent) = meant.filter(|_| !fence_holds) {
+            if let Some(sent) = target.filter(|_| !fence_holds) {
                 self.sent.insert(client.clone(), sent);
             }
             out.extend(self.resend(&client));
@@ -148,12 +148,12 @@
     }
 
     /// Returns what the nodes have to be told of a client's fence, if they don't know it.
-    fn fence_update(&mut self, client: &str, meant: Option<&SentRules>) -> Option<Fence> {
+    fn fence_update(&mut self, client: &str, target: Option<&SentRules>) -> Option<Fence> {
         let fenced = self.fenced.get_mut(client);
         // Without approved rules nothing is stricter than what is applied: no rule at all.
-        let under = fenced.as_ref().map(|_| meant.map_or_else(Arc::default, |sent| Arc::clone(&sent.share)));
+        let under = fenced.as_ref().map(|_| target.map_or_else(Arc::default, |sent| Arc::clone(&sent.share)));
         if let Some(approved) = fenced {
-            *approved = meant.cloned();
+            *approved = target.cloned();
         }
         if self.told_fences.get(client) == Some(&under) {
             return None;
--- a/crates/installation/src/condition.rs
+++ b/crates/installation/src/condition.rs
@@ -37,7 +37,7 @@
 
 /// The facts that the condition follows from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct ConditionFacts {
     /// Whether a majority of the keepers was reached lately.
     pub majority: bool,
     /// Whether any link is up.
@@ -87,7 +87,7 @@
     ];
 
     /// Returns the condition for these facts: of several the one that allows least.
-    pub fn of(facts: Facts) -> Condition {
+    pub fn of(facts: ConditionFacts) -> Condition {
         if facts.outlived {
             Condition::Outlived
         } else if !facts.linked && !facts.majority {
--- a/crates/installation/src/config.rs
+++ b/crates/installation/src/config.rs
@@ -34,9 +34,9 @@
     /// member.
     pub detector: heronroute_drift::Config,
     /// The intervals and timeouts of the member itself.
-    pub pace: Pace,
+    pub timing: Timing,
     /// How approved versions are rolled out. The leader's settings count.
-    pub rollout: Rolling,
+    pub rollout: RolloutSettings,
     /// The members' regions; none switches regions off.
     pub regions: Option<Regions>,
 }
@@ -52,7 +52,7 @@
 
 /// How approved versions are rolled out. Durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rolling {
+pub struct RolloutSettings {
     /// Whether they go in waves; otherwise all members apply a version at once.
     pub waves: bool,
     /// How long a wave must be in line before the next one starts.
@@ -63,9 +63,9 @@
     pub back: bool,
 }
 
-impl Default for Rolling {
+impl Default for RolloutSettings {
     fn default() -> Self {
-        Rolling { waves: true, soak: 1_000_000, wave_for: 30_000_000, back: true }
+        RolloutSettings { waves: true, soak: 1_000_000, wave_for: 30_000_000, back: true }
     }
 }
 
@@ -75,12 +75,12 @@
     /// Whether it approves and refuses others' versions, and sees `fleet/drift`.
     pub operator: bool,
     /// What it may set for itself.
-    pub plan: Planned,
+    pub plan: PlanSetting,
 }
 
 /// A client's plan in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Planned {
+pub enum PlanSetting {
     /// No plan: the client may set nothing.
     #[default]
     Nothing,
@@ -92,7 +92,7 @@
 
 /// Intervals and timeouts, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct Timing {
     /// The interval of reports to the leader.
     pub report_interval: Micros,
     /// The shortest interval of reports, used when something changed.
@@ -114,10 +114,10 @@
     pub save_interval: Micros,
 }
 
-impl Default for Pace {
+impl Default for Timing {
     fn default() -> Self {
         const S: Micros = 1_000_000;
-        Pace {
+        Timing {
             report_interval: 2 * S,
             min_report_interval: S / 10,
             rollout_report_interval: S / 2,
--- a/crates/installation/src/fences.rs
+++ b/crates/installation/src/fences.rs
@@ -29,7 +29,7 @@
         }
         if client.len() > MAX_CLIENT_NAME_BYTES
             || self.len() >= limits::MAX_FENCES
-            || self.stands(member, client)
+            || self.is_fenced(member, client)
         {
             return false;
         }
@@ -37,7 +37,7 @@
     }
 
     /// Returns whether a client is fenced at a member.
-    pub fn stands(&self, member: &Name, client: &str) -> bool {
+    pub fn is_fenced(&self, member: &Name, client: &str) -> bool {
         self.0.get(member).is_some_and(|own| own.contains(client))
     }
 
--- a/crates/installation/src/leader.rs
+++ b/crates/installation/src/leader.rs
@@ -2,7 +2,7 @@
 //! log for the next leader.
 
 use crate::Micros;
-use crate::config::{Client, Planned};
+use crate::config::{Client, PlanSetting};
 use crate::fences::Fences;
 use crate::machine::{Body, MAX_FINDINGS_BYTES};
 use crate::page::Page;
@@ -222,7 +222,7 @@
     for (client, settings) in clients {
         let desired = registry.desired(client);
         let command = match &settings.plan {
-            Planned::Plan(plan) => {
+            PlanSetting::Plan(plan) => {
                 let same =
                     desired.as_ref().is_some_and(|d| d.plan == *plan) && !is_unreadable(registry, client);
                 let digest = plan_digest(plan);
@@ -232,9 +232,9 @@
                     digest,
                 })
             }
-            Planned::Unreadable => (desired.is_some() && !is_unreadable(registry, client))
+            PlanSetting::Unreadable => (desired.is_some() && !is_unreadable(registry, client))
                 .then(|| Command::Plan { client: client.clone(), plan: None, digest: [0; 32] }),
-            Planned::Nothing => drop_plan(desired.as_ref(), client),
+            PlanSetting::Nothing => drop_plan(desired.as_ref(), client),
         };
         out.extend(command.map(|command| Body::Settings { term, command }));
     }
--- a/crates/installation/src/lib.rs
+++ b/crates/installation/src/lib.rs
@@ -38,7 +38,7 @@
 pub mod wire;
 
 pub use condition::{Allowed, Condition};
-pub use config::{Client, Config, Pace, Planned, Rolling};
+pub use config::{Client, Config, PlanSetting, RolloutSettings, Timing};
 pub use process::{Counts, Installation, StartError};
 
 /// Time in microseconds on the caller's clock.
--- a/crates/installation/src/limits.rs
+++ b/crates/installation/src/limits.rs
@@ -17,7 +17,7 @@
 /// The most members that are listed as not heard; their number is reported besides.
 pub const MAX_LISTED_SILENT: usize = 32;
 /// The most messages that are relayed for one neighbour in a second; beyond it they are dropped and counted.
-pub const CARRIED: u32 = 256;
+pub const MAX_RELAYED_PER_SECOND: u32 = 256;
 /// The most bytes that are relayed for one neighbour in a second; likewise.
 pub const MAX_RELAYED_BYTES_PER_SECOND: usize = 2 << 20;
 /// The most fences; one beyond is not set, and is requested again.
--- a/crates/installation/src/machine/body.rs
+++ b/crates/installation/src/machine/body.rs
@@ -16,7 +16,7 @@
     /// A member joined: once it sees this entry, it knows all that was committed before it started.
     Joined,
     /// A term begins: proposals of earlier leaders that are committed only after this are void.
-    Begin {
+    BeginTerm {
         /// The term.
         term: Term,
     },
@@ -35,21 +35,21 @@
         saved: Vec<u8>,
     },
     /// Whether versions are rolled out in waves, by the leader's settings.
-    Pace {
+    SetWaves {
         /// The leader's term.
         term: Term,
         /// True for waves.
         waves: bool,
     },
     /// A wave of a version starts, without a baseline.
-    Reach {
+    StartWaveWithoutBaseline {
         /// The leader's term.
         term: Term,
         /// The wave.
         wave: Wave,
     },
     /// All members that a version is for are in line with it.
-    Reached {
+    FinishRollout {
         /// The leader's term.
         term: Term,
         /// The client whose version it is.
@@ -110,10 +110,10 @@
     /// Returns the client whose rollout it is about.
     pub fn rolls(&self) -> Option<&str> {
         match self {
-            Body::Reach { wave, .. } | Body::StartWave { wave, .. } => Some(&wave.client),
+            Body::StartWaveWithoutBaseline { wave, .. } | Body::StartWave { wave, .. } => Some(&wave.client),
             Body::MembersReported { client, .. } => Some(client),
             Body::PassOver { pass, .. } => Some(&pass.client),
-            Body::Reached { client, .. } => Some(client),
+            Body::FinishRollout { client, .. } => Some(client),
             Body::Halt { halt, .. } => Some(&halt.client),
             _ => None,
         }
@@ -124,12 +124,12 @@
         match self {
             Body::Rules(_) | Body::Joined => None,
             Body::Region(command) => command.term(),
-            Body::Begin { term }
+            Body::BeginTerm { term }
             | Body::Settings { term, .. }
             | Body::Findings { term, .. }
-            | Body::Pace { term, .. }
-            | Body::Reach { term, .. }
-            | Body::Reached { term, .. }
+            | Body::SetWaves { term, .. }
+            | Body::StartWaveWithoutBaseline { term, .. }
+            | Body::FinishRollout { term, .. }
             | Body::Halt { term, .. }
             | Body::Fence { term, .. }
             | Body::StartWave { term, .. }
--- a/crates/installation/src/machine/mod.rs
+++ b/crates/installation/src/machine/mod.rs
@@ -30,7 +30,7 @@
     /// Findings were saved, in a term not older than the one before.
     FindingsSaved,
     /// Rollouts of these clients changed.
-    Spread {
+    RolloutsChanged {
         /// The clients.
         clients: Vec<String>,
         /// What is desired now where a rollout was rolled back: a version with the rules from before.
@@ -98,7 +98,7 @@
     }
 
     /// Returns what a member should apply for a client now.
-    pub fn meant(&self, client: &str, name: &Name, zones: &Zones) -> Option<Desired> {
+    pub fn target(&self, client: &str, name: &Name, zones: &Zones) -> Option<Desired> {
         let desired = self.registry.desired(client)?;
         Some(match self.waves.target(client, name, zones) {
             Some(set) => Desired { set: Arc::clone(set), ..desired },
@@ -136,13 +136,13 @@
             return Effect::Nothing;
         }
         let wall = decided.entry.wall;
-        let rollouts_changed = |clients| Effect::Spread { clients, changed: Vec::new() };
+        let rollouts_changed = |clients| Effect::RolloutsChanged { clients, changed: Vec::new() };
         match body {
             Body::Rules(command) | Body::Settings { command, .. } => {
                 Effect::Rules(self.execute(wall, &command))
             }
             Body::Joined => Effect::Joined,
-            Body::Begin { term } => {
+            Body::BeginTerm { term } => {
                 self.term = term;
                 Effect::TermBegan(term)
             }
@@ -150,8 +150,8 @@
                 self.findings = saved;
                 Effect::FindingsSaved
             }
-            Body::Pace { waves, .. } => rollouts_changed(self.waves.set_enabled(waves)),
-            Body::Reach { wave, .. } => self.start_wave(wave, Baseline::default()),
+            Body::SetWaves { waves, .. } => rollouts_changed(self.waves.set_enabled(waves)),
+            Body::StartWaveWithoutBaseline { wave, .. } => self.start_wave(wave, Baseline::default()),
             Body::StartWave { wave, baseline, .. } => self.start_wave(wave, baseline),
             Body::MembersReported { client, version, members, .. } => {
                 match self.waves.record_reports(&client, version, members) {
@@ -166,11 +166,11 @@
                     false => Effect::Nothing,
                 }
             }
-            Body::Reached { client, version, .. } if self.waves.finish(&client, version) => {
+            Body::FinishRollout { client, version, .. } if self.waves.finish(&client, version) => {
                 rollouts_changed(vec![client])
             }
             Body::Halt { halt, .. } => match self.waves.halt(&mut self.registry, wall, &halt) {
-                Some(changed) => Effect::Spread { clients: vec![halt.client], changed },
+                Some(changed) => Effect::RolloutsChanged { clients: vec![halt.client], changed },
                 None => Effect::Nothing,
             },
             Body::Fence { member, client, is_set, .. } => match self.fences.set(&member, &client, is_set) {
@@ -178,14 +178,14 @@
                 false => Effect::Nothing,
             },
             Body::Region(command) => Effect::Region(self.agreed.apply(&command)),
-            Body::Findings { .. } | Body::Reached { .. } => Effect::Nothing,
+            Body::Findings { .. } | Body::FinishRollout { .. } => Effect::Nothing,
         }
     }
 
     fn start_wave(&mut self, wave: Wave, baseline: Baseline) -> Effect {
         let set = self.registry.desired(&wave.client).map(|desired| desired.set);
         match set.is_some_and(|set| self.waves.start_wave(&wave, baseline, &set)) {
-            true => Effect::Spread { clients: vec![wave.client], changed: Vec::new() },
+            true => Effect::RolloutsChanged { clients: vec![wave.client], changed: Vec::new() },
             false => Effect::Nothing,
         }
     }
--- a/crates/installation/src/machine/tests.rs
+++ b/crates/installation/src/machine/tests.rs
@@ -23,11 +23,11 @@
 fn proposals_of_an_older_term_are_void_also_after_a_restore() {
     let mut machine = Machine::default();
     let rules = |m: &Machine| m.registry().desired("c").unwrap().plan.rules;
-    machine.apply(&entry(1, Body::Begin { term: Term(4) }));
+    machine.apply(&entry(1, Body::BeginTerm { term: Term(4) }));
     machine.apply(&entry(2, settings(4, 3)));
-    machine.apply(&entry(3, Body::Begin { term: Term(6) }));
+    machine.apply(&entry(3, Body::BeginTerm { term: Term(6) }));
     assert_eq!(machine.apply(&entry(4, settings(4, 9))), Effect::Nothing);
-    assert_eq!(machine.apply(&entry(5, Body::Begin { term: Term(5) })), Effect::Nothing);
+    assert_eq!(machine.apply(&entry(5, Body::BeginTerm { term: Term(5) })), Effect::Nothing);
     let mut again = Machine::default();
     assert!(again.restore(5, &machine.snapshot()));
     assert_eq!(again.apply(&entry(6, settings(5, 9))), Effect::Nothing);
@@ -53,15 +53,15 @@
         client: "c".into(),
         is_set,
     };
-    machine.apply(&entry(1, Body::Begin { term: Term(4) }));
+    machine.apply(&entry(1, Body::BeginTerm { term: Term(4) }));
     let old = machine.snapshot();
     let set = Effect::Fenced { member: b.clone(), client: "c".into(), is_set: true };
     assert_eq!(machine.apply(&entry(2, fence(4, true))), set);
     assert_eq!(machine.apply(&entry(3, fence(4, true))), Effect::Nothing, "already set");
-    machine.apply(&entry(4, Body::Begin { term: Term(6) }));
+    machine.apply(&entry(4, Body::BeginTerm { term: Term(6) }));
     assert_eq!(machine.apply(&entry(5, fence(5, false))), Effect::Nothing, "of an older term");
     let mut again = Machine::default();
-    assert!(again.restore(5, &machine.snapshot()) && again.fences().stands(&b, "c"));
+    assert!(again.restore(5, &machine.snapshot()) && again.fences().is_fenced(&b, "c"));
     let lifted = Effect::Fenced { member: b.clone(), client: "c".into(), is_set: false };
     assert_eq!(again.apply(&entry(6, fence(6, false))), lifted);
     assert!(again.fences().is_empty() && !machine.fences().is_empty());
@@ -83,8 +83,8 @@
 fn reports_and_passed_over_members_survive_a_snapshot() {
     let name = |n: &str| Name::new(n).unwrap();
     let mut machine = Machine::default();
-    machine.apply(&entry(1, Body::Begin { term: Term(4) }));
-    machine.apply(&entry(2, Body::Pace { term: Term(4), waves: true }));
+    machine.apply(&entry(1, Body::BeginTerm { term: Term(4) }));
+    machine.apply(&entry(2, Body::SetWaves { term: Term(4), waves: true }));
     machine.apply(&entry(3, settings(4, 3)));
     let desired = machine.registry().desired("c").unwrap();
     let set = Arc::new(RuleSet { version: desired.set.version + 1, ..(*desired.set).clone() });
--- a/crates/installation/src/page.rs
+++ b/crates/installation/src/page.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// The largest page, in bytes.
-pub const MOST: usize = 8 * 1024;
+pub const MAX_PAGE_BYTES: usize = 8 * 1024;
 
 /// The part of a page that is reserved for the position of the next one, with all its characters escaped.
 const MAX_NEXT_BYTES: usize = 512;
@@ -176,7 +176,8 @@
         for list in ["members", "rollouts", "history"] {
             page.insert(list.into(), Vec::<Value>::new().into());
         }
-        let mut room = MOST.saturating_sub(MAX_NEXT_BYTES + Value::from(page.clone()).to_string().len());
+        let mut room =
+            MAX_PAGE_BYTES.saturating_sub(MAX_NEXT_BYTES + Value::from(page.clone()).to_string().len());
         let mut lines_left = self.most.unwrap_or(usize::MAX);
         let mut last = Position::Nothing;
         for (position, list, line) in lines {
--- a/crates/installation/src/process/answers.rs
+++ b/crates/installation/src/process/answers.rs
@@ -117,9 +117,9 @@
             return self.answer_client(asks::reply(&client_request, &reply));
         }
         if self.in_charge(now).is_some()
-            && let Some(watch) = &self.drift_monitor
+            && let Some(drift_monitor) = &self.drift_monitor
         {
-            let text = watch.drift_page(now, true, self.machine.waves(), page);
+            let text = drift_monitor.drift_page(now, true, self.machine.waves(), page);
             return self.answer_client(asks::answer(&client_request, text, "shown"));
         }
         let leader = self.keepers.leader().map(|(_, life)| life.name.clone());
@@ -130,7 +130,7 @@
         };
         let number = self.next_number();
         if let Some(evicted) =
-            self.pending.add_query(number, client_request, now.saturating_add(self.cfg.pace.peer_timeout))
+            self.pending.add_query(number, client_request, now.saturating_add(self.cfg.timing.peer_timeout))
         {
             self.answer_unknown(&evicted);
         }
@@ -154,12 +154,17 @@
         page: &Page,
     ) {
         let text = match &self.drift_monitor {
-            Some(watch) if self.in_charge(now).is_some() => {
-                watch.drift_page(now, true, self.machine.waves(), page)
+            Some(drift_monitor) if self.in_charge(now).is_some() => {
+                drift_monitor.drift_page(now, true, self.machine.waves(), page)
             }
             _ => return,
         };
-        self.send_or_relay(now, source.peer, source.relayed_life.as_ref(), &Wire::Shown { number, text });
+        self.send_or_relay(
+            now,
+            source.peer,
+            source.relayed_life.as_ref(),
+            &Wire::DriftAnswer { number, text },
+        );
     }
 
     pub(super) fn handle_drift_answer(&mut self, from: &Name, number: u64, text: String) {
--- a/crates/installation/src/process/drift.rs
+++ b/crates/installation/src/process/drift.rs
@@ -70,15 +70,15 @@
     }
 
     fn handle_at_keeper(&mut self, now: Micros, piece: Piece) {
-        let Some(watch) = &mut self.drift_monitor else { return };
+        let Some(drift_monitor) = &mut self.drift_monitor else { return };
         match piece {
-            Piece::Report { report, sent } => watch.report(now, &report, sent),
-            Piece::Tell(tell) => watch.detector_mut().tell(now, &tell),
+            Piece::Report { report, sent } => drift_monitor.report(now, &report, sent),
+            Piece::Tell(tell) => drift_monitor.detector_mut().tell(now, &tell),
             Piece::Answer(answer) => {
-                let client = watch.detector().challenged(&answer).map(str::to_owned);
+                let client = drift_monitor.detector().challenged(&answer).map(str::to_owned);
                 let desired = client.and_then(|c| self.machine.registry().desired(&c));
                 if let Some(desired) = desired {
-                    watch.detector_mut().answer(now, &answer, &desired.set);
+                    drift_monitor.detector_mut().answer(now, &answer, &desired.set);
                 }
             }
             _ => {}
@@ -112,7 +112,7 @@
             self.counts.orders_refused += 1;
             return;
         }
-        if answers > now || now > answers.saturating_add(self.cfg.pace.order_valid_for) {
+        if answers > now || now > answers.saturating_add(self.cfg.timing.order_valid_for) {
             self.counts.orders_late += 1;
             return;
         }
@@ -146,7 +146,9 @@
         while let Some(body) = self.drift_monitor.as_mut().and_then(DriftMonitor::next_fence) {
             self.proposals.add(body);
         }
-        while let Some((to, piece)) = self.drift_monitor.as_mut().and_then(|watch| watch.poll()) {
+        while let Some((to, piece)) =
+            self.drift_monitor.as_mut().and_then(|drift_monitor| drift_monitor.poll())
+        {
             if to == self.cfg.own {
                 let peer = self.peer_indexes.get(&to.name).copied().unwrap_or(0);
                 self.handle_piece(now, &MessageSource { name: to.name, peer, relayed_life: None }, piece);
--- a/crates/installation/src/process/dry_run.rs
+++ b/crates/installation/src/process/dry_run.rs
@@ -91,7 +91,7 @@
             senders: self.cfg.senders.iter().copied().collect::<BTreeSet<_>>(),
             local: LossCounts::default(),
             others: others.iter().map(|at| (*at, None)).collect::<BTreeMap<_, _>>(),
-            deadline: now.saturating_add(self.cfg.pace.peer_timeout),
+            deadline: now.saturating_add(self.cfg.timing.peer_timeout),
         };
         let evicted = self.dry_runs.open(number, dry_run);
         self.finish_dry_run(evicted);
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -34,7 +34,7 @@
                 // As at the beginning of a term, and after it in the log: plans of the old settings may still
                 // be on their way.
                 if let Some(lease) = self.in_charge(now) {
-                    self.proposals.replace(vec![Body::Begin { term: lease.term }]);
+                    self.proposals.replace(vec![Body::BeginTerm { term: lease.term }]);
                 }
             }
         }
@@ -78,10 +78,10 @@
             Wire::Agreement(bytes) => self.keepers.handle(now, &name, Lane::Agreement, bytes),
             Wire::Log(bytes) => self.keepers.handle(now, &name, Lane::Log, bytes),
             // Nor does it relay anything.
-            Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } if !agrees => {}
-            Wire::Carry { to, payload } => self.relay_message(now, peer, to, payload),
-            Wire::Carried { from, to, payload } => self.handle_relayed(now, peer, from, &to, payload),
-            Wire::Astray { to } => self.handle_no_route(now, peer, &to),
+            Wire::Relay { .. } | Wire::Relayed { .. } | Wire::NoRoute { .. } if !agrees => {}
+            Wire::Relay { to, payload } => self.relay_message(now, peer, to, payload),
+            Wire::Relayed { from, to, payload } => self.handle_relayed(now, peer, from, &to, payload),
+            Wire::NoRoute { to } => self.handle_no_route(now, peer, &to),
             wire => self.handle_member_message(now, &MessageSource { name, peer, relayed_life: None }, wire),
         }
     }
@@ -94,12 +94,12 @@
                     self.handle_piece(now, source, piece);
                 }
             }
-            Wire::Seek { number } => self.handle_drift_query(now, source, number, &Page::default()),
+            Wire::DriftQuery { number } => self.handle_drift_query(now, source, number, &Page::default()),
             Wire::Page { number, after, most } => match Page::of(&after, most) {
                 Ok(page) => self.handle_drift_query(now, source, number, &page),
                 Err(_) => self.counts.undecodable += 1,
             },
-            Wire::Shown { number, text } => self.handle_drift_answer(&source.name, number, text),
+            Wire::DriftAnswer { number, text } => self.handle_drift_answer(&source.name, number, text),
             Wire::DryRun { number, client, rules } => {
                 self.dry_run_for_member(now, source, number, &client, rules)
             }
@@ -109,7 +109,7 @@
             }
             // These are never relayed and were handled before.
             Wire::Gossip(_) | Wire::Agreement(_) | Wire::Log(_) => {}
-            Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } => {}
+            Wire::Relay { .. } | Wire::Relayed { .. } | Wire::NoRoute { .. } => {}
         }
     }
 
--- a/crates/installation/src/process/log.rs
+++ b/crates/installation/src/process/log.rs
@@ -61,7 +61,7 @@
                 let waves = self.cfg.rollout.waves && self.cfg.peers.len() > 1;
                 bodies.extend(self.region_list_proposal(term));
                 if waves != self.machine.waves().enabled() {
-                    bodies.insert(0, Body::Pace { term, waves });
+                    bodies.insert(0, Body::SetWaves { term, waves });
                 }
                 // Nobody else would lift the fences of a member that is no longer in the settings.
                 let gone = self
@@ -71,20 +71,20 @@
                     .filter(|(member, _)| !self.peer_indexes.contains_key(*member));
                 bodies.extend(gone.map(|(member, client)| Body::fence(term, member, client, false)));
                 self.proposals.replace(bodies);
-                if let Some(watch) = &mut self.drift_monitor {
-                    watch.load_fences(now, self.machine.fences());
+                if let Some(drift_monitor) = &mut self.drift_monitor {
+                    drift_monitor.load_fences(now, self.machine.fences());
                 }
             }
             Effect::TermBegan(_) => {}
-            Effect::Spread { clients, changed } => {
+            Effect::RolloutsChanged { clients, changed } => {
                 changed.iter().for_each(|desired| self.handle_desired_change(now, desired));
                 clients.iter().for_each(|client| self.handle_rollout_change(now, client));
             }
             Effect::MembersReported { client } => self.update_wave_reports(now, &client),
             Effect::FindingsSaved => {
-                if let Some(watch) = self.drift_monitor.as_mut().filter(|_| !own) {
-                    watch.restore_findings(now, self.machine.findings());
-                    watch.load_fences(now, self.machine.fences());
+                if let Some(drift_monitor) = self.drift_monitor.as_mut().filter(|_| !own) {
+                    drift_monitor.restore_findings(now, self.machine.findings());
+                    drift_monitor.load_fences(now, self.machine.fences());
                 }
             }
             Effect::Fenced { member, client, is_set } => self.handle_fence(now, &member, &client, is_set),
@@ -143,9 +143,9 @@
         all.iter().for_each(|desired| self.handle_desired_change(now, desired));
         self.applier.replace_fences(self.machine.fences().of(&self.cfg.own.name));
         self.region_restored();
-        if let Some(watch) = &mut self.drift_monitor {
-            watch.restore_findings(now, self.machine.findings());
-            watch.load_fences(now, self.machine.fences());
+        if let Some(drift_monitor) = &mut self.drift_monitor {
+            drift_monitor.restore_findings(now, self.machine.findings());
+            drift_monitor.load_fences(now, self.machine.fences());
         }
     }
 
@@ -157,8 +157,8 @@
                 false => self.applier.lift(client),
             }
         }
-        if let Some(watch) = &mut self.drift_monitor {
-            watch.detector_mut().fenced(now, member, client, is_set);
+        if let Some(drift_monitor) = &mut self.drift_monitor {
+            drift_monitor.detector_mut().fenced(now, member, client, is_set);
         }
     }
 
--- a/crates/installation/src/process/membership.rs
+++ b/crates/installation/src/process/membership.rs
@@ -22,8 +22,8 @@
                 tracing::info!(member = %life.name, start = life.start.0, ?standing, "standing");
                 self.region_standing(now, &life, standing);
                 let zone = self.cfg.peers.get(peer).map_or("", |p| p.zone.as_str());
-                if let Some(watch) = &mut self.drift_monitor {
-                    watch.detector_mut().members(now, &life, zone, standing);
+                if let Some(drift_monitor) = &mut self.drift_monitor {
+                    drift_monitor.detector_mut().members(now, &life, zone, standing);
                 }
             }
             Change::Stale(stale) => tracing::info!(stale, "membership staleness changed"),
--- a/crates/installation/src/process/mod.rs
+++ b/crates/installation/src/process/mod.rs
@@ -22,7 +22,7 @@
 use crate::asks::PendingRequests;
 use crate::asks::dry_runs::OpenDryRuns;
 use crate::asks::rate::Rates;
-use crate::condition::{Allowed, Condition, Facts};
+use crate::condition::{Allowed, Condition, ConditionFacts};
 use crate::config::Config;
 use crate::leader::DriftMonitor;
 use crate::machine::{Body, Machine};
@@ -55,9 +55,9 @@
     /// Messages too long to send.
     pub unsent: u64,
     /// Messages for members that are reachable neither by a link nor through a neighbour.
-    pub unreached: u64,
+    pub no_route: u64,
     /// Messages relayed for others. Not dropped.
-    pub carried: u64,
+    pub relayed: u64,
     /// Messages of others that were not relayed, because their neighbour exceeded its quota.
     pub overloaded: u64,
 }
@@ -163,7 +163,7 @@
     }
 
     /// Returns what a keeper knows of all members while it leads.
-    pub fn watch(&self) -> Option<&DriftMonitor> {
+    pub fn drift_monitor(&self) -> Option<&DriftMonitor> {
         self.drift_monitor.as_ref()
     }
 
@@ -182,7 +182,7 @@
         if renewed > self.declared_dead.0 {
             self.declared_dead = (renewed, now.saturating_add(timers::SUSPECTED_FOR));
         }
-        let condition = Condition::of(Facts {
+        let condition = Condition::of(ConditionFacts {
             majority: self.keepers.majority(now),
             linked: self.linked > 0,
             stale: self.members.stale(),
@@ -196,11 +196,16 @@
             self.condition = condition;
         }
         let lease = self.in_charge(now);
-        if let Some(watch) = &mut self.drift_monitor
-            && watch.update_leadership(now, lease.as_ref(), self.keepers.term(), self.machine.fences())
+        if let Some(drift_monitor) = &mut self.drift_monitor
+            && drift_monitor.update_leadership(
+                now,
+                lease.as_ref(),
+                self.keepers.term(),
+                self.machine.fences(),
+            )
         {
-            let term = watch.detector().current();
-            self.proposals.replace(vec![Body::Begin { term }]);
+            let term = drift_monitor.detector().current();
+            self.proposals.replace(vec![Body::BeginTerm { term }]);
         }
         self.region_set_leader(now, lease.map(|lease| lease.term));
     }
--- a/crates/installation/src/process/relay.rs
+++ b/crates/installation/src/process/relay.rs
@@ -28,11 +28,11 @@
         let first = self.keepers.leader().and_then(|(_, life)| self.peer_indexes.get(&life.name).copied());
         let through = self.relay_routes.next_hop(now, peer, first);
         let (Some(to), Some(through)) = (to, through) else {
-            self.counts.unreached += 1;
+            self.counts.no_route += 1;
             return;
         };
         match wire.pack() {
-            Some(payload) => self.send(through, &Wire::Carry { to, payload: &payload }),
+            Some(payload) => self.send(through, &Wire::Relay { to, payload: &payload }),
             None => self.counts.unsent += 1,
         }
     }
@@ -53,10 +53,10 @@
             return;
         }
         if self.relay_routes.neighbour(index).is_none() {
-            return self.send(peer, &Wire::Astray { to: to.name });
+            return self.send(peer, &Wire::NoRoute { to: to.name });
         }
-        self.counts.carried += 1;
-        self.send(index, &Wire::Carried { from, to, payload });
+        self.counts.relayed += 1;
+        self.send(index, &Wire::Relayed { from, to, payload });
     }
 
     /// Handles a message that a neighbour relayed. Only the life that it is for accepts it: it may answer a
--- a/crates/installation/src/process/rollout.rs
+++ b/crates/installation/src/process/rollout.rs
@@ -24,15 +24,15 @@
             .waves()
             .of(&desired.client)
             .map(|rollout| self.rollout_reach(&desired.client, rollout));
-        let Some(watch) = &mut self.drift_monitor else { return };
-        let detector = watch.detector_mut();
+        let Some(drift_monitor) = &mut self.drift_monitor else { return };
+        let detector = drift_monitor.detector_mut();
         // The members' targets first: otherwise all would be compared with the new version for a moment.
         if let Some(reach) = &reach {
             detector.reach(now, reach);
         }
-        watch.set_desired(now, desired);
+        drift_monitor.set_desired(now, desired);
         if reach.is_none() {
-            watch.detector_mut().reached_all(now, &desired.client);
+            drift_monitor.detector_mut().reached_all(now, &desired.client);
         }
     }
 
@@ -40,18 +40,18 @@
     pub(super) fn update_rollout(&mut self, now: Micros, client: &str) {
         self.applier.changed(client);
         let reach = self.machine.waves().of(client).map(|rollout| self.rollout_reach(client, rollout));
-        let Some(watch) = &mut self.drift_monitor else { return };
+        let Some(drift_monitor) = &mut self.drift_monitor else { return };
         match reach {
-            Some(reach) => watch.detector_mut().reach(now, &reach),
-            None => watch.detector_mut().reached_all(now, client),
+            Some(reach) => drift_monitor.detector_mut().reach(now, &reach),
+            None => drift_monitor.detector_mut().reached_all(now, client),
         }
     }
 
     /// Handles new reports about a client's version: they change nothing of what members apply.
     pub(super) fn update_wave_reports(&mut self, now: Micros, client: &str) {
         let reach = self.machine.waves().of(client).map(|rollout| self.rollout_reach(client, rollout));
-        if let (Some(watch), Some(reach)) = (&mut self.drift_monitor, reach) {
-            watch.detector_mut().reach(now, &reach);
+        if let (Some(drift_monitor), Some(reach)) = (&mut self.drift_monitor, reach) {
+            drift_monitor.detector_mut().reach(now, &reach);
         }
     }
 
@@ -80,7 +80,7 @@
     /// Proposes the next step of each rollout, as the leader. A step is proposed until the log has it, one
     /// entry of a client at a time.
     pub(super) fn propose_rollout_steps(&mut self, now: Micros, term: Term) {
-        let Some(watch) = &self.drift_monitor else { return };
+        let Some(drift_monitor) = &self.drift_monitor else { return };
         let mut bodies = Vec::new();
         let mut waiting = BTreeSet::new();
         for (client, rollout) in self.machine.waves().all().filter(|(_, rollout)| rollout.halted.is_none()) {
@@ -88,9 +88,9 @@
                 continue;
             }
             let version = rollout.version;
-            let wish = watch.detector().wish(now, client);
+            let wish = drift_monitor.detector().wish(now, client);
             // First the members that reported: the wish may come from an earlier leader.
-            if let Some(members) = watch.detector().news(now, client) {
+            if let Some(members) = drift_monitor.detector().news(now, client) {
                 bodies.push(Body::MembersReported { term, client: client.clone(), version, members });
                 continue;
             }
@@ -103,7 +103,9 @@
                 (Some(wave), Some(Progress::Pass { members })) => {
                     self.pass_over_proposal(now, term, client, rollout, (wave, members))
                 }
-                (_, Some(Progress::Done)) => Some(Body::Reached { term, client: client.clone(), version }),
+                (_, Some(Progress::Done)) => {
+                    Some(Body::FinishRollout { term, client: client.clone(), version })
+                }
                 (_, Some(Progress::Stopped(why))) => {
                     let (client, why, back) = (client.clone(), why.to_string(), self.cfg.rollout.back);
                     Some(Body::Halt { term, halt: Halt { client, version, why, back } })
@@ -141,16 +143,16 @@
         rollout: &Rollout,
         wave: usize,
     ) -> Option<Body> {
-        let watch = self.drift_monitor.as_ref()?;
+        let drift_monitor = self.drift_monitor.as_ref()?;
         let first = rollout.first.clone()?;
         let mut without = BTreeSet::new();
         for name in self.zones.keys().filter(|name| rollout.wave_of(name, &self.zones) == Some(wave)) {
-            if !watch.is_present(now, name, REPORT_GRACE)? {
+            if !drift_monitor.is_present(now, name, REPORT_GRACE)? {
                 without.insert(name.clone());
             }
         }
         let wave = Wave { client: client.to_owned(), version: rollout.version, first, wave, without };
-        Some(Body::StartWave { term, wave, baseline: watch.detector().baseline(client) })
+        Some(Body::StartWave { term, wave, baseline: drift_monitor.detector().baseline(client) })
     }
 
     /// Returns the proposal to pass over these members. The first wave goes on with another member that
--- a/crates/installation/src/process/start.rs
+++ b/crates/installation/src/process/start.rs
@@ -52,16 +52,16 @@
             Keepers::new(now, own, &cfg.installation, &cfg.peers, storage, cfg.seed ^ 0x6B65, cfg.keepers)?;
         let lease = cfg.keepers.lease;
         let drift_monitor = keeper.then(|| DriftMonitor::new(now, wall, cfg.detector.clone(), lease));
-        let drift_monitor = drift_monitor.map(|mut watch| {
+        let drift_monitor = drift_monitor.map(|mut drift_monitor| {
             for peer in &cfg.peers {
                 // Members of whom nothing was received are registered too, to be listed as not heard of.
                 let own = peer.name == cfg.own.name;
                 let unknown = Life { name: peer.name.clone(), start: Start(0) };
                 let (life, standing) =
                     if own { (cfg.own.clone(), Standing::Alive) } else { (unknown, Standing::Dead) };
-                watch.detector_mut().members(now, &life, &peer.zone, standing);
+                drift_monitor.detector_mut().members(now, &life, &peer.zone, standing);
             }
-            watch
+            drift_monitor
         });
         // By the order of names, which is the same at all members whatever the order of their settings.
         let index = peer_indexes.keys().position(|name| *name == cfg.own.name).unwrap_or(0);
@@ -99,9 +99,9 @@
             incomplete: false,
             declared_dead: (0, Micros::MIN),
             // Members that start at the same moment must not all report at the same moment.
-            report_at: now.saturating_add((cfg.seed % cfg.pace.report_interval.max(1) as u64) as Micros),
+            report_at: now.saturating_add((cfg.seed % cfg.timing.report_interval.max(1) as u64) as Micros),
             report_soon: now,
-            probe_at: now.saturating_add(cfg.pace.probe_interval),
+            probe_at: now.saturating_add(cfg.timing.probe_interval),
             latest_time: now,
             wall,
             drift_outbox: BTreeMap::new(),
--- a/crates/installation/src/process/timers.rs
+++ b/crates/installation/src/process/timers.rs
@@ -39,9 +39,9 @@
             self.unstarted_since.clear();
             return;
         };
-        let Some(watch) = &mut self.drift_monitor else { return };
-        watch.detector_mut().tick(now);
-        if let Some(body) = watch.take_findings(now, self.cfg.pace.save_interval) {
+        let Some(drift_monitor) = &mut self.drift_monitor else { return };
+        drift_monitor.detector_mut().tick(now);
+        if let Some(body) = drift_monitor.take_findings(now, self.cfg.timing.save_interval) {
             self.proposals.add(body);
         }
         if self.machine.registry().due().is_some_and(|due| due <= self.wall) && self.proposals.idle() {
@@ -54,7 +54,7 @@
         if now < self.probe_at {
             return;
         }
-        self.probe_at = now.saturating_add(self.cfg.pace.probe_interval);
+        self.probe_at = now.saturating_add(self.cfg.timing.probe_interval);
         if let Some(apply) = self.applier.next_probe().filter(|_| self.allows().applies) {
             self.reports.expect_answers(now);
             self.outputs.push(Output::Apply(apply));
@@ -67,11 +67,11 @@
         }
         let rolling = self.machine.waves().running();
         let every =
-            if rolling { self.cfg.pace.rollout_report_interval } else { self.cfg.pace.report_interval };
-        self.report_at = now.saturating_add(every.min(self.cfg.pace.report_interval));
-        self.report_soon = now.saturating_add(self.cfg.pace.min_report_interval);
+            if rolling { self.cfg.timing.rollout_report_interval } else { self.cfg.timing.report_interval };
+        self.report_at = now.saturating_add(every.min(self.cfg.timing.report_interval));
+        self.report_soon = now.saturating_add(self.cfg.timing.min_report_interval);
         // What a hung node reported last may be outdated, and its silence must not count as health.
-        if !self.allows().reports || self.reports.hung(now, self.cfg.pace.hung_after) {
+        if !self.allows().reports || self.reports.hung(now, self.cfg.timing.hung_after) {
             return;
         }
         let report = self.reports.reporter.report(self.health);
@@ -79,14 +79,15 @@
     }
 
     pub(super) fn next_wake(&self, now: Micros) -> Micros {
-        let watch = self.drift_monitor.as_ref().and_then(|watch| watch.detector().next(now));
+        let drift_monitor =
+            self.drift_monitor.as_ref().and_then(|drift_monitor| drift_monitor.detector().next(now));
         // Only where they may be sent: otherwise turns would repeat without end.
         let applies = self.applier.has_due() && self.allows().applies;
         // Before members have reported, no wave can start and nothing else wakes the rollout.
         let rolls = self.in_charge(now).is_some() && self.machine.waves().running();
         let unsent = rolls.then(|| now.saturating_add(10 * STEP));
         let rest = [
-            watch,
+            drift_monitor,
             unsent,
             self.pending.wake(),
             self.dry_runs.wake(),
--- a/crates/installation/src/relay.rs
+++ b/crates/installation/src/relay.rs
@@ -119,7 +119,7 @@
             *used = fresh;
         }
         let (messages, bytes) = (used.messages.saturating_add(1), used.bytes.saturating_add(bytes));
-        if messages > limits::CARRIED || bytes > limits::MAX_RELAYED_BYTES_PER_SECOND {
+        if messages > limits::MAX_RELAYED_PER_SECOND || bytes > limits::MAX_RELAYED_BYTES_PER_SECOND {
             return false;
         }
         (used.messages, used.bytes) = (messages, bytes);
@@ -178,9 +178,9 @@
         let mut d = relay_routes(&[1, 2]);
         let admitted =
             |d: &mut RelayRoutes, now, peer, bytes| (0..10_000).filter(|_| d.admit(now, peer, bytes)).count();
-        assert_eq!(admitted(&mut d, 0, 1, 10), limits::CARRIED as usize);
+        assert_eq!(admitted(&mut d, 0, 1, 10), limits::MAX_RELAYED_PER_SECOND as usize);
         assert_eq!(admitted(&mut d, 0, 2, 1 << 20), limits::MAX_RELAYED_BYTES_PER_SECOND >> 20);
         assert_eq!(admitted(&mut d, S - 1, 1, 10), 0);
-        assert_eq!(admitted(&mut d, S, 1, 10), limits::CARRIED as usize);
+        assert_eq!(admitted(&mut d, S, 1, 10), limits::MAX_RELAYED_PER_SECOND as usize);
     }
 }
--- a/crates/installation/src/waves/mod.rs
+++ b/crates/installation/src/waves/mod.rs
@@ -28,7 +28,7 @@
 /// The number of waves of a rollout; a wave may have no members.
 pub const WAVES: usize = 3;
 /// The most rollouts at once; a version approved beyond that goes to all members at once.
-pub const MOST: usize = MOST_ROLLOUTS;
+pub const MAX_ROLLOUTS: usize = MOST_ROLLOUTS;
 /// The most rolled-back rollouts that are remembered; beyond it the oldest is dropped.
 const MAX_ROLLED_BACK: usize = 64;
 /// The most members in a list of members that are gone: as many as there can be.
@@ -121,7 +121,9 @@
         let fits = |one: &Rollout| {
             one.wave.is_none_or(|wave| wave < WAVES) && one.without.len() <= WAVES * MAX_GONE_MEMBERS
         };
-        self.rollouts.len() <= MOST && self.stops.len() <= MAX_ROLLED_BACK && self.rollouts.values().all(fits)
+        self.rollouts.len() <= MAX_ROLLOUTS
+            && self.stops.len() <= MAX_ROLLED_BACK
+            && self.rollouts.values().all(fits)
     }
 
     /// Returns whether any rollout still starts waves.
@@ -151,7 +153,7 @@
             return;
         }
         self.stops.remove(client);
-        let room = self.rollouts.len() < MOST || self.rollouts.contains_key(client);
+        let room = self.rollouts.len() < MAX_ROLLOUTS || self.rollouts.contains_key(client);
         if !self.enabled || now.by_plan || !room {
             self.rollouts.remove(client);
             return;
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -28,12 +28,12 @@
     Drift(Vec<Piece>),
     /// The query for the first page of `fleet/drift`, sent to the leader by members of a version without
     /// pages.
-    Seek {
+    DriftQuery {
         /// The number of the query, returned with the answer.
         number: u64,
     },
     /// The answer to a query of `fleet/drift`.
-    Shown {
+    DriftAnswer {
         /// The number of the query.
         number: u64,
         /// The page as JSON.
@@ -65,14 +65,14 @@
         most: Option<u32>,
     },
     /// A message for a member that the sender has no link to: the receiver relays it once, over its own link.
-    Carry {
+    Relay {
         /// The final receiver.
         to: Life,
         /// A message for which [`Wire::is_relayable`] is true.
         payload: &'a [u8],
     },
     /// A relayed message, which is never relayed again.
-    Carried {
+    Relayed {
         /// The origin as named by the relay, which is not verified further: the member whose link it came by.
         from: Life,
         /// The final receiver.
@@ -81,7 +81,7 @@
         payload: &'a [u8],
     },
     /// The reply that a message can't be relayed: there is no link to the receiver here either.
-    Astray {
+    NoRoute {
         /// The final receiver.
         to: Name,
     },
@@ -128,9 +128,11 @@
             Wire::Gossip(_) => Kind::Gossip,
             Wire::Agreement(_) => Kind::Agreement,
             Wire::Drift(_) => Kind::Drift,
-            Wire::Log(_) | Wire::Seek { .. } | Wire::Shown { .. } | Wire::Page { .. } => Kind::Log,
+            Wire::Log(_) | Wire::DriftQuery { .. } | Wire::DriftAnswer { .. } | Wire::Page { .. } => {
+                Kind::Log
+            }
             Wire::DryRun { .. } | Wire::DryRunResult { .. } => Kind::Log,
-            Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } => Kind::Carried,
+            Wire::Relay { .. } | Wire::Relayed { .. } | Wire::NoRoute { .. } => Kind::Relayed,
         }
     }
 
@@ -138,10 +140,10 @@
     /// and what was relayed is never relayed again.
     pub fn is_relayable(&self) -> bool {
         match self {
-            Wire::Drift(_) | Wire::Seek { .. } | Wire::Page { .. } | Wire::Shown { .. } => true,
+            Wire::Drift(_) | Wire::DriftQuery { .. } | Wire::Page { .. } | Wire::DriftAnswer { .. } => true,
             Wire::DryRun { .. } | Wire::DryRunResult { .. } => true,
             Wire::Gossip(_) | Wire::Agreement(_) | Wire::Log(_) => false,
-            Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } => false,
+            Wire::Relay { .. } | Wire::Relayed { .. } | Wire::NoRoute { .. } => false,
         }
     }
 
@@ -158,7 +160,7 @@
         let (wire, rest) = postcard::take_from_bytes::<Wire<'a>>(bytes).ok()?;
         let fits = match &wire {
             Wire::Drift(pieces) => pieces.len() <= MAX_DRIFT_PIECES,
-            Wire::Shown { text, .. } => text.len() <= MAX_ANSWER_BYTES,
+            Wire::DriftAnswer { text, .. } => text.len() <= MAX_ANSWER_BYTES,
             Wire::DryRun { client, rules, .. } => {
                 client.len() <= limits::MAX_CLIENT_NAME_BYTES
                     && check::octets(rules) <= limits::MAX_RULES_BYTES
@@ -189,8 +191,8 @@
             Wire::Agreement(&[]),
             Wire::Log(&[9; 300]),
             Wire::Drift(vec![Piece::Report { report, sent: 5 }, Piece::Order { order, answers: 5 }]),
-            Wire::Seek { number: 9 },
-            Wire::Shown { number: 9, text: "{}".into() },
+            Wire::DriftQuery { number: 9 },
+            Wire::DriftAnswer { number: 9, text: "{}".into() },
             Wire::DryRun {
                 number: 9,
                 client: "oduya".into(),
@@ -198,9 +200,9 @@
             },
             Wire::DryRunResult { number: 9, would: LossCounts { messages: 300, ..LossCounts::default() } },
             Wire::Page { number: 9, after: "member/a".into(), most: Some(3) },
-            Wire::Carry { to: life.clone(), payload: &[1, 2] },
-            Wire::Carried { from: life.clone(), to: life.clone(), payload: &[] },
-            Wire::Astray { to: life.name },
+            Wire::Relay { to: life.clone(), payload: &[1, 2] },
+            Wire::Relayed { from: life.clone(), to: life.clone(), payload: &[] },
+            Wire::NoRoute { to: life.name },
         ]
     }
 
--- a/crates/installation/tests/detour.rs
+++ b/crates/installation/tests/detour.rs
@@ -25,8 +25,8 @@
     world.nodes[at].member.as_ref().unwrap().counts()
 }
 
-fn carried(world: &World) -> u64 {
-    (0..world.nodes.len()).filter(|at| world.nodes[*at].up()).map(|at| counts(world, at).carried).sum()
+fn relayed(world: &World) -> u64 {
+    (0..world.nodes.len()).filter(|at| world.nodes[*at].up()).map(|at| counts(world, at).relayed).sum()
 }
 
 /// Edits pass at all members and all come in line; each is told so, and `rules/check` hears all.
@@ -62,7 +62,7 @@
         w.cut(leader, (leader + 1 + seed as usize % 2) % 3);
         w.run(S);
         goes_on(&mut w, "at an end");
-        assert!(carried(&w) > 0, "nothing went through the member between");
+        assert!(relayed(&w) > 0, "nothing went through the member between");
         // In the middle.
         let mut w = world(seed, 3);
         let leader = w.leader().unwrap();
@@ -125,7 +125,7 @@
         let wire = old.get_or_insert_with(|| {
             let wire = Wire::Drift(vec![Piece::Report { report: report(&w), sent: 1 }]);
             let to = w.nodes[leader].life.clone();
-            Wire::Carried { from: life.clone(), to, payload: &wire.pack().unwrap() }.pack().unwrap()
+            Wire::Relayed { from: life.clone(), to, payload: &wire.pack().unwrap() }.pack().unwrap()
         });
         let payload = wire.clone();
         w.give(leader, Input::Message { peer: carrier, payload });
@@ -147,10 +147,10 @@
     w.run(S);
     goes_on(&mut w, "in a ring");
     w.run(5 * S);
-    let before = carried(&w);
+    let before = relayed(&w);
     w.run(10 * S);
     // One report every 2 s and a word back.
-    let in_ten = carried(&w) - before;
+    let in_ten = relayed(&w) - before;
     assert!((5..=20).contains(&in_ten), "{in_ten} were carried in 10 s");
 }
 
@@ -158,9 +158,9 @@
 fn where_a_carrier_dies_or_keeps_still_another_takes_its_place() {
     for dies in [true, false] {
         let (mut w, leader, far) = chain(7, 5);
-        let before: Vec<u64> = (0..5).map(|at| counts(&w, at).carried).collect();
+        let before: Vec<u64> = (0..5).map(|at| counts(&w, at).relayed).collect();
         w.run(5 * S);
-        let carrier = (0..5).find(|at| counts(&w, *at).carried > before[*at]).expect("somebody carries");
+        let carrier = (0..5).find(|at| counts(&w, *at).relayed > before[*at]).expect("somebody carries");
         match dies {
             true => w.kill(carrier, Folder::Kept),
             // Its links stand.
@@ -196,7 +196,7 @@
         w.sound();
         assert_eq!((w.leader(), w.verdict(5)), (Some(leader), Some(Verdict::InLine)), "at {} ms", w.now / MS);
     }
-    assert!(counts(&w, others[3]).carried > 0);
+    assert!(counts(&w, others[3]).relayed > 0);
 }
 
 #[test]
@@ -205,17 +205,17 @@
     let carrier = (0..3).find(|at| *at != leader).unwrap();
     let flooder = (0..3).find(|at| *at != leader && *at != carrier).unwrap();
     let to = w.nodes[far].life.clone();
-    let payload = Wire::Carry { to, payload: &[7; 40] }.pack().unwrap();
+    let payload = Wire::Relay { to, payload: &[7; 40] }.pack().unwrap();
     let before = counts(&w, carrier);
     let mut handed = 0;
-    for _ in 0..10 * limits::CARRIED {
+    for _ in 0..10 * limits::MAX_RELAYED_PER_SECOND {
         let now = w.now;
         let said = w.nodes[carrier].handle(now, Input::Message { peer: flooder, payload: payload.clone() });
         handed += said.iter().filter(|o| matches!(o, Output::Send { peer, .. } if *peer == far)).count();
     }
     let after = counts(&w, carrier);
-    assert!(handed <= limits::CARRIED as usize + 8, "{handed} were handed on");
-    assert_eq!(after.overloaded - before.overloaded, 9 * u64::from(limits::CARRIED));
+    assert!(handed <= limits::MAX_RELAYED_PER_SECOND as usize + 8, "{handed} were handed on");
+    assert_eq!(after.overloaded - before.overloaded, 9 * u64::from(limits::MAX_RELAYED_PER_SECOND));
     w.run(10 * S);
     assert!(w.in_line(), "and others are carried as before");
 }
@@ -223,7 +223,7 @@
 /// What a member does with something that was handed on to it.
 fn given(w: &mut World, at: usize, peer: usize, from: &Life, to: &Life, wire: &Wire) -> (Counts, Counts) {
     let before = counts(w, at);
-    let payload = Wire::Carried { from: from.clone(), to: to.clone(), payload: &wire.pack().unwrap() };
+    let payload = Wire::Relayed { from: from.clone(), to: to.clone(), payload: &wire.pack().unwrap() };
     let payload = payload.pack().unwrap();
     w.give(at, Input::Message { peer, payload });
     (before, counts(w, at))
@@ -256,7 +256,7 @@
     let (a, b) = given(&mut w, far, carrier, &boss, &own, &order(term, clock));
     assert_eq!(a, b, "and the one in charge is heard as before");
     for never in
-        [Wire::Gossip(&[1]), Wire::Agreement(&[1]), Wire::Log(&[1]), Wire::Astray { to: own.name.clone() }]
+        [Wire::Gossip(&[1]), Wire::Agreement(&[1]), Wire::Log(&[1]), Wire::NoRoute { to: own.name.clone() }]
     {
         let (a, b) = given(&mut w, far, carrier, &boss, &own, &never);
         assert_eq!(b.undecodable, a.undecodable + 1, "{never:?}");
@@ -272,7 +272,7 @@
         w.nodes[carrier].life.clone(),
         Life { name: heronroute_fleet::Name::new("x").unwrap(), start: Start(1) },
     ] {
-        let payload = Wire::Carry { to, payload: &[1] }.pack().unwrap();
+        let payload = Wire::Relay { to, payload: &[1] }.pack().unwrap();
         let before = counts(&w, carrier);
         w.give(carrier, Input::Message { peer: leader, payload });
         assert_eq!(counts(&w, carrier).misrouted, before.misrouted + 1);
--- a/crates/installation/tests/fences.rs
+++ b/crates/installation/tests/fences.rs
@@ -31,22 +31,22 @@
     world.nodes[at].engine.fences.get("oduya").map(|set| set.version)
 }
 
-fn stands(world: &World, at: usize) -> bool {
-    world.book.machine.fences().stands(&world.peers[at].name, "oduya")
+fn is_fenced(world: &World, at: usize) -> bool {
+    world.book.machine.fences().is_fenced(&world.peers[at].name, "oduya")
 }
 
 fn lifted(world: &mut World, at: usize) {
     world.nodes[at].engine.mode = Mode::Good;
-    let done = |w: &World| w.in_line() && !stands(w, at) && w.nodes[at].engine.fences.is_empty();
+    let done = |w: &World| w.in_line() && !is_fenced(w, at) && w.nodes[at].engine.fences.is_empty();
     let took = world.until(240 * S, done);
     world.sound();
-    assert!(took.is_some(), "not lifted: {:?}, in the log {}", world.verdict(at), stands(world, at));
+    assert!(took.is_some(), "not lifted: {:?}, in the log {}", world.verdict(at), is_fenced(world, at));
 }
 
 #[test]
 fn a_fence_is_told_with_what_is_approved_and_follows_it() {
     let (mut world, at) = fenced(1);
-    assert_eq!((under(&world, at), stands(&world, at)), (Some(2), true));
+    assert_eq!((under(&world, at), is_fenced(&world, at)), (Some(2), true));
     assert_eq!(world.nodes[at].engine.at_home("oduya").unwrap().version, 1, "what applies stays");
     assert!((0..4).filter(|other| *other != at).all(|o| world.nodes[o].engine.fences.is_empty()));
     world.submit(0, "oduya", 2, "long", 5);
@@ -68,7 +68,7 @@
             world.run(S);
             world.start(leader, None);
             world.run(5 * S);
-            assert!(stands(&world, at), "forgotten by a new one in charge");
+            assert!(is_fenced(&world, at), "forgotten by a new one in charge");
             assert!(under(&world, at).is_some());
         }
         // With the folder or without: a member that is no keeper has nothing of the log on its disk.
@@ -96,7 +96,7 @@
     (0..4).for_each(|node| world.start(node, None));
     let told = world.until(30 * S, |w| under(w, at) == Some(2));
     world.sound();
-    assert!(told.is_some() && stands(&world, at), "forgotten");
+    assert!(told.is_some() && is_fenced(&world, at), "forgotten");
     lifted(&mut world, at);
 }
 
--- a/crates/installation/tests/hard_cases.rs
+++ b/crates/installation/tests/hard_cases.rs
@@ -6,7 +6,7 @@
 use heronroute_fleet::{Start, Term};
 use heronroute_installation::seam::Input;
 use heronroute_installation::wire::{Piece, Wire};
-use heronroute_installation::{Condition, Planned};
+use heronroute_installation::{Condition, PlanSetting};
 use heronroute_rules::{Plan, RuleLimits};
 use rig::engine::Mode;
 use rig::node::Folder;
@@ -216,7 +216,7 @@
         ..(*plan("low", 90)).clone()
     };
     for at in 0..3 {
-        world.nodes[at].clients.get_mut("oduya").unwrap().plan = Planned::Plan(low.clone().into());
+        world.nodes[at].clients.get_mut("oduya").unwrap().plan = PlanSetting::Plan(low.clone().into());
     }
     for at in 0..2 {
         world.kill(at, Folder::Kept);
--- a/crates/installation/tests/pages.rs
+++ b/crates/installation/tests/pages.rs
@@ -5,7 +5,7 @@
 use heronroute_drift::view::{Line, View};
 use heronroute_drift::{History, Partly, Record, Verdict};
 use heronroute_fleet::{Name, Start, Term};
-use heronroute_installation::page::{MOST, Page};
+use heronroute_installation::page::{MAX_PAGE_BYTES, Page};
 use rig::{S, World};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -69,7 +69,7 @@
     let (mut out, mut after) = (Vec::new(), String::new());
     loop {
         let text = ask(&Page::of(&after, most).expect("the place that was given"));
-        assert!(text.len() <= MOST, "{} octets", text.len());
+        assert!(text.len() <= MAX_PAGE_BYTES, "{} octets", text.len());
         let value: Value = serde_json::from_str(&text).unwrap();
         let next = value["next"].as_str().map(str::to_owned);
         out.push(value);
--- a/crates/installation/tests/passed_over.rs
+++ b/crates/installation/tests/passed_over.rs
@@ -4,7 +4,7 @@
 mod rolling;
 
 use heronroute_drift::Health;
-use heronroute_installation::Rolling;
+use heronroute_installation::RolloutSettings;
 use heronroute_installation::seam::Input;
 use rand::Rng;
 use rig::node::Folder;
@@ -12,7 +12,7 @@
 use rolling::*;
 
 /// Version 1 of 7 members, 5 of them keepers, is in line; m000, m003 and m006 are a zone. m000 is in charge, or m004.
-fn seven(seed: u64, leads: bool, rollout: Rolling) -> World {
+fn seven(seed: u64, leads: bool, rollout: RolloutSettings) -> World {
     let mut world = World::new(seed, 7, 5);
     world.nodes.iter_mut().for_each(|node| (node.hasty, node.rollout) = (true, rollout));
     let mut world = world.begun();
@@ -59,7 +59,7 @@
 fn a_first_member_that_died_unnoticed_is_no_evidence() {
     for leads in [false, true] {
         for back in [2 * S, 30 * S] {
-            let mut world = seven(1, leads, Rolling::default());
+            let mut world = seven(1, leads, RolloutSettings::default());
             world.kill(0, Folder::Kept);
             // Where it was in charge, its death is known before another one is.
             let submitted = |w: &mut World| w.submit(5, "oduya", 1, "long", 45).1["version"] == 2;
@@ -82,7 +82,7 @@
 /// It is passed over within seconds, and another one of its zone is the first.
 #[test]
 fn its_zone_comes_next_all_the_same() {
-    let mut world = seven(2, false, Rolling::default());
+    let mut world = seven(2, false, RolloutSettings::default());
     world.kill(0, Folder::Kept);
     assert_eq!(world.submit(5, "oduya", 1, "long", 45).1["version"], 2);
     let from = world.now;
@@ -163,7 +163,7 @@
 #[test]
 fn members_of_a_later_wave_that_died_unnoticed_are_passed_over() {
     for step in moments(4, 40) {
-        let mut world = seven(50 + step as u64, true, Rolling::default());
+        let mut world = seven(50 + step as u64, true, RolloutSettings::default());
         world.submit(6, "oduya", 1, "long", 45);
         let at = 1 + step as usize % 2;
         step_until(&mut world, "the wave before", |w| wave(w, "oduya") == Some(at - 1));
@@ -187,7 +187,7 @@
 /// The zone that a version got to keeps it, though the first member of the next version is passed over with all of that zone.
 #[test]
 fn a_zone_that_was_reached_is_not_meant_to_go_back() {
-    let mut world = seven(5, false, Rolling { soak: 4 * S, ..Rolling::default() });
+    let mut world = seven(5, false, RolloutSettings { soak: 4 * S, ..RolloutSettings::default() });
     world.submit(5, "oduya", 1, "long", 45);
     step_until(&mut world, "the zone", |w| [3, 6].iter().all(|at| applied(w, "oduya")[*at] == 2));
     [0, 3, 6].iter().for_each(|at| world.kill(*at, Folder::Kept));
@@ -262,7 +262,7 @@
 
 /// The one in charge dies in the last wave: the next one compares with what the log has of those that were not reached.
 fn sick_in_the_last_wave(seed: u64, bad: fn(&mut Health, bool)) -> String {
-    let mut world = seven(seed, false, Rolling { soak: 4 * S, ..Rolling::default() });
+    let mut world = seven(seed, false, RolloutSettings { soak: 4 * S, ..RolloutSettings::default() });
     world.submit(6, "oduya", 1, "long", 45);
     let mut healths = [Health { refused: 0, failed: 0, memory: 100 << 20 }; 7];
     let mut old = None;
--- a/crates/installation/tests/plans.rs
+++ b/crates/installation/tests/plans.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use heronroute_fleet::Term;
-use heronroute_installation::Planned;
+use heronroute_installation::PlanSetting;
 use heronroute_installation::seam::Input;
 use rig::{MS, S, World, clients, plan};
 
@@ -24,7 +24,7 @@
         world.split(&[1]);
         assert!(world.until(10 * S, |w| w.leader().is_none()).is_some(), "the lease runs out");
         let mut lower = clients();
-        lower.get_mut("oduya").unwrap().plan = Planned::Plan(plan("lower", 20));
+        lower.get_mut("oduya").unwrap().plan = PlanSetting::Plan(plan("lower", 20));
         for at in 0..3 {
             world.give(at, Input::Clients(lower.clone()));
         }
--- a/crates/installation/tests/reach.rs
+++ b/crates/installation/tests/reach.rs
@@ -2,7 +2,7 @@
 
 use heronroute_fleet::{Decided, Entry, Life, Name, Request, Start, Term};
 use heronroute_installation::machine::{Body, Effect, Machine};
-use heronroute_installation::waves::{Halt, MOST, Wave, Zones};
+use heronroute_installation::waves::{Halt, MAX_ROLLOUTS, Wave, Zones};
 use heronroute_rules::digest::plan_digest;
 use heronroute_rules::registry::Command;
 use heronroute_rules::{Plan, Rule, RuleLimits};
@@ -29,8 +29,8 @@
 impl Log {
     fn new() -> Self {
         let mut log = Log { machine: Machine::default(), index: 0, wall: 1_000 * S };
-        log.add(Body::Begin { term: Term(3) });
-        log.add(Body::Pace { term: Term(3), waves: true });
+        log.add(Body::BeginTerm { term: Term(3) });
+        log.add(Body::SetWaves { term: Term(3), waves: true });
         log.plan("c", 100);
         log
     }
@@ -62,7 +62,7 @@
 
     fn wave(&mut self, version: u64, first: usize, wave: usize) -> Effect {
         let wave = Wave { client: "c".into(), version, first: name(first), wave, without: BTreeSet::new() };
-        self.add(Body::Reach { term: Term(3), wave })
+        self.add(Body::StartWaveWithoutBaseline { term: Term(3), wave })
     }
 
     fn halt(&mut self, term: u64, version: u64, back: bool) -> Effect {
@@ -70,8 +70,8 @@
         self.add(Body::Halt { term: Term(term), halt })
     }
 
-    fn meant(&self, client: &str) -> Vec<u64> {
-        let of = |at| self.machine.meant(client, &name(at), &zones()).unwrap().set.version;
+    fn target(&self, client: &str) -> Vec<u64> {
+        let of = |at| self.machine.target(client, &name(at), &zones()).unwrap().set.version;
         (0..6).map(of).collect()
     }
 }
@@ -80,23 +80,23 @@
 fn a_version_is_meant_for_the_waves_that_left_and_each_leaves_once() {
     let mut log = Log::new();
     log.submit("c", 0, 50);
-    assert_eq!(log.meant("c"), [0; 6], "none has left");
-    assert!(matches!(log.wave(1, 4, 0), Effect::Spread { .. }));
-    assert_eq!(log.meant("c"), [0, 0, 0, 0, 1, 0], "the first is the one that the entry names");
+    assert_eq!(log.target("c"), [0; 6], "none has left");
+    assert!(matches!(log.wave(1, 4, 0), Effect::RolloutsChanged { .. }));
+    assert_eq!(log.target("c"), [0, 0, 0, 0, 1, 0], "the first is the one that the entry names");
     assert_eq!(log.wave(1, 0, 0), Effect::Nothing, "it left before");
     assert_eq!(log.wave(2, 0, 1), Effect::Nothing, "no such version");
     log.wave(1, 0, 1);
-    assert_eq!(log.meant("c"), [0, 1, 0, 0, 1, 0], "its zone, whatever is named now");
+    assert_eq!(log.target("c"), [0, 1, 0, 0, 1, 0], "its zone, whatever is named now");
     log.wave(1, 0, 2);
-    assert_eq!(log.meant("c"), [1; 6]);
+    assert_eq!(log.target("c"), [1; 6]);
     assert!(log.machine.waves().of("c").is_some(), "watched until all are in line");
-    log.add(Body::Reached { term: Term(3), client: "c".into(), version: 1 });
+    log.add(Body::FinishRollout { term: Term(3), client: "c".into(), version: 1 });
     assert!(log.machine.waves().of("c").is_none());
     // One of an older term does nothing.
     log.submit("c", 1, 60);
     let wave = Wave { client: "c".into(), version: 2, first: name(0), wave: 2, without: BTreeSet::new() };
-    assert_eq!(log.add(Body::Reach { term: Term(2), wave }), Effect::Nothing);
-    assert_eq!(log.meant("c"), [1; 6]);
+    assert_eq!(log.add(Body::StartWaveWithoutBaseline { term: Term(2), wave }), Effect::Nothing);
+    assert_eq!(log.target("c"), [1; 6]);
 }
 
 #[test]
@@ -104,17 +104,17 @@
     let mut log = Log::new();
     log.submit("c", 0, 50);
     log.wave(1, 0, 2);
-    log.add(Body::Reached { term: Term(3), client: "c".into(), version: 1 });
+    log.add(Body::FinishRollout { term: Term(3), client: "c".into(), version: 1 });
     log.submit("c", 1, 60);
     log.wave(2, 0, 0);
     // Two versions on their way: neither was in line everywhere.
     log.submit("c", 2, 70);
     log.wave(3, 5, 0);
-    assert_eq!(log.meant("c"), [3, 1, 1, 1, 1, 1], "the same first one again");
-    assert!(matches!(log.halt(3, 3, true), Effect::Spread { changed, .. } if changed.len() == 1));
+    assert_eq!(log.target("c"), [3, 1, 1, 1, 1, 1], "the same first one again");
+    assert!(matches!(log.halt(3, 3, true), Effect::RolloutsChanged { changed, .. } if changed.len() == 1));
     let back = log.machine.registry().desired("c").unwrap().set;
     assert_eq!((back.version, back.rules[0].limits.hold_count), (4, Some(50)));
-    assert_eq!(log.meant("c"), [4; 6], "for all");
+    assert_eq!(log.target("c"), [4; 6], "for all");
     // Asked for again, by this one or the next in charge, it is done.
     assert_eq!(log.halt(3, 3, true), Effect::Nothing);
     assert_eq!(log.halt(4, 3, true), Effect::Nothing);
@@ -129,12 +129,12 @@
     log.submit("c", 0, 50);
     log.wave(1, 0, 0);
     log.halt(3, 1, false);
-    log.add(Body::Begin { term: Term(9) });
+    log.add(Body::BeginTerm { term: Term(9) });
     let wave = Wave { client: "c".into(), version: 1, first: name(0), wave: 2, without: BTreeSet::new() };
-    assert_eq!(log.add(Body::Reach { term: Term(9), wave }), Effect::Nothing);
+    assert_eq!(log.add(Body::StartWaveWithoutBaseline { term: Term(9), wave }), Effect::Nothing);
     assert_eq!(log.halt(9, 1, true), Effect::Nothing, "it was stopped once");
-    assert_eq!(log.meant("c"), [1, 0, 0, 0, 0, 0]);
-    let done = Body::Reached { term: Term(9), client: "c".into(), version: 1 };
+    assert_eq!(log.target("c"), [1, 0, 0, 0, 0, 0]);
+    let done = Body::FinishRollout { term: Term(9), client: "c".into(), version: 1 };
     assert_eq!(log.add(done), Effect::Nothing);
 }
 
@@ -158,37 +158,37 @@
     log.submit("c", 0, 80);
     log.wave(1, 0, 0);
     log.plan("c", 60);
-    assert_eq!(log.meant("c"), [1, 0, 0, 0, 0, 0], "in its grace nothing changes");
+    assert_eq!(log.target("c"), [1, 0, 0, 0, 0, 0], "in its grace nothing changes");
     log.wall += 10 * S;
     log.add(Body::Rules(Command::Tick));
-    assert_eq!(log.meant("c"), [2; 6]);
+    assert_eq!(log.target("c"), [2; 6]);
     // What is on its way fits the lower plan, what others are held at does not, and nothing would ever cut it.
     let mut log = Log::new();
     log.submit("c", 0, 80);
     log.wave(1, 0, 2);
-    log.add(Body::Reached { term: Term(3), client: "c".into(), version: 1 });
+    log.add(Body::FinishRollout { term: Term(3), client: "c".into(), version: 1 });
     log.submit("c", 1, 40);
     log.wave(2, 0, 0);
     log.plan("c", 90);
-    assert_eq!(log.meant("c"), [2, 1, 1, 1, 1, 1]);
+    assert_eq!(log.target("c"), [2, 1, 1, 1, 1, 1]);
     log.plan("c", 60);
-    assert_eq!(log.meant("c"), [2; 6]);
+    assert_eq!(log.target("c"), [2; 6]);
     // And a client that the settings have no more.
     log.submit("c", 2, 30);
     log.wave(3, 0, 0);
     log.add(Body::Settings { term: Term(3), command: Command::Drop { client: "c".into() } });
-    assert_eq!(log.meant("c"), [4; 6]);
+    assert_eq!(log.target("c"), [4; 6]);
 }
 
 #[test]
 fn many_at_once_are_bounded_and_a_state_is_read_again_as_it_was() {
     let mut log = Log::new();
-    for client in 0..MOST + 2 {
+    for client in 0..MAX_ROLLOUTS + 2 {
         log.plan(&format!("d{client:02}"), 100);
         log.submit(&format!("d{client:02}"), 0, 50);
     }
-    assert_eq!(log.machine.waves().all().count(), MOST);
-    assert_eq!(log.meant(&format!("d{:02}", MOST + 1)), [1; 6], "one more is for all at once");
+    assert_eq!(log.machine.waves().all().count(), MAX_ROLLOUTS);
+    assert_eq!(log.target(&format!("d{:02}", MAX_ROLLOUTS + 1)), [1; 6], "one more is for all at once");
     log.submit("c", 0, 50);
     let mut again = Machine::default();
     assert!(again.restore(log.index, &log.machine.snapshot()));
@@ -196,8 +196,8 @@
     let octets = log.machine.snapshot();
     assert!(!again.restore(1, &octets[..octets.len() - 9]), "half of one is none");
     // Off, all have what is desired.
-    log.add(Body::Pace { term: Term(3), waves: false });
-    assert_eq!((log.meant("d00"), log.machine.waves().all().count()), (vec![1; 6], 0));
+    log.add(Body::SetWaves { term: Term(3), waves: false });
+    assert_eq!((log.target("d00"), log.machine.waves().all().count()), (vec![1; 6], 0));
     log.submit("d00", 1, 60);
-    assert_eq!(log.meant("d00"), [2; 6]);
+    assert_eq!(log.target("d00"), [2; 6]);
 }
--- a/crates/installation/tests/rig/book.rs
+++ b/crates/installation/tests/rig/book.rs
@@ -48,7 +48,7 @@
         self.log.push(decided.entry.clone());
         let changed = match self.machine.apply(decided) {
             Effect::Rules(outcome) => outcome.changed,
-            Effect::Spread { changed, .. } => changed,
+            Effect::RolloutsChanged { changed, .. } => changed,
             _ => Vec::new(),
         };
         {
--- a/crates/installation/tests/rig/mod.rs
+++ b/crates/installation/tests/rig/mod.rs
@@ -11,7 +11,7 @@
 use heronroute_installation::machine::Machine;
 use heronroute_installation::seam::{Input, Output};
 use heronroute_installation::wire::{Piece, Wire};
-use heronroute_installation::{Client, Planned};
+use heronroute_installation::{Client, PlanSetting};
 use heronroute_rules::check::destroys;
 use heronroute_rules::registry::Desired;
 use heronroute_rules::seam::{ClientRequest, DryRunResult, Live, Token, Told};
@@ -97,13 +97,13 @@
 pub fn clients() -> BTreeMap<String, Client> {
     let of = |plan| Client { operator: false, plan };
     let mut out = BTreeMap::new();
-    out.insert("oduya".into(), of(Planned::Plan(plan("small", 1_000))));
-    out.insert("banda".into(), of(Planned::Plan(plan("small", 1_000))));
+    out.insert("oduya".into(), of(PlanSetting::Plan(plan("small", 1_000))));
+    out.insert("banda".into(), of(PlanSetting::Plan(plan("small", 1_000))));
     let mut slow = (*plan("slow", 1_000)).clone();
     slow.approval = true;
-    out.insert("chike".into(), of(Planned::Plan(Arc::new(slow))));
-    out.insert("plain".into(), of(Planned::Nothing));
-    out.insert("ops".into(), Client { operator: true, plan: Planned::Nothing });
+    out.insert("chike".into(), of(PlanSetting::Plan(Arc::new(slow))));
+    out.insert("plain".into(), of(PlanSetting::Nothing));
+    out.insert("ops".into(), Client { operator: true, plan: PlanSetting::Nothing });
     out
 }
 
@@ -402,7 +402,7 @@
 
     fn sent(&mut self, from: usize, to: usize, payload: Vec<u8>) {
         let wire = match Wire::unpack(&payload) {
-            Some(Wire::Carry { payload, .. }) => Wire::unpack(payload),
+            Some(Wire::Relay { payload, .. }) => Wire::unpack(payload),
             wire => wire,
         };
         if let Some(Wire::Drift(pieces)) = wire {
@@ -505,10 +505,10 @@
         let node = &self.nodes[at];
         let clock = node.clock(self.now);
         let Some(member) = &node.member else { return };
-        let Some(watch) = member.watch() else { return };
+        let Some(drift_monitor) = member.drift_monitor() else { return };
         let mut wrong = None;
         for other in 0..self.nodes.len() {
-            let verdict = watch.detector().verdict(clock, &self.peers[other].name);
+            let verdict = drift_monitor.detector().verdict(clock, &self.peers[other].name);
             if verdict != Some(heronroute_drift::Verdict::InLine) {
                 continue;
             }
@@ -526,8 +526,8 @@
     pub fn wanted(&self, machine: &Machine, at: usize) -> BTreeMap<String, RuleSet> {
         let mine = |set: &RuleSet| share(set, self.place(at), self.nodes.len());
         let zones = self.peers.iter().map(|peer| (peer.name.clone(), peer.zone.clone())).collect();
-        let meant = |d: Desired| machine.meant(&d.client, &self.peers[at].name, &zones);
-        machine.registry().all().filter_map(meant).map(|d| (d.client.clone(), mine(&d.set))).collect()
+        let target = |d: Desired| machine.target(&d.client, &self.peers[at].name, &zones);
+        machine.registry().all().filter_map(target).map(|d| (d.client.clone(), mine(&d.set))).collect()
     }
 
     /// One event.
@@ -638,8 +638,8 @@
             return false;
         };
         let node = &self.nodes[leader];
-        let Some(watch) = node.member.as_ref().and_then(|m| m.watch()) else { return false };
-        let line = |name: &Name| watch.detector().verdict(node.clock(self.now), name);
+        let Some(drift_monitor) = node.member.as_ref().and_then(|m| m.drift_monitor()) else { return false };
+        let line = |name: &Name| drift_monitor.detector().verdict(node.clock(self.now), name);
         (0..self.nodes.len()).all(|at| {
             let Some(member) = self.nodes[at].member.as_ref().filter(|_| !self.nodes[at].paused) else {
                 return false;
@@ -653,8 +653,8 @@
 
     pub fn verdict(&self, at: usize) -> Option<heronroute_drift::Verdict> {
         let node = &self.nodes[self.leader()?];
-        let watch = node.member.as_ref()?.watch()?;
-        watch.detector().verdict(node.clock(self.now), &self.peers[at].name)
+        let drift_monitor = node.member.as_ref()?.drift_monitor()?;
+        drift_monitor.detector().verdict(node.clock(self.now), &self.peers[at].name)
     }
 
     /// Nothing went wrong so far; else one line.
--- a/crates/installation/tests/rig/node.rs
+++ b/crates/installation/tests/rig/node.rs
@@ -5,7 +5,7 @@
 use heronroute_fleet::{Life, Name, Peer, Start, keepers, members};
 use heronroute_installation::config::Regions;
 use heronroute_installation::seam::{Input, Member, Output};
-use heronroute_installation::{Client, Config, Installation, Pace, Rolling};
+use heronroute_installation::{Client, Config, Installation, RolloutSettings, Timing};
 use heronroute_journal::Storage;
 use heronroute_journal::disk::Disk;
 use heronroute_region::Region;
@@ -96,7 +96,7 @@
     pub hasty: bool,
     /// The log is cut behind every few entries: who missed more learns the state as a whole.
     pub short: bool,
-    pub rollout: Rolling,
+    pub rollout: RolloutSettings,
 }
 
 fn region(at: usize) -> Region {
@@ -138,7 +138,7 @@
             regions: false,
             hasty: false,
             short: false,
-            rollout: Rolling::default(),
+            rollout: RolloutSettings::default(),
         }
     }
 
@@ -187,7 +187,7 @@
             keepers,
             members: members::Tuning::for_size(peers.len()),
             detector,
-            pace: Pace::default(),
+            timing: Timing::default(),
             rollout: self.rollout,
             regions: self.regions.then(|| Regions {
                 of: peers.iter().enumerate().map(|(at, peer)| (peer.name.clone(), region(at))).collect(),
--- a/crates/installation/tests/rig/script.rs
+++ b/crates/installation/tests/rig/script.rs
@@ -257,7 +257,7 @@
         let all: Vec<String> = (0..self.nodes.len()).map(line).collect();
         let why = self.leader().and_then(|at| {
             let node = &self.nodes[at];
-            let view = node.member.as_ref()?.watch()?.detector().view(node.clock(self.now));
+            let view = node.member.as_ref()?.drift_monitor()?.detector().view(node.clock(self.now));
             Some(
                 view.members
                     .iter()
--- a/crates/installation/tests/rolling/mod.rs
+++ b/crates/installation/tests/rolling/mod.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code)]
 
 use crate::rig::{S, World};
-use heronroute_installation::Rolling;
+use heronroute_installation::RolloutSettings;
 use serde_json::Value;
 
 /// Zones go round by three: with six, m000 is the first member and m003 its zone. `HERONROUTE_LONG=1` tries more moments.
-pub fn world(seed: u64, members: usize, rollout: Rolling) -> World {
+pub fn world(seed: u64, members: usize, rollout: RolloutSettings) -> World {
     let mut world = World::new(seed, members, 3);
     world.nodes.iter_mut().for_each(|node| (node.hasty, node.rollout) = (true, rollout));
     let mut world = world.begun();
@@ -14,8 +14,8 @@
     world
 }
 
-pub fn short() -> Rolling {
-    Rolling { wave_for: 8 * S, ..Rolling::default() }
+pub fn short() -> RolloutSettings {
+    RolloutSettings { wave_for: 8 * S, ..RolloutSettings::default() }
 }
 
 pub fn moments(few: i64, many: i64) -> std::ops::Range<i64> {
--- a/crates/installation/tests/table.rs
+++ b/crates/installation/tests/table.rs
@@ -6,7 +6,7 @@
 use heronroute_drift::{Act, Order};
 use heronroute_fleet::Start;
 use heronroute_installation::Condition;
-use heronroute_installation::condition::Facts;
+use heronroute_installation::condition::ConditionFacts;
 use heronroute_installation::seam::Input;
 use heronroute_installation::wire::{Piece, Wire};
 use rig::node::Folder;
@@ -120,7 +120,7 @@
     };
     for bits in 0..128u32 {
         let bit = |n: u32| bits >> n & 1 == 1;
-        let facts = Facts {
+        let facts = ConditionFacts {
             majority: bit(0),
             linked: bit(1),
             stale: bit(2),
@@ -137,9 +137,9 @@
             !allows.obeys || facts.majority && facts.settled && !(facts.stale && facts.linked),
             "{facts:?}"
         );
-        let fewer = Condition::of(Facts { majority: false, ..facts });
+        let fewer = Condition::of(ConditionFacts { majority: false, ..facts });
         assert!(count(fewer) <= count(condition).max(count(Condition::Minority)), "{facts:?}");
-        let over = Condition::of(Facts { outlived: true, ..facts });
+        let over = Condition::of(ConditionFacts { outlived: true, ..facts });
         assert!(count(over) <= count(condition), "{facts:?}");
     }
 }
--- a/crates/installation/tests/waves.rs
+++ b/crates/installation/tests/waves.rs
@@ -6,7 +6,7 @@
 use heronroute_drift::rollout::Phase;
 use heronroute_drift::{Health, Verdict};
 use heronroute_installation::seam::Input;
-use heronroute_installation::{Planned, Rolling};
+use heronroute_installation::{PlanSetting, RolloutSettings};
 use heronroute_rules::Plan;
 use rig::engine::Mode;
 use rig::node::Folder;
@@ -16,7 +16,7 @@
 
 #[test]
 fn one_member_its_zone_and_all_each_after_the_last_was_in_line() {
-    let mut world = world(1, 6, Rolling::default());
+    let mut world = world(1, 6, RolloutSettings::default());
     let from = world.now;
     assert_eq!(world.submit(4, "oduya", 0, "long", 90).1["version"], 1);
     let mut seen = vec![applied(&world, "oduya")];
@@ -49,7 +49,7 @@
 
 #[test]
 fn without_waves_all_apply_at_once() {
-    let mut world = world(2, 6, Rolling { waves: false, ..Rolling::default() });
+    let mut world = world(2, 6, RolloutSettings { waves: false, ..RolloutSettings::default() });
     world.submit(0, "oduya", 0, "long", 90);
     world.run(300 * MS);
     assert_eq!(applied(&world, "oduya"), [1; 6]);
@@ -89,7 +89,7 @@
 
 #[test]
 fn one_that_stays_is_told_until_another_version_takes_its_place() {
-    let mut world = world(4, 6, Rolling { back: false, ..short() });
+    let mut world = world(4, 6, RolloutSettings { back: false, ..short() });
     world.submit(0, "oduya", 0, "long", 90);
     in_line(&mut world, 30 * S);
     world.nodes[3].engine.mode = Mode::Unable;
@@ -108,8 +108,9 @@
     world.start(old, None);
     world.run(10 * S);
     assert_eq!(wave(&world, "oduya"), Some(1));
-    let watch = world.nodes[world.leader().unwrap()].member.as_ref().unwrap().watch().unwrap();
-    let phase = watch.detector().rollout_of("oduya").unwrap().phase();
+    let drift_monitor =
+        world.nodes[world.leader().unwrap()].member.as_ref().unwrap().drift_monitor().unwrap();
+    let phase = drift_monitor.detector().rollout_of("oduya").unwrap().phase();
     assert!(matches!(phase, Phase::Stopped(why) if why.to_string().contains("m003")), "{phase:?}");
     // One that was not reached is mended as ever, to what it is meant to apply and no further.
     let now = world.now;
@@ -157,21 +158,21 @@
 
 #[test]
 fn a_wave_that_refuses_more_than_those_not_reached_stops_it() {
-    let mut world = world(5, 6, Rolling::default());
+    let mut world = world(5, 6, RolloutSettings::default());
     let told = sick(&mut world, |health, _| health.refused += 40);
     assert!(told["why"].as_str().unwrap().starts_with("refusals: "), "{told}");
 }
 
 #[test]
 fn a_wave_that_takes_more_memory_than_those_not_reached_stops_it() {
-    let mut world = world(6, 6, Rolling::default());
+    let mut world = world(6, 6, RolloutSettings::default());
     let told = sick(&mut world, |health, _| health.memory += 30 << 20);
     assert!(told["why"].as_str().unwrap().starts_with("memory: "), "{told}");
 }
 
 #[test]
 fn a_wave_that_fails_more_than_those_not_reached_stops_it() {
-    let mut world = world(7, 6, Rolling::default());
+    let mut world = world(7, 6, RolloutSettings::default());
     let told = sick(&mut world, |health, _| health.failed += 30);
     assert!(told["why"].as_str().unwrap().starts_with("failures: "), "{told}");
 }
@@ -192,7 +193,7 @@
 
 #[test]
 fn a_newer_version_takes_the_place_of_one_under_way() {
-    let mut world = world(12, 6, Rolling::default());
+    let mut world = world(12, 6, RolloutSettings::default());
     world.submit(0, "oduya", 0, "long", 90);
     world.run(500 * MS);
     assert_eq!(applied(&world, "oduya").iter().sum::<u64>(), 1, "the first one has it");
@@ -207,13 +208,14 @@
 /// A plan that is lowered in the middle of a rollout holds for all at once, whether or not their wave came.
 #[test]
 fn what_a_plan_cuts_does_not_wait_for_waves() {
-    let mut world = world(13, 6, Rolling { soak: 600 * S, wave_for: 600 * S, ..Rolling::default() });
+    let mut world =
+        world(13, 6, RolloutSettings { soak: 600 * S, wave_for: 600 * S, ..RolloutSettings::default() });
     world.submit(0, "oduya", 0, "long", 900);
     world.run(S);
     assert_eq!(applied(&world, "oduya").iter().sum::<u64>(), 1);
     let low = Plan { grace: 2 * S, ..(*plan("low", 90)).clone() };
     let mut clients = rig::clients();
-    clients.get_mut("oduya").unwrap().plan = Planned::Plan(low.into());
+    clients.get_mut("oduya").unwrap().plan = PlanSetting::Plan(low.into());
     (0..6).for_each(|at| world.give(at, Input::Clients(clients.clone())));
     world.run(6 * S);
     assert_eq!(applied(&world, "oduya"), [2; 6]);
@@ -229,7 +231,7 @@
 /// A version that an operator approves goes in waves, and one that is asked for again is the same.
 #[test]
 fn an_operators_approval_and_a_repeat_change_nothing_of_it() {
-    let mut world = world(14, 6, Rolling::default());
+    let mut world = world(14, 6, RolloutSettings::default());
     world.submit(0, "chike", 0, "slow", 90);
     assert_eq!(world.answer(1, "ops", "rules/approve/chike/1", "").0, "approved");
     world.run(500 * MS);
--- a/crates/installation/tests/waves_hard.rs
+++ b/crates/installation/tests/waves_hard.rs
@@ -3,7 +3,7 @@
 mod rig;
 mod rolling;
 
-use heronroute_installation::Rolling;
+use heronroute_installation::RolloutSettings;
 use rig::node::Folder;
 use rig::{MS, S, World};
 use rolling::*;
@@ -13,7 +13,7 @@
 #[test]
 fn the_one_in_charge_dies_between_waves() {
     for step in moments(3, 12) {
-        let mut world = world(step as u64, 6, Rolling::default());
+        let mut world = world(step as u64, 6, RolloutSettings::default());
         let old = world.leader().unwrap();
         world.submit((old + 1) % 6, "oduya", 0, "long", 90);
         world.run((1 + step * 5) * 100 * MS);
@@ -80,7 +80,7 @@
 #[test]
 fn members_that_are_gone_hold_nothing_up() {
     for gone in [vec![0], vec![3], vec![0, 3], vec![4, 5]] {
-        let mut world = world(9, 6, Rolling::default());
+        let mut world = world(9, 6, RolloutSettings::default());
         gone.iter().for_each(|at| world.kill(*at, Folder::Kept));
         world.run(12 * S);
         world.submit(1, "oduya", 0, "long", 90);
