--- a/crates/journal/src/book.rs
+++ b/crates/journal/src/book.rs
@@ -1,4 +1,5 @@
-//! The book: what the entries add up to. Open messages, answers not yet taken, what is known of places.
+//! The state that the entries of a journal add up to: open messages, answers not yet confirmed, and what is
+//! known of endpoints.
 
 use crate::entry::{
     Accepted, Answer, Applied, Entry, Final, Held, Intent, Named, Place, Request, Session, Taken, What,
@@ -6,65 +7,68 @@
 use crate::heirs::Heirs;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Names that are kept at most; beyond them the oldest are forgotten, and that is known.
-const NAMES: usize = 1 << 20;
+/// The number of client-given message names kept at most. Beyond it the oldest are dropped, and the state
+/// records that.
+const MAX_NAMES: usize = 1 << 20;
 
-/// Final answers that are kept at most; beyond them those that would go first are given up, and are not told again.
-const FINALS: usize = 1 << 17;
+/// The number of final answers kept at most. Beyond it those that expire first are dropped and are not
+/// repeated.
+const MAX_FINALS: usize = 1 << 17;
 
-/// A message whose answer was not taken yet.
+/// A message whose answer is not confirmed yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Open {
-    /// As it was accepted.
+    /// The message as it was accepted.
     pub accepted: Accepted,
-    /// Attempts that were about to leave.
+    /// The number of attempts begun.
     pub attempts: u32,
-    /// The first attempt that may have run.
+    /// The first attempt that may have taken effect.
     pub may_run: Option<Intent>,
-    /// The attempt that has no outcome.
+    /// The attempt under way: it has no outcome yet.
     pub out: Option<Intent>,
-    /// Its final answer, if it has one.
+    /// The final answer, if there is one.
     pub answer: Option<Answer>,
 }
 
-/// The book.
+/// The state that a journal's entries add up to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Book {
-    /// Messages by number.
+    /// The open messages, by number.
     pub open: BTreeMap<u64, Open>,
-    /// Places by endpoint.
+    /// What is known of endpoints, by endpoint name.
     pub places: BTreeMap<String, Place>,
-    /// Above all numbers given so far.
+    /// The next free message number.
     pub next_id: u64,
-    /// Sessions by client and name.
+    /// The durable sessions, by client and session name.
     pub sessions: BTreeMap<(String, String), Kept>,
-    /// Names that clients gave their messages, oldest first.
+    /// The names that clients gave their messages, oldest first.
     pub names: VecDeque<Named>,
-    /// Messages held for their clients.
+    /// The undelivered messages held for their clients, by number.
     pub held: BTreeMap<u64, Held>,
-    /// Names that would count until then may have been forgotten.
+    /// The time up to which dropped names would have been valid: a name valid no longer than that may have
+    /// been dropped.
     pub forgot: i64,
-    /// Final answers that are kept to be told again.
+    /// The final answers kept so that they can be repeated, by message number.
     pub finals: BTreeMap<u64, Final>,
-    /// The same by the time until which they are kept.
-    ends: BTreeSet<(i64, u64)>,
-    /// Clients' own rules, by client.
+    /// The same, ordered by the time until which they are kept.
+    expiries: BTreeSet<(i64, u64)>,
+    /// The rules that clients set themselves, by client.
     pub applied: BTreeMap<String, Applied>,
-    /// What is taken over from dead members.
+    /// The takeovers of dead members' messages.
     pub heirs: Heirs,
 }
 
-/// A session that outlives connections.
+/// A session that survives the loss of its connection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kept {
-    /// As it was written last.
+    /// The session as it was last recorded.
     pub session: Session,
-    /// The latest requests, at most a window.
+    /// The latest requests, at most one window of them.
     pub latest: VecDeque<Request>,
 }
 
 impl Book {
-    /// Takes an entry. Entries about messages that are not open change nothing.
+    /// Applies an entry. Entries about messages that are not open change nothing.
     pub fn apply(&mut self, entry: &Entry) {
         match &entry.what {
             Some(What::Accepted(a)) => {
@@ -78,13 +82,14 @@
                     }
                 }
                 if let Some(named) = a.named {
-                    self.name(named, a.taken);
+                    self.add_name(named, a.taken);
                 }
-                // Both or neither: guards against a crash between the two handing it in twice.
+                // One entry both accepts this message and removes the held one that it replaces, so that a
+                // crash can't lead to the held message being resubmitted twice.
                 if a.replaces > 0 {
                     self.held.remove(&a.replaces);
                 }
-                // Its place in its session and its name stand on their own from here on.
+                // The session's requests and the list of names hold these from here on.
                 let accepted = Accepted { packet: 0, digest: 0, named: None, replaces: 0, ..a.clone() };
                 let open = Open { accepted, attempts: 0, may_run: None, out: None, answer: None };
                 self.open.insert(a.id, open);
@@ -92,8 +97,9 @@
             Some(What::Intent(i)) => {
                 if let Some(o) = self.open.get_mut(&i.id) {
                     o.attempts += 1;
-                    // One attempt is out at a time: one that has no outcome as the next begins was cut off by the end of
-                    // its process. Guards against a second restart that forgets what the first had found to may have run.
+                    // A message has one attempt at a time, so an attempt without an outcome when the next
+                    // begins was cut off by the end of its process. Keeping it in `may_run` prevents that a
+                    // second restart forgets an attempt that may have taken effect.
                     let cut_off = o.out.replace(i.clone());
                     o.may_run = o.may_run.take().or(cut_off);
                 }
@@ -107,10 +113,10 @@
                 }
             }
             Some(What::Answer(a)) => {
-                // The first answer holds: there are never two.
+                // Only the first answer counts.
                 if let Some(o) = self.open.get_mut(&a.id).filter(|o| o.answer.is_none()) {
                     o.answer = Some(a.clone());
-                    // What only served delivery is not needed any more.
+                    // The body was needed for delivery only.
                     o.accepted.body = Vec::new();
                     if a.word == "DELIVRD" {
                         self.held.remove(&a.id);
@@ -119,8 +125,8 @@
             }
             Some(What::Taken(Taken { id })) => _ = self.open.remove(id),
             Some(What::Place(p)) => {
-                let nothing = Place { endpoint: p.endpoint.clone(), ..Place::default() };
-                if *p == nothing {
+                let unknown = Place { endpoint: p.endpoint.clone(), ..Place::default() };
+                if *p == unknown {
                     self.places.remove(&p.endpoint);
                 } else {
                     self.places.insert(p.endpoint.clone(), p.clone());
@@ -133,9 +139,9 @@
                 }
             }
             Some(What::Released(r)) => _ = self.held.remove(&r.id),
-            Some(What::Session(s)) => self.session(s),
-            Some(What::Named(n)) => self.name(*n, i64::MIN),
-            Some(What::Final(f)) => self.keep(f),
+            Some(What::Session(s)) => self.update_session(s),
+            Some(What::Named(n)) => self.add_name(*n, i64::MIN),
+            Some(What::Final(f)) => self.keep_final(f),
             Some(What::Applied(a)) => _ = self.applied.insert(a.client.clone(), a.clone()),
             Some(What::Heir(h)) => {
                 let ids = [h.accepted.as_ref(), h.held.as_ref().and_then(|h| h.accepted.as_ref())];
@@ -149,12 +155,12 @@
                     held.into_iter().filter_map(|h| h.accepted.as_ref().map(|a| a.id).map(|id| (id, h)));
                 self.held.extend(held);
             }
-            // Of the log, not of what it adds up to.
+            // Describes the log, not the state.
             Some(What::Chain(_)) | None => {}
         }
     }
 
-    fn session(&mut self, s: &Session) {
+    fn update_session(&mut self, s: &Session) {
         let key = (s.client.clone(), s.name.clone());
         if s.expiry == 0 {
             self.sessions.remove(&key);
@@ -167,15 +173,15 @@
         kept.session = Session { latest: Vec::new(), ..s.clone() };
     }
 
-    fn name(&mut self, named: Named, now: i64) {
+    fn add_name(&mut self, named: Named, now: i64) {
         if named.id == 0 {
-            // No message: what was forgotten.
+            // An entry without a message records until when dropped names would have been valid.
             self.forgot = self.forgot.max(named.until);
             return;
         }
         self.names.push_back(named);
         while let Some(first) = self.names.front().copied() {
-            if self.names.len() > NAMES {
+            if self.names.len() > MAX_NAMES {
                 self.forgot = self.forgot.max(first.until);
             } else if first.until >= now {
                 break;
@@ -184,31 +190,31 @@
         }
     }
 
-    fn keep(&mut self, f: &Final) {
+    fn keep_final(&mut self, f: &Final) {
         let Some(answer) = &f.answer else { return };
         if let Some(before) = self.finals.insert(answer.id, f.clone()) {
-            self.ends.remove(&(before.until, answer.id));
+            self.expiries.remove(&(before.until, answer.id));
         }
-        self.ends.insert((f.until, answer.id));
-        while let Some((until, id)) = self.ends.first().copied() {
-            if until >= answer.at && self.ends.len() <= FINALS {
+        self.expiries.insert((f.until, answer.id));
+        while let Some((until, id)) = self.expiries.first().copied() {
+            if until >= answer.at && self.expiries.len() <= MAX_FINALS {
                 break;
             }
-            self.ends.pop_first();
+            self.expiries.pop_first();
             self.finals.remove(&id);
         }
     }
 
-    /// Entries that make the same book anew.
+    /// Returns entries that rebuild this state.
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let messages = self.open.values().flat_map(|o| {
             let id = o.accepted.id;
             let mut list: Vec<Entry> = vec![What::Accepted(o.accepted.clone()).into()];
-            // As many attempts as there were, the one that may have run among them.
-            let others = o.attempts - u32::from(o.may_run.is_some()) - u32::from(o.out.is_some());
-            let never = Intent { id, ..Intent::default() };
-            for _ in 0..others {
-                list.push(What::Intent(never.clone()).into());
+            // Rebuilds the number of attempts, among them the one that may have taken effect.
+            let without_effect = o.attempts - u32::from(o.may_run.is_some()) - u32::from(o.out.is_some());
+            let intent = Intent { id, ..Intent::default() };
+            for _ in 0..without_effect {
+                list.push(What::Intent(intent.clone()).into());
                 list.push(What::Outcome(crate::entry::Outcome { id, never_ran: true }).into());
             }
             if let Some(i) = &o.may_run {
@@ -231,10 +237,10 @@
         let forgot = Some(forgot).filter(|f| f.until > 0);
         let names = forgot.into_iter().chain(self.names.iter().copied()).map(|n| What::Named(n).into());
         let places = self.places.values().map(|p| What::Place(p.clone()).into());
-        // After the messages: an answer among those would take a message out again.
+        // Held messages come after the open ones: an answer among those would remove a held message.
         let held = self.held.values().map(|h| What::Held(h.clone()).into());
-        // Those that end first go first, so that the same are given up where there are too many.
-        let finals = self.ends.iter().filter_map(|(_, id)| self.finals.get(id));
+        // In order of expiry, so that the same answers are dropped where there are too many.
+        let finals = self.expiries.iter().filter_map(|(_, id)| self.finals.get(id));
         let finals = finals.map(|f| What::Final(f.clone()).into());
         let applied = self.applied.values().map(|a| What::Applied(a.clone()).into());
         let heirs = self.heirs.entries();
--- a/crates/journal/src/chain.rs
+++ b/crates/journal/src/chain.rs
@@ -1,40 +1,42 @@
-//! A chain of digests over entries: two journals whose chains are the same at a number have the same entries before it.
+//! A chain of digests over entries: two journals whose digests are equal at a number have the same entries
+//! before it.
 //!
-//! It stands at one number; what it stood at before is kept in marks, the fewer the older, so that two logs find a
-//! place that both know. Bounded: of each size of step a few marks, some 3 KiB for a billion entries.
+//! The chain keeps the digest at its current number, and marks: digests at earlier numbers, fewer of them the
+//! older they are, so that two logs can find a number that both know. Its size is bounded: a few marks for
+//! each power-of-two distance, some 3 KiB for a billion entries.
 
 use crate::entry::{Chained, Marked};
 use sha2::{Digest as _, Sha256};
 
-/// A digest, truncated: it tells entries apart that differ by mishap, and is no proof against forgers.
+/// A truncated SHA-256 digest. It detects accidental differences and is no protection against forgery.
 pub type Digest = [u8; 16];
 
 /// Marks are made at multiples of this number of entries.
 pub const STEP: u64 = 1_024;
-/// A mark at a multiple of a step, and of no larger one, is kept for so many such steps.
-const KEPT: u64 = 8;
+/// A mark is kept for this many times the largest power-of-two multiple of [`STEP`] that divides its number.
+const MARK_RETENTION: u64 = 8;
 
-/// What the entries before a number add up to.
+/// The digest of all entries before a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mark {
-    /// The number.
+    /// The number of the next entry.
     pub number: u64,
     /// The digest of all entries before it.
     pub digest: Digest,
 }
 
 impl Mark {
-    /// Takes the next entry, as it is written (without its length).
+    /// Adds the next entry, in its encoded form without the length prefix.
     pub fn push(&mut self, entry: &[u8]) {
         let mut hash = Sha256::new();
         hash.update(self.digest);
         hash.update(entry);
-        self.digest = short(hash);
+        self.digest = truncated(hash);
         self.number += 1;
     }
 }
 
-/// The chain. The empty one stands at 0.
+/// The digest chain of a journal. An empty chain is at number 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chain {
     at: Mark,
@@ -47,26 +49,26 @@
     }
 }
 
-fn short(hash: Sha256) -> Digest {
+fn truncated(hash: Sha256) -> Digest {
     let (mut digest, whole) = (Digest::default(), hash.finalize());
     digest.iter_mut().zip(whole).for_each(|(d, w)| *d = w);
     digest
 }
 
-/// How long a mark is kept, in entries.
-fn kept(number: u64) -> u64 {
+/// Returns for how many entries a mark is kept.
+fn mark_retention(number: u64) -> u64 {
     let level = if number.is_multiple_of(STEP) { (number / STEP).trailing_zeros() } else { 0 };
-    KEPT.saturating_mul(STEP.checked_shl(level).unwrap_or(u64::MAX))
+    MARK_RETENTION.saturating_mul(STEP.checked_shl(level).unwrap_or(u64::MAX))
 }
 
 impl Chain {
-    /// A chain that begins at a number, with what stands for all before it.
+    /// Returns a chain that begins at a number; `before` identifies all entries before it.
     pub fn begin(number: u64, before: &[u8]) -> Self {
-        let at = Mark { number, digest: short(Sha256::new().chain_update(before)) };
+        let at = Mark { number, digest: truncated(Sha256::new().chain_update(before)) };
         Chain { at, marks: vec![at] }
     }
 
-    /// A chain with its marks; those that are out of order or behind it are left out.
+    /// Returns a chain from its parts; marks that are out of order or after `at` are left out.
     pub fn new(at: Mark, marks: impl IntoIterator<Item = Mark>) -> Self {
         let mut chain = Chain { at, marks: Vec::new() };
         for m in marks {
@@ -74,45 +76,46 @@
                 chain.marks.push(m);
             }
         }
-        chain.thin();
+        chain.drop_old_marks();
         chain
     }
 
-    /// Where it stands.
+    /// Returns the current number and digest.
     pub fn at(&self) -> Mark {
         self.at
     }
 
-    /// Where it stood before, lowest number first.
+    /// Returns the marks at earlier numbers, lowest number first.
     pub fn marks(&self) -> &[Mark] {
         &self.marks
     }
 
-    /// Takes the next entry, as it is written (without its length).
+    /// Adds the next entry, in its encoded form without the length prefix.
     pub fn push(&mut self, entry: &[u8]) {
         let mut next = self.at;
         next.push(entry);
         self.follow(next);
     }
 
-    /// Goes on to where the next entry was found to lead; anything else changes nothing.
+    /// Advances to the mark that the next entry leads to; any other mark changes nothing.
     pub fn follow(&mut self, mark: Mark) {
         if mark.number == self.at.number + 1 {
             self.at = mark;
             if mark.number.is_multiple_of(STEP) {
                 self.marks.push(mark);
-                self.thin();
+                self.drop_old_marks();
             }
         }
     }
 
-    fn thin(&mut self) {
-        // As of the last multiple, so that a chain that was written and read is the same.
+    fn drop_old_marks(&mut self) {
+        // Measured from the last multiple of the step, so that encoding and decoding a chain doesn't change
+        // it.
         let now = self.at.number / STEP * STEP;
-        self.marks.retain(|m| now.saturating_sub(m.number) <= kept(m.number));
+        self.marks.retain(|m| now.saturating_sub(m.number) <= mark_retention(m.number));
     }
 
-    /// The digest at a number, where it is known.
+    /// Returns the digest at a number, where it is known.
     pub fn digest(&self, number: u64) -> Option<Digest> {
         if number == self.at.number {
             return Some(self.at.digest);
@@ -120,17 +123,17 @@
         self.marks.binary_search_by_key(&number, |m| m.number).ok().map(|i| self.marks[i].digest)
     }
 
-    /// The chain as an entry.
+    /// Returns the chain as a journal entry.
     pub fn to_entry(&self) -> Chained {
-        let one = |m: &Mark| Marked { number: m.number, digest: m.digest.to_vec() };
-        Chained { at: Some(one(&self.at)), marks: self.marks.iter().map(one).collect() }
+        let to_marked = |m: &Mark| Marked { number: m.number, digest: m.digest.to_vec() };
+        Chained { at: Some(to_marked(&self.at)), marks: self.marks.iter().map(to_marked).collect() }
     }
 
-    /// The chain of an entry; none where it is no chain.
+    /// Returns the chain of a journal entry, or `None` where it is malformed.
     pub fn from_entry(entry: &Chained) -> Option<Self> {
-        let one =
+        let from_marked =
             |m: &Marked| Some(Mark { number: m.number, digest: Digest::try_from(m.digest.as_slice()).ok()? });
-        Some(Chain::new(one(entry.at.as_ref()?)?, entry.marks.iter().filter_map(one)))
+        Some(Chain::new(from_marked(entry.at.as_ref()?)?, entry.marks.iter().filter_map(from_marked)))
     }
 }
 
@@ -139,7 +142,7 @@
     use super::*;
 
     #[test]
-    fn few_marks_and_any_two_chains_have_one_in_common_near_the_shorter() {
+    fn two_chains_share_a_mark_near_the_end_of_the_shorter() {
         let mut chain = Chain::default();
         let mut before = vec![chain.clone()];
         for n in 0..300_000u64 {
@@ -159,7 +162,7 @@
     }
 
     #[test]
-    fn order_and_contents_count() {
+    fn digest_depends_on_order_and_boundaries() {
         let of = |entries: &[&[u8]]| {
             let mut chain = Chain::default();
             entries.iter().for_each(|e| chain.push(e));
--- a/crates/journal/src/dir.rs
+++ b/crates/journal/src/dir.rs
@@ -1,4 +1,5 @@
-//! A real directory as storage. One process at a time: the second refuses.
+//! Storage in a directory of the file system. Only one process can have a directory open; a second one is
+//! refused.
 
 use crate::Storage;
 use std::cell::RefCell;
@@ -7,24 +8,24 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A directory that is locked while this lives.
+/// A directory, locked while this value lives.
 #[derive(Debug)]
 pub struct Dir {
     path: PathBuf,
     files: BTreeMap<String, File>,
-    /// Syncs are left out.
+    /// Whether syncs are skipped.
     unsynced: bool,
     lock: File,
-    /// A descriptor that is given up for a moment wherever a file is opened. Guards against a process that has no other,
-    /// whose journal could not go on, so that it would have to end.
+    /// A file descriptor that is released while a file is opened. Without it, a process that has run out of
+    /// descriptors could not continue its journal and would have to end.
     spare: RefCell<Option<File>>,
 }
 
 impl Dir {
-    /// Opens a directory, making it if need be.
+    /// Opens a directory and creates it if it doesn't exist.
     ///
     /// # Errors
-    /// Where it can't be had, or another process has it.
+    /// Where the directory can't be opened or another process has locked it.
     pub fn open(path: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
@@ -40,7 +41,8 @@
         Ok(Dir { path: path.to_path_buf(), files: BTreeMap::new(), unsynced: false, lock, spare })
     }
 
-    /// The same, for a folder that has to outlast the process only, not the machine: what was written is never synced.
+    /// Opens a directory that has to survive the process only, not a failure of the machine: nothing is ever
+    /// synced.
     ///
     /// # Errors
     /// As [`Dir::open`].
@@ -48,7 +50,7 @@
         Ok(Dir { unsynced: true, ..Self::open(path)? })
     }
 
-    /// Opens something in place of the spare descriptor.
+    /// Runs `open` while the spare descriptor is released.
     fn opening<T>(&self, open: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
         self.spare.take();
         let opened = open();
@@ -85,13 +87,13 @@
         self.opening(|| {
             let mut file = File::open(self.path.join(name))?;
             file.seek(SeekFrom::Start(offset))?;
-            let mut octets = Vec::new();
-            file.take(most as u64).read_to_end(&mut octets)?;
-            Ok(octets)
+            let mut bytes = Vec::new();
+            file.take(most as u64).read_to_end(&mut bytes)?;
+            Ok(bytes)
         })
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
-        // The others are opened again when they are written, so that one descriptor is enough.
+        // Closes the other files, which are reopened when they are written, so that one descriptor is enough.
         self.files.clear();
         let path = self.path.join(name);
         let file = self.opening(|| {
@@ -101,8 +103,8 @@
         self.files.insert(name.to_string(), file);
         Ok(())
     }
-    fn append(&mut self, name: &str, octets: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(octets)
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.file(name)?.write_all(bytes)
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.file(name)?.set_len(length)
@@ -128,7 +130,7 @@
         self.files.remove(name);
         std::fs::remove_file(self.path.join(name))
     }
-    /// Its number in the file system, and when it was made: a number is given again once its file is gone.
+    /// Combines the inode number with the creation time, as an inode number is reused once its file is gone.
     #[cfg(unix)]
     fn identity(&self, name: &str) -> Option<u64> {
         let found = std::fs::metadata(self.path.join(name)).ok()?;
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -1,48 +1,48 @@
-//! A faulty disk in memory: power is lost at a chosen step, and what was not synced is lost, torn, or kept out of
-//! order, as a seed says. Operations can fail for a while, syncs can fail, room can run out.
+//! A simulated disk in memory with faults, for tests. Power is lost at a chosen step; data that was not
+//! synced is then kept, lost or torn depending on a seed. Operations can also fail for a while, syncs can
+//! fail, and space can run out.
 
 use crate::Storage;
 use std::collections::BTreeMap;
 use std::io;
 
-/// Faults.
+/// The faults of a simulated disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Power is lost at this step (counted from 1; 0: never).
+    /// The step at which power is lost (counted from 1; 0: never).
     pub power: u64,
-    /// The sync at this step fails, once.
+    /// The step whose sync fails, once (0: none).
     pub sync: u64,
-    /// Octets that fit (0: no end).
+    /// The number of bytes that fit on the disk (0: unlimited).
     pub room: u64,
-    /// A span of steps that fail.
+    /// A range of steps that fail.
     pub failing: Option<Failing>,
 }
 
-/// Steps that fail, each with the same error. An append writes half of its octets first.
+/// A range of steps that fail with the same error. An append that fails writes half of its bytes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failing {
-    /// The first step that fails.
+    /// The first failing step.
     pub from: u64,
-    /// The last one.
+    /// The last failing step.
     pub to: u64,
-    /// The error.
     pub error: io::ErrorKind,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct File {
-    /// What a reader finds.
+    /// The contents that a read returns.
     contents: Vec<u8>,
-    /// What outlasts a loss of power. Octets of which a sync failed are noughts.
+    /// The contents that survive a loss of power. Bytes whose sync failed are zeros.
     synced: Vec<u8>,
-    /// What was appended since the last sync, write by write.
+    /// The writes since the last sync.
     since: Vec<Vec<u8>>,
 }
 
 impl File {
-    fn append(&mut self, octets: &[u8]) {
-        self.contents.extend_from_slice(octets);
-        self.since.push(octets.to_vec());
+    fn append(&mut self, bytes: &[u8]) {
+        self.contents.extend_from_slice(bytes);
+        self.since.push(bytes.to_vec());
     }
 
     fn sync(&mut self) {
@@ -51,7 +51,8 @@
         }
     }
 
-    /// As Linux does it: what a failed sync did not write counts as written from then on, and no later sync writes it.
+    /// Fails a sync in the way Linux does: pages that a failed sync did not write are marked clean, and no
+    /// later sync writes them.
     fn fail_to_sync(&mut self) {
         for write in std::mem::take(&mut self.since) {
             self.synced.resize(self.synced.len() + write.len(), 0);
@@ -62,42 +63,41 @@
         self.contents.truncate(length);
         let before = self.synced.len();
         self.synced.truncate(length);
-        // The end of what was not synced, as one write.
+        // The unsynced end of the file, as one write.
         let rest = self.contents.get(before..).unwrap_or_default().to_vec();
         self.since = vec![rest];
     }
 }
 
-/// The disk.
+/// The simulated disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    /// Names as they are, and as they would be after a loss of power.
+    /// The current file names; `names` holds those that survive a loss of power.
     files: BTreeMap<String, usize>,
     names: BTreeMap<String, usize>,
     data: Vec<File>,
-    /// Steps so far.
+    /// The number of operations so far.
     pub steps: u64,
-    /// What goes wrong.
+    /// The faults to inject.
     pub faults: Faults,
     dark: bool,
 }
 
 impl Disk {
-    /// An empty disk.
     pub fn new(faults: Faults) -> Self {
         Disk { faults, ..Disk::default() }
     }
 
-    /// Whether power was lost.
+    /// Returns whether power was lost.
     pub fn dark(&self) -> bool {
         self.dark
     }
 
-    /// The disk as it is found after a loss of power. Each write that was not synced is kept, lost (a hole of
-    /// noughts where something behind it was kept) or torn; names that were not synced are old or new.
+    /// Returns the disk as it is found after a loss of power. Each write that was not synced is kept, torn or
+    /// lost (zeros, where a later write was kept); names that were not synced are old or new.
     pub fn after_loss(&self, seed: u64) -> Disk {
         let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-        let mut dice = move |n: u64| {
+        let mut random_below = move |n: u64| {
             state ^= state << 13;
             state ^= state >> 7;
             state ^= state << 17;
@@ -109,10 +109,10 @@
             let mut whole = kept.clone();
             for write in &f.since {
                 let start = whole.len();
-                match dice(4) {
+                match random_below(4) {
                     0 => whole.resize(start + write.len(), 0),
                     1 => {
-                        let n = dice(write.len() as u64 + 1) as usize;
+                        let n = random_below(write.len() as u64 + 1) as usize;
                         whole.extend_from_slice(&write[..n]);
                         kept.clone_from(&whole);
                         whole.resize(start + write.len(), 0);
@@ -126,7 +126,7 @@
             data.push(File { contents: kept.clone(), synced: kept, since: Vec::new() });
         }
         let mut names = self.names.clone();
-        if self.names != self.files && dice(2) == 0 {
+        if self.names != self.files && random_below(2) == 0 {
             names.clone_from(&self.files);
         }
         Disk { files: names.clone(), names, data, ..Disk::default() }
@@ -168,23 +168,23 @@
         self.files.insert(name.to_string(), self.data.len() - 1);
         Ok(())
     }
-    fn append(&mut self, name: &str, octets: &[u8]) -> io::Result<()> {
-        // Where power is lost in a write, some of it may have reached the disk.
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        // A write during which power is lost may have reached the disk.
         if self.steps + 1 == self.faults.power {
-            self.file(name)?.append(octets);
+            self.file(name)?.append(bytes);
         }
         if let Err(error) = self.step() {
             if !self.dark {
-                self.file(name)?.append(&octets[..octets.len() / 2]);
+                self.file(name)?.append(&bytes[..bytes.len() / 2]);
             }
             return Err(error);
         }
-        if self.faults.room > 0 && self.used() + octets.len() as u64 > self.faults.room {
+        if self.faults.room > 0 && self.used() + bytes.len() as u64 > self.faults.room {
             let fits = (self.faults.room - self.used().min(self.faults.room)) as usize;
-            self.file(name)?.append(&octets[..fits]);
+            self.file(name)?.append(&bytes[..fits]);
             return Err(io::ErrorKind::StorageFull.into());
         }
-        self.file(name)?.append(octets);
+        self.file(name)?.append(bytes);
         Ok(())
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
@@ -201,7 +201,7 @@
         let file = self.file(name)?;
         match &result {
             Ok(()) => file.sync(),
-            // After a loss of power nothing more happens.
+            // Nothing happens after a loss of power.
             Err(_) if dark => {}
             Err(_) => file.fail_to_sync(),
         }
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -1,79 +1,80 @@
-//! Frames: what one commit writes. A frame is whole or it is nothing.
+//! Frames, the unit of a commit: a frame is read as a whole or not at all.
 //!
-//! Head, 36 octets, little-endian: magic, version, payload length, crc32 (of all but itself and the magic), number of the first
-//! entry, count of entries, number up to which all was durable when the frame was written. The last tells a torn
-//! end from a broken middle: what some later frame calls durable must be there.
+//! A frame's header has 36 bytes, little-endian: magic, version, payload length, CRC-32 (of everything but
+//! itself and the magic), number of the first entry, count of entries, and the number up to which entries
+//! were durable when the frame was written. The last field distinguishes a torn tail from damage in the
+//! middle: entries that a later frame calls durable must be present.
 
 use crate::entry::Entry;
 use prost::Message as _;
 
-/// Begins each frame.
+/// The magic number at the start of each frame.
 pub const MAGIC: u32 = 0x4A52_4E48;
-/// Version of the format.
+/// The version of the format.
 pub const VERSION: u32 = 1;
-/// Octets of a head.
+/// The size of a frame's header, in bytes.
 pub const HEAD: usize = 36;
-/// A frame's payload at most.
-pub const MOST: usize = 1 << 28;
+/// The maximum size of a frame's payload, in bytes.
+pub const MAX_PAYLOAD: usize = 1 << 28;
 
-/// A frame that was read.
+/// A decoded frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// Number of its first entry.
+    /// The number of the first entry.
     pub first: u64,
-    /// Entries with lower numbers were durable when it was written.
+    /// Entries with lower numbers were durable when the frame was written.
     pub durable: u64,
-    /// Its entries.
+    /// The entries of the frame.
     pub entries: Vec<Entry>,
-    /// Octets of it.
+    /// The size of the frame, in bytes.
     pub length: usize,
 }
 
-/// What a frame's head tells.
+/// The header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    /// Number of its first entry, and how many there are.
+pub struct Header {
+    /// The number of the first entry.
     pub first: u64,
-    /// See `first`.
+    /// The count of entries.
     pub count: u32,
-    /// Entries with lower numbers were durable when it was written.
+    /// Entries with lower numbers were durable when the frame was written.
     pub durable: u64,
-    /// Octets of the whole frame.
+    /// The size of the whole frame, in bytes.
     pub length: usize,
 }
 
 /// Why no frame could be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// Nothing follows.
+pub enum FrameError {
+    /// The input is empty.
     End,
-    /// What follows is no whole frame.
+    /// The input doesn't begin with a complete, intact frame.
     Torn,
-    /// It is of another version of the format.
+    /// The frame has another version of the format.
     Version(u32),
 }
 
-/// Appends a frame.
+/// Appends an encoded frame to `out`.
 pub fn write(first: u64, durable: u64, entries: &[Entry], out: &mut Vec<u8>) {
     let start = out.len();
     out.resize(start + HEAD, 0);
     for e in entries {
-        // Into memory, with room made as needed: it does not fail.
+        // Encoding into a vector can't fail.
         _ = e.encode_length_delimited(out);
     }
     let payload = (out.len() - start - HEAD) as u32;
-    let head = &mut out[start..start + HEAD];
-    head[0..4].copy_from_slice(&MAGIC.to_le_bytes());
-    head[4..8].copy_from_slice(&VERSION.to_le_bytes());
-    head[8..12].copy_from_slice(&payload.to_le_bytes());
-    head[16..24].copy_from_slice(&first.to_le_bytes());
-    head[24..28].copy_from_slice(&(entries.len() as u32).to_le_bytes());
-    head[28..36].copy_from_slice(&durable.to_le_bytes());
+    let header = &mut out[start..start + HEAD];
+    header[0..4].copy_from_slice(&MAGIC.to_le_bytes());
+    header[4..8].copy_from_slice(&VERSION.to_le_bytes());
+    header[8..12].copy_from_slice(&payload.to_le_bytes());
+    header[16..24].copy_from_slice(&first.to_le_bytes());
+    header[24..28].copy_from_slice(&(entries.len() as u32).to_le_bytes());
+    header[28..36].copy_from_slice(&durable.to_le_bytes());
     let crc = checksum(&out[start..]);
     out[start + 12..start + 16].copy_from_slice(&crc.to_le_bytes());
 }
 
-/// The checksum of a whole frame.
+/// Returns the checksum of an encoded frame.
 pub fn checksum(frame: &[u8]) -> u32 {
     let mut h = crc32fast::Hasher::new();
     h.update(&frame[4..12]);
@@ -81,79 +82,80 @@
     h.finalize()
 }
 
-/// Reads the head that begins here, and nothing behind it: neither length nor checksum is tried.
+/// Decodes the header at the start of `bytes` without checking the frame's length or checksum.
 ///
 /// # Errors
-/// Where there is none.
-pub fn glance(octets: &[u8]) -> Result<Head, Bad> {
-    if octets.is_empty() {
-        return Err(Bad::End);
+/// Where there is no header.
+pub fn read_header_unchecked(bytes: &[u8]) -> Result<Header, FrameError> {
+    if bytes.is_empty() {
+        return Err(FrameError::End);
     }
-    if octets.len() < HEAD {
-        return Err(Bad::Torn);
+    if bytes.len() < HEAD {
+        return Err(FrameError::Torn);
     }
-    let u32_at = |i: usize| u32::from_le_bytes([octets[i], octets[i + 1], octets[i + 2], octets[i + 3]]);
+    let u32_at = |i: usize| u32::from_le_bytes([bytes[i], bytes[i + 1], bytes[i + 2], bytes[i + 3]]);
     let u64_at = |i: usize| u64::from(u32_at(i)) | u64::from(u32_at(i + 4)) << 32;
     if u32_at(0) != MAGIC {
-        return Err(Bad::Torn);
+        return Err(FrameError::Torn);
     }
     let payload = u32_at(8) as usize;
-    if payload > MOST {
-        return Err(Bad::Torn);
+    if payload > MAX_PAYLOAD {
+        return Err(FrameError::Torn);
     }
-    Ok(Head { first: u64_at(16), count: u32_at(24), durable: u64_at(28), length: HEAD + payload })
+    Ok(Header { first: u64_at(16), count: u32_at(24), durable: u64_at(28), length: HEAD + payload })
 }
 
-/// Reads the head of the whole frame that begins here.
+/// Decodes the header at the start of `bytes`, and checks that the frame is complete and intact.
 ///
 /// # Errors
-/// Where there is none.
-pub fn head(octets: &[u8]) -> Result<Head, Bad> {
-    let head = glance(octets)?;
-    if octets.len() < head.length {
-        return Err(Bad::Torn);
+/// Where there is no such frame.
+pub fn read_header(bytes: &[u8]) -> Result<Header, FrameError> {
+    let header = read_header_unchecked(bytes)?;
+    if bytes.len() < header.length {
+        return Err(FrameError::Torn);
     }
-    let u32_at = |i: usize| u32::from_le_bytes([octets[i], octets[i + 1], octets[i + 2], octets[i + 3]]);
-    if checksum(&octets[..head.length]) != u32_at(12) {
-        return Err(Bad::Torn);
+    let u32_at = |i: usize| u32::from_le_bytes([bytes[i], bytes[i + 1], bytes[i + 2], bytes[i + 3]]);
+    if checksum(&bytes[..header.length]) != u32_at(12) {
+        return Err(FrameError::Torn);
     }
     if u32_at(4) != VERSION {
-        return Err(Bad::Version(u32_at(4)));
+        return Err(FrameError::Version(u32_at(4)));
     }
-    Ok(head)
+    Ok(header)
 }
 
-/// Reads the frame that begins here.
+/// Decodes the frame at the start of `bytes`.
 ///
 /// # Errors
-/// Where there is none.
-pub fn read(octets: &[u8]) -> Result<Frame, Bad> {
-    let Head { first, count, durable, length } = head(octets)?;
-    let mut rest = &octets[HEAD..length];
+/// Where there is no such frame.
+pub fn read(bytes: &[u8]) -> Result<Frame, FrameError> {
+    let Header { first, count, durable, length } = read_header(bytes)?;
+    let mut rest = &bytes[HEAD..length];
     let mut entries = Vec::new();
     for _ in 0..count {
-        entries.push(Entry::decode_length_delimited(&mut rest).map_err(|_| Bad::Torn)?);
+        entries.push(Entry::decode_length_delimited(&mut rest).map_err(|_| FrameError::Torn)?);
     }
     Ok(Frame { first, durable, entries, length })
 }
 
-/// The octets of each entry, from entries with their lengths. Ends where something is no entry.
-pub fn pieces(mut octets: &[u8]) -> impl Iterator<Item = &[u8]> {
+/// Returns the encoded form of each entry in a sequence of length-prefixed entries. Ends at the first
+/// malformed entry.
+pub fn pieces(mut bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     std::iter::from_fn(move || {
-        if octets.is_empty() {
+        if bytes.is_empty() {
             return None;
         }
-        let length = prost::decode_length_delimiter(&mut octets).ok()?;
-        let (piece, rest) = octets.split_at_checked(length)?;
-        octets = rest;
+        let length = prost::decode_length_delimiter(&mut bytes).ok()?;
+        let (piece, rest) = bytes.split_at_checked(length)?;
+        bytes = rest;
         Some(piece)
     })
 }
 
-/// The highest number that any whole frame behind this place calls durable. Only looked for once something is
-/// wrong, so it may cost.
-pub fn durable_behind(octets: &[u8]) -> u64 {
+/// Returns the highest number up to which any intact frame in `bytes` calls entries durable. Scans every
+/// byte, as it runs only after damage was found.
+pub fn highest_durable_number(bytes: &[u8]) -> u64 {
     let magic = MAGIC.to_le_bytes();
-    let starts = octets.windows(4).enumerate().filter(|(_, w)| *w == magic).map(|(i, _)| i);
-    starts.filter_map(|i| read(&octets[i..]).ok()).map(|f| f.durable).max().unwrap_or(0)
+    let starts = bytes.windows(4).enumerate().filter(|(_, w)| *w == magic).map(|(i, _)| i);
+    starts.filter_map(|i| read(&bytes[i..]).ok()).map(|f| f.durable).max().unwrap_or(0)
 }
--- a/crates/journal/src/heirs.rs
+++ b/crates/journal/src/heirs.rs
@@ -1,92 +1,95 @@
-//! What is taken over from dead members, until it is this journal's own: a crash before all of it is written leaves none of it,
-//! and one after that all.
+//! The takeover of messages from dead members. A takeover is atomic: after a crash before all of its messages
+//! are recorded none of them counts, and after that all do.
 
 use crate::book::Open;
 use crate::entry::{Entry, Heir, Held, Inherited, Step, What};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Lives of which it is remembered at most that they were taken over; the oldest go. Each was said in the installation's log
-/// long before it is one of so many.
-const MOST: usize = 4_096;
+/// The number of completed takeovers remembered at most; the oldest are dropped. Each is recorded in the
+/// installation's log long before so many follow it.
+const MAX_COMPLETED: usize = 4_096;
 
-/// One take-over under way.
+/// A takeover in progress.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Under {
+struct InProgress {
     whole: bool,
     heirs: Vec<Heir>,
 }
 
-/// Take-overs under way and done.
+/// The takeovers of dead members, in progress and completed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Heirs {
-    under: BTreeMap<String, Under>,
+    in_progress: BTreeMap<String, InProgress>,
     own: VecDeque<String>,
 }
 
 impl Heirs {
-    /// Whether a life's work is this journal's own.
+    /// Returns whether the takeover of `origin`, one life of a member, is completed.
     pub fn own(&self, origin: &str) -> bool {
         self.own.iter().any(|o| o == origin)
     }
 
-    /// Lives whose work is written whole, and what came of it: open messages and held ones.
+    /// Returns the takeovers that are recorded completely but not yet effective: the origin, its open
+    /// messages and its held messages.
     pub fn whole(&self) -> impl Iterator<Item = (&str, Vec<Open>, Vec<Held>)> {
-        self.under.iter().filter(|(_, u)| u.whole).map(|(origin, u)| {
-            let (open, held) = came_of(u.heirs.clone());
+        self.in_progress.iter().filter(|(_, t)| t.whole).map(|(origin, t)| {
+            let (open, held) = into_messages(t.heirs.clone());
             (origin.as_str(), open, held)
         })
     }
 
-    /// A life's work is this journal's own.
+    /// Records that the takeover of `origin` is completed.
     pub fn add_own(&mut self, origin: &str) {
         if self.own(origin) {
             return;
         }
         self.own.push_back(origin.to_string());
-        while self.own.len() > MOST {
+        while self.own.len() > MAX_COMPLETED {
             self.own.pop_front();
         }
     }
 
-    /// One more message of a life that is being taken over.
+    /// Adds a message of an origin whose takeover is in progress.
     pub(crate) fn add(&mut self, heir: &Heir) {
-        if let Some(under) = self.under.get_mut(&heir.origin) {
-            under.heirs.push(heir.clone());
+        if let Some(takeover) = self.in_progress.get_mut(&heir.origin) {
+            takeover.heirs.push(heir.clone());
         }
     }
 
-    /// A step of a take-over; with the one that makes it the journal's own, what came of it.
+    /// Applies a step of a takeover. The step that completes it returns the open and the held messages taken
+    /// over.
     pub(crate) fn step(&mut self, step: &Inherited) -> (Vec<Open>, Vec<Held>) {
         let origin = &step.origin;
         match step.step() {
-            // Guards against what a crash left of an earlier beginning, under other numbers.
-            Step::Begun => _ = self.under.insert(origin.clone(), Under::default()),
-            Step::Whole => self.under.entry(origin.clone()).or_default().whole = true,
-            Step::Void => _ = self.under.remove(origin),
+            // Discards what an earlier attempt at this takeover, cut off by a crash, left under other message
+            // numbers.
+            Step::Begun => _ = self.in_progress.insert(origin.clone(), InProgress::default()),
+            Step::Whole => self.in_progress.entry(origin.clone()).or_default().whole = true,
+            Step::Void => _ = self.in_progress.remove(origin),
             Step::Own => {
                 self.add_own(origin);
-                return came_of(self.under.remove(origin).unwrap_or_default().heirs);
+                return into_messages(self.in_progress.remove(origin).unwrap_or_default().heirs);
             }
         }
         Default::default()
     }
 
-    /// Entries that make the same anew.
+    /// Returns entries that rebuild the same takeovers.
     pub(crate) fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let step = |origin: &str, step: Step| {
             What::Inherited(Inherited { origin: origin.to_string(), step: step.into() }).into()
         };
         let own = self.own.iter().map(move |o| step(o, Step::Own));
-        let under = self.under.iter().flat_map(move |(origin, u)| {
-            let heirs = u.heirs.iter().map(|h| What::Heir(Box::new(h.clone())).into());
-            let whole = u.whole.then(|| step(origin, Step::Whole));
+        let in_progress = self.in_progress.iter().flat_map(move |(origin, t)| {
+            let heirs = t.heirs.iter().map(|h| What::Heir(Box::new(h.clone())).into());
+            let whole = t.whole.then(|| step(origin, Step::Whole));
             std::iter::once(step(origin, Step::Begun)).chain(heirs).chain(whole)
         });
-        own.chain(under)
+        own.chain(in_progress)
     }
 }
 
-fn came_of(heirs: Vec<Heir>) -> (Vec<Open>, Vec<Held>) {
+fn into_messages(heirs: Vec<Heir>) -> (Vec<Open>, Vec<Held>) {
     let (mut open, mut held) = (Vec::new(), Vec::new());
     for heir in heirs {
         held.extend(heir.held);
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,17 +1,20 @@
-//! What a sender has accepted outlives it.
+//! The durable journal of a sender: a log of entries with group commit, snapshots and recovery.
 //!
-//! Does: keeps entries (acceptance, intent, outcome, answer, taken, and what was learnt of places) in a log of
-//! frames, one frame and one sync for all that waits; keeps the book of what is open; writes snapshots of the book
-//! and drops the log before them; on opening rebuilds the book, cuts a torn end and refuses a broken middle.
-//! Decides: what a torn end is ([`frame`], [`Journal::open`]), when a snapshot is due, when a sender must shed for
-//! want of disk ([`shed`]). Where a copy is kept elsewhere: chains entries by digests ([`chain`]), reads the log and the newest
-//! snapshot from any place on, and begins anew from another journal's ([`Base`]).
-//! Never: reads a clock, starts a thread, or knows a protocol. Storage is a trait: [`dir`] is a real directory,
-//! [`disk`] a faulty one in memory.
+//! A journal records entries (acceptances, intents, outcomes, answers, confirmations and what is known of
+//! endpoints) in a log of checksummed frames: one frame and one sync for all entries of a commit. It keeps
+//! the state that the entries add up to, writes snapshots of that state and removes the log before them.
+//! Opening a journal rebuilds the state, cuts off a torn tail and refuses a log that is damaged in the middle
+//! ([`frame`], [`Journal::open`]). Admission control decides when a sender must refuse messages because the
+//! disk is full or slow.
+//!
+//! For replication, a journal chains its entries by digests ([`chain`]), reads its log and newest snapshot
+//! from any position, and can be replaced by the snapshot of another journal ([`Base`]).
+//!
+//! The library reads no clock, starts no thread and knows no protocol. Storage is a trait: [`dir`] implements
+//! it on a directory, [`disk`] as a simulated disk with faults.
 
 #![forbid(unsafe_code)]
 
-mod base;
 pub mod book;
 pub mod chain;
 pub mod dir;
@@ -22,48 +25,47 @@
 mod log;
 mod reader;
 mod repair;
+mod replacement;
 pub mod shed;
 pub mod timeline;
 pub mod tool;
 
-pub use base::Base;
 pub use book::{Book, Open};
 pub use chain::{Chain, Digest, Mark};
 pub use entry::Entry;
 pub use log::{Journal, JournalError, Limits, Usage};
 pub use reader::{BasePart, Cursor, Run};
+pub use replacement::Base;
 
 use std::io;
 
-/// Where a journal keeps its files. Names are plain; nothing is durable before it is synced, files and directory
-/// each by itself.
+/// The storage that holds a journal's files. Nothing is durable before it is synced; file contents and file
+/// names are synced separately.
 pub trait Storage {
-    /// Names of all files.
+    /// Returns the names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A whole file.
+    /// Returns the contents of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// A part of a file: `most` octets from `offset` on, fewer where it ends before.
+    /// Returns up to `most` bytes of a file from `offset` on, fewer where the file ends before.
     fn read_at(&self, name: &str, offset: u64, most: usize) -> io::Result<Vec<u8>> {
-        let octets = self.read(name)?;
-        let from = usize::try_from(offset).unwrap_or(usize::MAX).min(octets.len());
-        Ok(octets[from..octets.len().min(from.saturating_add(most))].to_vec())
+        let bytes = self.read(name)?;
+        let from = usize::try_from(offset).unwrap_or(usize::MAX).min(bytes.len());
+        Ok(bytes[from..bytes.len().min(from.saturating_add(most))].to_vec())
     }
-    /// A new, empty file; an old one of that name is emptied.
+    /// Creates an empty file; an existing file of that name is emptied.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Appends.
-    fn append(&mut self, name: &str, octets: &[u8]) -> io::Result<()>;
-    /// Cuts a file.
+    /// Appends bytes to a file.
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+    /// Truncates a file to a length.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Makes a file's contents durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Makes names durable: what was created, renamed or removed.
+    /// Makes the directory durable: files that were created, renamed or removed.
     fn sync_names(&mut self) -> io::Result<()>;
-    /// Renames; an old file of the new name is replaced.
+    /// Renames a file; an existing file of the new name is replaced.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// What tells this very file from a copy of it that was put in its place; a rename keeps it. None where the storage
-    /// can't say.
+    /// Returns a value that distinguishes this file from a copy put in its place; a rename keeps it. Returns
+    /// `None` where the storage can't tell.
     fn identity(&self, _name: &str) -> Option<u64> {
         None
     }
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -1,27 +1,30 @@
-//! The log: frames in segments, snapshots, recovery.
+//! The log: frames in segments, snapshots and recovery.
 //!
-//! Files: `log-N` holds frames from entry N on, `snap-N` the book before entry N, `new` a snapshot being written.
-//! A snapshot is whole when its last frame (of no entries, naming N) is; it is renamed to its name only then, with
-//! everything synced, and the log before it is removed only after that.
+//! Files: `log-N` holds frames from entry N on, `snap-N` the state before entry N, `new` a snapshot that is
+//! being written. A snapshot ends with a frame of no entries that names N; only when that frame is written
+//! and everything is synced is the file renamed to its final name, and only after that is the log before it
+//! removed.
 
 use crate::Storage;
 use crate::book::Book;
 use crate::chain::Chain;
 use crate::entry::{Entry, What};
-use crate::frame::{self, Bad};
+use crate::frame::{self, FrameError};
 use crate::repair::Damage;
 use std::io;
 
-/// Figures of a journal.
+/// The limits of a journal's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// A segment is closed at this size, in octets.
+    /// The size at which a segment is closed, in bytes.
     pub segment: u64,
-    /// A snapshot is due once the log since the last one is this many times as large as that snapshot ...
+    /// The growth at which a snapshot is due: the log since the last snapshot is this many times as large as
+    /// it,
     pub growth: u64,
-    /// ... and at least so many octets.
+    /// and at least this large, in bytes.
     pub least: u64,
-    /// Octets on disk at most; beyond them a commit is refused and the log is as it was.
+    /// The maximum size on disk, in bytes. A commit that would exceed it is refused and leaves the log
+    /// unchanged.
     pub most: u64,
 }
 
@@ -31,72 +34,74 @@
     }
 }
 
-/// What a journal takes up.
+/// The size and the counters of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Octets on disk.
+    /// The size on disk, in bytes.
     pub octets: u64,
-    /// Entries written since it was opened, commits, and snapshots.
+    /// The entries written since the journal was opened.
     pub entries: u64,
+    /// The commits since the journal was opened.
     pub commits: u64,
+    /// The snapshots written since the journal was opened.
     pub snapshots: u64,
 }
 
-/// Why a journal can't go on.
+/// Why a journal can't be opened or can't commit.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// A place that was durable is broken.
+    /// Data that was durable is damaged.
     #[error(
         "{file}: broken at octet {offset}, though entries up to {durable} were durable; a copy of the folder is needed before anything is tried"
     )]
     Broken {
-        /// The file.
+        /// The name of the file.
         file: String,
-        /// Where in it.
+        /// The offset of the damage in the file.
         offset: u64,
-        /// What must have been there.
+        /// The number up to which entries were durable.
         durable: u64,
     },
-    /// A file of another version.
+    /// A file has another version of the format.
     #[error(
         "{file}: written in version {version} of the format; this program reads version {}",
         frame::VERSION
     )]
     Version {
-        /// The file.
+        /// The name of the file.
         file: String,
-        /// Its version.
+        /// The version found.
         version: u32,
     },
-    /// No room on disk; nothing was written.
+    /// The journal has reached its maximum size or the disk is full; nothing was written.
     #[error("the journal is full")]
     Full,
-    /// The storage failed. What was durable before still is; the same may be tried again.
+    /// The storage failed. Entries that were durable still are; the operation may be retried.
     #[error("the journal's storage failed: {0}")]
     Storage(#[from] io::Error),
-    /// The book that it was given from elsewhere could not be put in the place of its own.
+    /// An earlier replacement of the contents by another journal's snapshot failed midway.
     #[error("the journal has failed before and takes nothing more")]
     Failed,
 }
 
-/// A journal on its storage.
+/// An open journal.
 #[derive(Debug)]
 pub struct Journal<S> {
     pub(crate) storage: S,
     pub(crate) limits: Limits,
     pub(crate) book: Book,
-    /// Number of the next entry; all below are durable.
+    /// The number of the next entry; all entries before it are durable.
     pub(crate) next: u64,
-    /// The number that the newest snapshot stands for.
+    /// The entry number that the newest snapshot covers up to.
     pub(crate) snap: Option<u64>,
-    /// What its entries add up to, and the same at the newest snapshot; none where no copy is kept.
+    /// The digest chain now and at the newest snapshot; `None` where the journal is not replicated.
     pub(crate) chain: Option<Chain>,
     pub(crate) snap_chain: Option<Chain>,
     pub(crate) segment: String,
     pub(crate) segment_size: u64,
-    /// What has to be put right before anything more is written.
+    /// The damage to repair before the next write.
     pub(crate) damage: Damage,
-    /// Octets in older segments since the last snapshot, and of that snapshot.
+    /// The size of closed segments since the last snapshot, and of that snapshot, in bytes.
     log_size: u64,
     snap_size: u64,
     pub(crate) usage: Usage,
@@ -104,20 +109,20 @@
     pub(crate) out: Vec<u8>,
 }
 
-pub(crate) fn number(name: &str, prefix: &str) -> Option<u64> {
+pub(crate) fn file_number(name: &str, prefix: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix(prefix)?, 16).ok().filter(|_| name.len() == prefix.len() + 16)
 }
 
 impl<S: Storage> Journal<S> {
-    /// Opens a journal, or makes a new one: reads the newest snapshot and the log behind it.
+    /// Opens a journal, or creates an empty one: reads the newest snapshot and the log after it.
     ///
     /// # Errors
-    /// Where a durable place is broken or of another version, or the storage fails.
+    /// Where durable data is damaged or has another version, or the storage fails.
     pub fn open(storage: S, limits: Limits) -> Result<Self, JournalError> {
         Self::open_as(storage, limits, false)
     }
 
-    /// The same, for one that is copied or is a copy: its entries are chained by digests.
+    /// Opens a journal that is replicated or is a replica: its entries are chained by digests.
     ///
     /// # Errors
     /// As [`Journal::open`].
@@ -127,46 +132,47 @@
 
     fn open_as(mut storage: S, limits: Limits, chained: bool) -> Result<Self, JournalError> {
         let names = storage.list()?;
-        // A snapshot that was not finished is none.
+        // An unfinished snapshot is discarded.
         if names.iter().any(|n| n == "new") {
             storage.remove("new")?;
         }
-        let mut snaps: Vec<u64> = names.iter().filter_map(|n| number(n, "snap-")).collect();
+        let mut snaps: Vec<u64> = names.iter().filter_map(|n| file_number(n, "snap-")).collect();
         snaps.sort_unstable();
         let (mut book, mut next, mut snap_size) = (Book::default(), 0, 0);
         let mut chain = chained.then(Chain::default);
         if let Some(at) = snaps.last() {
             let name = format!("snap-{at:016x}");
-            let octets = storage.read(&name)?;
+            let bytes = storage.read(&name)?;
             let found;
-            (book, found) = snapshot(&name, &octets, *at)?;
-            // Written while no copy was kept: the chain begins with it.
-            chain = chained.then(|| found.unwrap_or_else(|| Chain::begin(*at, &octets)));
-            (next, snap_size) = (*at, octets.len() as u64);
+            (book, found) = read_snapshot(&name, &bytes, *at)?;
+            // A snapshot without a chain was written while the journal was not replicated: the chain begins
+            // with it.
+            chain = chained.then(|| found.unwrap_or_else(|| Chain::begin(*at, &bytes)));
+            (next, snap_size) = (*at, bytes.len() as u64);
         }
         let snap_chain = chain.clone();
-        let mut logs: Vec<u64> = names.iter().filter_map(|n| number(n, "log-")).collect();
+        let mut logs: Vec<u64> = names.iter().filter_map(|n| file_number(n, "log-")).collect();
         logs.sort_unstable();
         let mut log_size = 0;
         let mut cut = false;
         for (i, first) in logs.iter().enumerate() {
             let name = format!("log-{first:016x}");
-            let octets = storage.read(&name)?;
-            // Segments wholly before the snapshot were only not removed yet.
+            let bytes = storage.read(&name)?;
+            // Segments wholly covered by the snapshot are left over from an interrupted removal.
             if logs.get(i + 1).is_some_and(|n| *n <= next && *first < next) {
                 storage.remove(&name)?;
                 continue;
             }
             if cut {
-                // Behind a cut nothing was durable (checked when the cut was made).
+                // Nothing after a cut was durable: that was checked when the cut was made.
                 storage.remove(&name)?;
                 continue;
             }
             let mut at = 0;
             loop {
-                let bad = match frame::read(&octets[at..]) {
+                let error = match frame::read(&bytes[at..]) {
                     Ok(f) if f.first <= next || f.entries.is_empty() => {
-                        let raw = frame::pieces(&octets[at + frame::HEAD..at + f.length]);
+                        let raw = frame::pieces(&bytes[at + frame::HEAD..at + f.length]);
                         for ((n, e), raw) in f.entries.iter().enumerate().zip(raw) {
                             if f.first + n as u64 == next {
                                 book.apply(e);
@@ -179,18 +185,20 @@
                         at += f.length;
                         continue;
                     }
-                    // A gap: a frame before it was lost.
-                    Ok(_) => Bad::Torn,
-                    Err(bad) => bad,
+                    // A gap: an earlier frame was lost.
+                    Ok(_) => FrameError::Torn,
+                    Err(error) => error,
                 };
-                match bad {
-                    Bad::End => break,
-                    Bad::Version(version) => return Err(JournalError::Version { file: name, version }),
-                    Bad::Torn => {
-                        let mut durable = frame::durable_behind(&octets[at..]);
+                match error {
+                    FrameError::End => break,
+                    FrameError::Version(version) => {
+                        return Err(JournalError::Version { file: name, version });
+                    }
+                    FrameError::Torn => {
+                        let mut durable = frame::highest_durable_number(&bytes[at..]);
                         for later in &logs[i + 1..] {
-                            let octets = storage.read(&format!("log-{later:016x}"))?;
-                            durable = durable.max(frame::durable_behind(&octets));
+                            let bytes = storage.read(&format!("log-{later:016x}"))?;
+                            durable = durable.max(frame::highest_durable_number(&bytes));
                         }
                         if durable > next {
                             return Err(JournalError::Broken { file: name, offset: at as u64, durable });
@@ -229,45 +237,46 @@
         Ok(journal)
     }
 
-    /// The book: all that is open.
+    /// Returns the state that the entries add up to.
     pub fn book(&self) -> &Book {
         &self.book
     }
 
-    /// Number of the next entry; all below are durable.
+    /// Returns the number of the next entry; all entries before it are durable.
     pub fn durable(&self) -> u64 {
         self.next
     }
 
-    /// The chain of its entries, where it keeps one.
+    /// Returns the digest chain, where the journal keeps one.
     pub fn chain(&self) -> Option<&Chain> {
         self.chain.as_ref()
     }
 
-    /// The chain at the newest snapshot, or at the beginning of the log where there is none.
+    /// Returns the digest chain at the newest snapshot, or at the start of the log where there is no
+    /// snapshot.
     pub fn snap_chain(&self) -> Option<&Chain> {
         self.snap_chain.as_ref()
     }
 
-    /// The storage, for files of its user beside the journal's own.
+    /// Returns the storage, for other files that the caller keeps beside the journal's.
     pub fn storage(&mut self) -> &mut S {
         &mut self.storage
     }
 
-    /// What it takes up.
+    /// Returns the size and the counters of the journal.
     pub fn usage(&self) -> Usage {
         self.usage
     }
 
-    /// Gives back the storage.
+    /// Closes the journal and returns its storage.
     pub fn into_storage(self) -> S {
         self.storage
     }
 
-    /// A new segment, whose name is durable before anything in it is called so.
+    /// Begins a segment. Its name is durable before any entry in it counts as durable.
     fn rotate(&mut self) -> Result<(), JournalError> {
         let name = format!("log-{:016x}", self.next);
-        // A damaged segment of that name holds nothing that counts.
+        // A damaged segment of that name holds no entries that count.
         if name != self.segment || self.damage != Damage::None {
             self.storage.create(&name)?;
             self.storage.sync(&name)?;
@@ -278,11 +287,12 @@
         Ok(())
     }
 
-    /// Makes entries durable: one write and one sync for all of them.
+    /// Makes entries durable with one write and one sync.
     ///
     /// # Errors
-    /// [`JournalError::Full`] where there is no room, [`JournalError::Storage`] where the storage fails: none of the
-    /// entries counts, and the same commit may be tried again. A kill meanwhile may leave them in the log.
+    /// [`JournalError::Full`] where there is no space, [`JournalError::Storage`] where the storage fails:
+    /// none of the entries counts, and the same commit may be retried. If the process is killed before that,
+    /// the log may contain them.
     pub fn commit(&mut self, entries: &[Entry]) -> Result<u64, JournalError> {
         if self.failed {
             return Err(JournalError::Failed);
@@ -293,11 +303,11 @@
         }
         self.append(entries)?;
         self.apply(entries);
-        self.tidy();
+        self.compact_if_due();
         Ok(self.next)
     }
 
-    /// Writes a frame to the segment, and syncs it.
+    /// Writes a frame to the segment and syncs it.
     fn append(&mut self, entries: &[Entry]) -> Result<(), JournalError> {
         self.out.clear();
         frame::write(self.next, self.next, entries, &mut self.out);
@@ -305,7 +315,7 @@
             return Err(JournalError::Full);
         }
         if let Err(e) = self.storage.append(&self.segment, &self.out) {
-            // A part may have been written. Where it can be cut off again, the log is as it was.
+            // Part of the frame may have been written; once it is cut off, the log is unchanged.
             if self.storage.truncate(&self.segment, self.segment_size).is_err() {
                 self.damage = Damage::TornTail;
             }
@@ -319,7 +329,7 @@
         Ok(())
     }
 
-    /// Counts entries that are durable.
+    /// Applies entries that are now durable to the state and the counters.
     fn apply(&mut self, entries: &[Entry]) {
         for e in entries {
             self.book.apply(e);
@@ -335,9 +345,9 @@
         self.usage.commits += 1;
     }
 
-    /// Writes a snapshot or begins a segment, where either is due. Where it fails, the log goes on as far as it is whole,
-    /// and it is tried again after the next commit.
-    fn tidy(&mut self) {
+    /// Writes a snapshot or begins a segment where either is due. Where that fails, the journal continues
+    /// with the existing log and retries after the next commit.
+    fn compact_if_due(&mut self) {
         let since = self.log_size + self.segment_size;
         let is_snapshot_due = since >= self.limits.least.max(self.snap_size * self.limits.growth);
         if is_snapshot_due {
@@ -347,10 +357,10 @@
         }
     }
 
-    /// Writes the book down and drops the log before it.
+    /// Writes a snapshot of the state and removes the log before it.
     ///
     /// # Errors
-    /// Where the storage fails: the log counts as before.
+    /// Where the storage fails: the existing log stays valid.
     pub fn snapshot(&mut self) -> Result<(), JournalError> {
         let written = self.write_snapshot();
         if written.is_err() {
@@ -377,9 +387,11 @@
         self.finish(first + part.len() as u64, size)
     }
 
-    /// Ends the snapshot that is being written, of so many entries, and puts it in the place of all before it.
+    /// Completes the snapshot being written, which has `entries` entries, and makes it replace everything
+    /// before it.
     pub(crate) fn finish(&mut self, entries: u64, mut size: u64) -> Result<(), JournalError> {
-        // The end: no entries, and the number that the snapshot stands for. Without it, it is not whole.
+        // The closing frame: no entries, and the number that the snapshot covers up to. Without it the
+        // snapshot is incomplete.
         self.out.clear();
         frame::write(self.next, entries, &[], &mut self.out);
         self.storage.append("new", &self.out)?;
@@ -388,12 +400,12 @@
         let name = format!("snap-{:016x}", self.next);
         self.storage.rename("new", &name)?;
         if let Err(e) = self.storage.sync_names().map_err(JournalError::from).and_then(|()| self.rotate()) {
-            // The snapshot may stand in the place of the segment: nothing more may be written to that.
+            // The snapshot may already have replaced the segment: nothing more may be written to that.
             self.damage = Damage::Unsynced;
             return Err(e);
         }
         self.damage = Damage::None;
-        // What can't be removed now is removed with the next snapshot, or at the next opening.
+        // Files that can't be removed now are removed with the next snapshot or at the next opening.
         _ = self.remove_before(self.next);
         self.snap = Some(self.next);
         self.snap_chain.clone_from(&self.chain);
@@ -403,10 +415,10 @@
         Ok(())
     }
 
-    /// Removes snapshots and segments from before a number.
+    /// Removes snapshots and segments before a number.
     fn remove_before(&mut self, keep: u64) -> io::Result<()> {
         for name in self.storage.list()? {
-            let old = number(&name, "snap-").or(number(&name, "log-")).is_some_and(|n| n < keep);
+            let old = file_number(&name, "snap-").or(file_number(&name, "log-")).is_some_and(|n| n < keep);
             if old {
                 self.storage.remove(&name)?;
             }
@@ -414,6 +426,7 @@
         self.storage.sync_names()
     }
 
+    /// Appends a frame of entries to the snapshot being written, and returns its size in bytes.
     pub(crate) fn write_part(&mut self, first: u64, part: &[Entry]) -> Result<u64, JournalError> {
         if part.is_empty() {
             return Ok(0);
@@ -425,13 +438,13 @@
     }
 }
 
-/// Reads a snapshot: it was synced whole before it got its name, so that any fault in it is a broken place.
-fn snapshot(name: &str, octets: &[u8], stands_for: u64) -> Result<(Book, Option<Chain>), JournalError> {
+/// Reads a snapshot. It was synced completely before it got its name, so any fault in it is damage.
+fn read_snapshot(name: &str, bytes: &[u8], covers_up_to: u64) -> Result<(Book, Option<Chain>), JournalError> {
     let (mut book, mut chain) = (Book::default(), None);
     let (mut at, mut count) = (0, 0);
     loop {
-        match frame::read(&octets[at..]) {
-            Ok(f) if f.entries.is_empty() && f.first == stands_for && f.durable == count => {
+        match frame::read(&bytes[at..]) {
+            Ok(f) if f.entries.is_empty() && f.first == covers_up_to && f.durable == count => {
                 return Ok((book, chain));
             }
             Ok(f) if f.first == count && !f.entries.is_empty() => {
@@ -439,17 +452,17 @@
                 for e in &f.entries {
                     book.apply(e);
                     if let Some(What::Chain(c)) = &e.what {
-                        chain = Chain::from_entry(c).filter(|c| c.at().number == stands_for);
+                        chain = Chain::from_entry(c).filter(|c| c.at().number == covers_up_to);
                     }
                 }
                 at += f.length;
             }
-            Err(Bad::Version(version)) => {
+            Err(FrameError::Version(version)) => {
                 return Err(JournalError::Version { file: name.to_string(), version });
             }
             _ => {
                 let (file, offset) = (name.to_string(), at as u64);
-                return Err(JournalError::Broken { file, offset, durable: stands_for });
+                return Err(JournalError::Broken { file, offset, durable: covers_up_to });
             }
         }
     }
--- a/crates/journal/src/reader.rs
+++ b/crates/journal/src/reader.rs
@@ -1,67 +1,69 @@
-//! Reading a journal that is being written: its log from any number on, and its newest snapshot. In order and in pieces,
-//! so that neither is held in memory.
+//! Reads a journal while it is being written: its log from any number on, and its newest snapshot. Both are
+//! read in order and in pieces, so that neither is held in memory.
 
 use crate::chain::Chain;
-use crate::frame::{self, Bad};
-use crate::log::number;
+use crate::frame::{self, FrameError};
+use crate::log::file_number;
 use crate::{Journal, JournalError, Storage};
 use std::io;
 
-/// Octets that are read at once, but for a larger frame.
+/// The number of bytes read at once, unless a frame is larger.
 const CHUNK: usize = 1 << 20;
 
-/// Entries in order, each with its length before it.
+/// A run of consecutive encoded entries, each with its length prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Run {
-    /// Number of the first one; in a snapshot, its place.
+    /// The number of the first entry; in a snapshot, its position.
     pub first: u64,
-    /// How many.
+    /// The number of entries.
     pub count: u64,
-    /// The entries.
+    /// The encoded entries.
     pub octets: Vec<u8>,
 }
 
 /// A part of the newest snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BasePart {
-    /// The chain at the number that the snapshot stands for.
+    /// The digest chain at the number that the snapshot covers up to.
     pub chain: Chain,
-    /// Its entries; what is of the snapshot alone is among them, and changes no book.
+    /// The entries. Those that describe only the snapshot itself are among them and change no state.
     pub run: Run,
-    /// It ends with them.
+    /// Whether this is the last part.
     pub end: bool,
 }
 
-/// Where reading has come to; a new one begins anywhere. Holds a chunk of a file, or one frame where that is larger.
+/// A position in a journal that is being read; a new cursor can start anywhere. Holds a chunk of a file, or
+/// one frame where that is larger.
 #[derive(Debug, Default)]
 pub struct Cursor {
     file: String,
-    /// Where in it the buffer begins, and how far that was read.
+    /// The offset of the buffer in the file; `at` is the position in the buffer.
     offset: u64,
     buffer: Vec<u8>,
     at: usize,
-    /// Of the frame under way: how far it goes, and the number of its next entry.
+    /// The end of the current frame in the buffer, and the number of its next entry.
     frame: usize,
     next: u64,
 }
 
 impl Cursor {
-    fn go(&mut self, file: String, next: u64) {
+    fn seek(&mut self, file: String, next: u64) {
         *self = Cursor { file, next, ..Cursor::default() };
     }
 
-    /// Has at least so many octets at hand from where it is; false where the file ends before.
-    fn fill<S: Storage>(&mut self, storage: &S, octets: usize) -> io::Result<bool> {
-        if self.buffer.len() - self.at >= octets {
+    /// Fills the buffer with at least this many bytes after the position; returns false where the file ends
+    /// before.
+    fn fill<S: Storage>(&mut self, storage: &S, bytes: usize) -> io::Result<bool> {
+        if self.buffer.len() - self.at >= bytes {
             return Ok(true);
         }
         self.offset += self.at as u64;
-        self.buffer = storage.read_at(&self.file, self.offset, octets.max(CHUNK))?;
+        self.buffer = storage.read_at(&self.file, self.offset, bytes.max(CHUNK))?;
         (self.frame, self.at) = (self.frame.saturating_sub(self.at), 0);
-        Ok(self.buffer.len() >= octets)
+        Ok(self.buffer.len() >= bytes)
     }
 
-    /// Goes into the next frame that has entries from `from` on; false where the file ends.
+    /// Enters the next frame that has entries from `from` on; returns false where the file ends.
     fn enter<S: Storage>(&mut self, storage: &S, from: u64) -> Result<bool, JournalError> {
         while self.fill(storage, frame::HEAD)? {
             let broken = |at: u64, file: &str| JournalError::Broken {
@@ -70,21 +72,22 @@
                 durable: from,
             };
             let place = self.offset + self.at as u64;
-            let glance = frame::glance(&self.buffer[self.at..]).map_err(|_| broken(place, &self.file))?;
-            if !self.fill(storage, glance.length)? {
+            let header = frame::read_header_unchecked(&self.buffer[self.at..])
+                .map_err(|_| broken(place, &self.file))?;
+            if !self.fill(storage, header.length)? {
                 return Err(broken(place, &self.file));
             }
-            if glance.first + u64::from(glance.count) <= from && glance.count > 0 {
-                self.at += glance.length;
+            if header.first + u64::from(header.count) <= from && header.count > 0 {
+                self.at += header.length;
                 continue;
             }
-            match frame::head(&self.buffer[self.at..]) {
-                Ok(head) => {
-                    (self.frame, self.next) = (self.at + head.length, head.first);
+            match frame::read_header(&self.buffer[self.at..]) {
+                Ok(header) => {
+                    (self.frame, self.next) = (self.at + header.length, header.first);
                     self.at += frame::HEAD;
                     return Ok(true);
                 }
-                Err(Bad::Version(version)) => {
+                Err(FrameError::Version(version)) => {
                     return Err(JournalError::Version { file: self.file.clone(), version });
                 }
                 Err(_) => return Err(broken(place, &self.file)),
@@ -93,7 +96,7 @@
         Ok(false)
     }
 
-    /// Takes entries of the frame under way, those before `from` left out, until the run has so many octets.
+    /// Copies entries of the current frame, without those before `from`, until the run has `most` bytes.
     fn take(&mut self, from: u64, most: usize, run: &mut Run) {
         while self.at < self.frame && (run.octets.len() < most || run.count == 0) {
             let mut rest = &self.buffer[self.at..self.frame];
@@ -114,11 +117,11 @@
 }
 
 impl<S: Storage> Journal<S> {
-    /// Entries from a number on, some `most` octets of them and one at least; none of them where all was read. None
-    /// where the log does not reach back so far, or ends before.
+    /// Returns entries from a number on: about `most` bytes and at least one entry, or an empty run where
+    /// everything was read. Returns `None` where the log doesn't reach back to `from` or ends before it.
     ///
     /// # Errors
-    /// Where the log is broken or can't be read.
+    /// Where the log is damaged or can't be read.
     pub fn read(&self, cursor: &mut Cursor, from: u64, most: usize) -> Result<Option<Run>, JournalError> {
         let mut run = Run { first: from, ..Run::default() };
         if from > self.next {
@@ -126,18 +129,18 @@
         }
         if cursor.next != from || !cursor.file.starts_with("log-") {
             let names = self.storage.list()?;
-            let Some(file) = names.iter().filter_map(|n| number(n, "log-")).filter(|n| *n <= from).max()
+            let Some(file) = names.iter().filter_map(|n| file_number(n, "log-")).filter(|n| *n <= from).max()
             else {
                 return Ok(None);
             };
-            cursor.go(format!("log-{file:016x}"), from);
+            cursor.seek(format!("log-{file:016x}"), from);
         }
         while run.octets.len() < most && from + run.count < self.next {
             if cursor.at >= cursor.frame {
                 let found = match cursor.enter(&self.storage, from + run.count) {
-                    // It was dropped with a snapshot.
+                    // The segment was removed after a snapshot.
                     Err(JournalError::Storage(e)) if e.kind() == io::ErrorKind::NotFound => {
-                        cursor.go(String::new(), 0);
+                        cursor.seek(String::new(), 0);
                         return Ok(Some(run).filter(|r| r.count > 0));
                     }
                     found => found?,
@@ -147,7 +150,7 @@
                     if file == cursor.file {
                         return Ok(None);
                     }
-                    cursor.go(file, from + run.count);
+                    cursor.seek(file, from + run.count);
                     continue;
                 }
                 if cursor.next > from + run.count {
@@ -159,11 +162,11 @@
         Ok(Some(run))
     }
 
-    /// Entries of the newest snapshot from a place in it on. `of`: the snapshot that was begun with. None where it is gone,
-    /// or there is none.
+    /// Returns entries of the newest snapshot from a position on; `of` is the snapshot that the reader began
+    /// with. Returns `None` where that is gone or there is no snapshot.
     ///
     /// # Errors
-    /// Where it is broken or can't be read.
+    /// Where the snapshot is damaged or can't be read.
     pub fn read_base(
         &self,
         cursor: &mut Cursor,
@@ -177,7 +180,7 @@
         }
         let file = format!("snap-{snap:016x}");
         if cursor.file != file || cursor.next != from {
-            cursor.go(file, from);
+            cursor.seek(file, from);
         }
         let mut run = Run { first: from, ..Run::default() };
         loop {
@@ -185,9 +188,9 @@
                 if !cursor.enter(&self.storage, from + run.count)? {
                     return Ok(None);
                 }
-                // The last frame has no entries, and is numbered by what the snapshot stands for.
+                // The last frame has no entries, and its number is the one that the snapshot covers up to.
                 if cursor.at == cursor.frame {
-                    cursor.go(String::new(), 0);
+                    cursor.seek(String::new(), 0);
                     return Ok(Some(BasePart { chain: chain.clone(), run, end: true }));
                 }
             }
--- a/crates/journal/src/repair.rs
+++ b/crates/journal/src/repair.rs
@@ -1,21 +1,21 @@
-//! What a failed write or sync leaves behind, and how it is put right.
+//! The damage that a failed write or sync leaves in a segment, and its repair.
 
 use crate::{Journal, JournalError, Storage};
 
-/// What is wrong with the segment that is written.
+/// The damage to the current segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Damage {
-    /// Nothing.
+    /// No damage.
     None,
-    /// A part of a frame stands at its end, and could not be cut off.
+    /// The segment ends in a partial frame that could not be cut off.
     TornTail,
-    /// A sync failed. What reached the disk is not known, and no later sync tells.
+    /// A sync failed. It is unknown what reached the disk, and a later sync doesn't tell.
     Unsynced,
 }
 
 impl<S: Storage> Journal<S> {
-    /// Puts right what a failure left behind. A torn tail is cut off; where that fails too, or after a failed sync, all
-    /// that counts is written again in a snapshot, with a new segment behind it.
+    /// Repairs the segment. A torn tail is cut off; where that fails too, or after a failed sync, the whole
+    /// state is written to a snapshot, followed by a new segment.
     ///
     /// # Errors
     /// Where the storage still fails: nothing has changed.
--- a/crates/journal/src/base.rs
+++ b/crates/journal/src/replacement.rs
@@ -1,39 +1,40 @@
-//! A journal that begins anew, from another's book: entries that stand for all before a number. What was there before
-//! counts until the new book is durable whole; a part of one is none.
+//! Replaces a journal by the snapshot of another one, received in parts. The old contents stay valid until
+//! the new snapshot is complete and durable; an incomplete one is ignored.
 
 use crate::book::Book;
 use crate::chain::Chain;
 use crate::entry::{Entry, What};
 use crate::{Journal, JournalError, Storage};
 
-/// A book that is being taken.
+/// A snapshot of another journal that is being received.
 #[derive(Debug)]
 pub struct Base {
     book: Book,
     chain: Chain,
-    /// Entries taken, and all that were written, the chain among them.
+    /// The number of entries received, and of entries written, the chain included.
     count: u64,
     written: u64,
     size: u64,
 }
 
 impl Base {
-    /// Entries taken so far.
+    /// Returns the number of entries received so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// The number that it stands for.
+    /// Returns the entry number that the snapshot covers up to.
     pub fn number(&self) -> u64 {
         self.chain.at().number
     }
 }
 
 impl<S: Storage> Journal<S> {
-    /// Begins with a book that stands for a number, with the chain there. One that was begun before is dropped.
+    /// Starts to receive a snapshot whose chain is `chain`. A snapshot that was begun before is dropped.
     ///
     /// # Errors
-    /// [`JournalError::Full`], [`JournalError::Failed`], or where the storage fails: what was there before still counts.
+    /// [`JournalError::Full`], [`JournalError::Failed`], or an error of the storage; the old contents stay
+    /// valid.
     pub fn base_begin(&mut self, chain: Chain) -> Result<Base, JournalError> {
         if self.failed {
             return Err(JournalError::Failed);
@@ -46,10 +47,11 @@
         Ok(base)
     }
 
-    /// Takes some of the book's entries.
+    /// Adds entries of the snapshot. Old and new contents together take up to twice the journal's limit on
+    /// disk.
     ///
     /// # Errors
-    /// As [`Journal::base_begin`]; the base is then of no use. Up to twice the journal's limit is on disk meanwhile.
+    /// As [`Journal::base_begin`]; the snapshot can't be continued then.
     pub fn base_part(&mut self, base: &mut Base, entries: &[Entry]) -> Result<(), JournalError> {
         base.size += self.write_part(base.written, entries)?;
         if base.size > self.limits.most {
@@ -61,11 +63,12 @@
         Ok(())
     }
 
-    /// Puts the book, now whole, in the place of all that was there before.
+    /// Replaces the journal's contents by the snapshot, which is now complete.
     ///
     /// # Errors
-    /// Where the storage fails: the journal takes nothing more, and is found after an opening as it was before or as the
-    /// book says. [`JournalError::Full`], with nothing changed, where it stands for a number behind what is there.
+    /// [`JournalError::Full`], with nothing changed, where the snapshot covers fewer entries than the journal
+    /// holds. Where the storage fails, the journal accepts nothing more; the next opening finds either the
+    /// old contents or the new ones.
     pub fn base_end(&mut self, base: Base) -> Result<(), JournalError> {
         if base.number() < self.next {
             return Err(JournalError::Full);
@@ -78,7 +81,7 @@
         done
     }
 
-    /// Drops a book that did not become whole.
+    /// Drops a snapshot that was not completed.
     ///
     /// # Errors
     /// Where the storage fails.
--- a/crates/journal/src/timeline.rs
+++ b/crates/journal/src/timeline.rs
@@ -1,34 +1,36 @@
-//! The time of a journal's entries, which goes on over restarts of the process whatever happens to the wall clock.
+//! The time of a journal's entries, which continues across restarts of the process whatever happens to the
+//! wall clock.
 //!
-//! An anchor binds the journal's time to the machine's monotonic clock, which counts from the machine's start: as long as the
-//! machine runs, a later process finds how much time has passed from that clock alone. After a restart of the machine, or
-//! where its identity can't be read, the wall clock has to serve; time then never goes back behind the newest entry.
+//! An anchor binds the journal's time to the machine's monotonic clock, which counts from the machine's boot:
+//! as long as the machine runs, a later process finds from that clock alone how much time has passed. After a
+//! reboot, or where the boot's identity can't be read, the wall clock is used; the time then never goes back
+//! before the newest entry.
 
 use crate::Book;
 
-/// Binds the journal's time to the clock of one run of the machine. All times are in microseconds.
+/// Binds the journal's time to the monotonic clock of one boot of the machine. All times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Anchor {
-    /// The identity of the machine's run.
+    /// The identity of the boot.
     pub boot: String,
-    /// The machine's monotonic clock at a moment.
+    /// The machine's monotonic clock when the anchor was made.
     pub monotonic: i64,
-    /// The journal's time at that moment.
+    /// The journal's time at the same moment.
     pub journal: i64,
 }
 
 impl Anchor {
-    /// Reads an anchor as [`Anchor::text`] wrote it.
+    /// Parses an anchor as written by [`Anchor::text`].
     pub fn read(text: &str) -> Option<Self> {
         let mut words = text.split_whitespace();
         let boot = words.next()?.to_string();
         let monotonic = words.next()?.parse().ok()?;
         let journal = words.next()?.parse().ok()?;
-        // The last word shows that nothing is cut off.
+        // The last word shows that the text is complete.
         (words.next() == Some(END)).then_some(Anchor { boot, monotonic, journal })
     }
 
-    /// The anchor as one line.
+    /// Returns the anchor as one line of text.
     pub fn text(&self) -> String {
         format!("{} {} {} {END}\n", self.boot, self.monotonic, self.journal)
     }
@@ -37,10 +39,10 @@
 /// The last word of an anchor's text.
 const END: &str = "end";
 
-/// The clocks as a process finds them at its start.
+/// The clocks as a process reads them at its start.
 #[derive(Clone, Debug)]
 pub struct Clocks {
-    /// The identity of the machine's run, where it can be read.
+    /// The identity of the boot, where it can be read.
     pub boot: Option<String>,
     /// The machine's monotonic clock.
     pub monotonic: i64,
@@ -48,17 +50,17 @@
     pub wall: i64,
 }
 
-/// The journal's time at the start of a process.
+/// Returns the journal's time at the start of a process.
 pub fn journal_time(anchor: Option<&Anchor>, clocks: &Clocks, book: &Book) -> i64 {
-    let same_run =
+    let same_boot =
         anchor.filter(|a| Some(&a.boot) == clocks.boot.as_ref() && a.monotonic <= clocks.monotonic);
-    match same_run {
+    match same_boot {
         Some(anchor) => anchor.journal.saturating_add(clocks.monotonic - anchor.monotonic),
         None => clocks.wall.max(newest_entry(book)),
     }
 }
 
-/// The newest time in a book's open messages.
+/// Returns the newest time in the open messages.
 fn newest_entry(book: &Book) -> i64 {
     let times = book.open.values().flat_map(|open| {
         let intents = [&open.may_run, &open.out].into_iter().flatten().map(|intent| intent.at);
--- a/crates/journal/src/tool.rs
+++ b/crates/journal/src/tool.rs
@@ -1,40 +1,41 @@
-//! Looking into a journal without touching it: on a copy, or while its sender runs. Files are read into memory and
-//! opened there, so that everything is checked as at a start, and nothing is cut, locked or written.
+//! Inspects a journal without changing it, also while its sender runs. Files are read into memory and opened
+//! there, so that everything is checked as at a start, and nothing is truncated, locked or written.
 
 use crate::disk::Disk;
 use crate::entry::{Entry, What};
-use crate::frame::{self, Bad};
+use crate::frame::{self, FrameError};
 use crate::{Book, Journal, JournalError, Limits, Storage};
 use std::io;
 use std::path::Path;
 
-/// One file.
+/// What was found in one file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileReport {
-    /// Its name.
+    /// The name of the file.
     pub name: String,
-    /// Its size.
+    /// The size of the file, in bytes.
     pub octets: u64,
-    /// Whole frames and the entries in them.
+    /// The number of intact frames.
     pub frames: u64,
-    /// See `frames`.
+    /// The number of entries in intact frames.
     pub entries: u64,
-    /// Where it stops being readable, if it does.
+    /// The offset of the first unreadable frame, if any.
     pub torn: Option<u64>,
 }
 
-/// A journal as it was found.
+/// What was found in a journal.
 #[derive(Debug)]
 pub struct Survey {
-    /// Its files, by name.
+    /// The files, in order of name.
     pub files: Vec<FileReport>,
-    /// All entries of the log, with their numbers.
+    /// All entries of the log with their numbers.
     pub entries: Vec<(u64, Entry)>,
-    /// The book, or why it can't be had.
+    /// The state, or why the journal can't be opened.
     pub book: Result<Book, JournalError>,
 }
 
-/// Reads a sender's folder. A file that vanishes meanwhile (a live sender drops its old log) is passed over.
+/// Reads the journal in a folder. A file that disappears meanwhile (a running sender removes its old log) is
+/// skipped.
 ///
 /// # Errors
 /// Where the folder can't be read.
@@ -47,12 +48,12 @@
     }
     names.sort();
     for name in names.into_iter().filter(|n| n.starts_with("log-") || n.starts_with("snap-")) {
-        let Ok(octets) = std::fs::read(folder.join(&name)) else { continue };
+        let Ok(bytes) = std::fs::read(folder.join(&name)) else { continue };
         let mut report =
-            FileReport { name: name.clone(), octets: octets.len() as u64, frames: 0, entries: 0, torn: None };
+            FileReport { name: name.clone(), octets: bytes.len() as u64, frames: 0, entries: 0, torn: None };
         let mut at = 0;
         loop {
-            match frame::read(&octets[at..]) {
+            match frame::read(&bytes[at..]) {
                 Ok(f) => {
                     report.frames += 1;
                     report.entries += f.entries.len() as u64;
@@ -62,7 +63,7 @@
                     }
                     at += f.length;
                 }
-                Err(Bad::End) => break,
+                Err(FrameError::End) => break,
                 Err(_) => {
                     report.torn = Some(at as u64);
                     break;
@@ -71,13 +72,13 @@
         }
         files.push(report);
         disk.create(&name)?;
-        disk.append(&name, &octets)?;
+        disk.append(&name, &bytes)?;
     }
     let book = Journal::open(disk, Limits::default()).map(|j| j.book().clone());
     Ok(Survey { files, entries, book })
 }
 
-/// The message that an entry is about.
+/// Returns the number of the message that an entry is about.
 pub fn about(entry: &Entry) -> Option<u64> {
     Some(match entry.what.as_ref()? {
         What::Accepted(a) => a.id,
