--- a/crates/held/benches/store.rs
+++ b/crates/held/benches/store.rs
@@ -1,4 +1,5 @@
-//! The store at 1,000,000 held messages: listings by index beside a look at everything, one inspection, memory.
+//! The store at 1,000,000 held messages: listings by index compared with a full scan, one inspection, and
+//! memory.
 //!
 //! `cargo bench -p heronroute-held --bench store`
 
@@ -6,14 +7,14 @@
 use std::time::Instant;
 
 const N: u64 = 1_000_000;
-const WIDE: Room = Room { age: i64::MAX, count: usize::MAX, octets: u64::MAX };
+const UNLIMITED: Room = Room { age: i64::MAX, count: usize::MAX, octets: u64::MAX };
 
-fn resident() -> f64 {
+fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|p| p.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
 
-fn time(n: usize, mut work: impl FnMut(usize)) -> f64 {
+fn microseconds_each(n: usize, mut work: impl FnMut(usize)) -> f64 {
     let start = Instant::now();
     (0..n).for_each(&mut work);
     start.elapsed().as_secs_f64() * 1e6 / n as f64
@@ -21,8 +22,8 @@
 
 fn main() {
     let now = 1_790_000_000_000_000i64;
-    let before = resident();
-    let mut s = Store::new(WIDE, WIDE);
+    let before = resident_bytes();
+    let mut s = Store::new(UNLIMITED, UNLIMITED);
     let (mut trails, start) = (0usize, Instant::now());
     for i in 0..N {
         let at = now + i as i64 * 1_000;
@@ -48,13 +49,14 @@
         s.file(at, (at as u64) << 6, filed);
     }
     println!(
-        "filed {N}: {:.2} us each, {:.0} octets each (trail of three attempts {}, message 120)",
+        "filed {N}: {:.2} us each, {:.0} bytes each (trail of three attempts {}, message 120)",
         start.elapsed().as_secs_f64() * 1e6 / N as f64,
-        (resident() - before) / N as f64,
+        (resident_bytes() - before) / N as f64,
         trails / N as usize
     );
     let id = |i: usize| ((now + (i as i64 * 7_919 % N as i64) * 1_000) as u64) << 6;
-    let inspect = time(100_000, |i| assert!(s.get(id(i)).and_then(|f| Trail::read(&f.trail)).is_some()));
+    let inspect =
+        microseconds_each(100_000, |i| assert!(s.get(id(i)).and_then(|f| Trail::read(&f.trail)).is_some()));
     println!("one inspection with its trail: {inspect:.2} us");
     let hour = |i: usize| now + (i as i64 * 37 % 900) * 1_000_000;
     type Make = fn(usize, i64) -> Query;
@@ -75,11 +77,11 @@
         }),
     ];
     for (name, query) in queries {
-        let listed = time(2_000, |i| assert!(s.list(&query(i, hour(i)), 50).ids.len() <= 50));
-        let scanned = time(5, |i| assert!(s.scan(&query(i, hour(i)), 50).ids.len() <= 50));
-        println!("a page of 50 {name}: {listed:.1} us, by a look at everything {scanned:.0} us");
+        let listed = microseconds_each(2_000, |i| assert!(s.list(&query(i, hour(i)), 50).ids.len() <= 50));
+        let scanned = microseconds_each(5, |i| assert!(s.scan(&query(i, hour(i)), 50).ids.len() <= 50));
+        println!("a page of 50 {name}: {listed:.1} us, by a full scan {scanned:.0} us");
     }
     let mut n = 0;
-    let taken = time(100_000, |i| n += usize::from(s.take(id(i)).is_some()));
-    println!("taking one out: {taken:.2} us ({n} of 100,000)");
+    let taken = microseconds_each(100_000, |i| n += usize::from(s.take(id(i)).is_some()));
+    println!("removing one: {taken:.2} us ({n} of 100,000)");
 }
--- a/crates/held/src/decide.rs
+++ b/crates/held/src/decide.rs
@@ -1,78 +1,82 @@
-//! Whether a message that ended undelivered may be handed in again.
+//! Decides whether an undelivered message may be resubmitted.
 //!
-//! Guards against a second effect: what may have run is only sent again where its receivers drop the repeat, or where
-//! the owner of the destination says that it did not run. Times are times of day; where the clock was set back, so
-//! that an attempt seems to lie ahead, a receiver's memory is taken to be over.
+//! A second effect must be avoided: a message that may have taken effect is sent again only where its
+//! receivers drop the repeat, or where the owner of the destination states that it did not take effect. Times
+//! are times of day; where the clock was set back, so that an attempt seems to lie in the future, the
+//! receivers' memory is taken to have expired.
 
 use crate::Micros;
 
-/// What a second delivery would do.
+/// The effect of a second delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// No harm.
+    /// A second delivery is harmless.
     Free,
-    /// Receivers drop it within this span of the first.
+    /// Receivers drop a second delivery within this time of the first.
     Guarded(Micros),
-    /// It takes effect again.
+    /// A second delivery takes effect again.
     SingleShot,
 }
 
-/// What is known of the message.
+/// What is known of a message.
 #[derive(Clone, Copy, Debug)]
 pub struct Past {
-    /// What a second delivery would do.
+    /// The effect of a second delivery.
     pub effect: Effect,
     /// When the first attempt began that may have taken effect.
     pub may_have_run: Option<Micros>,
-    /// It was delivered, after all.
+    /// The message was delivered after all.
     pub delivered: bool,
-    /// A hand-in of it is under way.
+    /// A resubmission of it is under way.
     pub under_way: bool,
-    /// The owner of its destination said that it did not run, at this time; it counts for attempts before that.
+    /// When the destination's owner stated that the message was not received there; this covers attempts
+    /// before that time.
     pub not_seen: Option<Micros>,
 }
 
-/// What is asked for.
+/// A request to resubmit a message.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ask {
-    /// The owner knows that it will take effect, perhaps for the second time.
+    /// The owner accepts that the message may take effect a second time.
     pub new_effect: bool,
-    /// It may wait so long before it is sent.
+    /// The longest time that the message may wait to be sent.
     pub patience: Micros,
 }
 
-/// Why not.
+/// Why a message may not be resubmitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It was delivered.
+    /// The message was delivered.
     Delivered,
-    /// A hand-in of it is under way already.
+    /// A resubmission is already under way.
     UnderWay,
-    /// It may have run, and a repeat would take effect again: the destination's owner must say that it did not.
+    /// The message may have taken effect, and a repeat would take effect again: the destination's owner must
+    /// state that it was not received.
     MayHaveRun,
-    /// Receivers may not remember it any more: it can go only as a new effect, by the owner's word.
+    /// Receivers may no longer recognise a repeat: the message can be sent only as a new effect, if its owner
+    /// asks for that.
     WindowOver,
 }
 
-/// The decision.
+/// The decision on a resubmission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes again under its identity. It must leave by this time, and is answered undelivered again where it can't:
-    /// guards against the receivers' memory ending while it waits.
+    /// The message is sent again under its identity. It must be sent by `leave_by` and otherwise ends
+    /// undelivered again, so that it is not sent after the receivers' memory has expired.
     Again {
-        /// See above.
+        /// The latest time to send it.
         leave_by: Micros,
     },
-    /// It goes as a new effect, under a new identity: receivers must not take it for the old one.
+    /// The message is sent as a new effect under a new identity, so that receivers don't take it for the old
+    /// one.
     NewEffect {
-        /// It is given up then.
+        /// The time at which it expires.
         leave_by: Micros,
     },
-    /// It does not go.
+    /// The message is not sent.
     Refused(Refusal),
 }
 
-/// Decides.
 pub fn decide(now: Micros, past: Past, ask: Ask) -> Decision {
     if past.delivered {
         return Decision::Refused(Refusal::Delivered);
@@ -81,8 +85,8 @@
         return Decision::Refused(Refusal::UnderWay);
     }
     let patience = now.saturating_add(ask.patience.max(0));
-    // A word about what was not seen counts for what went before it.
-    let ran = past.may_have_run.filter(|at| past.not_seen.is_none_or(|said| *at >= said));
+    // The statement covers attempts that began before it.
+    let ran = past.may_have_run.filter(|at| past.not_seen.is_none_or(|stated| *at >= stated));
     let Some(ran) = ran else { return Decision::Again { leave_by: patience } };
     match past.effect {
         Effect::Free => Decision::Again { leave_by: patience },
@@ -91,7 +95,7 @@
         }
         Effect::Guarded(_) if ask.new_effect => Decision::NewEffect { leave_by: patience },
         Effect::Guarded(_) => Decision::Refused(Refusal::WindowOver),
-        // For these no word of the sender's owner is enough: it is the receiver that would pay twice.
+        // A request by the client is not enough here: the second effect would hit the receiver.
         Effect::SingleShot => Decision::Refused(Refusal::MayHaveRun),
     }
 }
@@ -111,47 +115,54 @@
     const ASK: Ask = Ask { new_effect: false, patience: 1_000 };
 
     #[test]
-    fn each_case_of_the_rule() {
-        let never = Past { may_have_run: None, ..PAST };
-        assert_eq!(decide(500, never, ASK), Decision::Again { leave_by: 1_500 });
+    fn decides_each_case() {
+        let never_ran = Past { may_have_run: None, ..PAST };
+        assert_eq!(decide(500, never_ran, ASK), Decision::Again { leave_by: 1_500 });
         assert_eq!(decide(500, PAST, ASK), Decision::Refused(Refusal::MayHaveRun));
-        let sure = Ask { new_effect: true, ..ASK };
+        let accepts_repeat = Ask { new_effect: true, ..ASK };
         assert_eq!(
-            decide(500, PAST, sure),
+            decide(500, PAST, accepts_repeat),
             Decision::Refused(Refusal::MayHaveRun),
-            "not by the owner's word"
+            "not at the client's request"
+        );
+        let stated_after = Past { not_seen: Some(400), ..PAST };
+        assert_eq!(decide(500, stated_after, ASK), Decision::Again { leave_by: 1_500 });
+        let stated_before = Past { not_seen: Some(90), ..PAST };
+        assert_eq!(
+            decide(500, stated_before, ASK),
+            Decision::Refused(Refusal::MayHaveRun),
+            "the statement precedes the attempt"
         );
-        let said = Past { not_seen: Some(400), ..PAST };
-        assert_eq!(decide(500, said, ASK), Decision::Again { leave_by: 1_500 });
-        let before = Past { not_seen: Some(90), ..PAST };
-        assert_eq!(decide(500, before, ASK), Decision::Refused(Refusal::MayHaveRun), "said before it ran");
         let guarded = Past { effect: Effect::Guarded(600), ..PAST };
         assert_eq!(decide(500, guarded, ASK), Decision::Again { leave_by: 700 }, "while receivers remember");
         assert_eq!(decide(700, guarded, ASK), Decision::Refused(Refusal::WindowOver));
-        assert_eq!(decide(700, guarded, sure), Decision::NewEffect { leave_by: 1_700 });
+        assert_eq!(decide(700, guarded, accepts_repeat), Decision::NewEffect { leave_by: 1_700 });
         assert_eq!(
             decide(50, guarded, ASK),
             Decision::Refused(Refusal::WindowOver),
             "the clock was set back"
         );
-        assert_eq!(decide(500, Past { under_way: true, ..never }, ASK), Decision::Refused(Refusal::UnderWay));
         assert_eq!(
-            decide(500, Past { delivered: true, ..never }, ASK),
+            decide(500, Past { under_way: true, ..never_ran }, ASK),
+            Decision::Refused(Refusal::UnderWay)
+        );
+        assert_eq!(
+            decide(500, Past { delivered: true, ..never_ran }, ASK),
             Decision::Refused(Refusal::Delivered)
         );
     }
 
     proptest! {
-        /// Whatever is known and asked: an unsafe message that may have run goes only after the word of its
-        /// destination's owner, and a guarded one under its identity only while it is remembered.
+        /// A single-shot message that may have taken effect is sent only after the statement of its
+        /// destination's owner, and a guarded one under its identity only while receivers remember it.
         #[test]
-        fn nothing_takes_effect_twice(
-            now in 0i64..10_000, ran in 0i64..10_000, window in 0i64..5_000, said in prop::option::of(0i64..10_000),
+        fn no_message_takes_effect_twice_unasked(
+            now in 0i64..10_000, ran in 0i64..10_000, window in 0i64..5_000, stated in prop::option::of(0i64..10_000),
             single: bool, new_effect: bool, patience in -5i64..9_000,
         ) {
             let effect = if single { Effect::SingleShot } else { Effect::Guarded(window) };
-            let past = Past { effect, may_have_run: Some(ran), not_seen: said, ..PAST };
-            let proved = said.is_some_and(|s| s > ran);
+            let past = Past { effect, may_have_run: Some(ran), not_seen: stated, ..PAST };
+            let proved = stated.is_some_and(|s| s > ran);
             match decide(now, past, Ask { new_effect, patience }) {
                 Decision::Again { leave_by } => {
                     prop_assert!(proved || (!single && ran <= now && leave_by <= ran + window));
--- a/crates/held/src/grants.rs
+++ b/crates/held/src/grants.rs
@@ -1,11 +1,12 @@
-//! Who may see and do what with held messages.
+//! Access rights to held messages.
 //!
-//! An owner is the client that handed a message in, and the partner named for its destination where the settings grant
-//! it. All else is refused, in the same words whether the message exists or not.
+//! The owners of a message are the client that submitted it, and the partner named for its destination where
+//! the settings grant it. Every other request is refused, with the same reply whether the message exists or
+//! not.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who asks.
+/// The party that makes a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
     /// A client, by number.
@@ -16,53 +17,53 @@
     Operator(String),
 }
 
-/// What is asked for.
+/// An operation on a held message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Deed {
-    /// To see it and its trail.
+    /// Show the message and its trail.
     See,
-    /// To keep it from being dropped or handed in.
+    /// Keep the message from being dropped or resubmitted.
     Hold,
-    /// To hand it in again.
+    /// Resubmit the message.
     HandIn,
-    /// To give it up.
+    /// Drop the message.
     GiveUp,
-    /// To say that it was not seen at its destination.
+    /// State that the message was not received at its destination.
     Vouch,
 }
 
-/// The grants of the settings.
+/// The access rights given by the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Grants {
-    /// Partners by destination, with what they may do.
+    /// The operations granted to partners, by destination and partner.
     partners: BTreeMap<(i64, String), BTreeSet<Deed>>,
-    /// What operators may do beyond seeing and holding.
+    /// The operations granted to operators beyond seeing and keeping.
     operators: BTreeMap<String, BTreeSet<Deed>>,
 }
 
 impl Grants {
-    /// A partner may do this with messages to a destination.
+    /// Grants a partner an operation on messages to a destination.
     pub fn partner(&mut self, destination: i64, name: &str, deed: Deed) {
         self.partners.entry((destination, name.to_string())).or_default().insert(deed);
     }
 
-    /// An operator may do this.
+    /// Grants an operator an operation.
     pub fn operator(&mut self, name: &str, deed: Deed) {
         self.operators.entry(name.to_string()).or_default().insert(deed);
     }
 
-    /// Whether a party may do this with a message of a client to a destination.
+    /// Returns whether a party may perform an operation on a message from `client` to `destination`.
     pub fn allows(&self, party: &Party, deed: Deed, client: u32, destination: i64) -> bool {
         match party {
-            // One's own messages are one's own, but nobody vouches for what another did not see.
+            // A client has rights on its own messages, but can't state what was received elsewhere.
             Party::Client(c) => *c == client && deed != Deed::Vouch && deed != Deed::Hold,
             Party::Partner(name) => {
                 let granted = self.partners.get(&(destination, name.clone()));
                 granted.is_some_and(|g| g.contains(&deed))
             }
             Party::Operator(name) => {
-                let usual = matches!(deed, Deed::See | Deed::Hold);
-                usual || self.operators.get(name).is_some_and(|g| g.contains(&deed) && deed != Deed::Vouch)
+                let always = matches!(deed, Deed::See | Deed::Hold);
+                always || self.operators.get(name).is_some_and(|g| g.contains(&deed) && deed != Deed::Vouch)
             }
         }
     }
@@ -73,7 +74,7 @@
     use super::*;
 
     #[test]
-    fn everyone_has_what_is_theirs_and_no_more() {
+    fn parties_have_only_the_operations_granted() {
         let mut g = Grants::default();
         g.partner(7, "gym", Deed::See);
         g.partner(7, "gym", Deed::Vouch);
--- a/crates/held/src/lib.rs
+++ b/crates/held/src/lib.rs
@@ -1,31 +1,33 @@
-//! What became of messages, and those that ended undelivered, kept for their owners.
+//! Trails of all messages, and storage of undelivered messages for their owners.
 //!
-//! Does: keeps a trail for each message (when and how it was taken, each attempt and what is known of it, restarts,
-//! answers, later hand-ins), found by identity, owner, destination, key and time ([`Store`]); keeps messages that
-//! ended undelivered until their owner hands them in again or gives them up.
-//! Decides: who may see or do what ([`Grants`]); whether a message may be handed in again, and until when it must
-//! leave ([`decide`]); what is dropped when an owner's room is short ([`Room`]); how fast a backlog is let go
-//! ([`Release`]).
-//! Never: reads a clock, touches a disk, or sends anything: what it lets go is an ordinary message again, for the
-//! decision library and all its limits.
+//! The [`Store`] keeps a trail for each message: when and how it was accepted, each attempt and what is known
+//! of it, restarts, answers and resubmissions. Trails are found by identity, client, destination, key and
+//! time. The store also holds messages that ended undelivered until their owner resubmits or drops them.
+//!
+//! [`Grants`] decides who may see a held message or act on it; [`decide`] whether a message may be
+//! resubmitted and until when it must be sent; [`Room`] limits what is kept, the oldest messages being
+//! dropped first; [`Release`] paces the resubmission of a backlog.
+//!
+//! The library reads no clock, writes no file and sends nothing: a resubmitted message is an ordinary message
+//! again, subject to the decision library and all its limits.
 
 #![forbid(unsafe_code)]
 
 mod decide;
 mod grants;
-mod parts;
+mod partitions;
+mod prediction;
 mod release;
 mod store;
 mod trail;
-mod weigh;
 
 pub use decide::{Ask, Decision, Effect, Past, Refusal, decide};
 pub use grants::{Deed, Grants, Party};
-pub use parts::{PartRoom, Parts};
+pub use partitions::{PartRoom, Parts};
+pub use prediction::PredictedDrops;
 pub use release::{Pace, Release};
 pub use store::{Dropped, Filed, Page, Query, Room, Store};
 pub use trail::{Known, Step, Trail, What};
-pub use weigh::Weighed;
 
-/// Time in microseconds; times of day, since 1970 UTC, as trails outlive processes.
+/// Time of day in microseconds since 1970 UTC, as trails outlive processes.
 pub type Micros = i64;
--- a/crates/held/src/release.rs
+++ b/crates/held/src/release.rs
@@ -1,28 +1,30 @@
-//! How fast a backlog that is handed in again is let go.
+//! Paces the release of a backlog that is resubmitted.
 //!
-//! What is let go is an ordinary message again: pools, told waits, cold returns and admission all hold it as any other.
-//! Guards against a backlog that fills the hold ahead of live traffic: it is let go at a pace that begins low, grows
-//! with each span in which what went came through soon and falls by half where a twentieth did not come through, a
-//! quarter was slow, or live traffic was refused for room; never more than a part of the room is out.
+//! A released message is an ordinary message again: pools, waits requested by receivers, warm-up and
+//! admission limit it like any other. The pace keeps a backlog from filling the queues ahead of live traffic.
+//! It begins low, grows after each interval in which released messages were delivered in time, and halves
+//! where one in tdeliveredy was not delivered, one in four was slow, or live traffic was refused for want of
+//! space. The number of released messages without an answer is bounded.
 
 use crate::Micros;
 
-/// Figures of a release.
+/// The settings of a release.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Messages a second at first, and at least.
+    /// The initial and lowest rate, in messages a second.
     pub least: f64,
-    /// Messages a second at most.
+    /// The highest rate, in messages a second.
     pub most: f64,
-    /// Of what is let go so much may be without an answer at once.
+    /// The maximum number of released messages without an answer.
     pub out: usize,
-    /// The pace is reconsidered after this.
+    /// The interval after which the rate is adjusted.
     pub span: Micros,
-    /// What is let go should be answered within this: longer, and it stands before live traffic.
+    /// The time within which a released message should be answered; a longer one shows that the backlog
+    /// delays live traffic.
     pub patience: Micros,
 }
 
-/// A release under way.
+/// A release in progress.
 #[derive(Clone, Debug)]
 pub struct Release {
     pace: Pace,
@@ -30,8 +32,9 @@
     tokens: f64,
     filled: Micros,
     out: usize,
-    /// In the span: let go and delivered, turned away or undelivered again, live traffic refused.
-    went: usize,
+    /// Counts of the current interval: messages delivered, messages refused or undelivered again, slow
+    /// answers, and whether live traffic was refused.
+    delivered: usize,
     failed: usize,
     slow: usize,
     crowded: bool,
@@ -39,7 +42,7 @@
 }
 
 impl Release {
-    /// A release that begins now.
+    /// Starts a release.
     pub fn new(now: Micros, pace: Pace) -> Self {
         Release {
             pace,
@@ -47,7 +50,7 @@
             tokens: 1.0,
             filled: now,
             out: 0,
-            went: 0,
+            delivered: 0,
             failed: 0,
             slow: 0,
             crowded: false,
@@ -55,56 +58,57 @@
         }
     }
 
-    /// Messages a second just now.
+    /// Returns the current rate, in messages a second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// How many may be let go now; each is to be told with [`Release::let_go`].
+    /// Returns how many messages may be released now; each release is to be reported with
+    /// [`Release::let_go`].
     pub fn may(&mut self, now: Micros) -> usize {
         if now >= self.next {
-            self.reconsider(now);
+            self.adjust_rate(now);
         }
         let grown = (now - self.filled).max(0) as f64 / 1e6 * self.rate;
         self.filled = self.filled.max(now);
-        // Not more than a tenth of a second's worth at once.
+        // At most a tenth of a second's worth at once.
         self.tokens = (self.tokens + grown).min((self.rate / 10.0).max(1.0));
         (self.tokens as usize).min(self.pace.out.saturating_sub(self.out))
     }
 
-    fn reconsider(&mut self, now: Micros) {
+    fn adjust_rate(&mut self, now: Micros) {
         self.next = now + self.pace.span;
         let bad = self.crowded
-            || self.failed * 20 > self.went + self.failed
-            || self.slow * 4 > self.went + self.failed;
-        // Growth only on proof: a span in which something went and came through.
+            || self.failed * 20 > self.delivered + self.failed
+            || self.slow * 4 > self.delivered + self.failed;
+        // The rate grows only if messages were delivered in the interval.
         if bad {
             self.rate /= 2.0;
-        } else if self.went > 0 {
+        } else if self.delivered > 0 {
             self.rate *= 1.25;
         }
         self.rate = self.rate.clamp(self.pace.least, self.pace.most);
-        (self.went, self.failed, self.slow, self.crowded) = (0, 0, 0, false);
+        (self.delivered, self.failed, self.slow, self.crowded) = (0, 0, 0, false);
     }
 
-    /// One was let go.
+    /// Records that a message was released.
     pub fn let_go(&mut self) {
         self.tokens -= 1.0;
         self.out += 1;
     }
 
-    /// One of those has its answer, so long after it was let go.
+    /// Records that a released message was answered, and how long after its release.
     pub fn answered(&mut self, delivered: bool, took: Micros) {
         self.slow += usize::from(took > self.pace.patience);
         self.out = self.out.saturating_sub(1);
         if delivered {
-            self.went += 1;
+            self.delivered += 1;
         } else {
             self.failed += 1;
         }
     }
 
-    /// Live traffic was refused for want of room.
+    /// Records that live traffic was refused for want of space.
     pub fn crowded(&mut self) {
         self.crowded = true;
     }
@@ -116,9 +120,9 @@
 
     const PACE: Pace = Pace { least: 10.0, most: 10_000.0, out: 200, span: 1_000_000, patience: 250_000 };
 
-    /// A destination that takes so many a second, with the rest turned away; gives seconds until `n` are delivered and
-    /// the most that was turned away in a second.
-    fn empty(n: usize, capacity: usize) -> (usize, usize) {
+    /// Runs a release to a destination that accepts `capacity` messages a second and refuses the rest;
+    /// returns the seconds until `n` are delivered and the most refusals in a second.
+    fn run_backlog(n: usize, capacity: usize) -> (usize, usize) {
         let mut r = Release::new(0, PACE);
         let (mut done, mut worst) = (0, 0);
         for second in 0..10_000 {
@@ -143,15 +147,15 @@
     }
 
     #[test]
-    fn a_backlog_empties_near_capacity_without_pushing_over() {
-        let (seconds, turned) = empty(100_000, 500);
-        // 200 seconds at full capacity; a ramp from 10 a second, and the swings of a pace that feels its way.
+    fn backlog_drains_near_capacity_without_overload() {
+        let (seconds, turned) = run_backlog(100_000, 500);
+        // 200 seconds at full capacity, plus the ramp from 10 a second and the swings of the rate.
         assert!((200..340).contains(&seconds), "{seconds}");
-        assert!(turned <= 250, "never twice its capacity: {turned}");
+        assert!(turned <= 250, "more than half its capacity was refused: {turned}");
     }
 
     #[test]
-    fn live_traffic_goes_first_and_what_is_out_is_bounded() {
+    fn rate_halves_when_live_traffic_is_refused_and_unanswered_messages_are_bounded() {
         let mut r = Release::new(0, PACE);
         let mut now = 0;
         for _ in 0..40 {
--- a/crates/held/src/store/drop/common.rs
+++ b/crates/held/src/store/drop/common.rs
@@ -1,19 +1,20 @@
-//! In the common room: of held ones each client's own, of trails that of all.
+//! Drops messages from the common storage: held messages by client, trails of all clients together.
 
 use crate::Micros;
-use crate::parts::Parts;
+use crate::partitions::Parts;
 use crate::store::{Store, taken};
 
 impl Store {
-    /// Drops what is too old, then the oldest, until the rest fits. What is under way or kept by an operator stays.
+    /// Drops held messages that are too old, then the oldest until the rest fits. Messages under way or kept
+    /// by an operator stay.
     pub(in crate::store) fn drop_held(&mut self, now: Micros, client: u32, only: Option<Parts>) -> Vec<u64> {
-        if self.apart.contains_key(&client) {
-            return self.drop_apart(now, client, only);
+        if self.partitions.contains_key(&client) {
+            return self.drop_partitioned(now, client, only);
         }
-        let mut gone = Vec::new();
-        let mut stay = 0;
+        let mut dropped_ids = Vec::new();
+        let mut from = 0;
         loop {
-            let next = self.held_of.range((client, stay)..=(client, u64::MAX)).next().copied();
+            let next = self.held_of.range((client, from)..=(client, u64::MAX)).next().copied();
             let Some((_, id)) = next else { break };
             let o = self.owners.get(&client).copied().unwrap_or_default();
             let old = taken(id) < now.saturating_sub(self.held.age);
@@ -22,7 +23,7 @@
                 break;
             }
             if self.by_id.get(&id).is_some_and(|f| f.under_way || f.kept) {
-                stay = id + 1;
+                from = id + 1;
                 continue;
             }
             self.take(id);
@@ -32,11 +33,12 @@
                 (_, true) => dropped.count += 1,
                 _ => dropped.octets += 1,
             }
-            gone.push(id);
+            dropped_ids.push(id);
         }
-        gone
+        dropped_ids
     }
 
+    /// Drops trails that are too old, then the oldest until the rest fits.
     pub(in crate::store) fn drop_plain(&mut self, now: Micros) {
         while let Some(id) = self.plain.first().copied() {
             let old = taken(id) < now.saturating_sub(self.trails.age);
--- a/crates/held/src/store/drop/mod.rs
+++ b/crates/held/src/store/drop/mod.rs
@@ -1,14 +1,15 @@
-//! What there is no room for is dropped: the oldest first, and neither what is under way nor what an operator keeps.
+//! Drops what exceeds the limits: the oldest first, but neither messages under way nor those that an operator
+//! keeps.
 
 mod common;
-mod parts;
+mod partitions;
 
 use super::Store;
 use crate::Micros;
 
 impl Store {
-    /// Drops what there is no room for in any part of a client's, after rooms were set or time has passed. Gives held ones
-    /// that were dropped.
+    /// Drops what exceeds the limits of a client's storage, after limits were set or time has passed. Returns
+    /// the held messages that were dropped.
     pub fn trim(&mut self, now: Micros, client: u32) -> Vec<u64> {
         for (part, _) in self.rooms(client) {
             self.drop_trails(client, part);
@@ -17,7 +18,7 @@
         self.drop_held(now, client, None)
     }
 
-    /// Drops what has become too old, of all clients. Gives held ones that were dropped.
+    /// Drops what has become too old, of all clients. Returns the held messages that were dropped.
     pub fn expire(&mut self, now: Micros) -> Vec<u64> {
         self.drop_plain(now);
         let clients: Vec<u32> = self.owners.keys().copied().collect();
--- a/crates/held/src/store/file.rs
+++ b/crates/held/src/store/file.rs
@@ -1,18 +1,19 @@
-//! A message is filed, or taken out: all indexes and accounts with it.
+//! Adds and removes messages, and updates all indexes and counts.
 
 use super::room::Owner;
 use super::{Filed, Store};
 use crate::Micros;
-use crate::parts::Parts;
+use crate::partitions::Parts;
 
 impl Store {
-    /// Files a message, in the place of what was filed of it before; then drops what there is no room for. Gives the
+    /// Files a message, replacing an earlier record of it, then drops what exceeds the limits. Returns the
     /// identities of held messages that were dropped.
     pub fn file(&mut self, now: Micros, id: u64, filed: Filed) -> Vec<u64> {
         self.file_in(now, id, filed, Parts::default())
     }
 
-    /// The same, in parts of its client's room. A part without a limit is the common room.
+    /// Files a message in partitions of its client's storage. A partition without a limit is the common
+    /// storage.
     pub fn file_in(&mut self, now: Micros, id: u64, filed: Filed, parts: Parts) -> Vec<u64> {
         self.take(id);
         let (client, held) = (filed.client, filed.message.is_some());
@@ -22,13 +23,13 @@
             self.by_key.insert((filed.key, id));
         }
         let size = filed.size();
-        let apart = self.apart.get_mut(&client);
-        let own = match apart {
-            Some(apart) if held => {
-                apart.hold(id, parts, size);
+        let partitions = self.partitions.get_mut(&client);
+        let own = match partitions {
+            Some(partitions) if held => {
+                partitions.hold(id, parts, size);
                 false
             }
-            Some(apart) => apart.trail(id, parts),
+            Some(partitions) => partitions.trail(id, parts),
             None => false,
         };
         if held {
@@ -53,14 +54,14 @@
         Vec::new()
     }
 
-    /// Takes a message out.
+    /// Removes a message and returns its record.
     pub fn take(&mut self, id: u64) -> Option<Filed> {
         let filed = self.by_id.remove(&id)?;
         self.by_client.remove(&(filed.client, id));
         self.by_destination.remove(&(filed.destination, id));
         self.by_key.remove(&(filed.key, id));
         let held = filed.message.is_some();
-        let own = self.apart.get_mut(&filed.client).is_some_and(|a| a.take(id, held, filed.size()));
+        let own = self.partitions.get_mut(&filed.client).is_some_and(|a| a.take(id, held, filed.size()));
         if own {
             return Some(filed);
         }
@@ -77,10 +78,10 @@
     }
 
     pub(in crate::store) fn parts(&self, client: u32, id: u64) -> Parts {
-        self.apart.get(&client).map_or(Parts::default(), |a| a.parts(id))
+        self.partitions.get(&client).map_or(Parts::default(), |a| a.parts(id))
     }
 
-    /// Where a message counts: held ones with their client, all others together.
+    /// Returns the counts that a message belongs to: those of its client if held, else those of all trails.
     pub(in crate::store) fn account(&mut self, client: u32, held: bool) -> &mut Owner {
         if held { self.owners.entry(client).or_default() } else { &mut self.all }
     }
--- a/crates/held/src/store/identity.rs
+++ b/crates/held/src/store/identity.rs
@@ -1,15 +1,16 @@
-//! When a message was taken on, by its identity.
+//! The time at which a message was accepted, as encoded in its identity.
 
 use crate::Micros;
 
-/// Low bits of an identity that don't count for its time.
-pub(super) const LOW: u32 = 6;
+/// The number of low bits of an identity that are not part of its time.
+pub(super) const TIME_SHIFT: u32 = 6;
 
-/// The first identity that a time can have.
+/// Returns the lowest identity of a time.
 pub(super) fn first_id(at: Micros) -> u64 {
-    u64::try_from(at).unwrap_or(0) << LOW
+    u64::try_from(at).unwrap_or(0) << TIME_SHIFT
 }
 
+/// Returns the time at which a message was accepted.
 pub(crate) fn taken(id: u64) -> Micros {
-    (id >> LOW) as Micros
+    (id >> TIME_SHIFT) as Micros
 }
--- a/crates/held/src/store/mod.rs
+++ b/crates/held/src/store/mod.rs
@@ -1,50 +1,55 @@
-//! Trails and held messages, found by identity, owner, destination, key and time.
+//! The store of trails and held messages, indexed by identity, client, destination, key and time.
 //!
-//! Identities are in order of time (a message's number begins with the microsecond in which it was taken on), so a
-//! range of time is a range of identities and each index is an ordered set of pairs. A listing costs by what it shows,
-//! not by what is kept.
+//! Identities are ordered by time (an identity begins with the microsecond in which its message was
+//! accepted), so a time range is a range of identities, and each index is an ordered set of pairs. The cost
+//! of a listing depends on what it shows, not on what is stored.
 
-mod apart;
 mod drop;
 mod file;
-mod filed;
-mod find;
-mod hand_in;
 mod identity;
+mod partitions;
+mod query;
+mod record;
+mod resubmission;
 mod room;
 #[cfg(test)]
 mod tests;
 
-pub use filed::Filed;
-pub use find::{Page, Query};
 pub(crate) use identity::taken;
+pub use query::{Page, Query};
+pub use record::Filed;
 pub use room::{Dropped, Room};
 
-use crate::parts::Apart;
+use crate::partitions::ClientPartitions;
 use room::Owner;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The store.
+/// The store of trails and held messages.
 #[derive(Debug)]
 pub struct Store {
-    /// Of trails that are not held so much is kept in all; of held ones for each client.
+    /// The limits of all trails that are not held, together.
     pub(crate) trails: Room,
+    /// The limits of the held messages of each client.
     pub(crate) held: Room,
     by_id: BTreeMap<u64, Filed>,
     by_client: BTreeSet<(u32, u64)>,
     by_destination: BTreeSet<(i64, u64)>,
     by_key: BTreeSet<(u64, u64)>,
+    /// Held messages by client.
     pub(crate) held_of: BTreeSet<(u32, u64)>,
+    /// Held messages by destination.
     held_to: BTreeSet<(i64, u64)>,
+    /// Messages that are not held and whose trail is in no partition.
     pub(crate) plain: BTreeSet<u64>,
+    /// The counts of held messages, by client.
     owners: BTreeMap<u32, Owner>,
+    /// The counts of the trails in `plain`.
     pub(crate) all: Owner,
-    /// Clients that have rooms of their own.
-    pub(crate) apart: BTreeMap<u32, Apart>,
+    /// The partitions, by client.
+    pub(crate) partitions: BTreeMap<u32, ClientPartitions>,
 }
 
 impl Store {
-    /// An empty store.
     pub fn new(trails: Room, held: Room) -> Self {
         Store {
             trails,
@@ -58,26 +63,26 @@
             plain: BTreeSet::new(),
             owners: BTreeMap::new(),
             all: Owner::default(),
-            apart: BTreeMap::new(),
+            partitions: BTreeMap::new(),
         }
     }
 
-    /// Messages filed.
+    /// Returns the number of messages in the store.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is.
+    /// Returns whether the store is empty.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// One message.
+    /// Returns the record of a message.
     pub fn get(&self, id: u64) -> Option<&Filed> {
         self.by_id.get(&id)
     }
 
-    /// Held messages and octets of a client, and what was dropped of its.
+    /// Returns the number and bytes of a client's held messages, and what was dropped of them.
     pub fn of(&self, client: u32) -> (usize, u64, Dropped) {
         self.owners.get(&client).map_or((0, 0, Dropped::default()), |o| (o.count, o.octets, o.dropped))
     }
--- a/crates/held/src/store/hand_in.rs
+++ b/crates/held/src/store/resubmission.rs
@@ -1,15 +1,15 @@
-//! A held message is handed in again; what is noted, kept and vouched for meanwhile.
+//! Resubmission of held messages, and notes on them.
 
 use super::Store;
-use crate::parts::Parts;
+use crate::partitions::Parts;
 use crate::trail::Trail;
 use crate::{Decision, Micros, Refusal, What};
 
 impl Store {
-    /// Begins a hand-in: of two at once one goes. Notes it in the trail.
+    /// Begins a resubmission and records it in the trail. Of two concurrent requests only one succeeds.
     ///
     /// # Errors
-    /// Why not.
+    /// Why the message may not be resubmitted.
     pub fn begin(
         &mut self,
         now: Micros,
@@ -30,7 +30,8 @@
         Ok(decision)
     }
 
-    /// A hand-in ended: the message is over where it was delivered, else it is held as before, with all that happened.
+    /// Ends a resubmission. A delivered message is no longer held; any other is held as before. Returns the
+    /// held messages that were dropped.
     pub fn end(&mut self, now: Micros, id: u64, trail: &Trail, delivered: bool) -> Vec<u64> {
         let parts = self.by_id.get(&id).map_or(Parts::default(), |f| self.parts(f.client, id));
         let Some(mut filed) = self.take(id) else { return Vec::new() };
@@ -42,7 +43,7 @@
         self.file_in(now, id, filed, parts)
     }
 
-    /// Adds a step to a trail.
+    /// Adds an event to a message's trail.
     pub fn note(&mut self, at: Micros, id: u64, what: What) {
         let Some(filed) = self.by_id.get_mut(&id) else { return };
         let Some(mut trail) = Trail::read(&filed.trail) else { return };
@@ -50,22 +51,24 @@
         trail.add(at, what, usize::MAX);
         filed.trail = trail.write().into();
         let (grown, client, held) = (filed.size() - before, filed.client, filed.message.is_some());
-        if let Some(apart) = self.apart.get_mut(&client) {
+        if let Some(partitions) = self.partitions.get_mut(&client) {
             if held {
-                apart.grew(id, grown);
-            } else if apart.parts(id).trails > 0 {
+                partitions.grew(id, grown);
+            } else if partitions.parts(id).trails > 0 {
                 return;
             }
         }
         self.account(client, held).octets += grown;
     }
 
-    /// An operator keeps a message, or lets it go again.
+    /// Sets whether an operator keeps a message from being dropped or resubmitted. Returns whether the
+    /// message exists.
     pub fn keep(&mut self, id: u64, kept: bool) -> bool {
         self.by_id.get_mut(&id).map(|f| f.kept = kept).is_some()
     }
 
-    /// The destination's owner says that a message was not seen.
+    /// Records the statement of the destination's owner that a message was not received. Returns whether the
+    /// message exists.
     pub fn vouch(&mut self, now: Micros, id: u64) -> bool {
         self.by_id.get_mut(&id).map(|f| f.not_seen = Some(now)).is_some()
     }
--- a/crates/held/src/store/room.rs
+++ b/crates/held/src/store/room.rs
@@ -1,29 +1,30 @@
-//! What an owner's messages may take, and what was dropped of them.
+//! Storage limits, and counts of what is stored and dropped.
 
 use crate::Micros;
 
-/// What an owner's messages may take.
+/// Storage limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Room {
-    /// How long they are kept.
+    /// The maximum age.
     pub age: Micros,
-    /// How many.
+    /// The maximum number of messages.
     pub count: usize,
-    /// Octets.
+    /// The maximum number of bytes.
     pub octets: u64,
 }
 
-/// What was dropped of an owner's, since the start.
+/// The number of messages dropped since the start, by the limit that they exceeded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Too old.
+    /// Messages that were too old.
     pub age: u64,
-    /// Too many.
+    /// Messages beyond the maximum number.
     pub count: u64,
-    /// Too large in all.
+    /// Messages beyond the maximum number of bytes.
     pub octets: u64,
 }
 
+/// What is stored of an owner, and what was dropped.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Owner {
     pub(crate) count: usize,
--- a/crates/held/src/trail.rs
+++ b/crates/held/src/trail.rs
@@ -1,12 +1,12 @@
-//! A message's trail: all that happened to it, compact.
+//! The trail of a message: a compact record of everything that happened to it.
 //!
-//! Times are kept as differences to the step before, endpoints and sessions by number in a table of names that the
-//! store keeps; a message delivered at once takes about forty octets.
+//! Times are stored as differences to the previous step, endpoints and sessions as indexes into a table of
+//! names that the store keeps. The trail of a message delivered at once takes about 40 bytes.
 
 use crate::Micros;
 use prost::Message as _;
 
-/// What is known of an attempt.
+/// What is known of an ended attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Known {
@@ -14,53 +14,54 @@
     NeverWritten = 0,
     /// Some of it was written, and no answer proves that it had no effect.
     Written = 1,
-    /// The receiver answered that it took it.
+    /// The receiver accepted it.
     Took = 2,
-    /// The receiver answered that it did not.
+    /// The receiver refused it.
     Refused = 3,
-    /// A restart came between: it may have been written.
+    /// The sender restarted meanwhile: it may have been written.
     Lost = 4,
 }
 
 impl Known {
-    /// Whether the attempt may have taken effect.
+    /// Returns whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
         matches!(self, Known::Written | Known::Took | Known::Lost)
     }
 }
 
-/// A step of a trail.
+/// A stored step of a trail.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Step {
-    /// Microseconds since the step before (the first: since it was taken). Below 0 where the clock was set back.
+    /// Microseconds since the previous step (the first: since the message was accepted). Below 0 where the
+    /// clock was set back.
     #[prost(sint64, tag = "1")]
     after: i64,
     #[prost(uint32, tag = "2")]
     what: u32,
-    /// The endpoint, session or identity that it is about, by number.
+    /// The index of the name of the endpoint, session or party.
     #[prost(uint32, tag = "3")]
     who: u32,
-    /// What more there is: what is known, the answer's word.
+    /// Further data: what is known of the attempt, or the state of the answer.
     #[prost(uint32, tag = "4")]
     more: u32,
 }
 
-/// What a step tells.
+/// An event in a trail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum What {
-    /// An attempt began, to this endpoint.
+    /// An attempt began, to the endpoint of this index.
     Began(u32),
-    /// The attempt ended, with what is known of it.
+    /// The attempt ended; what is known of it.
     Ended(Known),
     /// The sender restarted.
     Restarted,
-    /// The final answer, by its place in the list of states.
+    /// The final answer, by its index in the list of states.
     Answered(u32),
-    /// The answer was taken.
+    /// The client confirmed the answer.
     Heard,
-    /// It was handed in again, by this party.
+    /// The message was resubmitted, by the party of this index.
     HandedIn(u32),
-    /// It was given up, by this party.
+    /// The message was dropped, by the party of this index.
     GivenUp(u32),
 }
 
@@ -91,16 +92,16 @@
     }
 }
 
-/// The trail.
+/// The trail of a message.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Trail {
-    /// When the message was taken on.
+    /// When the message was accepted.
     #[prost(int64, tag = "1")]
     pub taken: i64,
-    /// The front and session by which it came, by number.
+    /// The index of the name of the front and session that accepted the message.
     #[prost(uint32, tag = "2")]
     pub by: u32,
-    /// Time of the last step.
+    /// The time of the last step, relative to `taken`.
     #[prost(sint64, tag = "3")]
     last: i64,
     #[prost(message, repeated, tag = "4")]
@@ -108,13 +109,13 @@
 }
 
 impl Trail {
-    /// A message was taken on.
+    /// Starts the trail of a message that was accepted.
     pub fn new(taken: Micros, by: u32) -> Self {
         Trail { taken, by, last: 0, steps: Vec::new() }
     }
 
-    /// Something happened. At most `most` steps are kept: beyond that the oldest attempts that surely had no effect are
-    /// left out, never one that may have.
+    /// Adds an event. At most `most` steps are kept: beyond that the oldest attempts that certainly had no
+    /// effect are left out, but never one that may have taken effect.
     pub fn add(&mut self, at: Micros, what: What, most: usize) {
         let since = at - self.taken;
         let (what, who, more) = what.parts();
@@ -125,21 +126,21 @@
         }
     }
 
-    /// Leaves out the first attempt that surely had no effect.
+    /// Removes the first attempt that certainly had no effect.
     fn shorten(&mut self) {
-        let harmless =
+        let no_effect =
             |s: &Step| s.what == 2 && Known::try_from(s.more as i32).is_ok_and(|k| !k.may_have_run());
-        let at = (1..self.steps.len()).find(|i| harmless(&self.steps[*i]) && self.steps[*i - 1].what == 1);
+        let at = (1..self.steps.len()).find(|i| no_effect(&self.steps[*i]) && self.steps[*i - 1].what == 1);
         if let Some(at) = at {
-            let gone: i64 = self.steps.drain(at - 1..=at).map(|s| s.after).sum();
+            let removed_time: i64 = self.steps.drain(at - 1..=at).map(|s| s.after).sum();
             match self.steps.get_mut(at - 1) {
-                Some(next) => next.after += gone,
-                None => self.last -= gone,
+                Some(next) => next.after += removed_time,
+                None => self.last -= removed_time,
             }
         }
     }
 
-    /// The steps with their times.
+    /// Returns the events with their times.
     pub fn steps(&self) -> impl Iterator<Item = (Micros, What)> + '_ {
         let mut at = self.taken;
         self.steps.iter().filter_map(move |s| {
@@ -148,7 +149,7 @@
         })
     }
 
-    /// Puts other numbers in the place of the endpoints', sessions' and parties'.
+    /// Replaces the indexes of names.
     pub fn rename(&mut self, mut number: impl FnMut(u32) -> u32) {
         self.by = number(self.by);
         for s in self.steps.iter_mut().filter(|s| matches!(s.what, 1 | 6 | 7)) {
@@ -156,7 +157,8 @@
         }
     }
 
-    /// When the first attempt began that may have taken effect; one without an end counts.
+    /// Returns when the first attempt began that may have taken effect; an attempt without an end counts as
+    /// one.
     pub fn may_have_run(&self) -> Option<Micros> {
         let mut began = None;
         for (at, what) in self.steps() {
@@ -174,14 +176,14 @@
         began
     }
 
-    /// As octets.
+    /// Encodes the trail.
     pub fn write(&self) -> Vec<u8> {
         self.encode_to_vec()
     }
 
-    /// Reads octets.
-    pub fn read(octets: &[u8]) -> Option<Trail> {
-        Trail::decode(octets).ok()
+    /// Decodes a trail.
+    pub fn read(bytes: &[u8]) -> Option<Trail> {
+        Trail::decode(bytes).ok()
     }
 }
 
@@ -190,7 +192,7 @@
     use super::*;
 
     #[test]
-    fn what_may_have_run_is_never_left_out() {
+    fn an_attempt_that_may_have_run_is_never_left_out() {
         let mut t = Trail::new(1_000, 3);
         for n in 0..20 {
             t.add(2_000 + n * 100, What::Began(n as u32), 8);
@@ -201,7 +203,7 @@
         t.add(9_000, What::Answered(3), 8);
         let steps: Vec<(Micros, What)> = t.steps().collect();
         assert!(steps.len() <= 9, "{steps:?}");
-        assert_eq!(steps.last(), Some(&(9_000, What::Answered(3))), "times stay right");
+        assert_eq!(steps.last(), Some(&(9_000, What::Answered(3))), "the times of later steps are unchanged");
         assert!(
             steps.contains(&(2_500, What::Began(5))) && steps.contains(&(2_550, What::Ended(Known::Written)))
         );
@@ -212,7 +214,7 @@
     }
 
     #[test]
-    fn a_message_delivered_at_once_is_small() {
+    fn the_trail_of_a_message_delivered_at_once_is_small() {
         let now = 1_790_000_000_000_000;
         let mut t = Trail::new(now, 7);
         t.add(now + 300, What::Began(120), 64);
--- a/crates/held/tests/weigh.rs
+++ b/crates/held/tests/weigh.rs
@@ -1,6 +1,6 @@
-//! What is weighed is what is dropped then, over random contents and rooms.
+//! The prediction of what limits would drop equals what is dropped then, over random contents and limits.
 
-use heronroute_held::{Filed, PartRoom, Parts, Room, Store, Weighed};
+use heronroute_held::{Filed, PartRoom, Parts, PredictedDrops, Room, Store};
 use proptest::prelude::*;
 
 const NOW: i64 = 2_000;
@@ -71,8 +71,8 @@
     store
 }
 
-/// How many of a client's are held and how many are trails, with the octets of the held ones.
-fn of(store: &Store, items: &[Item]) -> (u64, u64, u64) {
+/// Returns the number of held messages of a client, their bytes, and the number of its trails.
+fn usage(store: &Store, items: &[Item]) -> (u64, u64, u64) {
     let (held, octets, _) = store.of(0);
     let ids = items.iter().enumerate().map(|(n, i)| id(n, i));
     let ids: std::collections::BTreeSet<u64> = ids.collect();
@@ -87,23 +87,23 @@
     })]
 
     #[test]
-    fn what_is_weighed_is_what_is_dropped(
+    fn prediction_equals_what_is_dropped(
         before in rooms(), after in rooms(), items in prop::collection::vec(item(), 0..50),
         common in (0..40usize, 0..4_000u64, 0..40usize), looks in prop_oneof![Just(10_000usize), 0..20usize],
     ) {
         let mut store = store(&before, &items, common);
-        let weighed = store.weigh(NOW, 0, &after, looks);
-        let was = of(&store, &items);
+        let predicted = store.weigh(NOW, 0, &after, looks);
+        let before_trim = usage(&store, &items);
         after.iter().for_each(|(part, room)| store.limit(0, *part, *room));
         store.trim(NOW, 0);
-        let is = of(&store, &items);
-        let gone = Weighed { messages: was.0 - is.0, octets: was.1 - is.1, trails: was.2 - is.2, more: false };
-        if weighed.more {
-            prop_assert!(looks < 10_000, "all could be looked at");
-            let least = weighed.messages <= gone.messages && weighed.octets <= gone.octets && weighed.trails <= gone.trails;
-            prop_assert!(least, "{:?} is more than {:?}", weighed, gone);
+        let after_trim = usage(&store, &items);
+        let dropped = PredictedDrops { messages: before_trim.0 - after_trim.0, octets: before_trim.1 - after_trim.1, trails: before_trim.2 - after_trim.2, more: false };
+        if predicted.more {
+            prop_assert!(looks < 10_000, "all messages could be examined");
+            let within = predicted.messages <= dropped.messages && predicted.octets <= dropped.octets && predicted.trails <= dropped.trails;
+            prop_assert!(within, "{:?} is more than {:?}", predicted, dropped);
         } else {
-            prop_assert_eq!(weighed, gone);
+            prop_assert_eq!(predicted, dropped);
         }
     }
 }
