--- a/crates/fair/src/lib.rs
+++ b/crates/fair/src/lib.rs
@@ -1,9 +1,10 @@
-//! Fair admission.
+//! Fair admission to a shared queue.
 //!
-//! Does: bounds what each party (front, tenant, session) may hold of a shared room by what is free and its weight
-//! ([`Share`]); finds the parties with the most traffic in bounded memory with a known error ([`Sketch`]).
-//! Decides: whether a party may take one place more, with hysteresis.
-//! Never: reads a clock, knows a protocol, or keeps a party that holds nothing.
+//! [`Share`] limits how many places each party (front, tenant or session) may hold, by its weight and what is
+//! free, and decides with hysteresis whether a party may take one more. [`Sketch`] finds the parties with the
+//! most traffic in bounded memory with a known error.
+//!
+//! The library reads no clock, knows no protocol and keeps no state for a party that holds nothing.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fair/src/share.rs
+++ b/crates/fair/src/share.rs
@@ -1,55 +1,55 @@
-//! How far a party may fill a shared room.
+//! Limits how much of a shared queue a party may hold.
 //!
-//! Dynamic thresholds (Choudhury and Hahne, 1998): a party may hold its weight times a multiple of what is free just
-//! now. Nobody needs to know who is there: with one flooding party a third of the room stays free at a multiple of
-//! two, with many each gets an equal part, and there is always something free for one that comes new. The cost of
-//! a decision is the same however many parties there are.
+//! Dynamic thresholds (Choudhury and Hahne, 1998): a party may hold its weight times a multiple of the places
+//! that are currently free. The number of parties need not be known. With a multiple of two, one flooding
+//! party leaves a third of the queue free, many parties get equal parts, and there is always something free
+//! for a new one. The cost of a decision doesn't depend on the number of parties.
 //!
-//! Guards against one client's flood filling the room of all. Harms nobody while the room is nearly empty: then the
-//! thresholds lie above it.
+//! This keeps a flood from one client from filling the queue for all. While the queue is nearly empty it
+//! restricts nobody: the thresholds are then larger than the queue.
 
-/// What a party holds, and what it is due.
+/// The places that a party holds, and its weight.
 #[derive(Clone, Copy, Debug)]
 pub struct Holding {
-    /// Places that it holds.
+    /// The number of places held.
     pub held: usize,
-    /// Its weight; 1 is usual.
+    /// The weight of the party; the default is 1.
     pub weight: f64,
-    /// It was refused last and has not fallen well below its threshold since.
+    /// Whether the party was refused last and has not fallen well below its threshold since.
     pub shedding: bool,
 }
 
-/// A refused party is let in again below this share of its threshold, so that it doesn't flap at the edge.
-const BACK: f64 = 0.8;
+/// A refused party is admitted again below this share of its threshold, so that it doesn't flap at the
+/// threshold.
+const READMISSION_SHARE: f64 = 0.8;
 
-/// A shared room.
+/// The shares of a shared queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Share {
-    /// Places in all.
+    /// The total number of places.
     pub room: usize,
-    /// A party may hold this multiple of what is free, times its weight.
+    /// The multiple of the free places that a party of weight 1 may hold.
     pub multiple: f64,
 }
 
 impl Share {
-    /// A room with the usual multiple.
+    /// Returns the shares of a queue of `room` places with the default multiple.
     pub fn new(room: usize) -> Self {
         Share { room, multiple: 2.0 }
     }
 
-    /// Places that a party of a weight may hold while so many are held in all. A message of more worth than the
-    /// usual has a higher threshold, so that what is worth least is turned away first.
+    /// Returns how many places a party may hold while `total` are held by all. Messages of higher worth have
+    /// a higher threshold, so that those of the least worth are refused first.
     pub fn threshold(&self, total: usize, weight: f64, worth: f64) -> f64 {
         let free = self.room.saturating_sub(total) as f64;
         self.multiple * weight.max(0.0) * worth.clamp(0.1, 10.0) * free
     }
 
-    /// Whether a party may take one more place; `worth`: of what it brings, 1 is usual. Gives whether it is shedding
-    /// from now on.
+    /// Returns whether a party may take one more place. `worth` is that of its message; the default is 1.
     pub fn admits(&self, total: usize, party: Holding, worth: f64) -> bool {
         let threshold = self.threshold(total, party.weight, worth);
-        let mark = if party.shedding { BACK * threshold } else { threshold };
-        total < self.room && (party.held as f64) < mark
+        let limit = if party.shedding { READMISSION_SHARE * threshold } else { threshold };
+        total < self.room && (party.held as f64) < limit
     }
 }
 
@@ -57,7 +57,8 @@
 mod tests {
     use super::*;
 
-    /// Parties that each want all, while what is held is worked off in turn; gives what they hold in the end.
+    /// Lets each party take all that it may while held places are released in turn; returns what each holds
+    /// in the end.
     fn flood(room: usize, weights: &[f64], worths: &[f64]) -> Vec<usize> {
         let share = Share::new(room);
         let mut held = vec![0usize; weights.len()];
@@ -74,9 +75,9 @@
     }
 
     #[test]
-    fn a_flood_leaves_room_and_many_share_evenly() {
+    fn one_party_leaves_a_third_free_and_many_share_evenly() {
         let one = flood(900, &[1.0], &[1.0])[0];
-        assert!((598..=600).contains(&one), "a third stays free for those who come: {one}");
+        assert!((598..=600).contains(&one), "a third stays free for new parties: {one}");
         let two = flood(1_000, &[1.0, 1.0], &[1.0, 1.0]);
         assert!(two.iter().all(|h| (398..=402).contains(h)), "{two:?}");
         let weighted = flood(1_000, &[3.0, 1.0], &[1.0, 1.0]);
@@ -88,7 +89,7 @@
     }
 
     #[test]
-    fn a_party_that_shed_comes_back_only_well_below() {
+    fn a_refused_party_is_admitted_again_only_well_below_its_threshold() {
         let share = Share::new(900);
         let at = |held, shedding| share.admits(held, Holding { held, weight: 1.0, shedding }, 1.0);
         assert!(at(599, false) && !at(600, false));
--- a/crates/fair/src/sketch.rs
+++ b/crates/fair/src/sketch.rs
@@ -1,9 +1,9 @@
-//! Who has the most traffic, in bounded memory: Space-Saving (Metwally, Agrawal and El Abbadi, 2005), with counts
-//! that fade.
+//! Finds the parties with the most traffic in bounded memory: Space-Saving (Metwally, Agrawal and El Abbadi,
+//! 2005), with decaying counts.
 //!
-//! With `n` counters, a party's count is too high by at most the total over `n`, and never too low; every party with
-//! more than that share of the total is among the counters. An event costs by the logarithm of the counters, whatever
-//! the number of parties.
+//! With `n` counters, a party's count is too high by at most the total divided by `n`, and never too low;
+//! every party with more than that share of the total has a counter. The cost of an event is logarithmic in
+//! the number of counters and doesn't depend on the number of parties.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
@@ -11,11 +11,11 @@
 /// A party with much traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Heavy<K> {
-    /// Who.
+    /// The party.
     pub party: K,
-    /// Its count, at most so much ...
+    /// The upper bound of its count.
     pub most: u64,
-    /// ... and at least so much.
+    /// The lower bound of its count.
     pub least: u64,
 }
 
@@ -25,34 +25,34 @@
     error: u64,
 }
 
-/// The sketch.
+/// A sketch of event counts by party.
 #[derive(Clone, Debug)]
 pub struct Sketch<K> {
     room: usize,
     counters: HashMap<K, Counter>,
-    /// Parties by count, smallest first.
+    /// The parties by count, smallest first.
     order: BTreeSet<(u64, K)>,
     total: u64,
 }
 
 impl<K: Ord + Hash + Copy> Sketch<K> {
-    /// A sketch of so many counters.
+    /// Returns an empty sketch with the given number of counters.
     pub fn new(counters: usize) -> Self {
         let room = counters.max(1);
         Sketch { room, counters: HashMap::with_capacity(room), order: BTreeSet::new(), total: 0 }
     }
 
-    /// Events counted, as faded.
+    /// Returns the decayed total number of events.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// A party's count is too high by this at most.
+    /// Returns the maximum error of a count.
     pub fn error(&self) -> u64 {
         self.total / self.room as u64
     }
 
-    /// An event of a party.
+    /// Counts an event of a party.
     pub fn add(&mut self, party: K) {
         self.total += 1;
         if let Some(c) = self.counters.get_mut(&party) {
@@ -63,7 +63,8 @@
         }
         let mut least = 0;
         if self.counters.len() >= self.room {
-            // The smallest goes; the new one may have had as many events as it, unseen.
+            // The counter with the smallest count is reused; the new party may have had as many uncounted
+            // events.
             let Some((count, gone)) = self.order.pop_first() else { return };
             self.counters.remove(&gone);
             least = count;
@@ -72,7 +73,7 @@
         self.order.insert((least + 1, party));
     }
 
-    /// What is known of a party: its count is between the two.
+    /// Returns the lower and the upper bound of a party's count.
     pub fn count(&self, party: &K) -> (u64, u64) {
         match self.counters.get(party) {
             Some(c) => (c.count - c.error, c.count),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// All counts halved: what is long ago counts less. To be called now and then.
+    /// Halves all counts, so that older events count less. To be called at regular intervals.
     pub fn fade(&mut self) {
         self.total /= 2;
         self.counters.retain(|_, c| {
@@ -91,10 +92,10 @@
         self.order = self.counters.iter().map(|(p, c)| (c.count, *p)).collect();
     }
 
-    /// The parties that may have more than a share of all, largest first.
+    /// Returns the parties that may have more than a share of the total, largest first.
     pub fn heavy(&self, share: f64) -> Vec<Heavy<K>> {
-        let mark = (self.total as f64 * share) as u64;
-        let above = self.order.iter().rev().take_while(|(count, _)| *count > mark);
+        let threshold = (self.total as f64 * share) as u64;
+        let above = self.order.iter().rev().take_while(|(count, _)| *count > threshold);
         above
             .map(|(count, party)| {
                 let error = self.counters.get(party).map_or(0, |c| c.error);
@@ -109,9 +110,9 @@
     use super::*;
 
     #[test]
-    fn counts_are_within_the_bound_and_none_that_is_heavy_is_missed() {
+    fn counts_are_within_the_bound_and_no_heavy_party_is_missed() {
         let mut state = 1u64;
-        let mut dice = move |n: u64| {
+        let mut random_below = move |n: u64| {
             state ^= state << 13;
             state ^= state >> 7;
             state ^= state << 17;
@@ -120,7 +121,7 @@
         let (mut sketch, mut exact) = (Sketch::new(200), HashMap::new());
         for _ in 0..200_000 {
             // A fifth of the events come from five parties, the rest from 20,000.
-            let party = if dice(5) == 0 { dice(5) } else { 5 + dice(20_000) };
+            let party = if random_below(5) == 0 { random_below(5) } else { 5 + random_below(20_000) };
             sketch.add(party);
             *exact.entry(party).or_insert(0u64) += 1;
         }
@@ -131,7 +132,7 @@
         }
         let heavy: Vec<u64> = sketch.heavy(0.02).into_iter().map(|h| h.party).collect();
         assert!((0..5).all(|p| heavy.contains(&p)), "{heavy:?}");
-        assert!(heavy.len() <= 8, "and few others: {heavy:?}");
+        assert!(heavy.len() <= 8, "too many other parties: {heavy:?}");
         sketch.fade();
         assert_eq!(sketch.total(), 100_000);
         assert!(sketch.heavy(0.02).len() >= 5);
--- a/crates/seen/benches/seen.rs
+++ b/crates/seen/benches/seen.rs
@@ -1,5 +1,5 @@
-//! The table beside a plain map by name: time for a question and an entry, memory for a name, and how often the
-//! table can't tell when it is filled to its size and beyond.
+//! The table compared with a map by name: time for a lookup and an entry, memory for a name, and how often
+//! the table is unsure when it is filled to its size and beyond.
 //!
 //! `cargo bench -p heronroute-seen --bench seen`
 
@@ -14,7 +14,7 @@
     (0..n).map(|i| format!("order-{i:08}-of-the-day")).collect()
 }
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|n| n.parse::<usize>().ok()).unwrap_or(0) * 4_096
 }
@@ -28,20 +28,20 @@
         let unsure = (0..100_000)
             .filter(|i| seen.find(1, Name::new("client", &format!("new{i}"))) == Verdict::Unsure)
             .count();
-        println!("filled {load} times: can't tell of {:.2} % of new names", unsure as f64 / 1_000.0);
+        println!("filled {load} times: unsure about {:.2} % of new names", unsure as f64 / 1_000.0);
     }
-    let before = resident();
+    let before = resident_bytes();
     let mut plain: HashMap<(String, String), (u64, i64)> = HashMap::new();
     for (i, name) in names.iter().enumerate() {
         plain.insert(("client-name".to_string(), name.clone()), (i as u64, SPAN));
     }
-    let map = resident().saturating_sub(before);
+    let map = resident_bytes().saturating_sub(before);
     let mut seen = Seen::new(NAMES, 0, 1);
     for (i, name) in names.iter().enumerate() {
         seen.add(0, Name::new("client-name", name), i as u64, SPAN);
     }
-    println!("octets for a name: map {}, table {}", map / NAMES, seen.size() / NAMES);
-    let mut group = c.benchmark_group("question and entry");
+    println!("bytes for a name: map {}, table {}", map / NAMES, seen.size() / NAMES);
+    let mut group = c.benchmark_group("lookup and entry");
     let mut at = 0;
     group.bench_function("plain map", |b| {
         b.iter_batched(
--- a/crates/seen/src/lib.rs
+++ b/crates/seen/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which messages were handed in before.
+//! Detection of messages that were submitted before.
 //!
-//! Does: remembers, for a session, the requests that its client may send once more ([`Recent`]), and, for all
-//! clients of a sender, identities that clients gave their messages themselves ([`Seen`]), both in bounded memory.
-//! Decides: whether a message is new, the same as one before, or can't be told ([`Verdict`]). It errs on one side
-//! only: what may have been forgotten is never called new.
-//! Never: reads a clock, knows a protocol, or keeps a message.
+//! [`Recent`] remembers the requests that the client of a session may send again; [`Seen`] remembers the
+//! identities that all clients of a sender gave their messages themselves. Both use bounded memory. The
+//! result is a [`Verdict`]: new, the same as an earlier message, or unknown. A message that may have been
+//! forgotten is never called new.
+//!
+//! The library reads no clock, knows no protocol and keeps no messages.
 
 #![forbid(unsafe_code)]
 
@@ -14,13 +15,13 @@
 pub use recent::{Handle, Recent};
 pub use seen::{Name, Seen, digest};
 
-/// Whether a message was handed in before.
+/// Whether a message was submitted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Surely not.
+    /// The message was not submitted before.
     New,
-    /// It is this one.
+    /// The message is the one with this number.
     Same(u64),
-    /// What would tell was forgotten.
+    /// The memory that would decide it was dropped.
     Unsure,
 }
--- a/crates/seen/src/recent.rs
+++ b/crates/seen/src/recent.rs
@@ -1,21 +1,21 @@
-//! What a session's client may send once more after its connection was lost: a ring of its latest requests.
+//! A ring of the latest requests of a session, which its client may send again after a lost connection.
 //!
-//! Acknowledgements go out in the order of the requests, so what a client has not heard is the end of what it sent,
-//! at most as long as its window. A ring of one window is therefore all that is needed; a client that had more out
-//! than that is told so ([`Verdict::Unsure`]), never taken for new.
+//! Acknowledgements are sent in the order of the requests, so the requests without an acknowledgement are the
+//! last ones sent, at most one window. A ring of one window is therefore sufficient. A client that had more
+//! requests outstanding gets [`Verdict::Unsure`]; its repeats are never taken for new requests.
 
 use crate::Verdict;
 use std::collections::VecDeque;
 
-/// What marks a request of a session.
+/// The properties that identify a request within a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Handle {
-    /// The protocol's own number; used again once its request is over.
+    /// The protocol's number of the request; reused once the request is complete.
     pub packet: u16,
-    /// A digest of what was sent: tells two requests under the same number apart, where the second never arrived
-    /// the first time.
+    /// The digest of the request. It distinguishes two requests with the same number where the second never
+    /// arrived the first time.
     pub digest: u64,
-    /// The client says that it may have sent it before.
+    /// Whether the client marked the request as possibly sent before.
     pub again: bool,
 }
 
@@ -28,17 +28,17 @@
 }
 
 impl Recent {
-    /// For a session with so many requests out at once.
+    /// Returns an empty ring for a session with at most `room` outstanding requests.
     pub fn new(room: usize) -> Self {
         Recent { ring: VecDeque::new(), room: room.max(1), forgot: false }
     }
 
-    /// Whether a request was handed in before in this session.
+    /// Returns whether a request was submitted before in this session.
     pub fn find(&self, handle: Handle) -> Verdict {
         if !handle.again {
             return Verdict::New;
         }
-        // The latest under this number counts; earlier ones are over.
+        // Only the latest request with this number counts; earlier ones are complete.
         match self.ring.iter().rev().find(|(packet, ..)| *packet == handle.packet) {
             Some((_, digest, id)) if *digest == handle.digest => Verdict::Same(*id),
             Some(_) => Verdict::New,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A request was taken on as this message.
+    /// Records that a request was accepted as message `id`.
     pub fn add(&mut self, handle: Handle, id: u64) {
         self.ring.push_back((handle.packet, handle.digest, id));
         while self.ring.len() > self.room {
@@ -56,17 +56,17 @@
         }
     }
 
-    /// All that is remembered, oldest first.
+    /// Returns the recorded requests (number, digest and message), oldest first.
     pub fn all(&self) -> impl Iterator<Item = (u16, u64, u64)> + '_ {
         self.ring.iter().copied()
     }
 
-    /// Requests remembered.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
         self.ring.len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.ring.is_empty()
     }
@@ -77,18 +77,22 @@
     use super::*;
 
     #[test]
-    fn a_request_sent_again_is_the_same_only_where_all_fits() {
+    fn a_repeat_is_recognised_by_number_and_digest() {
         let h = |packet, digest, again| Handle { packet, digest, again };
         let mut r = Recent::new(2);
         r.add(h(1, 10, false), 100);
         assert_eq!(r.find(h(1, 10, true)), Verdict::Same(100));
         assert_eq!(r.find(h(1, 10, false)), Verdict::New, "the client says it is new");
-        assert_eq!(r.find(h(1, 11, true)), Verdict::New, "another message that never came the first time");
-        assert_eq!(r.find(h(2, 10, true)), Verdict::New, "nothing was forgotten yet");
+        assert_eq!(r.find(h(1, 11, true)), Verdict::New, "another message, whose first copy never arrived");
+        assert_eq!(r.find(h(2, 10, true)), Verdict::New, "nothing was dropped yet");
         r.add(h(1, 11, false), 101);
-        assert_eq!(r.find(h(1, 10, true)), Verdict::New, "the number was used again: the first is over");
+        assert_eq!(
+            r.find(h(1, 10, true)),
+            Verdict::New,
+            "the number was reused: the first request is complete"
+        );
         r.add(h(2, 12, false), 102);
-        assert_eq!(r.find(h(3, 10, true)), Verdict::Unsure, "it may have been among the forgotten");
+        assert_eq!(r.find(h(3, 10, true)), Verdict::Unsure, "it may be one of those dropped");
         assert_eq!(r.find(h(2, 12, true)), Verdict::Same(102));
         assert_eq!(r.len(), 2);
     }
