--- a/crates/held/src/release.rs
+++ b/crates/held/src/release.rs
@@ -63,8 +63,7 @@
         self.rate
     }
 
-    /// Returns how many messages may be released now; each release is to be reported with
-    /// [`Release::let_go`].
+    /// Returns how many messages may be released now. Each release must be recorded.
     pub fn may(&mut self, now: Micros) -> usize {
         if now >= self.next {
             self.adjust_rate(now);
--- a/crates/journal/benches/journal.rs
+++ b/crates/journal/benches/journal.rs
@@ -1,5 +1,5 @@
-//! What durability costs: this journal, a raw append and sync, and redb, with the same entries on the same disk in
-//! one run; recovery and memory by open messages; the pause of a snapshot.
+//! The cost of durability: this journal, a plain append and sync, and redb, with the same entries on the same
+//! disk in one run; recovery time and memory by the number of open messages; the duration of a snapshot.
 //!
 //! `cargo bench -p heronroute-journal --bench journal`
 
@@ -35,8 +35,8 @@
     .into()
 }
 
-/// One message's life: four entries.
-fn life(id: u64) -> [Entry; 4] {
+/// The four entries of one message.
+fn message_entries(id: u64) -> [Entry; 4] {
     let at = 1_796_083_200_000_000;
     [
         accepted(id),
@@ -46,14 +46,15 @@
     ]
 }
 
-fn resident() -> f64 {
+fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|p| p.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
 
 fn commits(batch: u64, rounds: u64) {
-    let entries =
-        |round: u64| -> Vec<Entry> { (0..batch).flat_map(|i| life(1 + round * batch + i)).collect() };
+    let entries = |round: u64| -> Vec<Entry> {
+        (0..batch).flat_map(|i| message_entries(1 + round * batch + i)).collect()
+    };
     let per_second = |start: Instant| rounds as f64 * batch as f64 / start.elapsed().as_secs_f64();
     let mut journal =
         Journal::open(Dir::open(&folder("bench-journal")).expect("dir"), Limits::default()).expect("journal");
@@ -82,8 +83,8 @@
             for i in 0..batch {
                 let id = 1 + r * batch + i;
                 let mut out = Vec::new();
-                // In place of four entries: the message in, its state twice over, the message out.
-                for e in &life(id)[..3] {
+                // The equivalent of the four entries: the message is inserted, updated twice and removed.
+                for e in &message_entries(id)[..3] {
                     frame::write(id, 0, std::slice::from_ref(e), &mut out);
                     t.insert(id, out.as_slice()).expect("insert");
                 }
@@ -108,11 +109,11 @@
         let path = folder("bench-recover");
         let limits = Limits { least: 1 << 40, most: 1 << 40, ..Limits::default() };
         let mut journal = Journal::open(Dir::open(&path).expect("dir"), limits).expect("journal");
-        let before = resident();
+        let before = resident_bytes();
         for from in (0..n).step_by(10_000) {
             journal.commit(&(from..from + 10_000).map(accepted).collect::<Vec<_>>()).expect("commit");
         }
-        let memory = (resident() - before) / n as f64;
+        let memory = (resident_bytes() - before) / n as f64;
         drop(journal);
         let start = Instant::now();
         let mut journal = Journal::open(Dir::open(&path).expect("dir"), limits).expect("journal");
@@ -127,7 +128,7 @@
         let again = start.elapsed().as_secs_f64();
         println!(
             "{n:>8} open: recovery from the log {log:.3} s ({:.0}/s), from a snapshot {again:.3} s ({:.0}/s), the \
-             snapshot took {snapshot:.3} s on the journal's thread, {memory:.0} octets a message in the book",
+             snapshot took {snapshot:.3} s on the journal's thread, {memory:.0} bytes a message in the state",
             n as f64 / log,
             n as f64 / again
         );
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -8,24 +8,27 @@
 //! disk is full or slow.
 //!
 //! For replication, a journal chains its entries by digests ([`chain`]), reads its log and newest snapshot
-//! from any position, and can be replaced by the snapshot of another journal ([`Base`]).
+//! from any position, and can be replaced by the snapshot of another journal.
 //!
 //! The library reads no clock, starts no thread and knows no protocol. Storage is a trait: [`dir`] implements
 //! it on a directory, [`disk`] as a simulated disk with faults.
 
 #![forbid(unsafe_code)]
 
+#[path = "state.rs"]
 pub mod book;
 pub mod chain;
 pub mod dir;
 pub mod disk;
 pub mod entry;
 pub mod frame;
+#[path = "takeovers.rs"]
 pub mod heirs;
 mod log;
 mod reader;
 mod repair;
 mod replacement;
+#[path = "admission.rs"]
 pub mod shed;
 pub mod timeline;
 pub mod tool;
--- a/crates/journal/src/replacement.rs
+++ b/crates/journal/src/replacement.rs
@@ -51,7 +51,7 @@
     /// disk.
     ///
     /// # Errors
-    /// As [`Journal::base_begin`]; the snapshot can't be continued then.
+    /// As at the start; the snapshot can't be continued then.
     pub fn base_part(&mut self, base: &mut Base, entries: &[Entry]) -> Result<(), JournalError> {
         base.size += self.write_part(base.written, entries)?;
         if base.size > self.limits.most {
--- a/crates/journal/src/heirs.rs
+++ b/crates/journal/src/takeovers.rs
@@ -13,27 +13,27 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct InProgress {
     whole: bool,
-    heirs: Vec<Heir>,
+    messages: Vec<Heir>,
 }
 
 /// The takeovers of dead members, in progress and completed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Heirs {
     in_progress: BTreeMap<String, InProgress>,
-    own: VecDeque<String>,
+    completed: VecDeque<String>,
 }
 
 impl Heirs {
     /// Returns whether the takeover of `origin`, one life of a member, is completed.
     pub fn own(&self, origin: &str) -> bool {
-        self.own.iter().any(|o| o == origin)
+        self.completed.iter().any(|o| o == origin)
     }
 
     /// Returns the takeovers that are recorded completely but not yet effective: the origin, its open
     /// messages and its held messages.
     pub fn whole(&self) -> impl Iterator<Item = (&str, Vec<Open>, Vec<Held>)> {
         self.in_progress.iter().filter(|(_, t)| t.whole).map(|(origin, t)| {
-            let (open, held) = into_messages(t.heirs.clone());
+            let (open, held) = into_messages(t.messages.clone());
             (origin.as_str(), open, held)
         })
     }
@@ -43,16 +43,16 @@
         if self.own(origin) {
             return;
         }
-        self.own.push_back(origin.to_string());
-        while self.own.len() > MAX_COMPLETED {
-            self.own.pop_front();
+        self.completed.push_back(origin.to_string());
+        while self.completed.len() > MAX_COMPLETED {
+            self.completed.pop_front();
         }
     }
 
     /// Adds a message of an origin whose takeover is in progress.
     pub(crate) fn add(&mut self, heir: &Heir) {
         if let Some(takeover) = self.in_progress.get_mut(&heir.origin) {
-            takeover.heirs.push(heir.clone());
+            takeover.messages.push(heir.clone());
         }
     }
 
@@ -68,7 +68,7 @@
             Step::Void => _ = self.in_progress.remove(origin),
             Step::Own => {
                 self.add_own(origin);
-                return into_messages(self.in_progress.remove(origin).unwrap_or_default().heirs);
+                return into_messages(self.in_progress.remove(origin).unwrap_or_default().messages);
             }
         }
         Default::default()
@@ -79,19 +79,19 @@
         let step = |origin: &str, step: Step| {
             What::Inherited(Inherited { origin: origin.to_string(), step: step.into() }).into()
         };
-        let own = self.own.iter().map(move |o| step(o, Step::Own));
+        let completed = self.completed.iter().map(move |o| step(o, Step::Own));
         let in_progress = self.in_progress.iter().flat_map(move |(origin, t)| {
-            let heirs = t.heirs.iter().map(|h| What::Heir(Box::new(h.clone())).into());
+            let messages = t.messages.iter().map(|h| What::Heir(Box::new(h.clone())).into());
             let whole = t.whole.then(|| step(origin, Step::Whole));
-            std::iter::once(step(origin, Step::Begun)).chain(heirs).chain(whole)
+            std::iter::once(step(origin, Step::Begun)).chain(messages).chain(whole)
         });
-        own.chain(in_progress)
+        completed.chain(in_progress)
     }
 }
 
-fn into_messages(heirs: Vec<Heir>) -> (Vec<Open>, Vec<Held>) {
+fn into_messages(messages: Vec<Heir>) -> (Vec<Open>, Vec<Held>) {
     let (mut open, mut held) = (Vec::new(), Vec::new());
-    for heir in heirs {
+    for heir in messages {
         held.extend(heir.held);
         let Some(accepted) = heir.accepted else { continue };
         let (attempts, may_run, answer) = (heir.attempts, heir.may_run, heir.answer);
--- a/crates/journal/tests/copy.rs
+++ b/crates/journal/tests/copy.rs
@@ -1,5 +1,6 @@
-//! What a copy needs of a journal: entries read again from any number on while it is written, the newest snapshot, a chain
-//! that outlives openings, and a beginning from another's book.
+//! What replication needs of a journal: reading entries from any number on while it is written, reading the
+//! newest snapshot, a digest chain that survives reopening, and replacement by the snapshot of another
+//! journal.
 
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::entry::*;
@@ -14,12 +15,12 @@
     (0..n).map(|id| if id % 3 == 2 { What::Taken(Taken { id: id - 1 }).into() } else { one(id) }).collect()
 }
 
-fn decoded(octets: &[u8]) -> Vec<Entry> {
-    frame::pieces(octets).map(|e| Entry::decode(e).unwrap()).collect()
+fn decoded(bytes: &[u8]) -> Vec<Entry> {
+    frame::pieces(bytes).map(|e| Entry::decode(e).unwrap()).collect()
 }
 
 #[test]
-fn the_log_is_read_from_any_number_on_while_it_grows() {
+fn the_log_can_be_read_from_any_number_while_it_grows() {
     let all = entries(400);
     let mut journal = Journal::open_chained(Disk::default(), SMALL).unwrap();
     let (mut cursor, mut have) = (Cursor::default(), 0);
@@ -34,7 +35,7 @@
                     assert!(run.count > 0 || have == journal.durable());
                     have = to as u64;
                 }
-                // A snapshot dropped it: there is no more of it from the beginning either.
+                // A snapshot removed it: a new cursor doesn't find it either.
                 None => {
                     assert!(journal.read(&mut Cursor::default(), have, most).unwrap().is_none());
                     dropped += 1;
@@ -53,11 +54,11 @@
         }
     }
     assert!(dropped > 2 && journal.usage().snapshots > 2);
-    assert!(journal.read(&mut cursor, 401, 1).unwrap().is_none(), "it is not there yet");
+    assert!(journal.read(&mut cursor, 401, 1).unwrap().is_none(), "not written yet");
 }
 
 #[test]
-fn the_chain_outlives_openings_and_snapshots() {
+fn the_chain_survives_reopening_and_snapshots() {
     let all = entries(3_000);
     let mut journal = Journal::open_chained(Disk::default(), SMALL).unwrap();
     let whole = {
@@ -71,8 +72,8 @@
         journal = Journal::open_chained(journal.into_storage(), SMALL).unwrap();
         assert_eq!(journal.chain(), before.as_ref());
     }
-    assert_eq!(journal.chain(), Some(&whole), "whatever the commits and snapshots were");
-    // A life without copies loses it, and it begins anew.
+    assert_eq!(journal.chain(), Some(&whole), "the chain depends on the entries alone");
+    // A process that runs without replication drops the chain, and a new one begins afterwards.
     let mut plain = Journal::open(journal.into_storage(), SMALL).unwrap();
     plain.snapshot().unwrap();
     let journal = Journal::open_chained(plain.into_storage(), SMALL).unwrap();
@@ -80,7 +81,7 @@
     assert_eq!(journal.chain().unwrap().digest(1_024), None);
 }
 
-/// Copies the newest snapshot in pieces.
+/// Copies the newest snapshot in parts.
 fn copy(from: &Journal<Disk>, to: &mut Journal<Disk>) -> Result<(), JournalError> {
     let (mut cursor, mut at, mut base) = (Cursor::default(), 0, None);
     loop {
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_journal_begins_anew_from_a_book_whole_or_not_at_all() {
+fn a_journal_is_replaced_by_a_snapshot_completely_or_not_at_all() {
     let all = entries(200);
     let mut origin = Journal::open_chained(Disk::default(), SMALL).unwrap();
     origin.commit(&all).unwrap();
@@ -118,7 +119,7 @@
     for power in steps + 1..steps + 60 {
         let mut disk = fresh().into_storage();
         disk.faults = Faults { power, ..Faults::default() };
-        // Opening takes steps of its own: power may go there too.
+        // Power may also be lost while the journal is opened.
         let Ok(mut to) = Journal::open_chained(disk, SMALL) else { continue };
         let done = copy(&origin, &mut to).is_ok();
         for how in 0..8 {
@@ -134,5 +135,5 @@
     copy(&origin, &mut to).unwrap();
     to.commit(&all[..5]).unwrap();
     assert_eq!(to.durable(), 205);
-    assert!(copy(&origin, &mut to).is_err(), "it would forget what it has");
+    assert!(copy(&origin, &mut to).is_err(), "the snapshot has fewer entries than the journal");
 }
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Power is lost at every step of seeded workloads, and again in recovery: what was called durable is there, and
-//! nothing is there that was never written.
+//! Power is lost at every step of seeded workloads, and again during recovery: all entries reported as
+//! durable are present, and no others than those written.
 
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::entry::*;
@@ -9,7 +9,7 @@
 
 const SMALL: Limits = Limits { segment: 600, growth: 2, least: 1_500, most: 1 << 20 };
 
-/// A workload: batches of entries as a sender writes them.
+/// Generates batches of entries as a sender writes them.
 fn workload(seed: u64, batches: usize) -> Vec<Vec<Entry>> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut below = move |n: u64| random.next_u64() % n;
@@ -88,7 +88,7 @@
     list
 }
 
-/// The books after each batch; the first is empty.
+/// Returns the states after each number of batches; the first is empty.
 fn books(batches: &[Vec<Entry>]) -> Vec<Book> {
     let mut book = Book::default();
     let mut list = vec![book.clone()];
@@ -109,13 +109,13 @@
         && a.applied == b.applied
 }
 
-/// Runs a workload until the disk goes dark; gives how many batches were called durable, and the disk.
+/// Runs a workload until power is lost; returns how many batches were reported as durable, and the disk.
 fn run(batches: &[Vec<Entry>], disk: Disk) -> (usize, Disk) {
     let mut durable = 0;
     let Ok(mut journal) = Journal::open(disk.clone(), SMALL) else {
-        // Dark while opening: replay the steps to have the disk as it was then.
+        // Power was lost while opening: repeats the steps to get the disk as it was then.
         let mut d = disk;
-        _ = Journal::open(Probe(&mut d), SMALL);
+        _ = Journal::open(BorrowedDisk(&mut d), SMALL);
         return (0, d);
     };
     for b in batches {
@@ -127,11 +127,11 @@
     (durable, journal.into_storage())
 }
 
-/// Storage by reference, so that the disk survives a failed opening.
+/// Storage by reference, so that the disk can be used after a failed opening.
 #[derive(Debug)]
-struct Probe<'a>(&'a mut Disk);
+struct BorrowedDisk<'a>(&'a mut Disk);
 
-impl Storage for Probe<'_> {
+impl Storage for BorrowedDisk<'_> {
     fn list(&self) -> std::io::Result<Vec<String>> {
         self.0.list()
     }
@@ -141,8 +141,8 @@
     fn create(&mut self, name: &str) -> std::io::Result<()> {
         self.0.create(name)
     }
-    fn append(&mut self, name: &str, octets: &[u8]) -> std::io::Result<()> {
-        self.0.append(name, octets)
+    fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
+        self.0.append(name, bytes)
     }
     fn truncate(&mut self, name: &str, length: u64) -> std::io::Result<()> {
         self.0.truncate(name, length)
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn power_lost_at_every_step_loses_nothing_that_was_durable() {
+fn power_loss_at_any_step_loses_no_durable_entry() {
     let mut runs = 0;
     for seed in 0..12 {
         let batches = workload(seed, 40);
@@ -177,20 +177,21 @@
             for how in 0..3 {
                 let found = disk.after_loss(seed * 1_000 + power * 10 + how);
                 let mut again = found.clone();
-                let journal = Journal::open(Probe(&mut again), SMALL)
+                let journal = Journal::open(BorrowedDisk(&mut again), SMALL)
                     .unwrap_or_else(|e| panic!("seed {seed} power {power} how {how}: {e}"));
-                // The batch under way when the power went may have made it whole.
+                // The batch under way when power was lost may be complete.
                 let fits = [durable, durable + 1]
                     .into_iter()
                     .any(|n| books.get(n).is_some_and(|b| same(b, journal.book())));
                 assert!(fits, "seed {seed} power {power} how {how}: {durable} batches were durable");
                 drop(journal);
                 runs += 1;
-                // Power is lost in the recovery itself, at some step of it, and comes back once more.
+                // Power is lost again at some step of the recovery.
                 let mut twice = found.clone();
                 twice.faults = Faults { power: 1 + (power + how) % 6, ..Faults::default() };
-                _ = Journal::open(Probe(&mut twice), SMALL);
-                let journal = Journal::open(twice.after_loss(power), SMALL).expect("after a second loss");
+                _ = Journal::open(BorrowedDisk(&mut twice), SMALL);
+                let journal =
+                    Journal::open(twice.after_loss(power), SMALL).expect("opens after a second loss");
                 assert!(
                     [durable, durable + 1]
                         .into_iter()
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn a_journal_goes_on_after_recovery() {
+fn a_journal_accepts_commits_after_recovery() {
     let batches = workload(3, 60);
     let books = books(&batches);
     let (durable, disk) = run(&batches[..30], Disk::new(Faults { power: 70, ..Faults::default() }));
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn a_torn_last_frame_is_cut_at_every_octet() {
+fn a_last_frame_torn_at_any_byte_is_cut_off() {
     let batches = workload(1, 6);
     let books = books(&batches);
     let limits = Limits { segment: 1 << 20, least: 1 << 20, ..SMALL };
@@ -243,7 +244,7 @@
 }
 
 #[test]
-fn a_broken_middle_is_refused_with_its_place() {
+fn damage_in_the_middle_is_refused_with_its_offset() {
     let batches = workload(1, 12);
     let limits = Limits { segment: 1 << 20, least: 1 << 20, ..SMALL };
     let mut journal = Journal::open(Disk::default(), limits).unwrap();
@@ -252,24 +253,24 @@
     }
     let name = "log-0000000000000000";
     let disk = journal.into_storage();
-    let octets = disk.read(name).unwrap();
-    let second = heronroute_journal::frame::read(&octets).unwrap().length;
-    for at in (second..octets.len() / 2).step_by(3) {
+    let bytes = disk.read(name).unwrap();
+    let second = heronroute_journal::frame::read(&bytes).unwrap().length;
+    for at in (second..bytes.len() / 2).step_by(3) {
         let mut broken = disk.clone();
         broken.truncate(name, 0).unwrap();
-        let mut bad = octets.clone();
+        let mut bad = bytes.clone();
         bad[at] ^= 0x55;
         broken.append(name, &bad).unwrap();
         match Journal::open(broken, limits) {
             Err(JournalError::Broken { file, offset, .. }) => {
                 assert!(file == name && offset as usize <= at && offset > 0);
             }
-            other => panic!("octet {at}: {other:?}"),
+            other => panic!("byte {at}: {other:?}"),
         }
     }
     let mut newer = disk.clone();
     newer.truncate(name, 0).unwrap();
-    let mut v = octets.clone();
+    let mut v = bytes.clone();
     v[4] = 9;
     let crc = heronroute_journal::frame::checksum(&v[..second]);
     v[12..16].copy_from_slice(&crc.to_le_bytes());
@@ -278,7 +279,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_goes_on() {
+fn a_full_disk_refuses_commits_and_recovers() {
     let mut journal = Journal::open(Disk::new(Faults { room: 4_000, ..Faults::default() }), SMALL).unwrap();
     let mut full = 0;
     let mut book = Book::default();
@@ -290,17 +291,17 @@
         }
         assert!(same(journal.book(), &book));
     }
-    assert!(full > 0, "it was full");
+    assert!(full > 0, "the disk was never full");
     let mut disk = journal.into_storage();
     disk.faults.room = 0;
-    assert!(same(Journal::open(disk, SMALL).unwrap().book(), &book), "as it was, refusals and all");
+    assert!(same(Journal::open(disk, SMALL).unwrap().book(), &book), "the state without the refused commits");
 }
 
 #[test]
-fn space_is_reclaimed_though_a_straggler_stays_open() {
-    let straggler = What::Accepted(Accepted { id: 1, body: vec![1; 50], ..Accepted::default() });
+fn space_is_reclaimed_while_an_old_message_stays_open() {
+    let old_message = What::Accepted(Accepted { id: 1, body: vec![1; 50], ..Accepted::default() });
     let mut journal = Journal::open(Disk::default(), SMALL).unwrap();
-    journal.commit(&[straggler.into()]).unwrap();
+    journal.commit(&[old_message.into()]).unwrap();
     for id in 2..2_000 {
         let accepted = What::Accepted(Accepted { id, body: vec![2; 50], ..Accepted::default() });
         journal.commit(&[accepted.into(), What::Taken(Taken { id }).into()]).unwrap();
@@ -313,8 +314,8 @@
 fn a_second_process_is_refused() {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("lock-test");
     let first = heronroute_journal::dir::Dir::open(&path).unwrap();
-    let told = heronroute_journal::dir::Dir::open(&path).unwrap_err().to_string();
-    assert!(told.contains("another process has this journal"), "{told}");
+    let error = heronroute_journal::dir::Dir::open(&path).unwrap_err().to_string();
+    assert!(error.contains("another process has this journal"), "{error}");
     drop(first);
     let dir = heronroute_journal::dir::Dir::open(&path).unwrap();
     let mut journal = Journal::open(dir, SMALL).unwrap();
--- a/crates/journal/tests/failing.rs
+++ b/crates/journal/tests/failing.rs
@@ -1,31 +1,31 @@
-//! Storage that fails for a while, at every step and for spans of steps: nothing that was durable is lost, none of what a
-//! failed commit holds counts, and the same commit is taken once the storage works again.
+//! Storage that fails for a while, at every step and for ranges of steps: no durable entry is lost, no entry
+//! of a failed commit counts, and a retry succeeds once the storage works again.
 
 use heronroute_journal::disk::{Disk, Failing, Faults};
 use heronroute_journal::entry::{Accepted, Taken, What};
 use heronroute_journal::{Book, Entry, Journal, Limits, Storage};
 use std::io;
 
-/// Small enough that segments and snapshots follow each other quickly.
+/// Small enough that new segments and snapshots are frequent.
 const LIMITS: Limits = Limits { segment: 600, growth: 2, least: 1_500, most: 100_000 };
-/// Commits of a run.
+/// The number of commits in a run.
 const BATCHES: u64 = 30;
-/// A commit is tried this often at most.
-const TRIES: usize = 60;
+/// The maximum number of attempts at a commit.
+const MAX_ATTEMPTS: usize = 60;
 
 fn batches() -> Vec<Vec<Entry>> {
     let batch = |n: u64| {
         let accepted = What::Accepted(Accepted { id: n, body: vec![n as u8; 60], ..Accepted::default() });
-        let mut entries = vec![Entry::from(accepted)];
+        let mut enattempts = vec![Entry::from(accepted)];
         if n > 6 {
-            entries.push(What::Taken(Taken { id: n - 6 }).into());
+            enattempts.push(What::Taken(Taken { id: n - 6 }).into());
         }
-        entries
+        enattempts
     };
     (1..=BATCHES).map(batch).collect()
 }
 
-/// The book after each number of batches.
+/// Returns the states after each number of batches.
 fn books(batches: &[Vec<Entry>]) -> Vec<Book> {
     let mut book = Book::default();
     let mut all = vec![book.clone()];
@@ -40,20 +40,21 @@
     book.open.keys().copied().collect()
 }
 
-fn opened(disk: Disk) -> Book {
+fn reopened_state(disk: Disk) -> Book {
     Journal::open(disk, LIMITS).expect("the disk works").book().clone()
 }
 
-/// Commits all batches, each until it is taken. Checks at each failure, and at the end, what a loss of power would leave.
+/// Commits all batches, retrying each until it succeeds. Checks at each failure, and after each batch, what
+/// would be found after a loss of power.
 fn run(faults: Faults) {
     let batches = batches();
     let books = books(&batches);
     let Ok(mut journal) = Journal::open(Disk::new(faults), LIMITS) else { return };
     for (count, batch) in batches.iter().enumerate() {
-        let mut tries = 0;
+        let mut attempts = 0;
         while let Err(error) = journal.commit(batch) {
-            tries += 1;
-            assert!(tries < TRIES, "{faults:?}: batch {count} is never taken: {error}");
+            attempts += 1;
+            assert!(attempts < MAX_ATTEMPTS, "{faults:?}: batch {count} is never committed: {error}");
             assert_eq!(
                 open_ids(journal.book()),
                 open_ids(&books[count]),
@@ -64,7 +65,7 @@
         for seed in 1..4 {
             let disk = journal.storage().after_loss(seed);
             assert_eq!(
-                open_ids(&opened(disk)),
+                open_ids(&reopened_state(disk)),
                 open_ids(&books[count + 1]),
                 "{faults:?}: batch {count} is lost"
             );
@@ -78,9 +79,9 @@
     journal.into_storage().steps
 }
 
-/// Guards against a process that ends, or a message that is lost, as writes or syncs fail for a while.
+/// Writes or syncs that fail for a while must neither end the process nor lose a message.
 #[test]
-fn storage_that_fails_for_a_while_loses_nothing_and_is_used_again() {
+fn storage_that_fails_for_a_while_loses_nothing() {
     let all = steps_without_faults();
     assert!(all > 60, "{all}");
     for error in [io::ErrorKind::Other, io::ErrorKind::StorageFull] {
@@ -92,18 +93,19 @@
     }
 }
 
-/// Guards against a sync that is tried again: the second one succeeds and says nothing of what the first did not write.
+/// A failed sync must not be retried: the second one would succeed without writing the data that the first
+/// one lost.
 #[test]
-fn a_failed_sync_is_not_tried_again_and_its_entries_are_written_elsewhere() {
+fn a_failed_sync_is_not_retried_and_its_enattempts_are_written_elsewhere() {
     for sync in 1..=steps_without_faults() {
         run(Faults { sync, ..Faults::default() });
     }
 }
 
-/// Guards against entries in a segment that a snapshot stands in the place of: found by a loss of power at every step
-/// after a failure.
+/// After a failure, enattempts must not be written to a segment that a snapshot has already replaced. Power is
+/// lost at each of the steps that follow a failure.
 #[test]
-fn a_loss_of_power_after_a_failure_loses_nothing() {
+fn power_loss_after_a_failure_loses_nothing() {
     let batches = batches();
     let books = books(&batches);
     let all = steps_without_faults();
@@ -122,18 +124,18 @@
                 durable += 1;
             }
             for seed in 1..3 {
-                let found = open_ids(&opened(journal.storage().after_loss(seed)));
+                let found = open_ids(&reopened_state(journal.storage().after_loss(seed)));
                 let next = books.get(durable + 1).map(open_ids);
-                let known = found == open_ids(&books[durable]) || Some(found.clone()) == next;
-                assert!(known, "{faults:?}: {durable} batches were durable, found {found:?}");
+                let expected = found == open_ids(&books[durable]) || Some(found.clone()) == next;
+                assert!(expected, "{faults:?}: {durable} batches were durable, found {found:?}");
             }
         }
     }
 }
 
-/// The disk itself: what a failed sync did not write is gone with the power, whatever later syncs say.
+/// The simulated disk loses data whose sync failed, whatever later syncs return.
 #[test]
-fn the_disk_drops_what_a_failed_sync_did_not_write() {
+fn the_simulated_disk_loses_data_of_a_failed_sync() {
     let mut disk = Disk::new(Faults { sync: 3, ..Faults::default() });
     disk.create("f").unwrap();
     disk.append("f", b"abc").unwrap();
--- a/crates/journal/tests/timeline.rs
+++ b/crates/journal/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The time of a journal's entries over restarts.
+//! The journal's time across restarts.
 
 use heronroute_journal::entry::{Accepted, Intent, What};
 use heronroute_journal::timeline::{Anchor, Clocks, journal_time};
@@ -18,9 +18,9 @@
     Clocks { boot: boot.map(String::from), monotonic, wall }
 }
 
-/// Guards against time that follows a wall clock which is stepped while the process is down.
+/// The journal's time must not follow a wall clock that is stepped while the process is down.
 #[test]
-fn on_a_running_machine_only_its_own_clock_counts() {
+fn within_a_boot_only_the_monotonic_clock_counts() {
     let anchor = Anchor { boot: "b".into(), monotonic: 100, journal: 1_000 };
     for wall in [0, 1_000 - HOUR, 1_000, 1_000 + 2_000_000, 1_000 + HOUR] {
         let time = journal_time(Some(&anchor), &clocks(Some("b"), 5_000_100, wall), &book(900, 950));
@@ -28,14 +28,14 @@
     }
 }
 
-/// Guards against time that goes back behind what was written: a window for repeats would seem to be open again.
+/// Time must not go back before the newest entry: a window for repeats would seem to be open again.
 #[test]
-fn after_a_restart_of_the_machine_time_never_goes_back_behind_an_entry() {
+fn after_a_reboot_time_never_goes_back_before_an_entry() {
     let anchor = Anchor { boot: "b".into(), monotonic: 100, journal: 1_000 };
     let unknown = [clocks(Some("c"), 200, 500), clocks(None, 200, 500), clocks(Some("b"), 50, 500)];
     for clocks in unknown {
         for anchor in [Some(&anchor), None] {
-            // Without an anchor no run is the same.
+            // Without an anchor no boot is known to be the same.
             let time = journal_time(anchor, &clocks, &book(900, 950));
             assert_eq!(time, 950, "{clocks:?}");
         }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_anchor_that_is_cut_off_is_none() {
+fn a_truncated_anchor_is_rejected() {
     let anchor = Anchor { boot: "b-1".into(), monotonic: 12, journal: 34_567 };
     let text = anchor.text();
     assert_eq!(Anchor::read(&text), Some(anchor));
--- a/crates/seen/src/lib.rs
+++ b/crates/seen/src/lib.rs
@@ -1,9 +1,9 @@
 //! Detection of messages that were submitted before.
 //!
-//! [`Recent`] remembers the requests that the client of a session may send again; [`Seen`] remembers the
-//! identities that all clients of a sender gave their messages themselves. Both use bounded memory. The
-//! result is a [`Verdict`]: new, the same as an earlier message, or unknown. A message that may have been
-//! forgotten is never called new.
+//! A ring of recent requests remembers what the client of a session may send again; a table of names
+//! remembers the identities that all clients of a sender gave their messages themselves. Both use bounded
+//! memory. The result is a [`Verdict`]: new, the same as an earlier message, or unknown. A message that may
+//! have been forgotten is never called new.
 //!
 //! The library reads no clock, knows no protocol and keeps no messages.
 
