--- a/crates/held/src/grants.rs
+++ b/crates/held/src/grants.rs
@@ -23,13 +23,13 @@
     /// Show the message and its trail.
     See,
     /// Keep the message from being dropped or resubmitted.
-    Hold,
+    Keep,
     /// Resubmit the message.
     HandIn,
     /// Drop the message.
     GiveUp,
     /// State that the message was not received at its destination.
-    Vouch,
+    AttestNotReceived,
 }
 
 /// The access rights given by the settings.
@@ -56,14 +56,18 @@
     pub fn allows(&self, party: &Party, deed: Deed, client: u32, destination: i64) -> bool {
         match party {
             // A client has rights on its own messages, but can't state what was received elsewhere.
-            Party::Client(c) => *c == client && deed != Deed::Vouch && deed != Deed::Hold,
+            Party::Client(c) => *c == client && deed != Deed::AttestNotReceived && deed != Deed::Keep,
             Party::Partner(name) => {
                 let granted = self.partners.get(&(destination, name.clone()));
                 granted.is_some_and(|g| g.contains(&deed))
             }
             Party::Operator(name) => {
-                let always = matches!(deed, Deed::See | Deed::Hold);
-                always || self.operators.get(name).is_some_and(|g| g.contains(&deed) && deed != Deed::Vouch)
+                let always = matches!(deed, Deed::See | Deed::Keep);
+                always
+                    || self
+                        .operators
+                        .get(name)
+                        .is_some_and(|g| g.contains(&deed) && deed != Deed::AttestNotReceived)
             }
         }
     }
@@ -77,18 +81,18 @@
     fn parties_have_only_the_operations_granted() {
         let mut g = Grants::default();
         g.partner(7, "gym", Deed::See);
-        g.partner(7, "gym", Deed::Vouch);
+        g.partner(7, "gym", Deed::AttestNotReceived);
         g.operator("ada", Deed::HandIn);
-        g.operator("ada", Deed::Vouch);
-        let all = [Deed::See, Deed::Hold, Deed::HandIn, Deed::GiveUp, Deed::Vouch];
+        g.operator("ada", Deed::AttestNotReceived);
+        let all = [Deed::See, Deed::Keep, Deed::HandIn, Deed::GiveUp, Deed::AttestNotReceived];
         let may = |p: Party, client, destination| {
             all.into_iter().filter(|d| g.allows(&p, *d, client, destination)).collect::<Vec<_>>()
         };
         assert_eq!(may(Party::Client(1), 1, 7), [Deed::See, Deed::HandIn, Deed::GiveUp]);
         assert_eq!(may(Party::Client(1), 2, 7), []);
-        assert_eq!(may(Party::Partner("gym".into()), 1, 7), [Deed::See, Deed::Vouch]);
+        assert_eq!(may(Party::Partner("gym".into()), 1, 7), [Deed::See, Deed::AttestNotReceived]);
         assert_eq!(may(Party::Partner("gym".into()), 1, 8), []);
-        assert_eq!(may(Party::Operator("ada".into()), 1, 7), [Deed::See, Deed::Hold, Deed::HandIn]);
-        assert_eq!(may(Party::Operator("bo".into()), 1, 7), [Deed::See, Deed::Hold]);
+        assert_eq!(may(Party::Operator("ada".into()), 1, 7), [Deed::See, Deed::Keep, Deed::HandIn]);
+        assert_eq!(may(Party::Operator("bo".into()), 1, 7), [Deed::See, Deed::Keep]);
     }
 }
--- a/crates/held/src/store/resubmission.rs
+++ b/crates/held/src/store/resubmission.rs
@@ -69,7 +69,7 @@
 
     /// Records the statement of the destination's owner that a message was not received. Returns whether the
     /// message exists.
-    pub fn vouch(&mut self, now: Micros, id: u64) -> bool {
+    pub fn attest_not_received(&mut self, now: Micros, id: u64) -> bool {
         self.by_id.get_mut(&id).map(|f| f.not_seen = Some(now)).is_some()
     }
 }
