--- a/crates/fair/src/sketch.rs
+++ b/crates/fair/src/sketch.rs
@@ -130,9 +130,9 @@
             assert!(least <= *count && *count <= most, "{party}: {least} {count} {most}");
             assert!(most <= count + sketch.error());
         }
-        let heavy: Vec<u64> = sketch.heavy(0.02).into_iter().map(|h| h.party).collect();
-        assert!((0..5).all(|p| heavy.contains(&p)), "{heavy:?}");
-        assert!(heavy.len() <= 8, "too many other parties: {heavy:?}");
+        let parties: Vec<u64> = sketch.heavy(0.02).into_iter().map(|h| h.party).collect();
+        assert!((0..5).all(|p| parties.contains(&p)), "{parties:?}");
+        assert!(parties.len() <= 8, "too many other parties: {parties:?}");
         sketch.fade();
         assert_eq!(sketch.total(), 100_000);
         assert!(sketch.heavy(0.02).len() >= 5);
