--- a/crates/held/src/decide.rs
+++ b/crates/held/src/decide.rs
@@ -77,6 +77,7 @@
     Refused(Refusal),
 }
 
+/// Decides whether a message may be resubmitted, and until when it must be sent.
 pub fn decide(now: Micros, past: Past, ask: Ask) -> Decision {
     if past.delivered {
         return Decision::Refused(Refusal::Delivered);
--- a/crates/held/src/partitions.rs
+++ b/crates/held/src/partitions.rs
@@ -42,6 +42,7 @@
     Trails,
 }
 
+/// The kinds of limits that apply to held messages.
 pub(crate) const HELD_LIMITS: [LimitKind; 3] = [LimitKind::Age, LimitKind::Count, LimitKind::Octets];
 
 impl Parts {
@@ -89,6 +90,7 @@
 }
 
 impl ClientPartitions {
+    /// Returns the partitions and their limits.
     pub(crate) fn rooms(&self) -> impl Iterator<Item = (u32, PartRoom)> + '_ {
         self.rooms.iter().map(|(part, room)| (*part, *room))
     }
@@ -97,6 +99,7 @@
         self.rooms.is_empty()
     }
 
+    /// Returns the limits of a partition.
     pub(crate) fn room(&self, part: u32) -> PartRoom {
         self.rooms.get(&part).copied().unwrap_or_default()
     }
--- a/crates/held/src/prediction.rs
+++ b/crates/held/src/prediction.rs
@@ -36,8 +36,15 @@
                 after.insert(*part, *room);
             }
         }
-        let prediction =
-            Prediction { store: self, now, client, partitions, after, looks, out: PredictedDrops::default() };
+        let prediction = Prediction {
+            store: self,
+            now,
+            client,
+            partitions,
+            after,
+            remaining: looks,
+            out: PredictedDrops::default(),
+        };
         prediction.run()
     }
 }
@@ -50,7 +57,7 @@
     partitions: Option<&'a ClientPartitions>,
     /// The limits of the partitions as they would be.
     after: BTreeMap<u32, PartRoom>,
-    looks: usize,
+    remaining: usize,
     out: PredictedDrops,
 }
 
@@ -121,11 +128,11 @@
             if !over {
                 return;
             }
-            if self.looks == 0 {
+            if self.remaining == 0 {
                 self.out.more = true;
                 return;
             }
-            self.looks -= 1;
+            self.remaining -= 1;
             let Some(filed) = store.get(id).filter(|f| !f.under_way && !f.kept && !dropped.contains(&id))
             else {
                 continue;
@@ -161,13 +168,13 @@
         let mut moved_ids: Vec<u64> = Vec::new();
         for part in moved {
             let ids = self.partitions.into_iter().flat_map(|a| a.all(LimitKind::Trails, part));
-            moved_ids.extend(ids.take(self.looks.saturating_sub(moved_ids.len()) + 1));
+            moved_ids.extend(ids.take(self.remaining.saturating_sub(moved_ids.len()) + 1));
         }
-        if moved_ids.len() > self.looks {
+        if moved_ids.len() > self.remaining {
             self.out.more = true;
             return;
         }
-        self.looks -= moved_ids.len();
+        self.remaining -= moved_ids.len();
         let size = |id: &u64| store.get(*id).map_or(0, |f| f.size());
         let (mut count, mut octets) =
             (all.count + moved_ids.len(), all.octets + moved_ids.iter().map(size).sum::<u64>());
@@ -179,11 +186,11 @@
             if !old && count <= store.trails.count && octets <= store.trails.octets {
                 return;
             }
-            if self.looks == 0 {
+            if self.remaining == 0 {
                 self.out.more = true;
                 return;
             }
-            self.looks -= 1;
+            self.remaining -= 1;
             let filed = store.get(id);
             count -= 1;
             octets = octets.saturating_sub(filed.map_or(0, |f| f.size()));
--- a/crates/held/src/store/file.rs
+++ b/crates/held/src/store/file.rs
@@ -77,6 +77,7 @@
         Some(filed)
     }
 
+    /// Returns the partitions of a message.
     pub(in crate::store) fn parts(&self, client: u32, id: u64) -> Parts {
         self.partitions.get(&client).map_or(Parts::default(), |a| a.parts(id))
     }
--- a/crates/held/src/store/mod.rs
+++ b/crates/held/src/store/mod.rs
@@ -50,6 +50,7 @@
 }
 
 impl Store {
+    /// Returns an empty store with limits for all trails and for each client's held messages.
     pub fn new(trails: Room, held: Room) -> Self {
         Store {
             trails,
--- a/crates/journal/src/admission.rs
+++ b/crates/journal/src/admission.rs
@@ -28,6 +28,7 @@
 const RESUME_SHARE: f64 = 0.7;
 
 impl Shed {
+    /// Returns a control that accepts messages at first.
     pub fn new(marks: Marks) -> Self {
         Shed { marks, shedding: false }
     }
--- a/crates/journal/src/chain.rs
+++ b/crates/journal/src/chain.rs
@@ -108,6 +108,7 @@
         }
     }
 
+    /// Drops marks beyond their retention.
     fn drop_old_marks(&mut self) {
         // Measured from the last multiple of the step, so that encoding and decoding a chain doesn't change
         // it.
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -26,6 +26,7 @@
     pub from: u64,
     /// The last failing step.
     pub to: u64,
+    /// The error of the failing steps.
     pub error: io::ErrorKind,
 }
 
@@ -84,6 +85,7 @@
 }
 
 impl Disk {
+    /// Returns an empty disk with the given faults.
     pub fn new(faults: Faults) -> Self {
         Disk { faults, ..Disk::default() }
     }
--- a/crates/journal/src/entry.rs
+++ b/crates/journal/src/entry.rs
@@ -281,6 +281,7 @@
     /// The client, by system_id.
     #[prost(string, tag = "1")]
     pub client: String,
+    /// The answer.
     #[prost(message, optional, tag = "2")]
     pub answer: Option<Answer>,
     /// The source address of the message.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -61,11 +61,13 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Truncates a file to a length.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
+    /// Makes a file's contents durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
     /// Makes the directory durable: files that were created, renamed or removed.
     fn sync_names(&mut self) -> io::Result<()>;
     /// Renames a file; an existing file of the new name is replaced.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Returns a value that distinguishes this file from a copy put in its place; a rename keeps it. Returns
     /// `None` where the storage can't tell.
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -80,7 +80,7 @@
     #[error("the journal's storage failed: {0}")]
     Storage(#[from] io::Error),
     /// An earlier replacement of the contents by another journal's snapshot failed midway.
-    #[error("the journal has failed before and takes nothing more")]
+    #[error("the journal could not be replaced by another one and accepts nothing more")]
     Failed,
 }
 
@@ -97,6 +97,7 @@
     /// The digest chain now and at the newest snapshot; `None` where the journal is not replicated.
     pub(crate) chain: Option<Chain>,
     pub(crate) snap_chain: Option<Chain>,
+    /// The name and size of the current segment.
     pub(crate) segment: String,
     pub(crate) segment_size: u64,
     /// The damage to repair before the next write.
@@ -105,10 +106,13 @@
     log_size: u64,
     snap_size: u64,
     pub(crate) usage: Usage,
+    /// Whether the contents could not be replaced by another journal's snapshot: nothing more is accepted.
     pub(crate) failed: bool,
+    /// The buffer in which frames are encoded.
     pub(crate) out: Vec<u8>,
 }
 
+/// Returns the number in a file's name, which consists of the prefix and 16 hexadecimal digits.
 pub(crate) fn file_number(name: &str, prefix: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix(prefix)?, 16).ok().filter(|_| name.len() == prefix.len() + 16)
 }
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -160,6 +160,7 @@
         }
     }
 
+    /// Records a session's new state, or its end.
     fn update_session(&mut self, s: &Session) {
         let key = (s.client.clone(), s.name.clone());
         if s.expiry == 0 {
@@ -173,6 +174,7 @@
         kept.session = Session { latest: Vec::new(), ..s.clone() };
     }
 
+    /// Adds a message name, and drops expired names and those beyond the maximum.
     fn add_name(&mut self, named: Named, now: i64) {
         if named.id == 0 {
             // An entry without a message records until when dropped names would have been valid.
@@ -190,6 +192,7 @@
         }
     }
 
+    /// Keeps a final answer, and drops expired ones and those beyond the maximum.
     fn keep_final(&mut self, f: &Final) {
         let Some(answer) = &f.answer else { return };
         if let Some(before) = self.finals.insert(answer.id, f.clone()) {
--- a/crates/journal/src/takeovers.rs
+++ b/crates/journal/src/takeovers.rs
@@ -89,6 +89,7 @@
     }
 }
 
+/// Splits the messages of a takeover into open and held ones.
 fn into_messages(messages: Vec<Heir>) -> (Vec<Open>, Vec<Held>) {
     let (mut open, mut held) = (Vec::new(), Vec::new());
     for heir in messages {
--- a/crates/seen/src/recent.rs
+++ b/crates/seen/src/recent.rs
@@ -24,13 +24,13 @@
 pub struct Recent {
     ring: VecDeque<(u16, u64, u64)>,
     room: usize,
-    forgot: bool,
+    has_dropped: bool,
 }
 
 impl Recent {
     /// Returns an empty ring for a session with at most `room` outstanding requests.
     pub fn new(room: usize) -> Self {
-        Recent { ring: VecDeque::new(), room: room.max(1), forgot: false }
+        Recent { ring: VecDeque::new(), room: room.max(1), has_dropped: false }
     }
 
     /// Returns whether a request was submitted before in this session.
@@ -42,7 +42,7 @@
         match self.ring.iter().rev().find(|(packet, ..)| *packet == handle.packet) {
             Some((_, digest, id)) if *digest == handle.digest => Verdict::Same(*id),
             Some(_) => Verdict::New,
-            None if self.forgot => Verdict::Unsure,
+            None if self.has_dropped => Verdict::Unsure,
             None => Verdict::New,
         }
     }
@@ -52,7 +52,7 @@
         self.ring.push_back((handle.packet, handle.digest, id));
         while self.ring.len() > self.room {
             self.ring.pop_front();
-            self.forgot = true;
+            self.has_dropped = true;
         }
     }
 
--- a/crates/seen/src/seen.rs
+++ b/crates/seen/src/seen.rs
@@ -70,7 +70,7 @@
 struct Bucket {
     slots: [Slot; SLOTS],
     /// The second until which an entry dropped from this bucket would have been valid.
-    forgot: u32,
+    dropped_until: u32,
 }
 
 /// A table of the names seen.
@@ -79,7 +79,7 @@
     buckets: Vec<Bucket>,
     /// The time from which seconds are counted.
     origin: i64,
-    forgot: u32,
+    dropped_until: u32,
     seed: u64,
 }
 
@@ -89,7 +89,7 @@
     pub fn new(names: usize, now: i64, seed: u64) -> Self {
         // Filled to two thirds, hardly any bucket overflows.
         let buckets = (names.max(1) * 3 / 2).div_ceil(SLOTS).max(2);
-        Seen { buckets: vec![Bucket::default(); buckets], origin: now, forgot: 0, seed }
+        Seen { buckets: vec![Bucket::default(); buckets], origin: now, dropped_until: 0, seed }
     }
 
     /// Returns the size of the table in bytes.
@@ -111,15 +111,15 @@
     /// Returns whether a name was seen and is still valid.
     pub fn find(&self, now: i64, name: Name) -> Verdict {
         let second = self.second(now);
-        let mut forgot = self.forgot;
+        let mut dropped_until = self.dropped_until;
         for place in self.buckets_of(name) {
             let bucket = &self.buckets[place];
             if let Some(slot) = bucket.slots.iter().find(|s| s.until >= second && s.tag == name.high) {
                 return if slot.id == GIVEN_UP { Verdict::Unsure } else { Verdict::Same(slot.id) };
             }
-            forgot = forgot.max(bucket.forgot);
+            dropped_until = dropped_until.max(bucket.dropped_until);
         }
-        if forgot >= second { Verdict::Unsure } else { Verdict::New }
+        if dropped_until >= second { Verdict::Unsure } else { Verdict::New }
     }
 
     /// Records that a name was accepted as message `id`, valid until a time.
@@ -144,7 +144,7 @@
         let bucket = &mut self.buckets[place];
         let slot = &mut bucket.slots[at];
         if slot.until >= second && slot.tag != name.high {
-            bucket.forgot = bucket.forgot.max(slot.until);
+            bucket.dropped_until = bucket.dropped_until.max(slot.until);
         }
         *slot = Slot { tag: name.high, id, until };
     }
@@ -167,7 +167,7 @@
     pub fn forgot(&mut self, until: i64) {
         // Names that expired before this table began are irrelevant to it.
         if until >= self.origin {
-            self.forgot = self.forgot.max(self.second(until));
+            self.dropped_until = self.dropped_until.max(self.second(until));
         }
     }
 }
