--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::fail;
 use clap::Subcommand;
-use heronroute_journal::tool::{Survey, about, survey};
+use heronroute_journal::tool::{Inspection, inspect, message_of};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -66,21 +66,21 @@
     let mut well = true;
     let mut found = false;
     for folder in folders {
-        let s = match survey(&folder) {
+        let s = match inspect(&folder) {
             Ok(s) => s,
             Err(e) => return fail(2, format_args!("{}: {e}", folder.display())),
         };
-        well &= s.book.is_ok();
+        well &= s.state.is_ok();
         match look {
             Look::Verify { .. } | Look::Stats { .. } => show(&folder, &s, matches!(look, Look::Stats { .. })),
             Look::Dump { .. } => s.entries.iter().for_each(|(n, e)| println!("{n} {:?}", e.what)),
             Look::Inspect { .. } => {
-                let mine = |e: &heronroute_journal::Entry| about(e) == id;
+                let mine = |e: &heronroute_journal::Entry| message_of(e) == id;
                 for (n, e) in s.entries.iter().filter(|(_, e)| mine(e)) {
                     println!("{n} {:?}", e.what);
                     found = true;
                 }
-                if let Some(open) = s.book.as_ref().ok().and_then(|b| b.open.get(&id?)) {
+                if let Some(open) = s.state.as_ref().ok().and_then(|b| b.open.get(&id?)) {
                     println!("open: {open:?}");
                     found = true;
                 }
@@ -96,7 +96,7 @@
     if well { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
-fn show(folder: &Path, s: &Survey, all: bool) {
+fn show(folder: &Path, s: &Inspection, all: bool) {
     let name = folder.display();
     if all {
         for f in &s.files {
@@ -107,16 +107,16 @@
             );
         }
     }
-    match &s.book {
-        Ok(book) => {
-            let owed = book.open.values().filter(|o| o.answer.is_some()).count();
-            let out = book.open.values().filter(|o| o.answer.is_none() && o.out.is_some()).count();
+    match &s.state {
+        Ok(state) => {
+            let owed = state.open.values().filter(|o| o.answer.is_some()).count();
+            let out = state.open.values().filter(|o| o.answer.is_none() && o.out.is_some()).count();
             let torn = s.files.iter().any(|f| f.torn.is_some());
             println!(
                 "{name}: well{}; {} messages open, {out} of them with an attempt out, {owed} answers owed, {} places",
                 if torn { ", with an end that is torn or being written" } else { "" },
-                book.open.len() - owed,
-                book.places.len()
+                state.open.len() - owed,
+                state.places.len()
             );
         }
         Err(e) => println!("{name}: {e}"),
--- a/crates/cli/tests/fleet/disk.rs
+++ b/crates/cli/tests/fleet/disk.rs
@@ -19,7 +19,7 @@
 
 /// The rules that a sender has on disk.
 fn table(folder: &Path) -> String {
-    String::from_utf8(open(folder).book().applied["oduya"].rules.clone()).unwrap()
+    String::from_utf8(open(folder).state().applied["oduya"].rules.clone()).unwrap()
 }
 
 /// The rule in a sender's table is another one from its next start on.
@@ -28,7 +28,7 @@
     let altered = rules.replace("\"long\"", "\"lung\"");
     assert_ne!(altered, rules);
     let mut journal = open(folder);
-    let mut applied = journal.book().applied["oduya"].clone();
+    let mut applied = journal.state().applied["oduya"].clone();
     applied.rules = altered.into_bytes();
     journal.commit(&[Entry::from(What::Applied(applied))]).unwrap();
 }
--- a/crates/contracts/src/held/mod.rs
+++ b/crates/contracts/src/held/mod.rs
@@ -9,18 +9,18 @@
 use crate::ensure;
 use crate::suite::Clause;
 use heronroute_held::{
-    Decision, Dropped, Filed, Known, Micros, Page, Query, Refusal, Room, Store, Trail, What,
+    Decision, Dropped, KnownOutcome, MessageRecord, Micros, Page, Query, Refusal, Room, Store, Trail, What,
 };
 use model::Model;
 
 /// A store of trails and held messages.
 pub trait Held {
     /// Files a message; gives held ones that were dropped for it.
-    fn file(&mut self, now: Micros, id: u64, filed: Filed) -> Vec<u64>;
+    fn file(&mut self, now: Micros, id: u64, filed: MessageRecord) -> Vec<u64>;
     /// Takes one out.
-    fn take(&mut self, id: u64) -> Option<Filed>;
+    fn take(&mut self, id: u64) -> Option<MessageRecord>;
     /// One message.
-    fn get(&self, id: u64) -> Option<&Filed>;
+    fn get(&self, id: u64) -> Option<&MessageRecord>;
     /// Held messages and octets of a client, and what was dropped of its.
     fn of(&self, client: u32) -> (usize, u64, Dropped);
     /// A page of at most so many identities.
@@ -41,13 +41,13 @@
 }
 
 impl Held for Store {
-    fn file(&mut self, now: Micros, id: u64, filed: Filed) -> Vec<u64> {
+    fn file(&mut self, now: Micros, id: u64, filed: MessageRecord) -> Vec<u64> {
         Store::file(self, now, id, filed)
     }
-    fn take(&mut self, id: u64) -> Option<Filed> {
+    fn take(&mut self, id: u64) -> Option<MessageRecord> {
         Store::take(self, id)
     }
-    fn get(&self, id: u64) -> Option<&Filed> {
+    fn get(&self, id: u64) -> Option<&MessageRecord> {
         Store::get(self, id)
     }
     fn of(&self, client: u32) -> (usize, u64, Dropped) {
@@ -98,8 +98,8 @@
     at << 6
 }
 
-fn filed(client: u32, destination: i64, key: u64, held: bool) -> Filed {
-    Filed {
+fn filed(client: u32, destination: i64, key: u64, held: bool) -> MessageRecord {
+    MessageRecord {
         client,
         destination,
         class: 0,
@@ -108,7 +108,7 @@
         message: held.then(|| vec![1; 100].into()),
         under_way: false,
         kept: false,
-        not_seen: None,
+        not_received_at: None,
     }
 }
 
@@ -230,7 +230,7 @@
 fn ends(fresh: &Fresh) -> Result<(), String> {
     let mut s = fresh(WIDE, WIDE);
     let (mut trail, before) = (Trail::new(5, 0), filed(1, 1, 7, true));
-    trail.add(6, What::Ended(Known::Written), usize::MAX);
+    trail.add(6, What::Ended(KnownOutcome::Written), usize::MAX);
     s.file(0, id(1), before.clone());
     for _ in 0..2 {
         s.begin(3, id(1), 1, AGAIN).map_err(|e| format!("held again: {e:?}"))?;
@@ -262,11 +262,11 @@
     s.file(0, id(1), filed(1, 0, 0, true));
     s.file(0, id(2), filed(1, 0, 0, true));
     let before = s.of(1).1;
-    let steps = [(10, What::Began(3)), (12, What::Ended(Known::Refused)), (12, What::Answered(5))];
+    let steps = [(10, What::Began(3)), (12, What::Ended(KnownOutcome::Refused)), (12, What::Answered(5))];
     for (at, what) in steps {
         s.note(at, id(1), what);
     }
-    s.note(10, id(9), What::Heard);
+    s.note(10, id(9), What::AnswerConfirmed);
     let read = |at: u64| s.get(id(at)).and_then(|f| Trail::read(&f.trail)).ok_or("no trail");
     let told: Vec<(Micros, What)> = read(1)?.steps().collect();
     ensure!(told == steps, "{told:?}");
--- a/crates/contracts/src/held/model.rs
+++ b/crates/contracts/src/held/model.rs
@@ -1,6 +1,6 @@
 //! The plain map that a store is measured against.
 
-use heronroute_held::{Filed, Query};
+use heronroute_held::{MessageRecord, Query};
 use std::collections::BTreeMap;
 
 /// What was filed: client, destination, key, held.
@@ -8,7 +8,7 @@
 pub struct Model(BTreeMap<u64, (u32, i64, u64, bool)>);
 
 impl Model {
-    pub fn file(&mut self, id: u64, f: &Filed) {
+    pub fn file(&mut self, id: u64, f: &MessageRecord) {
         self.0.insert(id, (f.client, f.destination, f.key, f.message.is_some()));
     }
 
--- a/crates/contracts/src/held/wrong.rs
+++ b/crates/contracts/src/held/wrong.rs
@@ -1,7 +1,9 @@
 //! A right store with one fault.
 
 use super::Held;
-use heronroute_held::{Decision, Dropped, Filed, Micros, Page, Query, Refusal, Room, Store, Trail, What};
+use heronroute_held::{
+    Decision, Dropped, MessageRecord, Micros, Page, Query, Refusal, Room, Store, Trail, What,
+};
 
 /// What is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +51,7 @@
 }
 
 impl Held for Wrong {
-    fn file(&mut self, now: Micros, id: u64, filed: Filed) -> Vec<u64> {
+    fn file(&mut self, now: Micros, id: u64, filed: MessageRecord) -> Vec<u64> {
         let full = self.inner.of(filed.client).0 >= self.held.count;
         if self.is(Fault::NewestFirst) && self.held.count == 3 && full && filed.message.is_some() {
             return vec![id];
@@ -57,10 +59,10 @@
         let gone = self.inner.file(now, id, filed);
         if self.is(Fault::Mute) { Vec::new() } else { gone }
     }
-    fn take(&mut self, id: u64) -> Option<Filed> {
+    fn take(&mut self, id: u64) -> Option<MessageRecord> {
         self.inner.take(id)
     }
-    fn get(&self, id: u64) -> Option<&Filed> {
+    fn get(&self, id: u64) -> Option<&MessageRecord> {
         self.inner.get(id)
     }
     fn of(&self, client: u32) -> (usize, u64, Dropped) {
--- a/crates/contracts/src/ledger/power.rs
+++ b/crates/contracts/src/ledger/power.rs
@@ -58,7 +58,7 @@
         let shelf: Shelf = disk.clone();
         let mut log = done("open an empty folder", k.open(shelf, 1))?;
         let (told, tried) = script(&mut *log, big);
-        if !disk.borrow().dark() {
+        if !disk.borrow().power_lost() {
             return Ok(());
         }
         for seed in step..step + seeds {
--- a/crates/contracts/src/names/mod.rs
+++ b/crates/contracts/src/names/mod.rs
@@ -8,7 +8,7 @@
 use crate::dice::Dice;
 use crate::ensure;
 use crate::suite::Clause;
-use heronroute_seen::{Name, Seen, Verdict};
+use heronroute_seen::{Name, SeenNames, Verdict};
 use std::collections::BTreeMap;
 
 const SECOND: i64 = 1_000_000;
@@ -25,18 +25,18 @@
     fn size(&self) -> usize;
 }
 
-impl Names for Seen {
+impl Names for SeenNames {
     fn find(&self, now: i64, name: Name) -> Verdict {
-        Seen::find(self, now, name)
+        SeenNames::find(self, now, name)
     }
     fn add(&mut self, now: i64, name: Name, id: u64, until: i64) {
-        Seen::add(self, now, name, id, until);
+        SeenNames::add(self, now, name, id, until);
     }
     fn forgot(&mut self, until: i64) {
-        Seen::forgot(self, until);
+        SeenNames::forgot(self, until);
     }
     fn size(&self) -> usize {
-        Seen::size(self)
+        SeenNames::size(self)
     }
 }
 
--- a/crates/contracts/src/names/wrong.rs
+++ b/crates/contracts/src/names/wrong.rs
@@ -1,7 +1,7 @@
 //! A right memory of names with one fault.
 
 use super::Names;
-use heronroute_seen::{Name, Seen, Verdict};
+use heronroute_seen::{Name, SeenNames, Verdict};
 
 /// What is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 /// The memory with its fault.
 #[derive(Clone, Debug)]
 pub struct Wrong {
-    inner: Seen,
+    inner: SeenNames,
     fault: Fault,
     added: usize,
 }
@@ -35,7 +35,7 @@
 impl Wrong {
     /// For about so many names.
     pub fn new(names: usize, seed: u64, fault: Fault) -> Self {
-        Wrong { inner: Seen::new(names, 0, seed), fault, added: 0 }
+        Wrong { inner: SeenNames::new(names, 0, seed), fault, added: 0 }
     }
 
     fn name(&self, name: Name) -> Name {
--- a/crates/contracts/src/ship/power.rs
+++ b/crates/contracts/src/ship/power.rs
@@ -2,7 +2,7 @@
 
 use super::Shipping;
 use super::trouble::aside;
-use super::world::{SMALL, World, book, same, workload};
+use super::world::{SMALL, World, same, state, workload};
 use crate::ensure;
 use crate::suite::Clause;
 use heronroute_journal::disk::Faults;
@@ -148,8 +148,8 @@
         let whole = w
             .receiver
             .as_ref()
-            .and_then(|r| r.book())
-            .is_some_and(|(b, n)| n == 150 && same(b, &book(&copy)));
+            .and_then(|r| r.state())
+            .is_some_and(|(b, n)| n == 150 && same(b, &state(&copy)));
         if !whole {
             w.sound().map_err(|e| format!("power {power}: {e}"))?;
         }
@@ -158,7 +158,7 @@
         w.settle_well()?;
         w.complete().map_err(|e| format!("power {power}: {e}"))?;
         let kept = aside(&w)?.ok_or("nothing is kept aside")?;
-        ensure!(same(kept.book(), &book(&copy)), "power {power}: what is aside is not the old copy");
+        ensure!(same(kept.state(), &state(&copy)), "power {power}: what is aside is not the old copy");
     }
     ensure!(ends.iter().all(|n| *n > 1), "before and after: {ends:?}");
     Ok(())
--- a/crates/contracts/src/ship/trouble.rs
+++ b/crates/contracts/src/ship/trouble.rs
@@ -1,7 +1,7 @@
 //! What holds when disks are put back, fill up or fail, and lives overlap.
 
 use super::Shipping;
-use super::world::{SMALL, World, book, same, workload};
+use super::world::{SMALL, World, same, state, workload};
 use crate::ensure;
 use crate::suite::{Clause, done};
 use heronroute_journal::disk::Faults;
@@ -101,7 +101,7 @@
         );
         w.complete().map_err(|e| format!("{more} more: {e}"))?;
         let kept = aside(&w)?.ok_or("nothing is kept aside")?;
-        ensure!(same(kept.book(), &book(&copy)), "{more} more: what is aside is not the old copy");
+        ensure!(same(kept.state(), &state(&copy)), "{more} more: what is aside is not the old copy");
         // Once more: one is kept, and the next is not let go either.
         w.written.truncate(10);
         w.cut(true);
--- a/crates/contracts/src/ship/world.rs
+++ b/crates/contracts/src/ship/world.rs
@@ -7,7 +7,7 @@
 use heronroute_fleet::{Life, Name, Start};
 use heronroute_journal::disk::Disk;
 use heronroute_journal::entry::{Accepted, Answer, Intent, Named, Outcome, Place, Session, Taken, What};
-use heronroute_journal::{Book, Entry, Journal, Limits};
+use heronroute_journal::{Entry, Journal, JournalState, Limits};
 use heronroute_ship::wire::{self, Down, Message, Up};
 use heronroute_ship::{Bounds, Copying, Cursors, Notice, Origin, Receiver, Sender, Shipper, serve};
 use std::cell::RefCell;
@@ -90,18 +90,18 @@
 }
 
 /// The book that entries add up to.
-pub fn book(entries: &[Entry]) -> Book {
-    let mut book = Book::default();
-    entries.iter().for_each(|e| book.apply(e));
-    book
+pub fn state(entries: &[Entry]) -> JournalState {
+    let mut state = JournalState::default();
+    entries.iter().for_each(|e| state.apply(e));
+    state
 }
 
 /// Whether two books are the same, but for the number above all others: that is known of open messages alone.
-pub fn same(a: &Book, b: &Book) -> bool {
-    let plain = |book: &Book| {
-        let mut book = book.clone();
-        book.next_id = 0;
-        book
+pub fn same(a: &JournalState, b: &JournalState) -> bool {
+    let plain = |state: &JournalState| {
+        let mut state = state.clone();
+        state.next_id = 0;
+        state
     };
     plain(a) == plain(b)
 }
@@ -330,14 +330,14 @@
 
     /// How far the copy goes.
     pub fn copied(&self) -> u64 {
-        self.receiver.as_ref().and_then(|r| r.book()).map_or(0, |(_, next)| next)
+        self.receiver.as_ref().and_then(|r| r.state()).map_or(0, |(_, next)| next)
     }
 
     /// The copy is the origin's book at its number, and no less than what was said to be durable.
     pub fn sound(&self) -> Result<(), String> {
-        let Some((found, next)) = self.receiver.as_ref().and_then(|r| r.book()) else { return Ok(()) };
+        let Some((found, next)) = self.receiver.as_ref().and_then(|r| r.state()) else { return Ok(()) };
         ensure!(next as usize <= self.written.len(), "the copy has {next} of {} entries", self.written.len());
-        let right = book(&self.written[..next as usize]);
+        let right = state(&self.written[..next as usize]);
         ensure!(same(found, &right), "at {next} the copy's book is not the origin's");
         ensure!(self.durable().0 <= next, "{} are called durable, {next} are there", self.durable().0);
         Ok(())
--- a/crates/contracts/src/ship/wrong.rs
+++ b/crates/contracts/src/ship/wrong.rs
@@ -3,7 +3,7 @@
 use super::world::{Real, down, up};
 use super::{Shelf, Shipping};
 use crate::ledger::real::On;
-use heronroute_journal::{Book, Chain, Entry, Journal, Limits, Storage};
+use heronroute_journal::{Chain, Entry, Journal, JournalState, Limits, Storage};
 use heronroute_ship::wire::{self, Down, Message, Up};
 use heronroute_ship::{Bounds, Given, Notice, Origin, Receiver, Shipper, Want};
 use std::collections::VecDeque;
@@ -102,8 +102,8 @@
             let mut chain = self.marks.last().cloned().unwrap_or_default();
             let mut raw = Vec::new();
             heronroute_journal::frame::write(0, 0, std::slice::from_ref(e), &mut raw);
-            let raw = &raw[heronroute_journal::frame::HEAD..];
-            heronroute_journal::frame::pieces(raw).for_each(|raw| chain.push(raw));
+            let raw = &raw[heronroute_journal::frame::HEADER_SIZE..];
+            heronroute_journal::frame::encoded_entries(raw).for_each(|raw| chain.push(raw));
             self.marks.push(chain);
         }
         self.inner.wrote(now, first, entries);
@@ -253,8 +253,8 @@
             _ => Some(octets),
         }
     }
-    fn book(&self) -> Option<(&Book, u64)> {
-        self.inner.book()
+    fn state(&self) -> Option<(&JournalState, u64)> {
+        self.inner.state()
     }
     fn notice(&mut self) -> Option<Notice> {
         self.inner.notice()
--- a/crates/contracts/tests/names.rs
+++ b/crates/contracts/tests/names.rs
@@ -2,11 +2,11 @@
 
 use heronroute_contracts::names::{CLAUSES, Fault, Fresh, Names, Wrong};
 use heronroute_contracts::suite::{kept, planted};
-use heronroute_seen::Seen;
+use heronroute_seen::SeenNames;
 
 #[test]
 fn seen() {
-    kept(CLAUSES, &(|names, seed| Box::new(Seen::new(names, 0, seed)) as Box<dyn Names>) as &Fresh);
+    kept(CLAUSES, &(|names, seed| Box::new(SeenNames::new(names, 0, seed)) as Box<dyn Names>) as &Fresh);
 }
 
 #[test]
--- a/crates/drill/benches/fronts.rs
+++ b/crates/drill/benches/fronts.rs
@@ -358,8 +358,16 @@
     for speaks in [Front::Mqtt, Front::Smpp] {
         let text = settings(&[port], 2_000, 64).replace("window: 60000", "window: 60000 sessions: 20000");
         let cfg = Arc::new(parse("bench", &text).expect("settings"));
-        let start =
-            Start { index: 0, seed: 1, now: 0, wall: 1 << 50, list: 0, kept: None, book: None, fleet: false };
+        let start = Start {
+            index: 0,
+            seed: 1,
+            now: 0,
+            wall: 1 << 50,
+            list: 0,
+            kept: None,
+            state: None,
+            fleet: false,
+        };
         let mut node = Node::new(cfg, start).expect("node");
         let before = resident();
         for i in 0..10_000 {
--- a/crates/engine/benches/node.rs
+++ b/crates/engine/benches/node.rs
@@ -67,7 +67,7 @@
         let text = format!("{} {more}", settings(destinations, slots, room));
         let cfg = Arc::new(parse("bench", &text).expect("settings"));
         let start =
-            Start { index: 0, seed: 1, now: 0, wall: 1 << 50, list: 0, kept: None, book: None, fleet };
+            Start { index: 0, seed: 1, now: 0, wall: 1 << 50, list: 0, kept: None, state: None, fleet };
         let node = Node::new(cfg, start).expect("node");
         let (receivers, clients) = (BTreeMap::new(), BTreeMap::new());
         let mut rig = Rig { node, now: 0, receivers, clients, answered: 0, answers: true };
--- a/crates/engine/benches/release.rs
+++ b/crates/engine/benches/release.rs
@@ -8,7 +8,7 @@
 use heronroute_engine::front::Speaks;
 use heronroute_engine::{ConnId, Node, Output, Start};
 use heronroute_held::{Trail, What};
-use heronroute_journal::Book;
+use heronroute_journal::JournalState;
 use heronroute_journal::entry::{Accepted, Held};
 use heronroute_smpp::client::{Event, Session as Client};
 use heronroute_smpp::receipt::Receipt;
@@ -60,7 +60,7 @@
         class { name: \"PAY\" effect: \"single_shot\" deadline: \"10s\" aim: \"1s\" } \
         kind { name: \"k\" protocol: \"smpp\" window: 64 } route { prefix: \"1\" destination: 1 } \
         endpoint { name: \"a\" address: \"127.0.0.1:1001\" destination: 1 kind: \"k\" }";
-    let mut book = Book::default();
+    let mut state = JournalState::default();
     for i in 0..held {
         let taken = now - 3_600_000_000 + i as i64 * 10 * MS;
         let mut trail = Trail::new(taken, 0);
@@ -78,12 +78,12 @@
             ..Accepted::default()
         };
         let names = vec!["smpp/".to_string()];
-        book.held.insert(id, Held { accepted: Some(accepted), trail: trail.write(), names });
+        state.held.insert(id, Held { accepted: Some(accepted), trail: trail.write(), names });
     }
     let cfg = Arc::new(parse("bench", text).expect("settings"));
     Node::new(
         cfg,
-        Start { index: 0, seed: 4, now, wall: now, list: 0, kept: None, book: Some(book), fleet: false },
+        Start { index: 0, seed: 4, now, wall: now, list: 0, kept: None, state: Some(state), fleet: false },
     )
     .expect("node")
 }
--- a/crates/engine/src/carry/outcome.rs
+++ b/crates/engine/src/carry/outcome.rs
@@ -7,7 +7,7 @@
 use crate::link::Reply;
 use crate::node::{ConnRole, Node, TimerKey};
 use heronroute::{Event, Outcome};
-use heronroute_held::{Known, What as TrailStep};
+use heronroute_held::{KnownOutcome, What as TrailStep};
 use heronroute_journal::entry::{self, What};
 
 impl Node {
@@ -31,10 +31,10 @@
         };
         self.stats.attempts[attempts_index] += 1;
         let known = match reply.outcome {
-            Outcome::Done => Known::Took,
-            o if !o.never_ran() => Known::Written,
-            Outcome::Busy | Outcome::Crowded | Outcome::Error => Known::Refused,
-            _ => Known::NeverWritten,
+            Outcome::Done => KnownOutcome::Delivered,
+            o if !o.never_ran() => KnownOutcome::Written,
+            Outcome::Busy | Outcome::Crowded | Outcome::Error => KnownOutcome::Refused,
+            _ => KnownOutcome::NeverWritten,
         };
         self.add_trail_step(closed.message, TrailStep::Ended(known));
         let mut message_closed = true;
--- a/crates/engine/src/client_rules/apply.rs
+++ b/crates/engine/src/client_rules/apply.rs
@@ -8,8 +8,8 @@
 use crate::node::{Effect, Node, TimerKey};
 use crate::rule_tables::change::first_loss;
 use crate::rule_tables::rules::{self, ClientRules};
-use heronroute_held::{PartRoom, Room, Store};
-use heronroute_journal::Book;
+use heronroute_held::{PartitionLimits, Room, Store};
+use heronroute_journal::JournalState;
 use heronroute_journal::entry::{Applied, What};
 use heronroute_rules::seam::Apply;
 use heronroute_rules::share::empty_share;
@@ -150,12 +150,12 @@
         for (part, limits) in &figures_by_part {
             rule_tables.names.limit(client, *part, limits.remembered);
         }
-        let rooms: Vec<(u32, PartRoom)> = removed
+        let rooms: Vec<(u32, PartitionLimits)> = removed
             .iter()
-            .map(|part| (*part, PartRoom::default()))
+            .map(|part| (*part, PartitionLimits::default()))
             .chain(figures_by_part.iter().map(|(part, f)| (*part, rules::part_room(f))))
             .collect();
-        if rooms.iter().any(|(_, room)| *room != PartRoom::default()) {
+        if rooms.iter().any(|(_, room)| *room != PartitionLimits::default()) {
             self.ensure_held_store();
         }
         if let Some(store) = &mut self.held {
@@ -199,11 +199,11 @@
 
     /// Restores rules after a restart, before anything that they concern. Rules that can't be read count as
     /// never applied; the process sees that in the report of what is in force, and sends them again.
-    pub(crate) fn restore_rules(&mut self, book: &Book) {
+    pub(crate) fn restore_rules(&mut self, state: &JournalState) {
         if self.rule_tables.is_none() {
             return;
         }
-        for applied in book.applied.values() {
+        for applied in state.applied.values() {
             let Some(client) = self.client_names.get(&applied.client).copied() else { continue };
             let read = (
                 serde_json::from_slice::<RuleSet>(&applied.rules),
--- a/crates/engine/src/client_rules/fence.rs
+++ b/crates/engine/src/client_rules/fence.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::node::{Node, TimerKey};
 use crate::rule_tables::rules;
-use heronroute_held::PartRoom;
+use heronroute_held::PartitionLimits;
 use heronroute_rules::seam::Fence;
 
 use super::apply::EXPIRY_INTERVAL;
@@ -59,9 +59,9 @@
             fence.parts.retain(|part| {
                 names.limit(*client, *part, None);
                 let Some(store) = store else { return false };
-                let stays = !store.is_part_empty(*client as u32, *part);
+                let stays = !store.is_partition_empty(*client as u32, *part);
                 if !stays {
-                    store.limit(*client as u32, *part, PartRoom::default());
+                    store.limit(*client as u32, *part, PartitionLimits::default());
                 }
                 stays
             });
--- a/crates/engine/src/client_rules/lookup.rs
+++ b/crates/engine/src/client_rules/lookup.rs
@@ -6,7 +6,7 @@
 use crate::rule_tables::fence::StricterRules;
 use crate::rule_tables::pace::Pace;
 use crate::rule_tables::rules::{ClientRules, RuleTerms};
-use heronroute_held::Parts;
+use heronroute_held::MessagePartitions;
 use heronroute_journal::entry::Accepted;
 use heronroute_rules::Turn;
 use heronroute_seen::Name;
@@ -37,11 +37,17 @@
     }
 
     /// Returns the parts of the client's room in which a message counts while it is held.
-    pub(crate) fn held_parts_for(&self, client: usize, class: Option<usize>, to: &str, key: &str) -> Parts {
-        let Some(rule_tables) = self.rule_tables.as_ref() else { return Parts::default() };
+    pub(crate) fn held_parts_for(
+        &self,
+        client: usize,
+        class: Option<usize>,
+        to: &str,
+        key: &str,
+    ) -> MessagePartitions {
+        let Some(rule_tables) = self.rule_tables.as_ref() else { return MessagePartitions::default() };
         let (rules, fence) = rule_tables.rules_of(client);
         if rules.is_none() && fence.is_none() {
-            return Parts::default();
+            return MessagePartitions::default();
         }
         let ordered = class.and_then(|c| self.cfg.settings.classes.get(c)).is_some_and(|c| c.ordered);
         let name = class.and_then(|c| self.cfg.class_names.get(c)).map_or("", String::as_str);
@@ -49,7 +55,7 @@
         match (rules, fence) {
             (rules, Some(fence)) => StricterRules::while_held(rules, fence, &self.common_figures(), at),
             (Some(rules), None) => rules.held_parts(at.0, at.1, at.2),
-            (None, None) => Parts::default(),
+            (None, None) => MessagePartitions::default(),
         }
     }
 
--- a/crates/engine/src/client_rules/repeat.rs
+++ b/crates/engine/src/client_rules/repeat.rs
@@ -8,7 +8,7 @@
 use crate::outbox::ReplyAddress;
 use crate::rule_tables::answers::RetainedAnswer;
 use heronroute::MsgId;
-use heronroute_journal::Book;
+use heronroute_journal::JournalState;
 use heronroute_journal::entry::{self, Final, What};
 use heronroute_smpp::receipt::{Answer, Receipt};
 use heronroute_smpp::submission::Submission;
@@ -118,15 +118,15 @@
 
     /// Restores retained answers after a restart. Those not yet acknowledged are owed by the book's open
     /// messages.
-    pub(crate) fn restore_answers(&mut self, book: &Book) {
+    pub(crate) fn restore_answers(&mut self, state: &JournalState) {
         if self.rule_tables.is_none() {
             return;
         }
         let now = self.wall();
-        for stored in book.finals.values() {
+        for stored in state.finals.values() {
             let Some(stored_answer) = &stored.answer else { continue };
             let client = self.client_index(&stored.client);
-            let owed = book.open.get(&stored_answer.id).filter(|o| o.answer.is_some());
+            let owed = state.open.get(&stored_answer.id).filter(|o| o.answer.is_some());
             let owed =
                 owed.map(|o| o.accepted.mailbox.clone()).map(|name| self.mailboxes.open(client, &name));
             let wait = Some(stored_answer.retry_after).filter(|w| *w >= 0);
--- a/crates/engine/src/client_rules/weigh.rs
+++ b/crates/engine/src/client_rules/weigh.rs
@@ -4,7 +4,7 @@
 use crate::Micros;
 use crate::node::Node;
 use crate::rule_tables::rules::part_room;
-use heronroute_held::PartRoom;
+use heronroute_held::PartitionLimits;
 use heronroute_rules::check::LossCounts;
 use heronroute_rules::seam::{DryRun, DryRunResult};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
         if let Some(store) = &self.held {
             let known: BTreeSet<u32> = remaining.iter().map(|(part, _)| *part).collect();
             let dropped = rule_parts.iter().filter(|p| !known.contains(&p.part));
-            let dropped = dropped.map(|p| (p.part, PartRoom::default()));
+            let dropped = dropped.map(|p| (p.part, PartitionLimits::default()));
             let rooms: Vec<_> =
                 dropped.chain(remaining.iter().map(|(part, f)| (*part, part_room(f)))).collect();
             let held = store.weigh(now, client as u32, &rooms, MAX_LOOKS);
--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -5,8 +5,8 @@
 use crate::outbox::OwedAnswer;
 use heronroute::MsgId;
 use heronroute_journal::entry::Held;
-use heronroute_journal::heirs::Heirs;
-use heronroute_journal::{Book, Open};
+use heronroute_journal::takeovers::Takeovers;
+use heronroute_journal::{JournalState, Open};
 use heronroute_smpp::receipt::Answer;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
     /// Effects that became durable during the suspension.
     pub(crate) deferred_effects: Vec<H>,
     /// The members whose work was taken over.
-    pub(crate) completed: Heirs,
+    pub(crate) completed: Takeovers,
     /// Takeovers in progress, by the member taken over.
     pub(crate) pending: BTreeMap<String, PendingTakeover>,
 }
@@ -57,20 +57,20 @@
     pub(crate) durable: bool,
     pub(crate) open: Vec<Open>,
     /// Sessions, held messages, retained answers and names.
-    pub(crate) book: Book,
+    pub(crate) state: JournalState,
 }
 
 impl<H> Failover<H> {
     /// Returns the state at a start: all from before may be in a copy, and there is no lease.
-    pub(crate) fn new(heirs: Heirs) -> Self {
+    pub(crate) fn new(takeovers: Takeovers) -> Self {
         let takeover = |(origin, open, held): (&str, Vec<Open>, Vec<Held>)| {
             let id = |h: &Held| h.accepted.as_ref().map(|a| a.id);
             let held = held.into_iter().filter_map(|h| id(&h).map(|id| (id, h))).collect();
-            let mut book = Book::default();
-            book.held = held;
-            (origin.to_string(), PendingTakeover { durable: true, open, book })
+            let mut state = JournalState::default();
+            state.held = held;
+            (origin.to_string(), PendingTakeover { durable: true, open, state })
         };
-        let pending = heirs.whole().map(takeover).collect();
+        let pending = takeovers.whole().map(takeover).collect();
         Failover {
             lease_until: Micros::MIN,
             copied_below: u64::MAX,
@@ -81,7 +81,7 @@
             unacknowledged: Vec::new(),
             deferred_answers: Vec::new(),
             deferred_effects: Vec::new(),
-            completed: heirs,
+            completed: takeovers,
             pending,
         }
     }
--- a/crates/engine/src/front/mod.rs
+++ b/crates/engine/src/front/mod.rs
@@ -17,7 +17,7 @@
 use crate::outbox::{OwedAnswer, ReplyAddress};
 use bytes::BytesMut;
 use heronroute_platform::add::Add;
-use heronroute_seen::Handle;
+use heronroute_seen::RequestKey;
 use heronroute_smpp::receipt::Answer;
 use heronroute_smpp::submission::Submission;
 use rusmpp_core::values::MessageState;
@@ -62,7 +62,7 @@
     /// The address for the answer.
     pub reply: ReplyAddress,
     /// Identifies the message within its session, to detect a repeated submission.
-    pub handle: Option<Handle>,
+    pub handle: Option<RequestKey>,
     /// The client's own name for the message. Within the time that it is remembered, a name stands for one
     /// message.
     pub name: Option<String>,
--- a/crates/engine/src/front/mqtt.rs
+++ b/crates/engine/src/front/mqtt.rs
@@ -8,7 +8,7 @@
 use crate::outbox::{OwedAnswer, ReplyAddress};
 use bytes::BytesMut;
 use heronroute_mqtt::session::{Event, Handed, Limits, Session, Telling, handed};
-use heronroute_seen::{Handle, digest};
+use heronroute_seen::{RequestKey, digest};
 use heronroute_smpp::receipt::{Answer, word};
 use heronroute_smpp::submission::{Submission, Wanted as Receipts};
 use rusmpp_core::values::MessageState;
@@ -85,7 +85,7 @@
         &h.payload,
     ];
     // Messages with QoS 0 are never sent again.
-    let handle = (h.qos > 0).then(|| Handle {
+    let handle = (h.qos > 0).then(|| RequestKey {
         packet: h.packet,
         digest: digest(u64::from(h.qos), &parts),
         again: h.duplicate,
--- a/crates/engine/src/held/commands.rs
+++ b/crates/engine/src/held/commands.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::stats::ANSWER_NAMES;
 use heronroute::MsgId;
-use heronroute_held::{Deed, Grants, Known, Party, Query, Trail, What};
+use heronroute_held::{Grants, KnownOutcome, Operation, Party, Query, Trail, What};
 
 /// The number of messages on a page of a listing.
 const PAGE_SIZE: usize = 20;
@@ -15,13 +15,13 @@
         let Some((client, _)) = self.owner_of(conn) else { return };
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         // A message of another client gets the same reply as one that doesn't exist.
-        let with_own = |deed, id: &str| self.own_held_message(client, id, deed);
+        let with_own = |operation, id: &str| self.own_held_message(client, id, operation);
         let not_found = || ("stat:NOTFOUND".to_string(), "NOTFOUND");
         let (text, state) = match words[..] {
             ["list"] => (self.list_held(client, None), "HELD"),
             ["list", after] => (self.list_held(client, parse_id(after).map(|i| i.0)), "HELD"),
-            ["show", id] => with_own(Deed::See, id).map_or_else(not_found, |id| (self.show_trail(id), "HELD")),
-            ["drop", id] => with_own(Deed::GiveUp, id).map_or_else(not_found, |id| self.drop_held(id)),
+            ["show", id] => with_own(Operation::Show, id).map_or_else(not_found, |id| (self.show_trail(id), "HELD")),
+            ["drop", id] => with_own(Operation::Drop, id).map_or_else(not_found, |id| self.drop_held(id)),
             ["release"] => self.start_release(client, None),
             ["release", d] if d.parse::<i64>().is_ok() => self.start_release(client, d.parse().ok()),
             ["stop"] => {
@@ -31,7 +31,7 @@
             }
             ["again", id, ref new @ ..] if matches!(new, [] | ["new"]) => {
                 let new_effect = !new.is_empty();
-                with_own(Deed::HandIn, id).map_or_else(not_found, |id| self.resubmit_held(client, id, new_effect))
+                with_own(Operation::Resubmit, id).map_or_else(not_found, |id| self.resubmit_held(client, id, new_effect))
             }
             _ => ("stat:WHAT allowed: list[/AFTER], show/ID, again/ID[/new], drop/ID, release[/DESTINATION], stop".to_string(), "WHAT"),
         };
@@ -42,11 +42,11 @@
     }
 
     /// Returns the number of the message with this id, if this client may do `deed` with it.
-    fn own_held_message(&self, client: usize, id: &str, deed: Deed) -> Option<u64> {
+    fn own_held_message(&self, client: usize, id: &str, operation: Operation) -> Option<u64> {
         let id = parse_id(id)?.0;
         let stored = self.held.as_ref()?.get(id)?;
         let party = Party::Client(client as u32);
-        Grants::default().allows(&party, deed, stored.client, stored.destination).then_some(id)
+        Grants::default().allows(&party, operation, stored.client, stored.destination).then_some(id)
     }
 
     fn list_held(&self, client: usize, after: Option<u64>) -> String {
@@ -86,16 +86,16 @@
         for (at, what) in trail.steps() {
             let line = match what {
                 What::Began(e) => format!("attempt at {}", name(e)),
-                What::Ended(Known::NeverWritten) => "never left".to_string(),
-                What::Ended(Known::Written) => "no proof that it had no effect".to_string(),
-                What::Ended(Known::Took) => "taken by the receiver".to_string(),
-                What::Ended(Known::Refused) => "turned away by the receiver".to_string(),
-                What::Ended(Known::Lost) => "lost with a restart".to_string(),
+                What::Ended(KnownOutcome::NeverWritten) => "never left".to_string(),
+                What::Ended(KnownOutcome::Written) => "no proof that it had no effect".to_string(),
+                What::Ended(KnownOutcome::Delivered) => "taken by the receiver".to_string(),
+                What::Ended(KnownOutcome::Refused) => "turned away by the receiver".to_string(),
+                What::Ended(KnownOutcome::Lost) => "lost with a restart".to_string(),
                 What::Restarted => "restart".to_string(),
                 What::Answered(s) => format!("answer {}", ANSWER_NAMES.get(s as usize).unwrap_or(&"?")),
-                What::Heard => "answer taken".to_string(),
-                What::HandedIn(p) => format!("handed in again by {}", name(p)),
-                What::GivenUp(p) => format!("given up by {}", name(p)),
+                What::AnswerConfirmed => "answer taken".to_string(),
+                What::Resubmitted(p) => format!("handed in again by {}", name(p)),
+                What::Dropped(p) => format!("given up by {}", name(p)),
             };
             text = format!("{text}\n{at} {line}");
         }
--- a/crates/engine/src/held/mod.rs
+++ b/crates/engine/src/held/mod.rs
@@ -11,15 +11,15 @@
 mod store;
 mod trail;
 
-use heronroute_held::{Filed, Trail};
+use heronroute_held::{MessageRecord, Trail};
 use heronroute_seen::digest;
 
 /// The most steps of a trail.
 const MAX_TRAIL_STEPS: usize = 64;
 
 /// Builds the stored record of a message, without the message itself.
-fn stored_record(client: usize, class: Option<usize>, dest: i64, key: &str, trail: &Trail) -> Filed {
-    Filed {
+fn stored_record(client: usize, class: Option<usize>, dest: i64, key: &str, trail: &Trail) -> MessageRecord {
+    MessageRecord {
         client: client as u32,
         destination: dest,
         class: class.map_or(u32::MAX, |c| c as u32),
@@ -28,6 +28,6 @@
         message: None,
         under_way: false,
         kept: false,
-        not_seen: None,
+        not_received_at: None,
     }
 }
--- a/crates/engine/src/held/release.rs
+++ b/crates/engine/src/held/release.rs
@@ -57,7 +57,7 @@
             let Some(r) = self.releases.get_mut(&client) else { return };
             match state {
                 "ENROUTE" => {
-                    r.release.let_go();
+                    r.release.count_release();
                     r.resubmitted += 1;
                 }
                 "BUSY" => {
--- a/crates/engine/src/held/resubmit.rs
+++ b/crates/engine/src/held/resubmit.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::outbox::ReplyAddress;
 use heronroute::{DestId, Event, MsgId};
-use heronroute_held::{Ask, Decision, Effect, Past, Refusal, Trail, What, decide};
+use heronroute_held::{Ask, Decision, DeliveryHistory, Effect, Refusal, Trail, What, decide};
 use heronroute_journal::entry::{self, Accepted};
 use prost::Message as _;
 
@@ -36,12 +36,12 @@
         };
         let deadline = self.validity_for(client, class, &a).map_or(deadline, |v| v.min(deadline));
         let may_have_run = trail.may_have_run();
-        let past = Past {
+        let past = DeliveryHistory {
             effect,
             may_have_run,
             delivered: false,
             under_way: stored.under_way,
-            not_seen: stored.not_seen,
+            not_received_at: stored.not_received_at,
         };
         let decision = decide(now, past, Ask { new_effect, patience: deadline });
         let (leave_by, as_new) = match decision {
@@ -84,7 +84,7 @@
         // An earlier attempt counts as one that may have run, unless the destination's owner reported that it
         // did not run, or the client asked for a new effect.
         let may_have_run =
-            may_have_run.filter(|at| !as_new && stored.not_seen.is_none_or(|said| *at >= said));
+            may_have_run.filter(|at| !as_new && stored.not_received_at.is_none_or(|said| *at >= said));
         let context = SubmissionContext {
             reply: ReplyAddress { topic: a.reply.clone(), correlation: a.correlation.clone() },
             ..SubmissionContext::default()
@@ -134,7 +134,7 @@
             let dropped = self.held.as_mut().map(|s| s.end(now, id, &ended, true)).unwrap_or_default();
             self.write_released(&dropped);
             let mut trail = Trail::new(now, 0);
-            trail.add(now, What::HandedIn(party), MAX_TRAIL_STEPS);
+            trail.add(now, What::Resubmitted(party), MAX_TRAIL_STEPS);
             message.trail = Some(Box::new(trail));
         } else {
             message.trail = before.map(Box::new);
--- a/crates/engine/src/held/store.rs
+++ b/crates/engine/src/held/store.rs
@@ -17,7 +17,7 @@
         let (Some(mut trail), now) = (m.trail.take(), self.wall()) else { return };
         trail.add(now, What::Answered(answer_index(answer) as u32), MAX_TRAIL_STEPS);
         // A resubmitted message that was not delivered stays held, whatever its end.
-        let resubmitted = trail.steps().filter(|(_, what)| matches!(what, What::HandedIn(_))).last();
+        let resubmitted = trail.steps().filter(|(_, what)| matches!(what, What::Resubmitted(_))).last();
         if let (Some((index, _)), Some(r)) = (resubmitted, self.releases.get_mut(&m.client)) {
             r.release.answered(answer == Answer::Delivered, now - index);
         }
--- a/crates/engine/src/held/trail.rs
+++ b/crates/engine/src/held/trail.rs
@@ -3,15 +3,15 @@
 use super::{MAX_TRAIL_STEPS, stored_record};
 use crate::node::Node;
 use heronroute::MsgId;
-use heronroute_held::{Known, Store, Trail, What};
-use heronroute_journal::{Book, Open};
+use heronroute_held::{KnownOutcome, Store, Trail, What};
+use heronroute_journal::{JournalState, Open};
 use prost::Message as _;
 
 impl Node {
     /// Returns whether the steps of a client's messages are recorded. Guards against recording the messages
     /// of all clients because the rules of one keep something, where the settings keep nothing.
     pub(crate) fn records_trail(&self, client: usize) -> bool {
-        let parts = |s: &Store| self.cfg.held.is_some() || s.has_parts(client as u32);
+        let parts = |s: &Store| self.cfg.held.is_some() || s.has_partitions(client as u32);
         self.held.as_ref().is_some_and(parts)
     }
 
@@ -56,12 +56,12 @@
         if let Some(ran) = open.may_run.as_ref().filter(|_| before.is_none()) {
             let number = self.trail_number(&ran.endpoint);
             trail.add(ran.at, What::Began(number), MAX_TRAIL_STEPS);
-            trail.add(ran.at, What::Ended(Known::Written), MAX_TRAIL_STEPS);
+            trail.add(ran.at, What::Ended(KnownOutcome::Written), MAX_TRAIL_STEPS);
         }
         if let Some(out) = &open.out {
             let number = self.trail_number(&out.endpoint);
             trail.add(out.at, What::Began(number), MAX_TRAIL_STEPS);
-            trail.add(out.at, What::Ended(Known::Lost), MAX_TRAIL_STEPS);
+            trail.add(out.at, What::Ended(KnownOutcome::Lost), MAX_TRAIL_STEPS);
         }
         trail.add(self.wall(), What::Restarted, MAX_TRAIL_STEPS);
         if let Some(m) = self.messages.get_mut(&id) {
@@ -73,9 +73,9 @@
     }
 
     /// Restores the held messages from the journal's state.
-    pub(crate) fn restore_held(&mut self, book: &Book) {
+    pub(crate) fn restore_held(&mut self, state: &JournalState) {
         let now = self.wall();
-        for (id, held) in &book.held {
+        for (id, held) in &state.held {
             let (Some(a), Some(mut trail)) = (&held.accepted, Trail::read(&held.trail)) else { continue };
             let numbers: Vec<u32> = held.names.iter().map(|n| self.trail_number(n)).collect();
             trail.rename(|n| numbers.get(n as usize).copied().unwrap_or(0));
@@ -83,7 +83,7 @@
             let class = self.class_names.get(&a.class).copied();
             let mut stored = stored_record(client, class, a.dest, &a.key, &trail);
             stored.message = Some(a.encode_to_vec().into());
-            match book.open.get(id).map(|o| o.answer.is_some()) {
+            match state.open.get(id).map(|o| o.answer.is_some()) {
                 Some(true) => _ = self.unacknowledged.insert(*id),
                 Some(false) => stored.under_way = true,
                 None => {}
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -10,8 +10,8 @@
 use crate::Micros;
 use crate::uptime::Uptime;
 use heronroute_journal::Entry;
+use heronroute_journal::admission::{AdmissionControl, AdmissionLimits};
 use heronroute_journal::entry::What;
-use heronroute_journal::shed::{Marks, Shed};
 use heronroute_journal::{Limits, Usage};
 use std::collections::VecDeque;
 
@@ -39,7 +39,7 @@
     handed_over: VecDeque<(u64, Micros)>,
     uptime: Uptime,
     usage: Usage,
-    shed: Shed,
+    admission: AdmissionControl,
     /// Whether the storage failed and nothing has become durable since.
     failing: bool,
 }
@@ -69,7 +69,11 @@
             handed_over: VecDeque::new(),
             uptime: Uptime::new(lag / PAUSES_PER_LAG),
             usage: Usage::default(),
-            shed: Shed::new(Marks { most_disk, reserve: RESERVED_BYTES, most_lag: lag }),
+            admission: AdmissionControl::new(AdmissionLimits {
+                most_disk,
+                reserve: RESERVED_BYTES,
+                most_lag: lag,
+            }),
             failing: false,
         }
     }
@@ -173,7 +177,7 @@
     pub fn refuses(&mut self, now: Micros, open: usize, pending_bytes: usize) -> bool {
         let uptime = self.uptime.advance(now);
         let lag = self.handed_over.front().map_or(0, |(_, at)| uptime - at);
-        self.enabled && (self.failing || self.shed.refuses(self.usage, open, pending_bytes as u64, lag))
+        self.enabled && (self.failing || self.admission.refuses(self.usage, open, pending_bytes as u64, lag))
     }
 
     /// Returns when [`Ledger::take_entries`] is next needed though nothing happened: while entries are being
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -5,7 +5,7 @@
 //! Accepted messages are unaffected.
 
 use crate::Micros;
-use heronroute_fair::{Holding, Share};
+use heronroute_fair::{PartyUsage, Share};
 
 /// The reason for rejecting a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -140,7 +140,7 @@
         let Some(bucket) = self.buckets.get_mut(client) else { return Ok(()) };
         // A single client may use all the space. Several clients share it by weight and worth (see
         // `heronroute_fair`).
-        let party = Holding { held: usage.of_client, weight: bucket.weight, shedding: bucket.shedding };
+        let party = PartyUsage { held: usage.of_client, weight: bucket.weight, shedding: bucket.shedding };
         bucket.shedding = !alone && !Share::new(self.room).admits(usage.open, party, usage.worth);
         if bucket.shedding {
             return Err(Refusal::Share);
@@ -149,7 +149,7 @@
         if let Some((front, of_front)) = usage.front
             && let Some((weight, shedding)) = self.fronts.get_mut(front)
         {
-            let party = Holding { held: of_front, weight: *weight, shedding: *shedding };
+            let party = PartyUsage { held: of_front, weight: *weight, shedding: *shedding };
             *shedding = !Share::new(self.room).admits(usage.open, party, usage.worth);
             if *shedding {
                 return Err(Refusal::Share);
@@ -163,7 +163,7 @@
                 usage.worth,
             );
             let client_share = Share::new((client_share as usize).min(self.room).min(self.room_of_client));
-            let party = Holding { held: usage.of_session, weight: 1.0, shedding: *session_shedding };
+            let party = PartyUsage { held: usage.of_session, weight: 1.0, shedding: *session_shedding };
             *session_shedding = !client_share.admits(usage.of_client, party, 1.0);
             if *session_shedding {
                 return Err(Refusal::Share);
--- a/crates/engine/src/mailboxes.rs
+++ b/crates/engine/src/mailboxes.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 use crate::ids::ConnId;
 use crate::outbox::{Outbox, ReplyAddress};
-use heronroute_seen::Recent;
+use heronroute_seen::RecentRequests;
 use heronroute_smpp::submission::Submission;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,7 +28,7 @@
     /// The state that the protocol stores with the session.
     pub notes: Vec<u8>,
     /// Recent messages, which the client may send again.
-    pub recent: Recent,
+    pub recent: RecentRequests,
 }
 
 /// A message to be submitted for a client that has disconnected.
--- a/crates/engine/src/mailboxes/tests.rs
+++ b/crates/engine/src/mailboxes/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn kept(began: Micros) -> NamedSession {
-    NamedSession { began, expiry: 10, notes: Vec::new(), recent: Recent::new(4) }
+    NamedSession { began, expiry: 10, notes: Vec::new(), recent: RecentRequests::new(4) }
 }
 
 #[test]
--- a/crates/engine/src/node/api.rs
+++ b/crates/engine/src/node/api.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::ids::ConnId;
-use heronroute_journal::{Book, Entry};
+use heronroute_journal::{Entry, JournalState};
 use heronroute_rules::seam::{ClientRequest, Live};
 use std::net::SocketAddr;
 
@@ -63,7 +63,7 @@
     /// The directory list saved by the previous run.
     pub kept: Option<String>,
     /// The state recovered from the journal, if there is a journal.
-    pub book: Option<Book>,
+    pub state: Option<JournalState>,
     /// Whether the node belongs to a fleet. Clients then have rules of their own, and may ask about them.
     pub fleet: bool,
 }
--- a/crates/engine/src/node/mod.rs
+++ b/crates/engine/src/node/mod.rs
@@ -39,7 +39,7 @@
 use heronroute_held::Store;
 use heronroute_mqtt::session as mqtt;
 use heronroute_platform::notice::Notices;
-use heronroute_seen::Seen;
+use heronroute_seen::SeenNames;
 use heronroute_smpp::server;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -69,7 +69,7 @@
     pub(crate) open_by_front: [usize; FRONT_COUNT],
     pub(crate) mailboxes: Mailboxes,
     /// The names that clients gave their messages, with the messages' ids.
-    pub(crate) seen: Option<Seen>,
+    pub(crate) seen: Option<SeenNames>,
     pub(crate) read_budgets: ReadBudgets,
     /// Messages held for clients, and trails.
     pub(crate) held: Option<Store>,
--- a/crates/engine/src/node/start.rs
+++ b/crates/engine/src/node/start.rs
@@ -24,7 +24,7 @@
 use heronroute_held::{Room, Store};
 use heronroute_mqtt::session as mqtt;
 use heronroute_platform::notice::Notices;
-use heronroute_seen::Seen;
+use heronroute_seen::SeenNames;
 use heronroute_smpp::server;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -92,7 +92,7 @@
             sessions: [0; FRONT_COUNT],
             open_by_front: [0; FRONT_COUNT],
             mailboxes: Mailboxes::default(),
-            seen: cfg.mqtt.as_ref().map(|m| Seen::new(m.remembered, start.wall, start.seed)),
+            seen: cfg.mqtt.as_ref().map(|m| SeenNames::new(m.remembered, start.wall, start.seed)),
             read_budgets: ReadBudgets::new(now),
             held: cfg.held.map(|h| {
                 let trails = Room { age: i64::MAX, count: h.trails, octets: u64::MAX };
@@ -130,12 +130,10 @@
                 let names = cfg.mqtt.as_ref().map_or(0, |m| m.remembered);
                 RuleTables::new(names, cfg.clients.len())
             }),
-            region: cfg
-                .fleet
-                .as_ref()
-                .and_then(|f| f.regions.as_ref())
-                .map(|_| Failover::new(start.book.as_ref().map(|b| b.heirs.clone()).unwrap_or_default())),
-            ledger: Ledger::new(start.book.as_ref().map(|_| cfg.journal.limits), cfg.journal.most_lag),
+            region: cfg.fleet.as_ref().and_then(|f| f.regions.as_ref()).map(|_| {
+                Failover::new(start.state.as_ref().map(|b| b.takeovers.clone()).unwrap_or_default())
+            }),
+            ledger: Ledger::new(start.state.as_ref().map(|_| cfg.journal.limits), cfg.journal.most_lag),
             outputs: Vec::new(),
             stats: Stats::default(),
             leaving: false,
@@ -154,8 +152,8 @@
         let first = kept.unwrap_or(configured);
         node.directory.known(&first);
         node.apply_listing(&first);
-        if let Some(book) = start.book {
-            node.restart(book);
+        if let Some(state) = start.state {
+            node.restart(state);
         }
         // Everything accepted before may be in a copy.
         let next = node.next_id;
--- a/crates/engine/src/read_budget.rs
+++ b/crates/engine/src/read_budget.rs
@@ -10,7 +10,7 @@
 //! limited because of the sketch's error.
 
 use crate::Micros;
-use heronroute_fair::{Heavy, Sketch};
+use heronroute_fair::{HeavyParty, TrafficSketch};
 use std::collections::BTreeMap;
 
 /// The maximum number of bytes read from one connection in a turn.
@@ -29,7 +29,7 @@
 /// The read budget of each client.
 #[derive(Debug)]
 pub struct ReadBudgets {
-    sketch: Sketch<usize>,
+    sketch: TrafficSketch<usize>,
     /// The clients that are limited, with their bytes per turn.
     limited: BTreeMap<usize, usize>,
     next_refresh: Micros,
@@ -39,7 +39,7 @@
     /// Creates budgets that limit no client.
     pub fn new(now: Micros) -> Self {
         ReadBudgets {
-            sketch: Sketch::new(SKETCH_COUNTERS),
+            sketch: TrafficSketch::new(SKETCH_COUNTERS),
             limited: BTreeMap::new(),
             next_refresh: now + REFRESH_INTERVAL,
         }
@@ -60,8 +60,8 @@
         if total >= MIN_REQUESTS {
             // Clients with at least a hundredth of the traffic are active. A single active client is not
             // limited.
-            let active = self.sketch.heavy(0.01);
-            let weight_of = |h: &Heavy<usize>| weight(h.party).max(1e-9);
+            let active = self.sketch.heavy_parties(0.01);
+            let weight_of = |h: &HeavyParty<usize>| weight(h.party).max(1e-9);
             let weights: f64 = active.iter().map(weight_of).sum();
             let requests: f64 = active.iter().map(|h| h.most as f64).sum();
             for h in active.iter().filter(|_| active.len() > 1) {
@@ -74,7 +74,7 @@
                 }
             }
         }
-        self.sketch.fade();
+        self.sketch.halve();
     }
 
     /// Returns the maximum number of bytes to read from one of a client's connections in a turn.
--- a/crates/engine/src/region/takeover.rs
+++ b/crates/engine/src/region/takeover.rs
@@ -9,18 +9,18 @@
 use crate::node::{Effect, Node, Output};
 use crate::restart::Restarted;
 use crate::takeover::as_taken_over;
-use heronroute_journal::book::Kept;
 use heronroute_journal::entry::{
     Accepted, Answer, Final, Heir, Held, Inherited, Intent, Named, Request, Session, Step, What,
 };
-use heronroute_journal::{Book, Open};
+use heronroute_journal::state::KeptSession;
+use heronroute_journal::{JournalState, Open};
 use std::collections::{BTreeMap, VecDeque};
 
 impl Node {
     /// Writes down what the books of a dead member's senders have open for clients whose home is this sender.
     /// Answered with [`Output::Inherited`] once all of it is durable; nothing of it is done before
     /// [`Node::taken_over`]. Repeated calls write it only once.
-    pub fn begin_takeover(&mut self, now: crate::Micros, origin: &str, books: Vec<Book>) {
+    pub fn begin_takeover(&mut self, now: crate::Micros, origin: &str, books: Vec<JournalState>) {
         self.now = now.max(self.now);
         let Some(region) = &mut self.region else { return };
         if region.completed.own(origin) || region.pending.get(origin).is_some_and(|e| e.durable) {
@@ -31,8 +31,8 @@
         }
         self.write_step(origin, Step::Begun);
         let mut pending = PendingTakeover::default();
-        for book in books {
-            self.write_book(origin, book, &mut pending);
+        for state in books {
+            self.write_book(origin, state, &mut pending);
         }
         self.write_step(origin, Step::Whole);
         if let Some(region) = &mut self.region {
@@ -78,11 +78,11 @@
         self.ledger.write(|| What::Inherited(entry()));
     }
 
-    fn write_book(&mut self, origin: &str, book: Book, pending: &mut PendingTakeover) {
+    fn write_book(&mut self, origin: &str, state: JournalState, pending: &mut PendingTakeover) {
         let (own, senders) = (self.index, self.cfg.service.senders);
         let is_home = |client: &str| home(client, senders) == own;
         let mut ids: BTreeMap<u64, u64> = BTreeMap::new();
-        for (id, open) in book.open.into_iter().filter(|(_, o)| is_home(&o.accepted.client)) {
+        for (id, open) in state.open.into_iter().filter(|(_, o)| is_home(&o.accepted.client)) {
             let class = self.class_names.get(&open.accepted.class);
             let effect = class.and_then(|c| self.cfg.settings.classes.get(*c)).map(|c| c.effect);
             let open = self.renumbered(id, as_taken_over(open, effect), &mut ids);
@@ -94,33 +94,33 @@
             });
             pending.open.push(open);
         }
-        for (id, held) in book.held {
+        for (id, held) in state.held {
             let Some(accepted) = held.accepted.clone().filter(|a| is_home(&a.client)) else { continue };
             let id = *ids.entry(id).or_insert_with(|| self.new_id().0);
             let held = Held { accepted: Some(Accepted { id, ..accepted }), ..held };
             let heir = Heir { origin: origin.to_string(), held: Some(held.clone()), ..Heir::default() };
             self.ledger.write(|| What::Heir(heir.into()));
-            pending.book.held.insert(id, held);
+            pending.state.held.insert(id, held);
         }
-        for (id, f) in book.finals.into_iter().filter(|(_, f)| is_home(&f.client)) {
+        for (id, f) in state.finals.into_iter().filter(|(_, f)| is_home(&f.client)) {
             let id = *ids.entry(id).or_insert_with(|| self.new_id().0);
             let Some(answer) = f.answer else { continue };
             let answer = Some(Answer { id, ..answer });
             let kept = Final { answer, ..f };
             self.ledger.write(|| What::Final(kept.clone()));
-            pending.book.finals.insert(id, kept);
+            pending.state.finals.insert(id, kept);
         }
-        for named in book.names {
+        for named in state.names {
             // Names are digests, so their clients are unknown and each sender keeps all of them.
             let id = *ids.entry(named.id).or_insert_with(|| self.new_id().0);
             let named = Named { id, ..named };
             self.ledger.write(|| What::Named(named));
-            pending.book.names.push_back(named);
+            pending.state.names.push_back(named);
         }
-        if book.forgot > 0 {
-            pending.book.forgot = pending.book.forgot.max(book.forgot);
+        if state.forgot > 0 {
+            pending.state.forgot = pending.state.forgot.max(state.forgot);
         }
-        for (key, kept) in book.sessions.into_iter().filter(|((c, _), _)| is_home(c)) {
+        for (key, kept) in state.sessions.into_iter().filter(|((c, _), _)| is_home(c)) {
             if self.has_session(&key.0, &key.1) {
                 continue;
             }
@@ -131,7 +131,7 @@
             let latest: VecDeque<Request> = kept.latest.iter().map(renumbered).collect();
             let session = Session { latest: latest.iter().copied().collect(), ..kept.session.clone() };
             self.ledger.write(|| What::Session(session));
-            pending.book.sessions.insert(key, Kept { latest, ..kept });
+            pending.state.sessions.insert(key, KeptSession { latest, ..kept });
         }
     }
 
@@ -161,10 +161,10 @@
     }
 
     fn restore_takeover(&mut self, origin: &str, mut pending: PendingTakeover) {
-        pending.book.sessions.retain(|(client, name), _| !self.has_session(client, name));
-        self.restore_sessions(&pending.book);
-        self.restore_held(&pending.book);
-        self.restore_answers(&pending.book);
+        pending.state.sessions.retain(|(client, name), _| !self.has_session(client, name));
+        self.restore_sessions(&pending.state);
+        self.restore_held(&pending.state);
+        self.restore_answers(&pending.state);
         let (wall, mut done) = (self.wall(), Restarted::default());
         for open in pending.open {
             self.restore_open(open, wall, &mut done);
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -12,8 +12,8 @@
 use crate::resume::{Resume, resume};
 use heronroute::{DestId, Event, MsgId};
 use heronroute_journal::entry::Answer as Answered;
-use heronroute_journal::{Book, Open};
-use heronroute_seen::{Handle, Name, Recent};
+use heronroute_journal::{JournalState, Open};
+use heronroute_seen::{Name, RecentRequests, RequestKey};
 use heronroute_smpp::receipt::{Answer, Receipt};
 
 /// What was restored, for the log.
@@ -30,12 +30,12 @@
 impl Node {
     /// Restores the book. Messages go to the decision library in the order in which they were accepted, so
     /// that keys keep their order; all of them before their class's deadline, or they are answered here.
-    pub(crate) fn restart(&mut self, book: Book) {
+    pub(crate) fn restart(&mut self, state: JournalState) {
         let wall = self.wall();
         // The next number is above all given so far, with this sender's index in the low bits.
         let (step, own) = (1 << ID_SENDER_BITS, self.next_id % (1 << ID_SENDER_BITS));
-        self.next_id = self.next_id.max(book.next_id.next_multiple_of(step) | own);
-        for (name, place) in &book.places {
+        self.next_id = self.next_id.max(state.next_id.next_multiple_of(step) | own);
+        for (name, place) in &state.places {
             let Some(endpoint) = self.endpoints.named(name) else { continue };
             self.endpoints[endpoint].place = place.clone();
             let wait = (place.wait_until - wall).max(0);
@@ -54,11 +54,11 @@
         }
         let mut done = Restarted::default();
         // These come first, as they say where the rest belongs.
-        self.restore_rules(&book);
-        self.restore_sessions(&book);
-        self.restore_held(&book);
-        self.restore_answers(&book);
-        for open in book.open.into_values() {
+        self.restore_rules(&state);
+        self.restore_sessions(&state);
+        self.restore_held(&state);
+        self.restore_answers(&state);
+        for open in state.open.into_values() {
             self.restore_open(open, wall, &mut done);
         }
         tracing::info!(?done, "restored after a restart");
@@ -131,19 +131,19 @@
 
     /// Restores sessions. They are kept for the agreed time from now on, as it is unknown when their clients
     /// left.
-    pub(crate) fn restore_sessions(&mut self, book: &Book) {
+    pub(crate) fn restore_sessions(&mut self, state: &JournalState) {
         let (now, wall) = (self.now, self.wall());
         if self.cfg.mqtt.is_none() {
             return;
         }
-        for kept in book.sessions.values() {
+        for kept in state.sessions.values() {
             let stored = &kept.session;
             let client = self.client_index(&stored.client);
             let mailbox = self.mailboxes.open(client, &stored.name);
-            let mut recent = Recent::new(stored.window as usize);
+            let mut recent = RecentRequests::new(stored.window as usize);
             for request in &kept.latest {
                 let packet = u16::try_from(request.packet).unwrap_or(0);
-                recent.add(Handle { packet, digest: request.digest, again: false }, request.id);
+                recent.add(RequestKey { packet, digest: request.digest, again: false }, request.id);
             }
             let notes = stored.notes.clone();
             let ends = now.saturating_add(stored.expiry);
@@ -152,8 +152,8 @@
             self.timers.set(TimerKey::Mailbox(mailbox), ends);
         }
         if let Some(seen) = &mut self.seen {
-            seen.forgot(book.forgot);
-            for n in &book.names {
+            seen.forgot(state.forgot);
+            for n in &state.names {
                 seen.add(wall, Name { high: n.high, low: n.low }, n.id, n.until);
             }
         }
--- a/crates/engine/src/rule_tables/fence.rs
+++ b/crates/engine/src/rule_tables/fence.rs
@@ -6,7 +6,7 @@
 //! accepted until it is gone.
 
 use super::rules::{ClientRules, RuleTerms};
-use heronroute_held::Parts;
+use heronroute_held::MessagePartitions;
 use heronroute_rules::strict::{Side, stricter};
 use heronroute_rules::{EffectiveLimits, Field, RuleLimits, RuleSet, Turn};
 use std::collections::BTreeSet;
@@ -94,7 +94,7 @@
         approved: &'a ClientRules,
         common: &'a RuleLimits,
         (class, to, key): (&str, &str, &str),
-    ) -> Parts {
+    ) -> MessagePartitions {
         Self::new(applied, approved, common, |rules| rules.while_held(class, to, key)).parts()
     }
 
@@ -121,8 +121,8 @@
         }
     }
 
-    fn parts(&self) -> Parts {
-        Parts {
+    fn parts(&self) -> MessagePartitions {
+        MessagePartitions {
             age: self.stricter_figure(Field::HoldFor).1,
             count: self.stricter_figure(Field::HoldCount).1,
             octets: self.stricter_figure(Field::HoldOctets).1,
--- a/crates/engine/src/rule_tables/fence/tests.rs
+++ b/crates/engine/src/rule_tables/fence/tests.rs
@@ -41,21 +41,36 @@
     assert_eq!(keep.remember, Some(9), "a name counts as new no earlier than either rule says");
     assert_eq!(
         parts,
-        Parts { age: approved_part, count: approved_part, octets: approved_part, trails: approved_part }
+        MessagePartitions {
+            age: approved_part,
+            count: approved_part,
+            octets: approved_part,
+            trails: approved_part
+        }
     );
     let (keep, parts, applied_part, _) = of(all(5), all(9));
     assert_eq!((keep.validity, keep.answer_for, keep.names_part), (Some(5), 5, applied_part));
     assert_eq!(keep.remember, Some(9));
     assert_eq!(
         parts,
-        Parts { age: applied_part, count: applied_part, octets: applied_part, trails: applied_part }
+        MessagePartitions {
+            age: applied_part,
+            count: applied_part,
+            octets: applied_part,
+            trails: applied_part
+        }
     );
     // Each figure is compared on its own.
     let (_, parts, applied_part, approved_part) =
         of(RuleLimits { hold_for: Some(9), ..all(5) }, RuleLimits { hold_for: Some(5), ..all(9) });
     assert_eq!(
         parts,
-        Parts { age: approved_part, count: applied_part, octets: applied_part, trails: applied_part }
+        MessagePartitions {
+            age: approved_part,
+            count: applied_part,
+            octets: applied_part,
+            trails: applied_part
+        }
     );
 }
 
--- a/crates/engine/src/rule_tables/rules.rs
+++ b/crates/engine/src/rule_tables/rules.rs
@@ -2,7 +2,7 @@
 
 use super::pace::Pace;
 use crate::Micros;
-use heronroute_held::{PartRoom, Parts};
+use heronroute_held::{MessagePartitions, PartitionLimits};
 use heronroute_rules::{EffectiveLimits, Field, Plan, Rule, RuleLimits, RuleSet, Table, Turn};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -134,9 +134,9 @@
     }
 
     /// Returns the parts in which a message counts while it is held.
-    pub(crate) fn held_parts(&self, class: &str, to: &str, key: &str) -> Parts {
+    pub(crate) fn held_parts(&self, class: &str, to: &str, key: &str) -> MessagePartitions {
         let found = self.while_held.lookup(class, to.as_bytes(), key.as_bytes());
-        Parts {
+        MessagePartitions {
             age: self.part(found.by(Field::HoldFor)),
             count: self.part(found.by(Field::HoldCount)),
             octets: self.part(found.by(Field::HoldOctets)),
@@ -151,8 +151,12 @@
 
     /// Reads the rules back from the tables: the figures that the look-up finds for exactly what a rule
     /// matches, and for figures held in other tables what those have.
-    pub(crate) fn read_back(&self, rooms: &[(u32, PartRoom)], names: impl Fn(u32) -> Option<u64>) -> RuleSet {
-        let rooms: BTreeMap<u32, PartRoom> = rooms.iter().copied().collect();
+    pub(crate) fn read_back(
+        &self,
+        rooms: &[(u32, PartitionLimits)],
+        names: impl Fn(u32) -> Option<u64>,
+    ) -> RuleSet {
+        let rooms: BTreeMap<u32, PartitionLimits> = rooms.iter().copied().collect();
         let rules = self.rule_parts.iter().zip(0u16..).map(|(p, at)| {
             let mut limits = RuleLimits::default();
             for (fields, table) in
@@ -178,9 +182,9 @@
 }
 
 /// Returns the room that a rule gives the held store.
-pub(crate) fn part_room(limits: &RuleLimits) -> PartRoom {
+pub(crate) fn part_room(limits: &RuleLimits) -> PartitionLimits {
     let size = |n: Option<u64>| n.map(|n| usize::try_from(n).unwrap_or(usize::MAX));
-    PartRoom {
+    PartitionLimits {
         age: limits.hold_for,
         count: size(limits.hold_count),
         octets: limits.hold_octets,
--- a/crates/engine/src/rule_tables/rules/tests.rs
+++ b/crates/engine/src/rule_tables/rules/tests.rs
@@ -27,8 +27,12 @@
     let set = RuleSet { version: 3, rules: vec![rule("a", ""), rule("b", "1")] };
     let mut rules = ClientRules::new(&set, Arc::new(Plan::default()), Turn::default(), None);
     let parts: Vec<u32> = rules.rule_parts.iter().map(|p| p.part).collect();
-    let rooms =
-        |count| parts.iter().map(|p| (*p, PartRoom { count, ..PartRoom::default() })).collect::<Vec<_>>();
+    let rooms = |count| {
+        parts
+            .iter()
+            .map(|p| (*p, PartitionLimits { count, ..PartitionLimits::default() }))
+            .collect::<Vec<_>>()
+    };
     assert_eq!(rules.read_back(&rooms(Some(5)), |_| Some(6)), set);
     let mut other = set.clone();
     other.rules.iter_mut().for_each(|r| r.limits.hold_count = Some(4));
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -8,7 +8,7 @@
 use crate::mailboxes::{MailboxId, NamedSession, Will};
 use crate::node::{ConnRole, Effect, Node, TimerKey};
 use heronroute_journal::entry::{Session, What};
-use heronroute_seen::Recent;
+use heronroute_seen::RecentRequests;
 
 impl Node {
     /// Admits a client with this name and password, or denies it.
@@ -106,7 +106,7 @@
             began: self.wall(),
             expiry: request.expiry,
             notes: Vec::new(),
-            recent: Recent::new(window),
+            recent: RecentRequests::new(window),
         });
         self.mailboxes.attach(mailbox, conn, fresh);
         self.timers.clear(TimerKey::Mailbox(mailbox));
--- a/crates/engine/tests/crash.rs
+++ b/crates/engine/tests/crash.rs
@@ -69,7 +69,7 @@
         wall: now,
         list: 0,
         kept: None,
-        book: Some(journal.book().clone()),
+        state: Some(journal.state().clone()),
         fleet: false,
     };
     let node = Node::new(cfg.clone(), start).unwrap();
--- a/crates/engine/tests/fleet.rs
+++ b/crates/engine/tests/fleet.rs
@@ -137,7 +137,7 @@
         sender.waits.clear();
         let disk = sender.journal.take().map_or_else(|| Disk::new(Faults::default()), Journal::into_storage);
         let journal = Journal::open(disk, LIMITS).unwrap();
-        let book = Some(journal.book().clone());
+        let state = Some(journal.state().clone());
         let wall = (1 << 50) + self.now;
         let at = Start {
             index: 0,
@@ -146,7 +146,7 @@
             wall,
             list: 4,
             kept: None,
-            book,
+            state,
             fleet: false,
         };
         sender.node = Some(Node::new(Arc::new(config(&start)), at).unwrap());
--- a/crates/engine/tests/kept/mod.rs
+++ b/crates/engine/tests/kept/mod.rs
@@ -122,7 +122,7 @@
     /// False where power goes at once.
     pub fn start(&mut self, disk: Disk) -> bool {
         let Ok(journal) = Journal::open(disk, SMALL) else { return false };
-        let (now, book) = (self.now, Some(journal.book().clone()));
+        let (now, state) = (self.now, Some(journal.state().clone()));
         let start = Start {
             index: self.index,
             seed: 9,
@@ -130,7 +130,7 @@
             wall: now,
             list: 0,
             kept: None,
-            book,
+            state,
             fleet: self.fleet,
         };
         let node = Node::new(self.cfg.clone(), start).unwrap();
--- a/crates/engine/tests/node.rs
+++ b/crates/engine/tests/node.rs
@@ -29,7 +29,7 @@
          class {{ name: \"PAY\" effect: \"single_shot\" deadline: \"2s\" }} \
          kind {{ name: \"k\" protocol: \"http\" }} route {{ destination: 1 }} {more}"
     );
-    let start = Start { index: 0, seed: 3, now: 0, wall: 1 << 50, list: 0, kept, book: None, fleet: false };
+    let start = Start { index: 0, seed: 3, now: 0, wall: 1 << 50, list: 0, kept, state: None, fleet: false };
     Node::new(Arc::new(parse("test", &text).unwrap()), start).unwrap()
 }
 
@@ -116,12 +116,12 @@
 
 #[test]
 fn a_wait_that_was_told_before_a_restart_is_kept_after_it() {
-    use heronroute_journal::Book;
+    use heronroute_journal::JournalState;
     use heronroute_journal::entry::{Accepted, Place, What};
     let wall = 1 << 50;
-    let mut book = Book::default();
+    let mut state = JournalState::default();
     let place = Place { endpoint: "a".into(), wait_until: wall + 700_000, ..Place::default() };
-    book.apply(&What::Place(place).into());
+    state.apply(&What::Place(place).into());
     let accepted = Accepted {
         id: 64,
         client: "c".into(),
@@ -130,14 +130,14 @@
         deadline: wall + 2_000_000,
         ..Accepted::default()
     };
-    book.apply(&What::Accepted(accepted).into());
+    state.apply(&What::Accepted(accepted).into());
     let text = format!(
         "service {{ quantum: \"0s\" }} client {{ system_id: \"c\" password: \"p\" }} \
          class {{ name: \"PAY\" effect: \"single_shot\" deadline: \"2s\" }} \
          kind {{ name: \"k\" protocol: \"http\" }} route {{ destination: 1 }} {LIST}"
     );
     let start =
-        Start { index: 0, seed: 3, now: 0, wall, list: 0, kept: None, book: Some(book), fleet: false };
+        Start { index: 0, seed: 3, now: 0, wall, list: 0, kept: None, state: Some(state), fleet: false };
     let mut n = Node::new(Arc::new(parse("test", &text).unwrap()), start).unwrap();
     let (mut count, mut sent) = (0, None);
     n.settle(0);
--- a/crates/engine/tests/pause.rs
+++ b/crates/engine/tests/pause.rs
@@ -4,7 +4,7 @@
 use heronroute_config::parse;
 use heronroute_engine::front::Speaks;
 use heronroute_engine::{ConnId, Node, Output, Start};
-use heronroute_journal::{Book, Usage};
+use heronroute_journal::{JournalState, Usage};
 use heronroute_smpp::client::{Event, Session};
 use heronroute_smpp::server::{Limits, Mode};
 use heronroute_smpp::submission::{Submission, Wanted};
@@ -38,9 +38,9 @@
             client { system_id: \"c\" password: \"p\" } journal { most_lag: \"1s\" } \
             class { name: \"PAY\" effect: \"free\" deadline: \"1h\" } \
             kind { name: \"k\" protocol: \"http\" } route { destination: 1 }";
-        let book = Some(Book::default());
+        let state = Some(JournalState::default());
         let start =
-            Start { index: 0, seed: 3, now: 0, wall: 1 << 50, list: 0, kept: None, book, fleet: false };
+            Start { index: 0, seed: 3, now: 0, wall: 1 << 50, list: 0, kept: None, state, fleet: false };
         let mut node = Node::new(Arc::new(parse("test", text).unwrap()), start).unwrap();
         let mut out = BytesMut::new();
         let session = Session::bind(0, LIMITS, Mode::Transceiver, "c", "p", &mut out);
--- a/crates/engine/tests/platform.rs
+++ b/crates/engine/tests/platform.rs
@@ -24,7 +24,7 @@
     let (conn, call) = w.came(1001).remove(0);
     assert!(call.starts_with("POST /inbox HTTP/1.1\r\n") && call.contains("X-Call-Id: m1\r\n"), "{call}");
     w.says(conn, OK);
-    assert!(w.node.open() == 0 && w.journal.book().open.is_empty());
+    assert!(w.node.open() == 0 && w.journal.state().open.is_empty());
     assert!(w.came(2).iter().all(|(_, t)| !t.contains("/v1/outcomes")), "what is delivered needs no notice");
 }
 
@@ -59,7 +59,7 @@
     }
     let refused: Vec<&str> = all.lines().filter(|l| l.starts_with("-BUSY ")).collect();
     assert!(refused.len() >= 20 && all.lines().count() == 60, "{all}");
-    let journalled = w.journal.book().open.len();
+    let journalled = w.journal.state().open.len();
     assert_eq!(journalled, w.node.open(), "what is refused leaves nothing in the journal");
 }
 
@@ -72,7 +72,7 @@
     w.node.received(w.now, c, add.as_bytes());
     w.node.closed(w.now, c, CloseReason::Ended);
     w.pass(50 * MS);
-    assert!(w.came(1001).is_empty() && w.node.open() == 0 && w.journal.book().open.is_empty());
+    assert!(w.came(1001).is_empty() && w.node.open() == 0 && w.journal.state().open.is_empty());
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let (conn, _) =
         all.iter().find(|(_, t)| t.contains("/v1/outcomes")).expect("told at the new address").clone();
     w.says(conn, TAKEN);
-    assert!(w.journal.book().open.is_empty());
+    assert!(w.journal.state().open.is_empty());
     let mut w = w.restart();
     w.pass(100 * MS);
     assert!(notice(&mut w, 2).is_empty(), "taken");
@@ -454,7 +454,7 @@
     assert!(w.node.refuses_connections() && !w.node.is_shut_down(), "what is out may still be answered");
     w.pass(700 * MS);
     assert!(w.node.is_shut_down());
-    let open = w.journal.book().open.len();
+    let open = w.journal.state().open.len();
     let mut w = w.restart();
     w.pass(100 * MS);
     assert_eq!(
--- a/crates/engine/tests/region.rs
+++ b/crates/engine/tests/region.rs
@@ -5,7 +5,7 @@
 mod rig;
 
 use heronroute_engine::Output;
-use heronroute_journal::Book;
+use heronroute_journal::JournalState;
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_standins::mqtt::{Heard, field};
 use kept::{Rig, SECOND, settings};
@@ -144,7 +144,7 @@
         let now = r.now;
         r.node().set_copying(now, false);
         r.pass(1);
-        let upto = r.life.as_ref().unwrap().1.book().next_id;
+        let upto = r.life.as_ref().unwrap().1.state().next_id;
         if after_start {
             r.crash();
             r.enter();
@@ -183,7 +183,7 @@
 }
 
 /// The book of a node that died with one message of each kind, and what it had sent.
-fn legacy() -> (Book, Vec<String>) {
+fn legacy() -> (JournalState, Vec<String>) {
     let mut r = rig(60_000);
     r.down = true;
     r.hand(1, "to/1000008/RESP", 1_200);
@@ -192,12 +192,12 @@
     r.hand(0, "to/1000002/RESP//open", 2);
     r.hand(2, "to/1000003/NEWS", 2);
     let ran = std::mem::take(&mut r.ran);
-    (r.life.take().unwrap().1.book().clone(), ran)
+    (r.life.take().unwrap().1.state().clone(), ran)
 }
 
-fn begin_takeover(r: &mut Rig, book: &Book) {
+fn begin_takeover(r: &mut Rig, state: &JournalState) {
     let now = r.now;
-    r.node().begin_takeover(now, "a-1", vec![book.clone()]);
+    r.node().begin_takeover(now, "a-1", vec![state.clone()]);
 }
 
 /// The log says that it is this node's.
@@ -208,10 +208,10 @@
 
 #[test]
 fn a_dead_members_work_is_ended_by_its_heir_as_after_a_restart() {
-    let (book, _) = legacy();
-    assert_eq!((book.open.len(), book.held.len()), (3, 2));
+    let (state, _) = legacy();
+    assert_eq!((state.open.len(), state.held.len()), (3, 2));
     let mut r = rig(60_000);
-    begin_takeover(&mut r, &book);
+    begin_takeover(&mut r, &state);
     own(&mut r);
     r.pass(30);
     assert_eq!((r.taken_over.len(), r.ran.len()), (1, 0), "written down, and nobody's yet");
@@ -219,7 +219,7 @@
     r.crash();
     r.enter();
     extend_lease(&mut r, 60_000);
-    begin_takeover(&mut r, &book);
+    begin_takeover(&mut r, &state);
     r.pass(5);
     assert_eq!(r.taken_over, ["a-1", "a-1"]);
     own(&mut r);
@@ -237,12 +237,12 @@
     assert_eq!(r.hand(0, "to/1000002/RESP//open", 30).0, 0);
     assert_eq!(r.ran.len(), 2, "{:?}", r.ran);
     // Told of it once more, and after a restart: once is enough.
-    begin_takeover(&mut r, &book);
+    begin_takeover(&mut r, &state);
     r.pass(10);
     r.crash();
     r.enter();
     extend_lease(&mut r, 60_000);
-    begin_takeover(&mut r, &book);
+    begin_takeover(&mut r, &state);
     own(&mut r);
     r.pass(50);
     assert_eq!((r.ran.len(), r.taken_over.len(), r.held(0)), (2, 4, 3));
@@ -250,9 +250,9 @@
 
 #[test]
 fn what_is_anothers_after_all_is_not_done_here() {
-    let (book, _) = legacy();
+    let (state, _) = legacy();
     let mut r = rig(60_000);
-    begin_takeover(&mut r, &book);
+    begin_takeover(&mut r, &state);
     r.pass(5);
     let now = r.now;
     r.node().takeover_revoked(now, "a-1");
@@ -268,7 +268,7 @@
 
 #[test]
 fn an_heir_that_loses_power_at_any_step_takes_over_once() {
-    let (book, _) = legacy();
+    let (state, _) = legacy();
     for step in 1..40 {
         let mut r = rig(60_000);
         let disk = r.life.take().unwrap().1.into_storage();
@@ -277,7 +277,7 @@
         let alive = r.start(disk);
         if alive {
             extend_lease(&mut r, 60_000);
-            begin_takeover(&mut r, &book);
+            begin_takeover(&mut r, &state);
             if r.pass(10) && r.taken_over.len() == 1 {
                 own(&mut r);
                 r.pass(30);
@@ -290,7 +290,7 @@
         r.crash();
         r.enter();
         extend_lease(&mut r, 60_000);
-        begin_takeover(&mut r, &book);
+        begin_takeover(&mut r, &state);
         r.pass(10);
         own(&mut r);
         r.pass(100);
--- a/crates/engine/tests/replaced.rs
+++ b/crates/engine/tests/replaced.rs
@@ -37,8 +37,8 @@
 fn world() -> World {
     let limits = Limits { segment: 20_000, growth: 2, least: 20_000, most: 400_000 };
     let journal = Journal::open(Disk::new(Faults::default()), limits).unwrap();
-    let book = Some(journal.book().clone());
-    let at = Start { index: 0, seed: 7, now: 0, wall: 1 << 50, list: 4, kept: None, book, fleet: false };
+    let state = Some(journal.state().clone());
+    let at = Start { index: 0, seed: 7, now: 0, wall: 1 << 50, list: 4, kept: None, state, fleet: false };
     let node = Node::new(Arc::new(config(&read(START).unwrap())), at).unwrap();
     let mut w = World { node, journal, count: 0, now: 0, ours: BTreeMap::new(), handed_in: 0 };
     w.pass(10 * MS);
@@ -175,7 +175,7 @@
     }
     let left = w.node.kept();
     assert!(left <= least + 4, "{left} left, {least} at first");
-    assert!(w.journal.book().places.len() <= LISTED as usize, "{:?}", w.journal.book().places.keys());
+    assert!(w.journal.state().places.len() <= LISTED as usize, "{:?}", w.journal.state().places.keys());
     // What is listed serves as ever.
     w.calls();
     w.hand_in(0);
--- a/crates/engine/tests/sender/mod.rs
+++ b/crates/engine/tests/sender/mod.rs
@@ -54,8 +54,9 @@
 
 pub fn begin_with(start: &str, journal: Journal<Disk>, now: i64) -> World {
     let start = read(start).unwrap();
-    let book = Some(journal.book().clone());
-    let at = Start { index: 0, seed: 7, now, wall: (1 << 50) + now, list: 4, kept: None, book, fleet: false };
+    let state = Some(journal.state().clone());
+    let at =
+        Start { index: 0, seed: 7, now, wall: (1 << 50) + now, list: 4, kept: None, state, fleet: false };
     let node = Node::new(Arc::new(config(&start)), at).unwrap();
     let (ours, heard, ended) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     let mut w = World {
--- a/crates/fair/benches/sketch.rs
+++ b/crates/fair/benches/sketch.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p heronroute-fair --bench sketch`
 
-use heronroute_fair::Sketch;
+use heronroute_fair::TrafficSketch;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng as _, SeedableRng as _};
 use std::collections::HashMap;
@@ -39,12 +39,12 @@
     );
     for counters in [100, 1_000, 10_000] {
         let start = Instant::now();
-        let mut sketch = Sketch::new(counters);
+        let mut sketch = TrafficSketch::new(counters);
         events.iter().for_each(|t| sketch.add(*t));
         let time = start.elapsed().as_secs_f64();
         let worst = order[..20].iter().map(|(c, t)| sketch.count(t).1.abs_diff(*c)).max().unwrap_or(0);
         let share = 2.0 / counters as f64;
-        let found = sketch.heavy(share);
+        let found = sketch.heavy_parties(share);
         let above_share = order.iter().filter(|(c, _)| *c as f64 > share * events.len() as f64).count();
         let missed =
             order[..above_share].iter().filter(|(_, t)| !found.iter().any(|h| h.party == *t)).count();
--- a/crates/fair/src/lib.rs
+++ b/crates/fair/src/lib.rs
@@ -11,5 +11,5 @@
 mod share;
 mod sketch;
 
-pub use share::{Holding, Share};
-pub use sketch::{Heavy, Sketch};
+pub use share::{PartyUsage, Share};
+pub use sketch::{HeavyParty, TrafficSketch};
--- a/crates/fair/src/share.rs
+++ b/crates/fair/src/share.rs
@@ -10,7 +10,7 @@
 
 /// The places that a party holds, and its weight.
 #[derive(Clone, Copy, Debug)]
-pub struct Holding {
+pub struct PartyUsage {
     /// The number of places held.
     pub held: usize,
     /// The weight of the party; the default is 1.
@@ -46,7 +46,7 @@
     }
 
     /// Returns whether a party may take one more place. `worth` is that of its message; the default is 1.
-    pub fn admits(&self, total: usize, party: Holding, worth: f64) -> bool {
+    pub fn admits(&self, total: usize, party: PartyUsage, worth: f64) -> bool {
         let threshold = self.threshold(total, party.weight, worth);
         let limit = if party.shedding { READMISSION_SHARE * threshold } else { threshold };
         total < self.room && (party.held as f64) < limit
@@ -67,7 +67,7 @@
             held[done] = held[done].saturating_sub(1);
             for i in (0..weights.len()).chain(0..weights.len()) {
                 let total = held.iter().sum();
-                let party = Holding { held: held[i], weight: weights[i], shedding: false };
+                let party = PartyUsage { held: held[i], weight: weights[i], shedding: false };
                 held[i] += usize::from(share.admits(total, party, worths[i]));
             }
         }
@@ -91,7 +91,7 @@
     #[test]
     fn a_refused_party_is_admitted_again_only_well_below_its_threshold() {
         let share = Share::new(900);
-        let at = |held, shedding| share.admits(held, Holding { held, weight: 1.0, shedding }, 1.0);
+        let at = |held, shedding| share.admits(held, PartyUsage { held, weight: 1.0, shedding }, 1.0);
         assert!(at(599, false) && !at(600, false));
         assert!(!at(599, true) && at(500, true), "below four fifths of its threshold");
     }
--- a/crates/fair/src/sketch.rs
+++ b/crates/fair/src/sketch.rs
@@ -10,7 +10,7 @@
 
 /// A party with much traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heavy<K> {
+pub struct HeavyParty<K> {
     /// The party.
     pub party: K,
     /// The upper bound of its count.
@@ -27,7 +27,7 @@
 
 /// A sketch of event counts by party.
 #[derive(Clone, Debug)]
-pub struct Sketch<K> {
+pub struct TrafficSketch<K> {
     room: usize,
     counters: HashMap<K, Counter>,
     /// The parties by count, smallest first.
@@ -35,11 +35,11 @@
     total: u64,
 }
 
-impl<K: Ord + Hash + Copy> Sketch<K> {
+impl<K: Ord + Hash + Copy> TrafficSketch<K> {
     /// Returns an empty sketch with the given number of counters.
     pub fn new(counters: usize) -> Self {
         let room = counters.max(1);
-        Sketch { room, counters: HashMap::with_capacity(room), order: BTreeSet::new(), total: 0 }
+        TrafficSketch { room, counters: HashMap::with_capacity(room), order: BTreeSet::new(), total: 0 }
     }
 
     /// Returns the decayed total number of events.
@@ -83,7 +83,7 @@
     }
 
     /// Halves all counts, so that older events count less. To be called at regular intervals.
-    pub fn fade(&mut self) {
+    pub fn halve(&mut self) {
         self.total /= 2;
         self.counters.retain(|_, c| {
             (c.count, c.error) = (c.count / 2, c.error / 2);
@@ -93,13 +93,13 @@
     }
 
     /// Returns the parties that may have more than a share of the total, largest first.
-    pub fn heavy(&self, share: f64) -> Vec<Heavy<K>> {
+    pub fn heavy_parties(&self, share: f64) -> Vec<HeavyParty<K>> {
         let threshold = (self.total as f64 * share) as u64;
         let above = self.order.iter().rev().take_while(|(count, _)| *count > threshold);
         above
             .map(|(count, party)| {
                 let error = self.counters.get(party).map_or(0, |c| c.error);
-                Heavy { party: *party, most: *count, least: count - error }
+                HeavyParty { party: *party, most: *count, least: count - error }
             })
             .collect()
     }
@@ -118,7 +118,7 @@
             state ^= state << 17;
             (state >> 11) % n
         };
-        let (mut sketch, mut exact) = (Sketch::new(200), HashMap::new());
+        let (mut sketch, mut exact) = (TrafficSketch::new(200), HashMap::new());
         for _ in 0..200_000 {
             // A fifth of the events come from five parties, the rest from 20,000.
             let party = if random_below(5) == 0 { random_below(5) } else { 5 + random_below(20_000) };
@@ -130,11 +130,11 @@
             assert!(least <= *count && *count <= most, "{party}: {least} {count} {most}");
             assert!(most <= count + sketch.error());
         }
-        let parties: Vec<u64> = sketch.heavy(0.02).into_iter().map(|h| h.party).collect();
+        let parties: Vec<u64> = sketch.heavy_parties(0.02).into_iter().map(|h| h.party).collect();
         assert!((0..5).all(|p| parties.contains(&p)), "{parties:?}");
         assert!(parties.len() <= 8, "too many other parties: {parties:?}");
-        sketch.fade();
+        sketch.halve();
         assert_eq!(sketch.total(), 100_000);
-        assert!(sketch.heavy(0.02).len() >= 5);
+        assert!(sketch.heavy_parties(0.02).len() >= 5);
     }
 }
--- a/crates/fleet/tests/keepers/world.rs
+++ b/crates/fleet/tests/keepers/world.rs
@@ -127,7 +127,7 @@
         let (now, seed, tuning) = (self.now, self.seed, self.tuning);
         let node = &mut self.nodes[i];
         if let Err(e) = node.start(now, &self.peers, seed, tuning) {
-            assert!(node.shelf.disk().dark(), "seed {seed}: {} does not start: {e}", node.peer.name);
+            assert!(node.shelf.disk().power_lost(), "seed {seed}: {} does not start: {e}", node.peer.name);
             // Power is lost again while the disk is read; it is started once more.
             let seed = self.rng.random();
             self.kills += 1;
@@ -313,7 +313,7 @@
             return;
         }
         if let Some(why) = self.nodes[i].halted.take() {
-            assert!(self.nodes[i].shelf.disk().dark(), "seed {}: m{i} halted: {why}", self.seed);
+            assert!(self.nodes[i].shelf.disk().power_lost(), "seed {}: m{i} halted: {why}", self.seed);
             self.kill(i);
         }
     }
--- a/crates/held/benches/store.rs
+++ b/crates/held/benches/store.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p heronroute-held --bench store`
 
-use heronroute_held::{Filed, Known, Query, Room, Store, Trail, What};
+use heronroute_held::{KnownOutcome, MessageRecord, Query, Room, Store, Trail, What};
 use std::time::Instant;
 
 const N: u64 = 1_000_000;
@@ -30,12 +30,12 @@
         let mut t = Trail::new(at, (i % 50) as u32);
         for attempt in 0..3 {
             t.add(at + attempt * 900_000, What::Began((i % 300) as u32), 64);
-            t.add(at + attempt * 900_000 + 40_000, What::Ended(Known::Refused), 64);
+            t.add(at + attempt * 900_000 + 40_000, What::Ended(KnownOutcome::Refused), 64);
         }
         t.add(at + 3_000_000, What::Answered(2), 64);
         let trail = t.write();
         trails += trail.len();
-        let filed = Filed {
+        let filed = MessageRecord {
             client: (i % 1_000) as u32,
             destination: (i * 7 % 2_000) as i64,
             class: 1,
@@ -44,7 +44,7 @@
             message: Some(vec![0; 120].into()),
             under_way: false,
             kept: false,
-            not_seen: None,
+            not_received_at: None,
         };
         s.file(at, (at as u64) << 6, filed);
     }
--- a/crates/held/src/decide.rs
+++ b/crates/held/src/decide.rs
@@ -20,7 +20,7 @@
 
 /// What is known of a message.
 #[derive(Clone, Copy, Debug)]
-pub struct Past {
+pub struct DeliveryHistory {
     /// The effect of a second delivery.
     pub effect: Effect,
     /// When the first attempt began that may have taken effect.
@@ -31,7 +31,7 @@
     pub under_way: bool,
     /// When the destination's owner stated that the message was not received there; this covers attempts
     /// before that time.
-    pub not_seen: Option<Micros>,
+    pub not_received_at: Option<Micros>,
 }
 
 /// A request to resubmit a message.
@@ -78,7 +78,7 @@
 }
 
 /// Decides whether a message may be resubmitted, and until when it must be sent.
-pub fn decide(now: Micros, past: Past, ask: Ask) -> Decision {
+pub fn decide(now: Micros, past: DeliveryHistory, ask: Ask) -> Decision {
     if past.delivered {
         return Decision::Refused(Refusal::Delivered);
     }
@@ -87,7 +87,7 @@
     }
     let patience = now.saturating_add(ask.patience.max(0));
     // The statement covers attempts that began before it.
-    let ran = past.may_have_run.filter(|at| past.not_seen.is_none_or(|stated| *at >= stated));
+    let ran = past.may_have_run.filter(|at| past.not_received_at.is_none_or(|stated| *at >= stated));
     let Some(ran) = ran else { return Decision::Again { leave_by: patience } };
     match past.effect {
         Effect::Free => Decision::Again { leave_by: patience },
@@ -106,18 +106,18 @@
     use super::*;
     use proptest::prelude::*;
 
-    const PAST: Past = Past {
+    const PAST: DeliveryHistory = DeliveryHistory {
         effect: Effect::SingleShot,
         may_have_run: Some(100),
         delivered: false,
         under_way: false,
-        not_seen: None,
+        not_received_at: None,
     };
     const ASK: Ask = Ask { new_effect: false, patience: 1_000 };
 
     #[test]
     fn decides_each_case() {
-        let never_ran = Past { may_have_run: None, ..PAST };
+        let never_ran = DeliveryHistory { may_have_run: None, ..PAST };
         assert_eq!(decide(500, never_ran, ASK), Decision::Again { leave_by: 1_500 });
         assert_eq!(decide(500, PAST, ASK), Decision::Refused(Refusal::MayHaveRun));
         let accepts_repeat = Ask { new_effect: true, ..ASK };
@@ -126,15 +126,15 @@
             Decision::Refused(Refusal::MayHaveRun),
             "not at the client's request"
         );
-        let stated_after = Past { not_seen: Some(400), ..PAST };
+        let stated_after = DeliveryHistory { not_received_at: Some(400), ..PAST };
         assert_eq!(decide(500, stated_after, ASK), Decision::Again { leave_by: 1_500 });
-        let stated_before = Past { not_seen: Some(90), ..PAST };
+        let stated_before = DeliveryHistory { not_received_at: Some(90), ..PAST };
         assert_eq!(
             decide(500, stated_before, ASK),
             Decision::Refused(Refusal::MayHaveRun),
             "the statement precedes the attempt"
         );
-        let guarded = Past { effect: Effect::Guarded(600), ..PAST };
+        let guarded = DeliveryHistory { effect: Effect::Guarded(600), ..PAST };
         assert_eq!(decide(500, guarded, ASK), Decision::Again { leave_by: 700 }, "while receivers remember");
         assert_eq!(decide(700, guarded, ASK), Decision::Refused(Refusal::WindowOver));
         assert_eq!(decide(700, guarded, accepts_repeat), Decision::NewEffect { leave_by: 1_700 });
@@ -144,11 +144,11 @@
             "the clock was set back"
         );
         assert_eq!(
-            decide(500, Past { under_way: true, ..never_ran }, ASK),
+            decide(500, DeliveryHistory { under_way: true, ..never_ran }, ASK),
             Decision::Refused(Refusal::UnderWay)
         );
         assert_eq!(
-            decide(500, Past { delivered: true, ..never_ran }, ASK),
+            decide(500, DeliveryHistory { delivered: true, ..never_ran }, ASK),
             Decision::Refused(Refusal::Delivered)
         );
     }
@@ -162,7 +162,7 @@
             single: bool, new_effect: bool, patience in -5i64..9_000,
         ) {
             let effect = if single { Effect::SingleShot } else { Effect::Guarded(window) };
-            let past = Past { effect, may_have_run: Some(ran), not_seen: stated, ..PAST };
+            let past = DeliveryHistory { effect, may_have_run: Some(ran), not_received_at: stated, ..PAST };
             let proved = stated.is_some_and(|s| s > ran);
             match decide(now, past, Ask { new_effect, patience }) {
                 Decision::Again { leave_by } => {
--- a/crates/held/src/lib.rs
+++ b/crates/held/src/lib.rs
@@ -21,13 +21,13 @@
 mod store;
 mod trail;
 
-pub use decide::{Ask, Decision, Effect, Past, Refusal, decide};
-pub use grants::{Deed, Grants, Party};
-pub use partitions::{PartRoom, Parts};
+pub use decide::{Ask, Decision, DeliveryHistory, Effect, Refusal, decide};
+pub use grants::{Grants, Operation, Party};
+pub use partitions::{MessagePartitions, PartitionLimits};
 pub use prediction::PredictedDrops;
 pub use release::{Pace, Release};
-pub use store::{Dropped, Filed, Page, Query, Room, Store};
-pub use trail::{Known, Step, Trail, What};
+pub use store::{Dropped, MessageRecord, Page, Query, Room, Store};
+pub use trail::{KnownOutcome, Step, Trail, What};
 
 /// Time of day in microseconds since 1970 UTC, as trails outlive processes.
 pub type Micros = i64;
--- a/crates/held/src/partitions.rs
+++ b/crates/held/src/partitions.rs
@@ -9,7 +9,7 @@
 
 /// The partitions in which a message counts; 0: the common storage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Parts {
+pub struct MessagePartitions {
     /// The partition that limits its age.
     pub age: u32,
     /// The partition that limits the number of messages.
@@ -22,7 +22,7 @@
 
 /// The limits of a partition; what has no limit here counts in the common storage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PartRoom {
+pub struct PartitionLimits {
     /// The maximum age, in microseconds.
     pub age: Option<Micros>,
     /// The maximum number of messages.
@@ -45,7 +45,7 @@
 /// The kinds of limits that apply to held messages.
 pub(crate) const HELD_LIMITS: [LimitKind; 3] = [LimitKind::Age, LimitKind::Count, LimitKind::Octets];
 
-impl Parts {
+impl MessagePartitions {
     fn of(&self, kind: LimitKind) -> u32 {
         match kind {
             LimitKind::Age => self.age,
@@ -65,7 +65,7 @@
     }
 }
 
-impl PartRoom {
+impl PartitionLimits {
     pub(crate) fn has(&self, kind: LimitKind) -> bool {
         match kind {
             LimitKind::Age => self.age.is_some(),
@@ -79,19 +79,19 @@
 /// The partitions of one client.
 #[derive(Debug, Default)]
 pub(crate) struct ClientPartitions {
-    rooms: BTreeMap<u32, PartRoom>,
+    rooms: BTreeMap<u32, PartitionLimits>,
     /// All held messages of the client and all trails in partitions, by kind of limit and partition, oldest
     /// first.
     index: BTreeSet<(LimitKind, u32, u64)>,
     /// The partitions of messages; those not listed are in the common storage.
-    of: BTreeMap<u64, Parts>,
+    of: BTreeMap<u64, MessagePartitions>,
     /// The number of messages or bytes by kind of limit and partition.
     counts: BTreeMap<(LimitKind, u32), u64>,
 }
 
 impl ClientPartitions {
     /// Returns the partitions and their limits.
-    pub(crate) fn rooms(&self) -> impl Iterator<Item = (u32, PartRoom)> + '_ {
+    pub(crate) fn rooms(&self) -> impl Iterator<Item = (u32, PartitionLimits)> + '_ {
         self.rooms.iter().map(|(part, room)| (*part, *room))
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Returns the limits of a partition.
-    pub(crate) fn room(&self, part: u32) -> PartRoom {
+    pub(crate) fn room(&self, part: u32) -> PartitionLimits {
         self.rooms.get(&part).copied().unwrap_or_default()
     }
 
@@ -127,27 +127,27 @@
     }
 
     /// Records a message's partitions, replaced by 0 where the partition has no limit of that kind.
-    fn place(&mut self, id: u64, mut parts: Parts) -> Parts {
+    fn place(&mut self, id: u64, mut parts: MessagePartitions) -> MessagePartitions {
         for kind in [LimitKind::Age, LimitKind::Count, LimitKind::Octets, LimitKind::Trails] {
             let known = self.rooms.get(&parts.of(kind)).is_some_and(|r| r.has(kind));
             if !known {
                 parts.set(kind, 0);
             }
         }
-        if parts != Parts::default() {
+        if parts != MessagePartitions::default() {
             self.of.insert(id, parts);
         }
         parts
     }
 
     /// Adds a held message.
-    pub(crate) fn hold(&mut self, id: u64, parts: Parts, size: u64) {
+    pub(crate) fn hold(&mut self, id: u64, parts: MessagePartitions, size: u64) {
         let parts = self.place(id, parts);
         HELD_LIMITS.into_iter().for_each(|kind| self.add(kind, parts.of(kind), id, size));
     }
 
     /// Adds a trail; returns false where it counts in the common storage.
-    pub(crate) fn trail(&mut self, id: u64, parts: Parts) -> bool {
+    pub(crate) fn trail(&mut self, id: u64, parts: MessagePartitions) -> bool {
         let parts = self.place(id, parts);
         if parts.trails > 0 {
             self.add(LimitKind::Trails, parts.trails, id, 0);
@@ -167,7 +167,7 @@
     }
 
     /// Returns the partitions of a message.
-    pub(crate) fn parts(&self, id: u64) -> Parts {
+    pub(crate) fn parts(&self, id: u64) -> MessagePartitions {
         self.of.get(&id).copied().unwrap_or_default()
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Returns whether a partition is empty for every kind of limit.
-    pub(crate) fn is_part_empty(&self, part: u32) -> bool {
+    pub(crate) fn is_partition_empty(&self, part: u32) -> bool {
         [LimitKind::Age, LimitKind::Count, LimitKind::Octets, LimitKind::Trails]
             .iter()
             .all(|k| self.oldest(*k, part, 0).is_none())
@@ -200,9 +200,9 @@
     }
 
     /// Sets the limits of a partition. Returns the messages counted in it for limits that it no longer has.
-    pub(crate) fn limit(&mut self, part: u32, room: PartRoom) -> Vec<(LimitKind, u64)> {
+    pub(crate) fn limit(&mut self, part: u32, room: PartitionLimits) -> Vec<(LimitKind, u64)> {
         let before = self.room(part);
-        if room == PartRoom::default() {
+        if room == PartitionLimits::default() {
             self.rooms.remove(&part);
         } else {
             self.rooms.insert(part, room);
@@ -218,7 +218,7 @@
         let Some(parts) = self.of.get_mut(&id) else { return };
         let part = parts.of(kind);
         parts.set(kind, 0);
-        if *parts == Parts::default() {
+        if *parts == MessagePartitions::default() {
             self.of.remove(&id);
         }
         self.remove(kind, part, id, size);
--- a/crates/held/src/prediction.rs
+++ b/crates/held/src/prediction.rs
@@ -5,7 +5,7 @@
 //! number of messages examined is bounded.
 
 use crate::Micros;
-use crate::partitions::{ClientPartitions, HELD_LIMITS, LimitKind, PartRoom};
+use crate::partitions::{ClientPartitions, HELD_LIMITS, LimitKind, PartitionLimits};
 use crate::store::{Store, taken};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,12 +25,18 @@
 impl Store {
     /// Returns what [`Store::limit`] with each of `rooms` (each partition once), followed by [`Store::trim`],
     /// would drop of a client's messages. Examines at most `looks` messages.
-    pub fn weigh(&self, now: Micros, client: u32, rooms: &[(u32, PartRoom)], looks: usize) -> PredictedDrops {
+    pub fn weigh(
+        &self,
+        now: Micros,
+        client: u32,
+        rooms: &[(u32, PartitionLimits)],
+        looks: usize,
+    ) -> PredictedDrops {
         let none = ClientPartitions::default();
         let partitions = self.partitions.get(&client);
-        let mut after: BTreeMap<u32, PartRoom> = partitions.unwrap_or(&none).rooms().collect();
+        let mut after: BTreeMap<u32, PartitionLimits> = partitions.unwrap_or(&none).rooms().collect();
         for (part, room) in rooms.iter().filter(|(part, _)| *part > 0) {
-            if *room == PartRoom::default() {
+            if *room == PartitionLimits::default() {
                 after.remove(part);
             } else {
                 after.insert(*part, *room);
@@ -56,7 +62,7 @@
     client: u32,
     partitions: Option<&'a ClientPartitions>,
     /// The limits of the partitions as they would be.
-    after: BTreeMap<u32, PartRoom>,
+    after: BTreeMap<u32, PartitionLimits>,
     remaining: usize,
     out: PredictedDrops,
 }
@@ -76,7 +82,7 @@
         self.out
     }
 
-    fn room(&self, part: u32) -> PartRoom {
+    fn room(&self, part: u32) -> PartitionLimits {
         self.after.get(&part).copied().unwrap_or_default()
     }
 
--- a/crates/held/src/release.rs
+++ b/crates/held/src/release.rs
@@ -91,7 +91,7 @@
     }
 
     /// Records that a message was released.
-    pub fn let_go(&mut self) {
+    pub fn count_release(&mut self) {
         self.tokens -= 1.0;
         self.out += 1;
     }
@@ -129,7 +129,7 @@
             for tick in 0..1_000 {
                 let now = second * 1_000_000 + tick * 1_000;
                 for _ in 0..r.may(now as i64) {
-                    r.let_go();
+                    r.count_release();
                     let ok = taken < capacity * (tick + 1) / 1_000 + 1;
                     taken += usize::from(ok);
                     turned += usize::from(!ok);
@@ -160,7 +160,7 @@
         for _ in 0..40 {
             now += 1_000_000;
             for _ in 0..r.may(now) {
-                r.let_go();
+                r.count_release();
                 r.answered(true, 20_000);
             }
         }
@@ -170,7 +170,7 @@
         assert!(r.rate() <= before / 2.0);
         let mut r = Release::new(0, Pace { least: 1e6, most: 1e6, ..PACE });
         let n = r.may(1_000_000);
-        (0..n).for_each(|_| r.let_go());
+        (0..n).for_each(|_| r.count_release());
         assert_eq!((n, r.may(2_000_000)), (200, 0));
     }
 }
--- a/crates/held/src/store/drop/common.rs
+++ b/crates/held/src/store/drop/common.rs
@@ -1,13 +1,18 @@
 //! Drops messages from the common storage: held messages by client, trails of all clients together.
 
 use crate::Micros;
-use crate::partitions::Parts;
+use crate::partitions::MessagePartitions;
 use crate::store::{Store, taken};
 
 impl Store {
     /// Drops held messages that are too old, then the oldest until the rest fits. Messages under way or kept
     /// by an operator stay.
-    pub(in crate::store) fn drop_held(&mut self, now: Micros, client: u32, only: Option<Parts>) -> Vec<u64> {
+    pub(in crate::store) fn drop_held(
+        &mut self,
+        now: Micros,
+        client: u32,
+        only: Option<MessagePartitions>,
+    ) -> Vec<u64> {
         if self.partitions.contains_key(&client) {
             return self.drop_partitioned(now, client, only);
         }
--- a/crates/held/src/store/drop/partitions.rs
+++ b/crates/held/src/store/drop/partitions.rs
@@ -1,7 +1,7 @@
 //! Drops messages from the partitions of a client's storage.
 
 use crate::Micros;
-use crate::partitions::{HELD_LIMITS, LimitKind, Parts};
+use crate::partitions::{HELD_LIMITS, LimitKind, MessagePartitions};
 use crate::store::{Store, taken};
 
 impl Store {
@@ -25,7 +25,7 @@
         &mut self,
         now: Micros,
         client: u32,
-        only: Option<Parts>,
+        only: Option<MessagePartitions>,
     ) -> Vec<u64> {
         let mut dropped_ids = Vec::new();
         for kind in HELD_LIMITS {
--- a/crates/held/src/store/file.rs
+++ b/crates/held/src/store/file.rs
@@ -1,20 +1,26 @@
 //! Adds and removes messages, and updates all indexes and counts.
 
 use super::room::Owner;
-use super::{Filed, Store};
+use super::{MessageRecord, Store};
 use crate::Micros;
-use crate::partitions::Parts;
+use crate::partitions::MessagePartitions;
 
 impl Store {
     /// Files a message, replacing an earlier record of it, then drops what exceeds the limits. Returns the
     /// identities of held messages that were dropped.
-    pub fn file(&mut self, now: Micros, id: u64, filed: Filed) -> Vec<u64> {
-        self.file_in(now, id, filed, Parts::default())
+    pub fn file(&mut self, now: Micros, id: u64, filed: MessageRecord) -> Vec<u64> {
+        self.file_in(now, id, filed, MessagePartitions::default())
     }
 
     /// Files a message in partitions of its client's storage. A partition without a limit is the common
     /// storage.
-    pub fn file_in(&mut self, now: Micros, id: u64, filed: Filed, parts: Parts) -> Vec<u64> {
+    pub fn file_in(
+        &mut self,
+        now: Micros,
+        id: u64,
+        filed: MessageRecord,
+        parts: MessagePartitions,
+    ) -> Vec<u64> {
         self.take(id);
         let (client, held) = (filed.client, filed.message.is_some());
         self.by_client.insert((client, id));
@@ -55,7 +61,7 @@
     }
 
     /// Removes a message and returns its record.
-    pub fn take(&mut self, id: u64) -> Option<Filed> {
+    pub fn take(&mut self, id: u64) -> Option<MessageRecord> {
         let filed = self.by_id.remove(&id)?;
         self.by_client.remove(&(filed.client, id));
         self.by_destination.remove(&(filed.destination, id));
@@ -78,8 +84,8 @@
     }
 
     /// Returns the partitions of a message.
-    pub(in crate::store) fn parts(&self, client: u32, id: u64) -> Parts {
-        self.partitions.get(&client).map_or(Parts::default(), |a| a.parts(id))
+    pub(in crate::store) fn parts(&self, client: u32, id: u64) -> MessagePartitions {
+        self.partitions.get(&client).map_or(MessagePartitions::default(), |a| a.parts(id))
     }
 
     /// Returns the counts that a message belongs to: those of its client if held, else those of all trails.
--- a/crates/held/src/store/mod.rs
+++ b/crates/held/src/store/mod.rs
@@ -17,7 +17,7 @@
 
 pub(crate) use identity::taken;
 pub use query::{Page, Query};
-pub use record::Filed;
+pub use record::MessageRecord;
 pub use room::{Dropped, Room};
 
 use crate::partitions::ClientPartitions;
@@ -31,7 +31,7 @@
     pub(crate) trails: Room,
     /// The limits of the held messages of each client.
     pub(crate) held: Room,
-    by_id: BTreeMap<u64, Filed>,
+    by_id: BTreeMap<u64, MessageRecord>,
     by_client: BTreeSet<(u32, u64)>,
     by_destination: BTreeSet<(i64, u64)>,
     by_key: BTreeSet<(u64, u64)>,
@@ -79,7 +79,7 @@
     }
 
     /// Returns the record of a message.
-    pub fn get(&self, id: u64) -> Option<&Filed> {
+    pub fn get(&self, id: u64) -> Option<&MessageRecord> {
         self.by_id.get(&id)
     }
 
--- a/crates/held/src/store/query/list.rs
+++ b/crates/held/src/store/query/list.rs
@@ -1,7 +1,7 @@
 //! Listings by the indexes, and by a full scan.
 
 use crate::store::identity::first_id;
-use crate::store::{Filed, Page, Query, Store};
+use crate::store::{MessageRecord, Page, Query, Store};
 
 impl Store {
     /// Returns a page of at most `most` identities. The cost depends on the candidates examined: one index
@@ -57,7 +57,7 @@
     }
 }
 
-fn matches_query(f: &Filed, q: &Query) -> bool {
+fn matches_query(f: &MessageRecord, q: &Query) -> bool {
     q.client.is_none_or(|c| c == f.client)
         && q.destination.is_none_or(|d| d == f.destination)
         && q.key.is_none_or(|k| k == f.key)
--- a/crates/held/src/store/record.rs
+++ b/crates/held/src/store/record.rs
@@ -4,7 +4,7 @@
 
 /// The record of a message: its trail, and the message itself where it is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Filed {
+pub struct MessageRecord {
     /// The index of the client that submitted the message.
     pub client: u32,
     /// The destination of the message.
@@ -22,10 +22,10 @@
     /// Whether an operator keeps it from being dropped or resubmitted.
     pub kept: bool,
     /// When the destination's owner stated that the message was not received.
-    pub not_seen: Option<Micros>,
+    pub not_received_at: Option<Micros>,
 }
 
-impl Filed {
+impl MessageRecord {
     /// The bytes that the record counts for.
     pub(crate) fn size(&self) -> u64 {
         (self.trail.len() + self.message.as_ref().map_or(0, |m| m.len()) + 64) as u64
--- a/crates/held/src/store/resubmission.rs
+++ b/crates/held/src/store/resubmission.rs
@@ -1,7 +1,7 @@
 //! Resubmission of held messages, and notes on them.
 
 use super::Store;
-use crate::partitions::Parts;
+use crate::partitions::MessagePartitions;
 use crate::trail::Trail;
 use crate::{Decision, Micros, Refusal, What};
 
@@ -26,14 +26,14 @@
             return Err(Refusal::UnderWay);
         }
         filed.under_way = true;
-        self.note(now, id, What::HandedIn(party));
+        self.note(now, id, What::Resubmitted(party));
         Ok(decision)
     }
 
     /// Ends a resubmission. A delivered message is no longer held; any other is held as before. Returns the
     /// held messages that were dropped.
     pub fn end(&mut self, now: Micros, id: u64, trail: &Trail, delivered: bool) -> Vec<u64> {
-        let parts = self.by_id.get(&id).map_or(Parts::default(), |f| self.parts(f.client, id));
+        let parts = self.by_id.get(&id).map_or(MessagePartitions::default(), |f| self.parts(f.client, id));
         let Some(mut filed) = self.take(id) else { return Vec::new() };
         filed.trail = trail.write().into();
         filed.under_way = false;
@@ -70,6 +70,6 @@
     /// Records the statement of the destination's owner that a message was not received. Returns whether the
     /// message exists.
     pub fn attest_not_received(&mut self, now: Micros, id: u64) -> bool {
-        self.by_id.get_mut(&id).map(|f| f.not_seen = Some(now)).is_some()
+        self.by_id.get_mut(&id).map(|f| f.not_received_at = Some(now)).is_some()
     }
 }
--- a/crates/held/src/store/tests.rs
+++ b/crates/held/src/store/tests.rs
@@ -1,14 +1,14 @@
 use super::identity::TIME_SHIFT;
 use super::*;
-use crate::partitions::{LimitKind, PartRoom, Parts};
+use crate::partitions::{LimitKind, MessagePartitions, PartitionLimits};
 use crate::trail::Trail;
 use crate::{Decision, Micros, Refusal, What};
 use proptest::prelude::*;
 
 const UNLIMITED: Room = Room { age: Micros::MAX, count: usize::MAX, octets: u64::MAX };
 
-fn filed(client: u32, destination: i64, key: u64, held: bool) -> Filed {
-    Filed {
+fn filed(client: u32, destination: i64, key: u64, held: bool) -> MessageRecord {
+    MessageRecord {
         client,
         destination,
         class: 0,
@@ -17,7 +17,7 @@
         message: held.then(|| vec![1; 100].into()),
         under_way: false,
         kept: false,
-        not_seen: None,
+        not_received_at: None,
     }
 }
 
@@ -55,7 +55,7 @@
         prop_assert_eq!(found, wanted);
         let held = s.by_id.values().filter(|f| f.message.is_some());
         prop_assert_eq!(held.clone().count(), (0..3).map(|c| s.of(c).0).sum::<usize>());
-        prop_assert_eq!(held.map(Filed::size).sum::<u64>(), (0..3).map(|c| s.of(c).1).sum::<u64>());
+        prop_assert_eq!(held.map(MessageRecord::size).sum::<u64>(), (0..3).map(|c| s.of(c).1).sum::<u64>());
         prop_assert_eq!(s.held_to.len(), s.held_of.len());
     }
 }
@@ -69,21 +69,21 @@
     ) {
         let room = Room { age: 1_000, count: 5, octets: 100_000 };
         let (mut s, mut alone) = (Store::new(UNLIMITED, room), Store::new(UNLIMITED, room));
-        let mut of: BTreeMap<u64, Parts> = BTreeMap::new();
-        let mut rooms: BTreeMap<u32, PartRoom> = BTreeMap::new();
+        let mut of: BTreeMap<u64, MessagePartitions> = BTreeMap::new();
+        let mut rooms: BTreeMap<u32, PartitionLimits> = BTreeMap::new();
         for (n, (what, at, part, held, size)) in steps.into_iter().enumerate() {
             let (id, now) = (at << TIME_SHIFT, n as i64);
             match what {
                 0 => {
                     let some = |on: bool| on.then_some(size);
-                    let room = PartRoom {
+                    let room = PartitionLimits {
                         count: some(size > 1),
                         octets: some(held).map(|n| n as u64 * 90),
                         age: some(size % 2 == 0).map(|n| n as i64 * 20),
                         trails: some(held),
                     };
                     s.limit(1, part, room);
-                    if part > 0 && room == PartRoom::default() {
+                    if part > 0 && room == PartitionLimits::default() {
                         rooms.remove(&part);
                     } else if part > 0 {
                         rooms.insert(part, room);
@@ -93,7 +93,7 @@
                 1 => _ = s.take(id),
                 2 => s.note(now, id, What::Restarted),
                 _ => {
-                    let parts = Parts { age: part, count: part, octets: (part + 1) % 4, trails: part };
+                    let parts = MessagePartitions { age: part, count: part, octets: (part + 1) % 4, trails: part };
                     of.insert(id, parts);
                     s.file_in(now, id, filed(1, 1, 0, held), parts);
                     let other = (50 + at) << TIME_SHIFT;
@@ -104,7 +104,7 @@
                 }
             }
             prop_assert_eq!(s.rooms(1), rooms.iter().map(|(p, r)| (*p, *r)).collect::<Vec<_>>());
-            let mine: Vec<&Filed> = s.by_id.values().filter(|f| f.client == 1 && f.message.is_some()).collect();
+            let mine: Vec<&MessageRecord> = s.by_id.values().filter(|f| f.client == 1 && f.message.is_some()).collect();
             prop_assert_eq!(s.of(1).0, mine.len());
             prop_assert_eq!(s.of(1).1, mine.iter().map(|f| f.size()).sum::<u64>());
             let Some(partitions) = s.partitions.get(&1) else { continue };
@@ -155,7 +155,7 @@
         "an unknown message is reported as delivered"
     );
     let trail = Trail::read(&s.get(64).unwrap().trail).unwrap();
-    assert_eq!(trail.steps().collect::<Vec<_>>(), [(3, What::HandedIn(1))]);
+    assert_eq!(trail.steps().collect::<Vec<_>>(), [(3, What::Resubmitted(1))]);
     s.end(4, 64, &trail, false);
     assert_eq!(s.begin(5, 64, 2, again), Ok(again), "undelivered again: it is held as before");
     s.end(6, 64, &trail, true);
--- a/crates/held/src/trail.rs
+++ b/crates/held/src/trail.rs
@@ -9,23 +9,23 @@
 /// What is known of an ended attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub enum Known {
+pub enum KnownOutcome {
     /// Nothing of it left the sender.
     NeverWritten = 0,
     /// Some of it was written, and no answer proves that it had no effect.
     Written = 1,
     /// The receiver accepted it.
-    Took = 2,
+    Delivered = 2,
     /// The receiver refused it.
     Refused = 3,
     /// The sender restarted meanwhile: it may have been written.
     Lost = 4,
 }
 
-impl Known {
+impl KnownOutcome {
     /// Returns whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Known::Written | Known::Took | Known::Lost)
+        matches!(self, KnownOutcome::Written | KnownOutcome::Delivered | KnownOutcome::Lost)
     }
 }
 
@@ -52,17 +52,17 @@
     /// An attempt began, to the endpoint of this index.
     Began(u32),
     /// The attempt ended; what is known of it.
-    Ended(Known),
+    Ended(KnownOutcome),
     /// The sender restarted.
     Restarted,
     /// The final answer, by its index in the list of states.
     Answered(u32),
     /// The client confirmed the answer.
-    Heard,
+    AnswerConfirmed,
     /// The message was resubmitted, by the party of this index.
-    HandedIn(u32),
+    Resubmitted(u32),
     /// The message was dropped, by the party of this index.
-    GivenUp(u32),
+    Dropped(u32),
 }
 
 impl What {
@@ -72,21 +72,21 @@
             What::Ended(known) => (2, 0, known as u32),
             What::Restarted => (3, 0, 0),
             What::Answered(state) => (4, 0, state),
-            What::Heard => (5, 0, 0),
-            What::HandedIn(party) => (6, party, 0),
-            What::GivenUp(party) => (7, party, 0),
+            What::AnswerConfirmed => (5, 0, 0),
+            What::Resubmitted(party) => (6, party, 0),
+            What::Dropped(party) => (7, party, 0),
         }
     }
 
     fn read(what: u32, who: u32, more: u32) -> Option<What> {
         Some(match what {
             1 => What::Began(who),
-            2 => What::Ended(Known::try_from(more as i32).ok()?),
+            2 => What::Ended(KnownOutcome::try_from(more as i32).ok()?),
             3 => What::Restarted,
             4 => What::Answered(more),
-            5 => What::Heard,
-            6 => What::HandedIn(who),
-            7 => What::GivenUp(who),
+            5 => What::AnswerConfirmed,
+            6 => What::Resubmitted(who),
+            7 => What::Dropped(who),
             _ => return None,
         })
     }
@@ -129,7 +129,7 @@
     /// Removes the first attempt that certainly had no effect.
     fn shorten(&mut self) {
         let no_effect =
-            |s: &Step| s.what == 2 && Known::try_from(s.more as i32).is_ok_and(|k| !k.may_have_run());
+            |s: &Step| s.what == 2 && KnownOutcome::try_from(s.more as i32).is_ok_and(|k| !k.may_have_run());
         let at = (1..self.steps.len()).find(|i| no_effect(&self.steps[*i]) && self.steps[*i - 1].what == 1);
         if let Some(at) = at {
             let removed_time: i64 = self.steps.drain(at - 1..=at).map(|s| s.after).sum();
@@ -196,7 +196,7 @@
         let mut t = Trail::new(1_000, 3);
         for n in 0..20 {
             t.add(2_000 + n * 100, What::Began(n as u32), 8);
-            let known = if n == 5 { Known::Written } else { Known::NeverWritten };
+            let known = if n == 5 { KnownOutcome::Written } else { KnownOutcome::NeverWritten };
             t.add(2_050 + n * 100, What::Ended(known), 8);
         }
         assert_eq!(t.may_have_run(), Some(2_500));
@@ -205,7 +205,8 @@
         assert!(steps.len() <= 9, "{steps:?}");
         assert_eq!(steps.last(), Some(&(9_000, What::Answered(3))), "the times of later steps are unchanged");
         assert!(
-            steps.contains(&(2_500, What::Began(5))) && steps.contains(&(2_550, What::Ended(Known::Written)))
+            steps.contains(&(2_500, What::Began(5)))
+                && steps.contains(&(2_550, What::Ended(KnownOutcome::Written)))
         );
         assert_eq!(Trail::read(&t.write()), Some(t));
         let mut open = Trail::new(0, 0);
@@ -218,9 +219,9 @@
         let now = 1_790_000_000_000_000;
         let mut t = Trail::new(now, 7);
         t.add(now + 300, What::Began(120), 64);
-        t.add(now + 24_000, What::Ended(Known::Took), 64);
+        t.add(now + 24_000, What::Ended(KnownOutcome::Delivered), 64);
         t.add(now + 24_100, What::Answered(0), 64);
-        t.add(now + 25_000, What::Heard, 64);
+        t.add(now + 25_000, What::AnswerConfirmed, 64);
         assert!(t.write().len() <= 50, "{}", t.write().len());
     }
 }
--- a/crates/held/tests/weigh.rs
+++ b/crates/held/tests/weigh.rs
@@ -1,6 +1,6 @@
 //! The prediction of what limits would drop equals what is dropped then, over random contents and limits.
 
-use heronroute_held::{Filed, PartRoom, Parts, PredictedDrops, Room, Store};
+use heronroute_held::{MessagePartitions, MessageRecord, PartitionLimits, PredictedDrops, Room, Store};
 use proptest::prelude::*;
 
 const NOW: i64 = 2_000;
@@ -34,9 +34,9 @@
     ((item.at as u64) << 6) | (n as u64 % 64)
 }
 
-fn room() -> impl Strategy<Value = PartRoom> {
+fn room() -> impl Strategy<Value = PartitionLimits> {
     let some = |most: u64| prop::option::weighted(0.6, 0..most);
-    (some(2_000), some(12), some(1_500), some(6)).prop_map(|(age, count, octets, trails)| PartRoom {
+    (some(2_000), some(12), some(1_500), some(6)).prop_map(|(age, count, octets, trails)| PartitionLimits {
         age: age.map(|n| n as i64),
         count: count.map(|n| n as usize),
         octets,
@@ -44,17 +44,17 @@
     })
 }
 
-fn rooms() -> impl Strategy<Value = Vec<(u32, PartRoom)>> {
+fn rooms() -> impl Strategy<Value = Vec<(u32, PartitionLimits)>> {
     prop::collection::btree_map(0..4u32, room(), 0..4).prop_map(|rooms| rooms.into_iter().collect())
 }
 
-fn store(before: &[(u32, PartRoom)], items: &[Item], common: (usize, u64, usize)) -> Store {
+fn store(before: &[(u32, PartitionLimits)], items: &[Item], common: (usize, u64, usize)) -> Store {
     let (count, octets, trails) = common;
     let mut store =
         Store::new(Room { age: 1_900, count: trails, octets: 1_500 }, Room { age: 1_800, count, octets });
     before.iter().for_each(|(part, room)| store.limit(0, *part, *room));
     for (n, i) in items.iter().enumerate() {
-        let filed = Filed {
+        let filed = MessageRecord {
             client: i.client,
             destination: 1,
             class: 0,
@@ -63,10 +63,10 @@
             message: i.held.then(|| vec![0; i.octets].into()),
             under_way: i.under_way,
             kept: i.kept,
-            not_seen: None,
+            not_received_at: None,
         };
         let [age, count, octets, trails] = i.parts;
-        store.file_in(0, id(n, i), filed, Parts { age, count, octets, trails });
+        store.file_in(0, id(n, i), filed, MessagePartitions { age, count, octets, trails });
     }
     store
 }
--- a/crates/journal/benches/journal.rs
+++ b/crates/journal/benches/journal.rs
@@ -124,7 +124,7 @@
         drop(journal);
         let start = Instant::now();
         let journal = Journal::open(Dir::open(&path).expect("dir"), limits).expect("journal");
-        assert_eq!(journal.book().open.len() as u64, n);
+        assert_eq!(journal.state().open.len() as u64, n);
         let again = start.elapsed().as_secs_f64();
         println!(
             "{n:>8} open: recovery from the log {log:.3} s ({:.0}/s), from a snapshot {again:.3} s ({:.0}/s), the \
--- a/crates/journal/src/admission.rs
+++ b/crates/journal/src/admission.rs
@@ -8,7 +8,7 @@
 
 /// The limits at which acceptance stops.
 #[derive(Clone, Copy, Debug)]
-pub struct Marks {
+pub struct AdmissionLimits {
     /// The maximum size on disk, in bytes.
     pub most_disk: u64,
     /// The bytes reserved for each open message: its attempts, outcomes and answer.
@@ -19,18 +19,18 @@
 
 /// Decides whether to accept messages, with hysteresis.
 #[derive(Clone, Copy, Debug)]
-pub struct Shed {
-    marks: Marks,
+pub struct AdmissionControl {
+    marks: AdmissionLimits,
     shedding: bool,
 }
 
 /// Acceptance resumes below this share of a limit.
 const RESUME_SHARE: f64 = 0.7;
 
-impl Shed {
+impl AdmissionControl {
     /// Returns a control that accepts messages at first.
-    pub fn new(marks: Marks) -> Self {
-        Shed { marks, shedding: false }
+    pub fn new(marks: AdmissionLimits) -> Self {
+        AdmissionControl { marks, shedding: false }
     }
 
     /// Returns whether to refuse messages now. `coming` is the number of bytes of this message and of others
@@ -52,11 +52,11 @@
 
     #[test]
     fn refuses_before_the_limit_and_resumes_well_below_it() {
-        let mut s = Shed::new(Marks { most_disk: 1_000, reserve: 10, most_lag: 100 });
+        let mut s = AdmissionControl::new(AdmissionLimits { most_disk: 1_000, reserve: 10, most_lag: 100 });
         let at = |bytes| Usage { octets: bytes, ..Usage::default() };
         assert!(!s.refuses(at(500), 49, 9, 0));
         assert!(s.refuses(at(500), 49, 10, 0), "the message itself would not fit");
-        let mut s = Shed::new(s.marks);
+        let mut s = AdmissionControl::new(s.marks);
         assert!(s.refuses(at(500), 50, 0, 0), "open messages need the rest");
         assert!(s.refuses(at(700), 0, 0, 0), "no resumption until well below the limit");
         assert!(!s.refuses(at(699), 0, 0, 0));
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -81,7 +81,7 @@
     pub steps: u64,
     /// The faults to inject.
     pub faults: Faults,
-    dark: bool,
+    power_lost: bool,
 }
 
 impl Disk {
@@ -91,8 +91,8 @@
     }
 
     /// Returns whether power was lost.
-    pub fn dark(&self) -> bool {
-        self.dark
+    pub fn power_lost(&self) -> bool {
+        self.power_lost
     }
 
     /// Returns the disk as it is found after a loss of power. Each write that was not synced is kept, torn or
@@ -136,8 +136,8 @@
 
     fn step(&mut self) -> io::Result<()> {
         self.steps += 1;
-        if self.dark || self.steps == self.faults.power {
-            self.dark = true;
+        if self.power_lost || self.steps == self.faults.power {
+            self.power_lost = true;
             return Err(io::Error::other("power lost"));
         }
         match self.faults.failing {
@@ -176,7 +176,7 @@
             self.file(name)?.append(bytes);
         }
         if let Err(error) = self.step() {
-            if !self.dark {
+            if !self.power_lost {
                 self.file(name)?.append(&bytes[..bytes.len() / 2]);
             }
             return Err(error);
@@ -199,12 +199,12 @@
         if result.is_ok() && self.steps == self.faults.sync {
             result = Err(io::Error::other("sync failed"));
         }
-        let dark = self.dark;
+        let power_lost = self.power_lost;
         let file = self.file(name)?;
         match &result {
             Ok(()) => file.sync(),
             // Nothing happens after a loss of power.
-            Err(_) if dark => {}
+            Err(_) if power_lost => {}
             Err(_) => file.fail_to_sync(),
         }
         result
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -13,7 +13,7 @@
 /// The version of the format.
 pub const VERSION: u32 = 1;
 /// The size of a frame's header, in bytes.
-pub const HEAD: usize = 36;
+pub const HEADER_SIZE: usize = 36;
 /// The maximum size of a frame's payload, in bytes.
 pub const MAX_PAYLOAD: usize = 1 << 28;
 
@@ -57,13 +57,13 @@
 /// Appends an encoded frame to `out`.
 pub fn write(first: u64, durable: u64, entries: &[Entry], out: &mut Vec<u8>) {
     let start = out.len();
-    out.resize(start + HEAD, 0);
+    out.resize(start + HEADER_SIZE, 0);
     for e in entries {
         // Encoding into a vector can't fail.
         _ = e.encode_length_delimited(out);
     }
-    let payload = (out.len() - start - HEAD) as u32;
-    let header = &mut out[start..start + HEAD];
+    let payload = (out.len() - start - HEADER_SIZE) as u32;
+    let header = &mut out[start..start + HEADER_SIZE];
     header[0..4].copy_from_slice(&MAGIC.to_le_bytes());
     header[4..8].copy_from_slice(&VERSION.to_le_bytes());
     header[8..12].copy_from_slice(&payload.to_le_bytes());
@@ -90,7 +90,7 @@
     if bytes.is_empty() {
         return Err(FrameError::End);
     }
-    if bytes.len() < HEAD {
+    if bytes.len() < HEADER_SIZE {
         return Err(FrameError::Torn);
     }
     let u32_at = |i: usize| u32::from_le_bytes([bytes[i], bytes[i + 1], bytes[i + 2], bytes[i + 3]]);
@@ -102,7 +102,7 @@
     if payload > MAX_PAYLOAD {
         return Err(FrameError::Torn);
     }
-    Ok(Header { first: u64_at(16), count: u32_at(24), durable: u64_at(28), length: HEAD + payload })
+    Ok(Header { first: u64_at(16), count: u32_at(24), durable: u64_at(28), length: HEADER_SIZE + payload })
 }
 
 /// Decodes the header at the start of `bytes`, and checks that the frame is complete and intact.
@@ -130,7 +130,7 @@
 /// Where there is no such frame.
 pub fn read(bytes: &[u8]) -> Result<Frame, FrameError> {
     let Header { first, count, durable, length } = read_header(bytes)?;
-    let mut rest = &bytes[HEAD..length];
+    let mut rest = &bytes[HEADER_SIZE..length];
     let mut entries = Vec::new();
     for _ in 0..count {
         entries.push(Entry::decode_length_delimited(&mut rest).map_err(|_| FrameError::Torn)?);
@@ -140,7 +140,7 @@
 
 /// Returns the encoded form of each entry in a sequence of length-prefixed entries. Ends at the first
 /// malformed entry.
-pub fn pieces(mut bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
+pub fn encoded_entries(mut bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     std::iter::from_fn(move || {
         if bytes.is_empty() {
             return None;
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -15,30 +15,30 @@
 
 #![forbid(unsafe_code)]
 
-#[path = "state.rs"]
-pub mod book;
+#[path = "admission.rs"]
+pub mod admission;
 pub mod chain;
 pub mod dir;
 pub mod disk;
 pub mod entry;
 pub mod frame;
-#[path = "takeovers.rs"]
-pub mod heirs;
 mod log;
 mod reader;
 mod repair;
 mod replacement;
-#[path = "admission.rs"]
-pub mod shed;
+#[path = "state.rs"]
+pub mod state;
+#[path = "takeovers.rs"]
+pub mod takeovers;
 pub mod timeline;
 pub mod tool;
 
-pub use book::{Book, Open};
 pub use chain::{Chain, Digest, Mark};
 pub use entry::Entry;
 pub use log::{Journal, JournalError, Limits, Usage};
-pub use reader::{BasePart, Cursor, Run};
-pub use replacement::Base;
+pub use reader::{Cursor, Run, SnapshotPart};
+pub use replacement::Replacement;
+pub use state::{JournalState, Open};
 
 use std::io;
 
--- a/crates/journal/src/log.rs
+++ b/crates/journal/src/log.rs
@@ -6,11 +6,11 @@
 //! removed.
 
 use crate::Storage;
-use crate::book::Book;
 use crate::chain::Chain;
 use crate::entry::{Entry, What};
 use crate::frame::{self, FrameError};
 use crate::repair::Damage;
+use crate::state::JournalState;
 use std::io;
 
 /// The limits of a journal's files.
@@ -89,14 +89,14 @@
 pub struct Journal<S> {
     pub(crate) storage: S,
     pub(crate) limits: Limits,
-    pub(crate) book: Book,
+    pub(crate) state: JournalState,
     /// The number of the next entry; all entries before it are durable.
     pub(crate) next: u64,
     /// The entry number that the newest snapshot covers up to.
     pub(crate) snap: Option<u64>,
     /// The digest chain now and at the newest snapshot; `None` where the journal is not replicated.
     pub(crate) chain: Option<Chain>,
-    pub(crate) snap_chain: Option<Chain>,
+    pub(crate) snapshot_chain: Option<Chain>,
     /// The name and size of the current segment.
     pub(crate) segment: String,
     pub(crate) segment_size: u64,
@@ -142,19 +142,19 @@
         }
         let mut snaps: Vec<u64> = names.iter().filter_map(|n| file_number(n, "snap-")).collect();
         snaps.sort_unstable();
-        let (mut book, mut next, mut snap_size) = (Book::default(), 0, 0);
+        let (mut state, mut next, mut snap_size) = (JournalState::default(), 0, 0);
         let mut chain = chained.then(Chain::default);
         if let Some(at) = snaps.last() {
             let name = format!("snap-{at:016x}");
             let bytes = storage.read(&name)?;
             let found;
-            (book, found) = read_snapshot(&name, &bytes, *at)?;
+            (state, found) = read_snapshot(&name, &bytes, *at)?;
             // A snapshot without a chain was written while the journal was not replicated: the chain begins
             // with it.
             chain = chained.then(|| found.unwrap_or_else(|| Chain::begin(*at, &bytes)));
             (next, snap_size) = (*at, bytes.len() as u64);
         }
-        let snap_chain = chain.clone();
+        let snapshot_chain = chain.clone();
         let mut logs: Vec<u64> = names.iter().filter_map(|n| file_number(n, "log-")).collect();
         logs.sort_unstable();
         let mut log_size = 0;
@@ -176,10 +176,10 @@
             loop {
                 let error = match frame::read(&bytes[at..]) {
                     Ok(f) if f.first <= next || f.entries.is_empty() => {
-                        let raw = frame::pieces(&bytes[at + frame::HEAD..at + f.length]);
+                        let raw = frame::encoded_entries(&bytes[at + frame::HEADER_SIZE..at + f.length]);
                         for ((n, e), raw) in f.entries.iter().enumerate().zip(raw) {
                             if f.first + n as u64 == next {
-                                book.apply(e);
+                                state.apply(e);
                                 if let Some(chain) = &mut chain {
                                     chain.push(raw);
                                 }
@@ -223,11 +223,11 @@
         let mut journal = Journal {
             storage,
             limits,
-            book,
+            state,
             next,
             snap: snaps.last().copied(),
             chain,
-            snap_chain,
+            snapshot_chain,
             segment: String::new(),
             segment_size: 0,
             damage: Damage::None,
@@ -242,8 +242,8 @@
     }
 
     /// Returns the state that the entries add up to.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn state(&self) -> &JournalState {
+        &self.state
     }
 
     /// Returns the number of the next entry; all entries before it are durable.
@@ -258,8 +258,8 @@
 
     /// Returns the digest chain at the newest snapshot, or at the start of the log where there is no
     /// snapshot.
-    pub fn snap_chain(&self) -> Option<&Chain> {
-        self.snap_chain.as_ref()
+    pub fn snapshot_chain(&self) -> Option<&Chain> {
+        self.snapshot_chain.as_ref()
     }
 
     /// Returns the storage, for other files that the caller keeps beside the journal's.
@@ -336,10 +336,10 @@
     /// Applies entries that are now durable to the state and the counters.
     fn apply(&mut self, entries: &[Entry]) {
         for e in entries {
-            self.book.apply(e);
+            self.state.apply(e);
         }
         if let Some(chain) = &mut self.chain {
-            frame::pieces(&self.out[frame::HEAD..]).for_each(|e| chain.push(e));
+            frame::encoded_entries(&self.out[frame::HEADER_SIZE..]).for_each(|e| chain.push(e));
         }
         let size = self.out.len() as u64;
         self.next += entries.len() as u64;
@@ -378,7 +378,7 @@
         let (mut first, mut size) = (0, 0);
         let mut part: Vec<Entry> = Vec::new();
         let chained = self.chain.iter().map(|c| What::Chain(c.to_entry()).into());
-        let entries: Vec<Entry> = chained.chain(self.book.entries()).collect();
+        let entries: Vec<Entry> = chained.chain(self.state.entries()).collect();
         for e in entries {
             part.push(e);
             if part.len() >= 1_024 {
@@ -412,7 +412,7 @@
         // Files that can't be removed now are removed with the next snapshot or at the next opening.
         _ = self.remove_before(self.next);
         self.snap = Some(self.next);
-        self.snap_chain.clone_from(&self.chain);
+        self.snapshot_chain.clone_from(&self.chain);
         (self.snap_size, self.log_size) = (size, 0);
         self.usage.octets = size + self.segment_size;
         self.usage.snapshots += 1;
@@ -443,18 +443,22 @@
 }
 
 /// Reads a snapshot. It was synced completely before it got its name, so any fault in it is damage.
-fn read_snapshot(name: &str, bytes: &[u8], covers_up_to: u64) -> Result<(Book, Option<Chain>), JournalError> {
-    let (mut book, mut chain) = (Book::default(), None);
+fn read_snapshot(
+    name: &str,
+    bytes: &[u8],
+    covers_up_to: u64,
+) -> Result<(JournalState, Option<Chain>), JournalError> {
+    let (mut state, mut chain) = (JournalState::default(), None);
     let (mut at, mut count) = (0, 0);
     loop {
         match frame::read(&bytes[at..]) {
             Ok(f) if f.entries.is_empty() && f.first == covers_up_to && f.durable == count => {
-                return Ok((book, chain));
+                return Ok((state, chain));
             }
             Ok(f) if f.first == count && !f.entries.is_empty() => {
                 count += f.entries.len() as u64;
                 for e in &f.entries {
-                    book.apply(e);
+                    state.apply(e);
                     if let Some(What::Chain(c)) = &e.what {
                         chain = Chain::from_entry(c).filter(|c| c.at().number == covers_up_to);
                     }
--- a/crates/journal/src/reader.rs
+++ b/crates/journal/src/reader.rs
@@ -23,7 +23,7 @@
 
 /// A part of the newest snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BasePart {
+pub struct SnapshotPart {
     /// The digest chain at the number that the snapshot covers up to.
     pub chain: Chain,
     /// The entries. Those that describe only the snapshot itself are among them and change no state.
@@ -65,7 +65,7 @@
 
     /// Enters the next frame that has entries from `from` on; returns false where the file ends.
     fn enter<S: Storage>(&mut self, storage: &S, from: u64) -> Result<bool, JournalError> {
-        while self.fill(storage, frame::HEAD)? {
+        while self.fill(storage, frame::HEADER_SIZE)? {
             let broken = |at: u64, file: &str| JournalError::Broken {
                 file: file.to_string(),
                 offset: at,
@@ -84,7 +84,7 @@
             match frame::read_header(&self.buffer[self.at..]) {
                 Ok(header) => {
                     (self.frame, self.next) = (self.at + header.length, header.first);
-                    self.at += frame::HEAD;
+                    self.at += frame::HEADER_SIZE;
                     return Ok(true);
                 }
                 Err(FrameError::Version(version)) => {
@@ -167,14 +167,14 @@
     ///
     /// # Errors
     /// Where the snapshot is damaged or can't be read.
-    pub fn read_base(
+    pub fn read_snapshot_part(
         &self,
         cursor: &mut Cursor,
         of: Option<u64>,
         from: u64,
         most: usize,
-    ) -> Result<Option<BasePart>, JournalError> {
-        let (Some(snap), Some(chain)) = (self.snap, &self.snap_chain) else { return Ok(None) };
+    ) -> Result<Option<SnapshotPart>, JournalError> {
+        let (Some(snap), Some(chain)) = (self.snap, &self.snapshot_chain) else { return Ok(None) };
         if of.is_some_and(|of| of != snap) {
             return Ok(None);
         }
@@ -191,12 +191,12 @@
                 // The last frame has no entries, and its number is the one that the snapshot covers up to.
                 if cursor.at == cursor.frame {
                     cursor.seek(String::new(), 0);
-                    return Ok(Some(BasePart { chain: chain.clone(), run, end: true }));
+                    return Ok(Some(SnapshotPart { chain: chain.clone(), run, end: true }));
                 }
             }
             cursor.take(from + run.count, most, &mut run);
             if run.octets.len() >= most {
-                return Ok(Some(BasePart { chain: chain.clone(), run, end: false }));
+                return Ok(Some(SnapshotPart { chain: chain.clone(), run, end: false }));
             }
         }
     }
--- a/crates/journal/src/replacement.rs
+++ b/crates/journal/src/replacement.rs
@@ -1,15 +1,15 @@
 //! Replaces a journal by the snapshot of another one, received in parts. The old contents stay valid until
 //! the new snapshot is complete and durable; an incomplete one is ignored.
 
-use crate::book::Book;
 use crate::chain::Chain;
 use crate::entry::{Entry, What};
+use crate::state::JournalState;
 use crate::{Journal, JournalError, Storage};
 
 /// A snapshot of another journal that is being received.
 #[derive(Debug)]
-pub struct Base {
-    book: Book,
+pub struct Replacement {
+    state: JournalState,
     chain: Chain,
     /// The number of entries received, and of entries written, the chain included.
     count: u64,
@@ -17,7 +17,7 @@
     size: u64,
 }
 
-impl Base {
+impl Replacement {
     /// Returns the number of entries received so far.
     pub fn count(&self) -> u64 {
         self.count
@@ -35,13 +35,13 @@
     /// # Errors
     /// [`JournalError::Full`], [`JournalError::Failed`], or an error of the storage; the old contents stay
     /// valid.
-    pub fn base_begin(&mut self, chain: Chain) -> Result<Base, JournalError> {
+    pub fn begin_replacement(&mut self, chain: Chain) -> Result<Replacement, JournalError> {
         if self.failed {
             return Err(JournalError::Failed);
         }
         self.storage.create("new")?;
         let entry = What::Chain(chain.to_entry()).into();
-        let mut base = Base { book: Book::default(), chain, count: 0, written: 0, size: 0 };
+        let mut base = Replacement { state: JournalState::default(), chain, count: 0, written: 0, size: 0 };
         base.size = self.write_part(0, &[entry])?;
         base.written = 1;
         Ok(base)
@@ -52,12 +52,16 @@
     ///
     /// # Errors
     /// As at the start; the snapshot can't be continued then.
-    pub fn base_part(&mut self, base: &mut Base, entries: &[Entry]) -> Result<(), JournalError> {
+    pub fn add_to_replacement(
+        &mut self,
+        base: &mut Replacement,
+        entries: &[Entry],
+    ) -> Result<(), JournalError> {
         base.size += self.write_part(base.written, entries)?;
         if base.size > self.limits.most {
             return Err(JournalError::Full);
         }
-        entries.iter().for_each(|e| base.book.apply(e));
+        entries.iter().for_each(|e| base.state.apply(e));
         base.count += entries.len() as u64;
         base.written += entries.len() as u64;
         Ok(())
@@ -69,12 +73,12 @@
     /// [`JournalError::Full`], with nothing changed, where the snapshot covers fewer entries than the journal
     /// holds. Where the storage fails, the journal accepts nothing more; the next opening finds either the
     /// old contents or the new ones.
-    pub fn base_end(&mut self, base: Base) -> Result<(), JournalError> {
+    pub fn finish_replacement(&mut self, base: Replacement) -> Result<(), JournalError> {
         if base.number() < self.next {
             return Err(JournalError::Full);
         }
         self.next = base.number();
-        self.book = base.book;
+        self.state = base.state;
         self.chain = self.chain.is_some().then_some(base.chain);
         let done = self.finish(base.written, base.size);
         self.failed |= done.is_err();
@@ -85,7 +89,7 @@
     ///
     /// # Errors
     /// Where the storage fails.
-    pub fn base_drop(&mut self) -> Result<(), JournalError> {
+    pub fn abandon_replacement(&mut self) -> Result<(), JournalError> {
         Ok(self.storage.remove("new")?)
     }
 }
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -4,7 +4,7 @@
 use crate::entry::{
     Accepted, Answer, Applied, Entry, Final, Held, Intent, Named, Place, Request, Session, Taken, What,
 };
-use crate::heirs::Heirs;
+use crate::takeovers::Takeovers;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The number of client-given message names kept at most. Beyond it the oldest are dropped, and the state
@@ -32,7 +32,7 @@
 
 /// The state that a journal's entries add up to.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Book {
+pub struct JournalState {
     /// The open messages, by number.
     pub open: BTreeMap<u64, Open>,
     /// What is known of endpoints, by endpoint name.
@@ -40,7 +40,7 @@
     /// The next free message number.
     pub next_id: u64,
     /// The durable sessions, by client and session name.
-    pub sessions: BTreeMap<(String, String), Kept>,
+    pub sessions: BTreeMap<(String, String), KeptSession>,
     /// The names that clients gave their messages, oldest first.
     pub names: VecDeque<Named>,
     /// The undelivered messages held for their clients, by number.
@@ -55,19 +55,19 @@
     /// The rules that clients set themselves, by client.
     pub applied: BTreeMap<String, Applied>,
     /// The takeovers of dead members' messages.
-    pub heirs: Heirs,
+    pub takeovers: Takeovers,
 }
 
 /// A session that survives the loss of its connection.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct KeptSession {
     /// The session as it was last recorded.
     pub session: Session,
     /// The latest requests, at most one window of them.
     pub latest: VecDeque<Request>,
 }
 
-impl Book {
+impl JournalState {
     /// Applies an entry. Entries about messages that are not open change nothing.
     pub fn apply(&mut self, entry: &Entry) {
         match &entry.what {
@@ -146,10 +146,10 @@
             Some(What::Heir(h)) => {
                 let ids = [h.accepted.as_ref(), h.held.as_ref().and_then(|h| h.accepted.as_ref())];
                 ids.into_iter().flatten().for_each(|a| self.next_id = self.next_id.max(a.id + 1));
-                self.heirs.add(h);
+                self.takeovers.add(h);
             }
             Some(What::Inherited(step)) => {
-                let (open, held) = self.heirs.step(step);
+                let (open, held) = self.takeovers.step(step);
                 self.open.extend(open.into_iter().map(|o| (o.accepted.id, o)));
                 let held =
                     held.into_iter().filter_map(|h| h.accepted.as_ref().map(|a| a.id).map(|id| (id, h)));
@@ -246,10 +246,10 @@
         let finals = self.expiries.iter().filter_map(|(_, id)| self.finals.get(id));
         let finals = finals.map(|f| What::Final(f.clone()).into());
         let applied = self.applied.values().map(|a| What::Applied(a.clone()).into());
-        let heirs = self.heirs.entries();
+        let takeovers = self.takeovers.entries();
         sessions
             .chain(names)
-            .chain(heirs)
+            .chain(takeovers)
             .chain(messages)
             .chain(held)
             .chain(places)
--- a/crates/journal/src/takeovers.rs
+++ b/crates/journal/src/takeovers.rs
@@ -1,8 +1,8 @@
 //! The takeover of messages from dead members. A takeover is atomic: after a crash before all of its messages
 //! are recorded none of them counts, and after that all do.
 
-use crate::book::Open;
 use crate::entry::{Entry, Heir, Held, Inherited, Step, What};
+use crate::state::Open;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The number of completed takeovers remembered at most; the oldest are dropped. Each is recorded in the
@@ -18,12 +18,12 @@
 
 /// The takeovers of dead members, in progress and completed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heirs {
+pub struct Takeovers {
     in_progress: BTreeMap<String, InProgress>,
     completed: VecDeque<String>,
 }
 
-impl Heirs {
+impl Takeovers {
     /// Returns whether the takeover of `origin`, one life of a member, is completed.
     pub fn own(&self, origin: &str) -> bool {
         self.completed.iter().any(|o| o == origin)
--- a/crates/journal/src/timeline.rs
+++ b/crates/journal/src/timeline.rs
@@ -6,7 +6,7 @@
 //! reboot, or where the boot's identity can't be read, the wall clock is used; the time then never goes back
 //! before the newest entry.
 
-use crate::Book;
+use crate::JournalState;
 
 /// Binds the journal's time to the monotonic clock of one boot of the machine. All times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,18 +51,18 @@
 }
 
 /// Returns the journal's time at the start of a process.
-pub fn journal_time(anchor: Option<&Anchor>, clocks: &Clocks, book: &Book) -> i64 {
+pub fn journal_time(anchor: Option<&Anchor>, clocks: &Clocks, state: &JournalState) -> i64 {
     let same_boot =
         anchor.filter(|a| Some(&a.boot) == clocks.boot.as_ref() && a.monotonic <= clocks.monotonic);
     match same_boot {
         Some(anchor) => anchor.journal.saturating_add(clocks.monotonic - anchor.monotonic),
-        None => clocks.wall.max(newest_entry(book)),
+        None => clocks.wall.max(newest_entry(state)),
     }
 }
 
 /// Returns the newest time in the open messages.
-fn newest_entry(book: &Book) -> i64 {
-    let times = book.open.values().flat_map(|open| {
+fn newest_entry(state: &JournalState) -> i64 {
+    let times = state.open.values().flat_map(|open| {
         let intents = [&open.may_run, &open.out].into_iter().flatten().map(|intent| intent.at);
         let answer = open.answer.iter().map(|answer| answer.at);
         intents.chain(answer).chain([open.accepted.taken])
--- a/crates/journal/src/tool.rs
+++ b/crates/journal/src/tool.rs
@@ -4,7 +4,7 @@
 use crate::disk::Disk;
 use crate::entry::{Entry, What};
 use crate::frame::{self, FrameError};
-use crate::{Book, Journal, JournalError, Limits, Storage};
+use crate::{Journal, JournalError, JournalState, Limits, Storage};
 use std::io;
 use std::path::Path;
 
@@ -25,13 +25,13 @@
 
 /// What was found in a journal.
 #[derive(Debug)]
-pub struct Survey {
+pub struct Inspection {
     /// The files, in order of name.
     pub files: Vec<FileReport>,
     /// All entries of the log with their numbers.
     pub entries: Vec<(u64, Entry)>,
     /// The state, or why the journal can't be opened.
-    pub book: Result<Book, JournalError>,
+    pub state: Result<JournalState, JournalError>,
 }
 
 /// Reads the journal in a folder. A file that disappears meanwhile (a running sender removes its old log) is
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// Where the folder can't be read.
-pub fn survey(folder: &Path) -> io::Result<Survey> {
+pub fn inspect(folder: &Path) -> io::Result<Inspection> {
     let mut disk = Disk::default();
     let (mut files, mut entries) = (Vec::new(), Vec::new());
     let mut names: Vec<String> = Vec::new();
@@ -74,12 +74,12 @@
         disk.create(&name)?;
         disk.append(&name, &bytes)?;
     }
-    let book = Journal::open(disk, Limits::default()).map(|j| j.book().clone());
-    Ok(Survey { files, entries, book })
+    let state = Journal::open(disk, Limits::default()).map(|j| j.state().clone());
+    Ok(Inspection { files, entries, state })
 }
 
 /// Returns the number of the message that an entry is about.
-pub fn about(entry: &Entry) -> Option<u64> {
+pub fn message_of(entry: &Entry) -> Option<u64> {
     Some(match entry.what.as_ref()? {
         What::Accepted(a) => a.id,
         What::Intent(i) => i.id,
--- a/crates/journal/tests/copy.rs
+++ b/crates/journal/tests/copy.rs
@@ -16,7 +16,7 @@
 }
 
 fn decoded(bytes: &[u8]) -> Vec<Entry> {
-    frame::pieces(bytes).map(|e| Entry::decode(e).unwrap()).collect()
+    frame::encoded_entries(bytes).map(|e| Entry::decode(e).unwrap()).collect()
 }
 
 #[test]
@@ -85,15 +85,15 @@
 fn copy(from: &Journal<Disk>, to: &mut Journal<Disk>) -> Result<(), JournalError> {
     let (mut cursor, mut at, mut base) = (Cursor::default(), 0, None);
     loop {
-        let part = from.read_base(&mut cursor, None, at, 500)?.unwrap();
+        let part = from.read_snapshot_part(&mut cursor, None, at, 500)?.unwrap();
         let mut under_way = match base.take() {
             Some(base) => base,
-            None => to.base_begin(part.chain.clone())?,
+            None => to.begin_replacement(part.chain.clone())?,
         };
-        to.base_part(&mut under_way, &decoded(&part.run.octets))?;
+        to.add_to_replacement(&mut under_way, &decoded(&part.run.octets))?;
         at += part.run.count;
         if part.end {
-            return to.base_end(under_way);
+            return to.finish_replacement(under_way);
         }
         base = Some(under_way);
     }
@@ -105,7 +105,7 @@
     let mut origin = Journal::open_chained(Disk::default(), SMALL).unwrap();
     origin.commit(&all).unwrap();
     origin.snapshot().unwrap();
-    let (book, chain) = (origin.book().clone(), origin.chain().cloned());
+    let (state, chain) = (origin.state().clone(), origin.chain().cloned());
     let old = &all[..20];
     let fresh = || {
         let mut j = Journal::open_chained(Disk::default(), SMALL).unwrap();
@@ -113,7 +113,7 @@
         j
     };
     let before = fresh();
-    let (book_before, chain_before) = (before.book().clone(), before.chain().cloned());
+    let (book_before, chain_before) = (before.state().clone(), before.chain().cloned());
     let steps = before.into_storage().steps;
     let mut whole = 0;
     for power in steps + 1..steps + 60 {
@@ -124,8 +124,8 @@
         let done = copy(&origin, &mut to).is_ok();
         for how in 0..8 {
             let found = Journal::open_chained(to.storage().after_loss(how * 7 + power), SMALL).unwrap();
-            let new = found.book() == &book && found.chain() == chain.as_ref() && found.durable() == 200;
-            let old = found.book() == &book_before && found.chain() == chain_before.as_ref();
+            let new = found.state() == &state && found.chain() == chain.as_ref() && found.durable() == 200;
+            let old = found.state() == &book_before && found.chain() == chain_before.as_ref();
             assert!(new || (old && !done), "power {power} how {how}");
             whole += u32::from(new);
         }
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -3,7 +3,7 @@
 
 use heronroute_journal::disk::{Disk, Faults};
 use heronroute_journal::entry::*;
-use heronroute_journal::{Book, Entry, Journal, JournalError, Limits, Storage};
+use heronroute_journal::{Entry, Journal, JournalError, JournalState, Limits, Storage};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng as _, SeedableRng as _};
 
@@ -89,17 +89,17 @@
 }
 
 /// Returns the states after each number of batches; the first is empty.
-fn books(batches: &[Vec<Entry>]) -> Vec<Book> {
-    let mut book = Book::default();
-    let mut list = vec![book.clone()];
+fn books(batches: &[Vec<Entry>]) -> Vec<JournalState> {
+    let mut state = JournalState::default();
+    let mut list = vec![state.clone()];
     for b in batches {
-        b.iter().for_each(|e| book.apply(e));
-        list.push(book.clone());
+        b.iter().for_each(|e| state.apply(e));
+        list.push(state.clone());
     }
     list
 }
 
-fn same(a: &Book, b: &Book) -> bool {
+fn same(a: &JournalState, b: &JournalState) -> bool {
     a.open == b.open
         && a.places == b.places
         && a.sessions == b.sessions
@@ -173,7 +173,7 @@
         let books = books(&batches);
         for power in 1..=steps(&batches) {
             let (durable, disk) = run(&batches, Disk::new(Faults { power, ..Faults::default() }));
-            assert!(disk.dark());
+            assert!(disk.power_lost());
             for how in 0..3 {
                 let found = disk.after_loss(seed * 1_000 + power * 10 + how);
                 let mut again = found.clone();
@@ -182,7 +182,7 @@
                 // The batch under way when power was lost may be complete.
                 let fits = [durable, durable + 1]
                     .into_iter()
-                    .any(|n| books.get(n).is_some_and(|b| same(b, journal.book())));
+                    .any(|n| books.get(n).is_some_and(|b| same(b, journal.state())));
                 assert!(fits, "seed {seed} power {power} how {how}: {durable} batches were durable");
                 drop(journal);
                 runs += 1;
@@ -195,7 +195,7 @@
                 assert!(
                     [durable, durable + 1]
                         .into_iter()
-                        .any(|n| books.get(n).is_some_and(|b| same(b, journal.book())))
+                        .any(|n| books.get(n).is_some_and(|b| same(b, journal.state())))
                 );
             }
         }
@@ -209,12 +209,12 @@
     let books = books(&batches);
     let (durable, disk) = run(&batches[..30], Disk::new(Faults { power: 70, ..Faults::default() }));
     let mut journal = Journal::open(disk.after_loss(5), SMALL).unwrap();
-    let from = if same(journal.book(), &books[durable]) { durable } else { durable + 1 };
+    let from = if same(journal.state(), &books[durable]) { durable } else { durable + 1 };
     for b in &batches[from..] {
         journal.commit(b).unwrap();
     }
     let journal = Journal::open(journal.into_storage(), SMALL).unwrap();
-    assert!(same(journal.book(), &books[60]));
+    assert!(same(journal.state(), &books[60]));
 }
 
 #[test]
@@ -239,7 +239,7 @@
         let mut torn = disk.clone();
         torn.truncate(&last, cut).unwrap();
         let journal = Journal::open(torn, limits).unwrap();
-        assert!(same(journal.book(), &books[5]), "cut at {cut}");
+        assert!(same(journal.state(), &books[5]), "cut at {cut}");
     }
 }
 
@@ -282,19 +282,22 @@
 fn a_full_disk_refuses_commits_and_recovers() {
     let mut journal = Journal::open(Disk::new(Faults { room: 4_000, ..Faults::default() }), SMALL).unwrap();
     let mut full = 0;
-    let mut book = Book::default();
+    let mut state = JournalState::default();
     for b in workload(4, 400) {
         match journal.commit(&b) {
-            Ok(_) => b.iter().for_each(|e| book.apply(e)),
+            Ok(_) => b.iter().for_each(|e| state.apply(e)),
             Err(JournalError::Full) => full += 1,
             Err(e) => panic!("{e}"),
         }
-        assert!(same(journal.book(), &book));
+        assert!(same(journal.state(), &state));
     }
     assert!(full > 0, "the disk was never full");
     let mut disk = journal.into_storage();
     disk.faults.room = 0;
-    assert!(same(Journal::open(disk, SMALL).unwrap().book(), &book), "the state without the refused commits");
+    assert!(
+        same(Journal::open(disk, SMALL).unwrap().state(), &state),
+        "the state without the refused commits"
+    );
 }
 
 #[test]
@@ -307,7 +310,7 @@
         journal.commit(&[accepted.into(), What::Taken(Taken { id }).into()]).unwrap();
         assert!(journal.usage().octets < 4_000, "{:?}", journal.usage());
     }
-    assert_eq!(journal.book().open.len(), 1);
+    assert_eq!(journal.state().open.len(), 1);
 }
 
 #[test]
--- a/crates/journal/tests/failing.rs
+++ b/crates/journal/tests/failing.rs
@@ -3,7 +3,7 @@
 
 use heronroute_journal::disk::{Disk, Failing, Faults};
 use heronroute_journal::entry::{Accepted, Taken, What};
-use heronroute_journal::{Book, Entry, Journal, Limits, Storage};
+use heronroute_journal::{Entry, Journal, JournalState, Limits, Storage};
 use std::io;
 
 /// Small enough that new segments and snapshots are frequent.
@@ -26,22 +26,22 @@
 }
 
 /// Returns the states after each number of batches.
-fn books(batches: &[Vec<Entry>]) -> Vec<Book> {
-    let mut book = Book::default();
-    let mut all = vec![book.clone()];
+fn books(batches: &[Vec<Entry>]) -> Vec<JournalState> {
+    let mut state = JournalState::default();
+    let mut all = vec![state.clone()];
     for batch in batches {
-        batch.iter().for_each(|e| book.apply(e));
-        all.push(book.clone());
+        batch.iter().for_each(|e| state.apply(e));
+        all.push(state.clone());
     }
     all
 }
 
-fn open_ids(book: &Book) -> Vec<u64> {
-    book.open.keys().copied().collect()
+fn open_ids(state: &JournalState) -> Vec<u64> {
+    state.open.keys().copied().collect()
 }
 
-fn reopened_state(disk: Disk) -> Book {
-    Journal::open(disk, LIMITS).expect("the disk works").book().clone()
+fn reopened_state(disk: Disk) -> JournalState {
+    Journal::open(disk, LIMITS).expect("the disk works").state().clone()
 }
 
 /// Commits all batches, retrying each until it succeeds. Checks at each failure, and after each batch, what
@@ -56,7 +56,7 @@
             attempts += 1;
             assert!(attempts < MAX_ATTEMPTS, "{faults:?}: batch {count} is never committed: {error}");
             assert_eq!(
-                open_ids(journal.book()),
+                open_ids(journal.state()),
                 open_ids(&books[count]),
                 "{faults:?}: a failed commit counts"
             );
@@ -117,7 +117,7 @@
             let mut durable = 0;
             'batches: for batch in &batches {
                 while journal.commit(batch).is_err() {
-                    if journal.storage().dark() {
+                    if journal.storage().power_lost() {
                         break 'batches;
                     }
                 }
--- a/crates/journal/tests/timeline.rs
+++ b/crates/journal/tests/timeline.rs
@@ -2,16 +2,16 @@
 
 use heronroute_journal::entry::{Accepted, Intent, What};
 use heronroute_journal::timeline::{Anchor, Clocks, journal_time};
-use heronroute_journal::{Book, Entry};
+use heronroute_journal::{Entry, JournalState};
 
 const HOUR: i64 = 3_600_000_000;
 
-fn book(taken: i64, called: i64) -> Book {
+fn state(taken: i64, called: i64) -> JournalState {
     let accepted = What::Accepted(Accepted { id: 1, taken, ..Accepted::default() });
     let intent = What::Intent(Intent { id: 1, endpoint: "e".into(), at: called });
-    let mut book = Book::default();
-    [accepted, intent].into_iter().for_each(|what| book.apply(&Entry::from(what)));
-    book
+    let mut state = JournalState::default();
+    [accepted, intent].into_iter().for_each(|what| state.apply(&Entry::from(what)));
+    state
 }
 
 fn clocks(boot: Option<&str>, monotonic: i64, wall: i64) -> Clocks {
@@ -23,7 +23,7 @@
 fn within_a_boot_only_the_monotonic_clock_counts() {
     let anchor = Anchor { boot: "b".into(), monotonic: 100, journal: 1_000 };
     for wall in [0, 1_000 - HOUR, 1_000, 1_000 + 2_000_000, 1_000 + HOUR] {
-        let time = journal_time(Some(&anchor), &clocks(Some("b"), 5_000_100, wall), &book(900, 950));
+        let time = journal_time(Some(&anchor), &clocks(Some("b"), 5_000_100, wall), &state(900, 950));
         assert_eq!(time, 5_001_000, "wall clock {wall}");
     }
 }
@@ -36,11 +36,11 @@
     for clocks in unknown {
         for anchor in [Some(&anchor), None] {
             // Without an anchor no boot is known to be the same.
-            let time = journal_time(anchor, &clocks, &book(900, 950));
+            let time = journal_time(anchor, &clocks, &state(900, 950));
             assert_eq!(time, 950, "{clocks:?}");
         }
     }
-    assert_eq!(journal_time(None, &clocks(Some("b"), 1, 2_000), &book(900, 950)), 2_000);
+    assert_eq!(journal_time(None, &clocks(Some("b"), 1, 2_000), &state(900, 950)), 2_000);
 }
 
 #[test]
--- a/crates/net/src/reactor/tests.rs
+++ b/crates/net/src/reactor/tests.rs
@@ -70,7 +70,7 @@
         wall: clock.wall(),
         list: 4,
         kept: None,
-        book: Some(journal.book().clone()),
+        state: Some(journal.state().clone()),
         fleet: false,
     };
     let (commands, inbox) = channel();
--- a/crates/net/src/service.rs
+++ b/crates/net/src/service.rs
@@ -241,7 +241,7 @@
     }
     // Under clients' rules a sender that is not the home has no room: what it holds from before would be let go.
     let keeps =
-        |j: &Journal<Dir>| !j.book().open.is_empty() || (cfg.fleet.is_some() && !j.book().held.is_empty());
+        |j: &Journal<Dir>| !j.state().open.is_empty() || (cfg.fleet.is_some() && !j.state().held.is_empty());
     if before != n && list.iter().flatten().any(keeps) {
         return Err(StartError::Senders(before));
     }
--- a/crates/net/src/service/launch.rs
+++ b/crates/net/src/service/launch.rs
@@ -76,7 +76,7 @@
             wall: self.clock.wall(),
             list: 0,
             kept: self.kept.clone(),
-            book: journal.map(|j| j.book().clone()),
+            state: journal.map(|j| j.state().clone()),
             fleet: self.port.is_some(),
         }
     }
--- a/crates/net/src/standalone.rs
+++ b/crates/net/src/standalone.rs
@@ -35,7 +35,7 @@
     loop {
         let opened = Dir::open_unsynced(folder).map_err(JournalError::from);
         let opened = opened.and_then(|dir| Journal::open(dir, limits)).and_then(|journal| {
-            let time = timeline::start(folder, clock.wall(), journal.book())?;
+            let time = timeline::start(folder, clock.wall(), journal.state())?;
             Ok((journal, clock.with_wall(time)))
         });
         let error = match opened {
@@ -80,7 +80,7 @@
             wall: clock.wall(),
             list: start_up.known.version,
             kept: None,
-            book: Some(journal.book().clone()),
+            state: Some(journal.state().clone()),
             fleet: false,
         };
         let node = Node::new(cfg, start)?;
--- a/crates/net/src/timeline.rs
+++ b/crates/net/src/timeline.rs
@@ -1,6 +1,6 @@
 //! Continues the time of a journal's entries over restarts of the process.
 
-use heronroute_journal::Book;
+use heronroute_journal::JournalState;
 use heronroute_journal::timeline::{Anchor, Clocks, journal_time};
 use nix::time::{ClockId, clock_gettime};
 use std::io;
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// If the anchor can't be written, or the monotonic clock can't be read.
-pub fn start(folder: &Path, wall: i64, book: &Book) -> io::Result<i64> {
+pub fn start(folder: &Path, wall: i64, state: &JournalState) -> io::Result<i64> {
     let now = clock_gettime(ClockId::CLOCK_MONOTONIC).map_err(io::Error::from)?;
     let monotonic = now.tv_sec() * 1_000_000 + now.tv_nsec() / 1_000;
     let boot = std::fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_string());
@@ -27,7 +27,7 @@
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
         Err(e) => return Err(e),
     };
-    let journal = journal_time(anchor.as_ref(), &clocks, book);
+    let journal = journal_time(anchor.as_ref(), &clocks, state);
     let is_current =
         anchor.is_some_and(|a| Some(&a.boot) == clocks.boot.as_ref() && a.monotonic <= monotonic);
     if !is_current && let Some(boot) = clocks.boot {
--- a/crates/seen/benches/seen.rs
+++ b/crates/seen/benches/seen.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p heronroute-seen --bench seen`
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
-use heronroute_seen::{Name, Seen, Verdict};
+use heronroute_seen::{Name, SeenNames, Verdict};
 use std::collections::HashMap;
 
 const NAMES: usize = 262_144;
@@ -22,7 +22,7 @@
 fn run(c: &mut Criterion) {
     let names = names(NAMES);
     for load in [1.0, 1.5, 3.0] {
-        let mut seen = Seen::new(NAMES, 0, 1);
+        let mut seen = SeenNames::new(NAMES, 0, 1);
         let n = (NAMES as f64 * load) as usize;
         (0..n).for_each(|i| seen.add(0, Name::new("client", &format!("n{i}")), i as u64, SPAN));
         let unsure = (0..100_000)
@@ -36,7 +36,7 @@
         plain.insert(("client-name".to_string(), name.clone()), (i as u64, SPAN));
     }
     let map = resident_bytes().saturating_sub(before);
-    let mut seen = Seen::new(NAMES, 0, 1);
+    let mut seen = SeenNames::new(NAMES, 0, 1);
     for (i, name) in names.iter().enumerate() {
         seen.add(0, Name::new("client-name", name), i as u64, SPAN);
     }
--- a/crates/seen/src/lib.rs
+++ b/crates/seen/src/lib.rs
@@ -12,8 +12,8 @@
 mod recent;
 mod seen;
 
-pub use recent::{Handle, Recent};
-pub use seen::{Name, Seen, digest};
+pub use recent::{RecentRequests, RequestKey};
+pub use seen::{Name, SeenNames, digest};
 
 /// Whether a message was submitted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/seen/src/recent.rs
+++ b/crates/seen/src/recent.rs
@@ -9,7 +9,7 @@
 
 /// The properties that identify a request within a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Handle {
+pub struct RequestKey {
     /// The protocol's number of the request; reused once the request is complete.
     pub packet: u16,
     /// The digest of the request. It distinguishes two requests with the same number where the second never
@@ -21,20 +21,20 @@
 
 /// The latest requests of a session.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Recent {
+pub struct RecentRequests {
     ring: VecDeque<(u16, u64, u64)>,
     room: usize,
     has_dropped: bool,
 }
 
-impl Recent {
+impl RecentRequests {
     /// Returns an empty ring for a session with at most `room` outstanding requests.
     pub fn new(room: usize) -> Self {
-        Recent { ring: VecDeque::new(), room: room.max(1), has_dropped: false }
+        RecentRequests { ring: VecDeque::new(), room: room.max(1), has_dropped: false }
     }
 
     /// Returns whether a request was submitted before in this session.
-    pub fn find(&self, handle: Handle) -> Verdict {
+    pub fn find(&self, handle: RequestKey) -> Verdict {
         if !handle.again {
             return Verdict::New;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Records that a request was accepted as message `id`.
-    pub fn add(&mut self, handle: Handle, id: u64) {
+    pub fn add(&mut self, handle: RequestKey, id: u64) {
         self.ring.push_back((handle.packet, handle.digest, id));
         while self.ring.len() > self.room {
             self.ring.pop_front();
@@ -78,8 +78,8 @@
 
     #[test]
     fn a_repeat_is_recognised_by_number_and_digest() {
-        let h = |packet, digest, again| Handle { packet, digest, again };
-        let mut r = Recent::new(2);
+        let h = |packet, digest, again| RequestKey { packet, digest, again };
+        let mut r = RecentRequests::new(2);
         r.add(h(1, 10, false), 100);
         assert_eq!(r.find(h(1, 10, true)), Verdict::Same(100));
         assert_eq!(r.find(h(1, 10, false)), Verdict::New, "the client says it is new");
--- a/crates/seen/src/seen.rs
+++ b/crates/seen/src/seen.rs
@@ -75,7 +75,7 @@
 
 /// A table of the names seen.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct SeenNames {
     buckets: Vec<Bucket>,
     /// The time from which seconds are counted.
     origin: i64,
@@ -83,13 +83,13 @@
     seed: u64,
 }
 
-impl Seen {
+impl SeenNames {
     /// Returns a table for about `names` names at once. `now` is the caller's clock in microseconds. `seed`
     /// changes the buckets of names, so that clients can't choose names that share one.
     pub fn new(names: usize, now: i64, seed: u64) -> Self {
         // Filled to two thirds, hardly any bucket overflows.
         let buckets = (names.max(1) * 3 / 2).div_ceil(SLOTS).max(2);
-        Seen { buckets: vec![Bucket::default(); buckets], origin: now, dropped_until: 0, seed }
+        SeenNames { buckets: vec![Bucket::default(); buckets], origin: now, dropped_until: 0, seed }
     }
 
     /// Returns the size of the table in bytes.
@@ -180,7 +180,7 @@
 
     #[test]
     fn a_name_is_known_until_it_expires() {
-        let mut s = Seen::new(100, 0, 7);
+        let mut s = SeenNames::new(100, 0, 7);
         let name = Name::new("client", "a");
         assert_eq!(s.find(0, name), Verdict::New);
         s.add(0, name, 5, 10 * SECOND);
@@ -195,7 +195,7 @@
 
     #[test]
     fn a_name_given_up_is_unsure_until_it_expires_and_other_names_are_not_affected() {
-        let mut s = Seen::new(100, 0, 7);
+        let mut s = SeenNames::new(100, 0, 7);
         let name = |n: u64| Name::new("client", &n.to_string());
         (0..50).for_each(|n| s.add(0, name(n), n + 1, 10 * SECOND));
         s.give_up(SECOND, name(7));
@@ -212,7 +212,7 @@
         /// if the table is far too small.
         #[test]
         fn a_dropped_name_is_never_called_new(seed: u64, steps in prop::collection::vec((0u64..200, 0i64..3), 1..400)) {
-            let mut seen = Seen::new(32, 0, seed);
+            let mut seen = SeenNames::new(32, 0, seed);
             let mut plain: HashMap<u64, (u64, i64)> = HashMap::new();
             let mut now = 0;
             for (at, (who, pause)) in steps.into_iter().enumerate() {
--- a/crates/ship/benches/ship.rs
+++ b/crates/ship/benches/ship.rs
@@ -137,8 +137,8 @@
     let mut group = c.benchmark_group("resume after 100,000 entries of lag");
     group.sample_size(10).throughput(Throughput::Elements(100_000));
     let log = Limits::default();
-    let book = Limits { least: 1 << 20, ..log };
-    for (what, limits) in [("from the log", log), ("from the book and the log behind it", book)] {
+    let state = Limits { least: 1 << 20, ..log };
+    for (what, limits) in [("from the log", log), ("from the book and the log behind it", state)] {
         let mut held = 0;
         group.bench_function(what, |b| {
             b.iter_batched(
--- a/crates/ship/src/copy/mod.rs
+++ b/crates/ship/src/copy/mod.rs
@@ -8,7 +8,7 @@
 use crate::wire::{self, Down, Message, Up};
 use crate::{Micros, Notice, Notices, Origin, Receiver};
 use heronroute_fleet::{Life, Name, Start};
-use heronroute_journal::{Base, Book, Entry, Journal, JournalError, Limits, Mark, Storage};
+use heronroute_journal::{Entry, Journal, JournalError, JournalState, Limits, Mark, Replacement, Storage};
 use std::collections::VecDeque;
 
 /// Commits that found no room are tried again after this, in microseconds.
@@ -34,7 +34,7 @@
     coming: Mark,
     /// The beginning of an entry whose end has not come.
     piece: Vec<u8>,
-    base: Option<Base>,
+    base: Option<Replacement>,
     /// Where the entries of the base that came lead; more than it has, as what is of a snapshot alone is left out.
     taken: Mark,
     /// It was told where to go on from, after something was missing.
@@ -110,7 +110,7 @@
         (self.waiting, self.octets, self.piece) = (Vec::new(), 0, Vec::new());
         if self.base.take().is_some()
             && let Some(journal) = &mut self.journal
-            && journal.base_drop().is_err()
+            && journal.abandon_replacement().is_err()
         {
             self.fail();
         }
@@ -272,9 +272,9 @@
         wire::write(&Message { origin, talk: self.talk, body })
     }
 
-    fn book(&self) -> Option<(&Book, u64)> {
+    fn state(&self) -> Option<(&JournalState, u64)> {
         let journal = self.journal.as_ref().filter(|_| !self.failed)?;
-        self.life.map(|_| (journal.book(), journal.durable()))
+        self.life.map(|_| (journal.state(), journal.durable()))
     }
 
     fn notice(&mut self) -> Option<Notice> {
--- a/crates/ship/src/copy/take.rs
+++ b/crates/ship/src/copy/take.rs
@@ -31,7 +31,7 @@
 fn read(octets: &[u8], entries: &Entries, mark: &mut Mark) -> Result<Vec<Entry>, No> {
     let mut to = *mark;
     let mut list = Vec::new();
-    for raw in frame::pieces(octets) {
+    for raw in frame::encoded_entries(octets) {
         let entry = Entry::decode(raw).map_err(|_| No::Odd)?;
         // Guards against a field that this version does not know, and would leave out of the copy.
         if entry.encoded_len() != raw.len() {
@@ -64,7 +64,7 @@
                 if at.0 < self.at().number {
                     return self.end(at.0, Err(No::Odd));
                 }
-                let begun = self.journal.as_mut().map(|j| j.base_begin(chain));
+                let begun = self.journal.as_mut().map(|j| j.begin_replacement(chain));
                 match begun {
                     Some(Ok(base)) => self.base = Some(base),
                     Some(Err(JournalError::Full)) => self.no_room(),
@@ -78,7 +78,7 @@
                     self.base = Some(base);
                     return self.end(count, Err(No::Elsewhere));
                 }
-                let done = self.journal.as_mut().map(|j| j.base_end(base));
+                let done = self.journal.as_mut().map(|j| j.finish_replacement(base));
                 match done {
                     Some(Ok(())) => {
                         self.start_over();
@@ -138,7 +138,7 @@
         let own = |e: &Entry| matches!(e.what, Some(What::Chain(_)));
         let list: Vec<Entry> = list.into_iter().filter(|e| !own(e)).collect();
         let done = match (&mut self.journal, &mut self.base) {
-            (Some(journal), Some(base)) => journal.base_part(base, &list),
+            (Some(journal), Some(base)) => journal.add_to_replacement(base, &list),
             _ => Ok(()),
         };
         match done {
--- a/crates/ship/src/lib.rs
+++ b/crates/ship/src/lib.rs
@@ -21,7 +21,7 @@
 pub use serve::{Cursors, serve};
 
 use heronroute_fleet::Life;
-use heronroute_journal::{BasePart, Run};
+use heronroute_journal::{Run, SnapshotPart};
 use serde::{Deserialize, Serialize};
 
 /// Time in microseconds on the caller's clock.
@@ -63,7 +63,7 @@
     /// Entries of the log.
     Log(Run),
     /// Entries of the snapshot.
-    Base(BasePart),
+    Base(SnapshotPart),
     /// The log does not reach back so far; the snapshot is another, or there is none.
     Gone {
         /// Where the log begins now.
@@ -150,7 +150,7 @@
     /// Never says durable what a crash could lose.
     fn poll(&mut self, now: Micros) -> Option<Vec<u8>>;
     /// The book of the copy, and the number of its next entry: what a take-over starts from. None where there is no copy yet.
-    fn book(&self) -> Option<(&heronroute_journal::Book, u64)>;
+    fn state(&self) -> Option<(&heronroute_journal::JournalState, u64)>;
     /// What an operator has to know, each once.
     fn notice(&mut self) -> Option<Notice>;
     /// Octets that it holds of entries that are not durable yet.
--- a/crates/ship/src/send/mod.rs
+++ b/crates/ship/src/send/mod.rs
@@ -103,7 +103,7 @@
     pub fn new<S: Storage>(origin: Origin, bounds: Bounds, journal: &Journal<S>, promised: u64) -> Self {
         // A journal without a chain has begun none: all that is there is proved by nothing.
         let chain = journal.chain().cloned().unwrap_or_else(|| Chain::begin(journal.durable(), b"none"));
-        let base = journal.snap_chain().map(Chain::at);
+        let base = journal.snapshot_chain().map(Chain::at);
         Sender {
             origin,
             bounds,
@@ -193,7 +193,7 @@
         if run.first != self.tail.number {
             return;
         }
-        for raw in frame::pieces(&run.octets) {
+        for raw in frame::encoded_entries(&run.octets) {
             match self.state {
                 State::Proving { copy } if self.tail.number < copy.number => {
                     self.tail.push(raw);
@@ -302,7 +302,7 @@
                         }
                         *chain = Some(part.chain);
                     }
-                    for raw in frame::pieces(&part.run.octets) {
+                    for raw in frame::encoded_entries(&part.run.octets) {
                         read.push(raw);
                         self.queue.push(raw, *read);
                     }
--- a/crates/ship/src/serve.rs
+++ b/crates/ship/src/serve.rs
@@ -19,11 +19,11 @@
     cursors: &mut Cursors,
     want: Want,
 ) -> Result<Given, JournalError> {
-    let gone = Given::Gone { base: journal.snap_chain().map(|c| c.at()) };
+    let gone = Given::Gone { base: journal.snapshot_chain().map(|c| c.at()) };
     Ok(match want {
         Want::Log { from, most } => journal.read(&mut cursors.log, from, most)?.map_or(gone, Given::Log),
         Want::Base { of, from, most } => {
-            journal.read_base(&mut cursors.base, of, from, most)?.map_or(gone, Given::Base)
+            journal.read_snapshot_part(&mut cursors.base, of, from, most)?.map_or(gone, Given::Base)
         }
     })
 }
--- a/crates/ship/tests/copy.rs
+++ b/crates/ship/tests/copy.rs
@@ -51,7 +51,7 @@
     let answers = say(&mut copy, run(0, [0; 16], &[taken(1), newer]));
     assert_eq!(answers, [Down::Odd { number: 0 }]);
     assert_eq!(copy.notice(), Some(Notice::Odd { number: 0 }));
-    assert_eq!(copy.book().unwrap().1, 0);
+    assert_eq!(copy.state().unwrap().1, 0);
     assert_eq!(say(&mut copy, run(0, [0; 16], &[taken(1)])), [Down::Durable { next: 1 }]);
 }
 
@@ -72,7 +72,7 @@
 #[test]
 fn a_folder_of_another_is_refused() {
     let mut copy = open(Disk::default(), "a", 0).unwrap();
-    assert!(copy.book().is_none(), "nobody has written yet");
+    assert!(copy.state().is_none(), "nobody has written yet");
     say(&mut copy, Up::Hello { next: 0, acked: 0 });
     let disk = copy.into_journal().unwrap().into_storage();
     for (member, sender) in [("b", 0), ("a", 1)] {
