--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -15,7 +15,6 @@
 
 #![forbid(unsafe_code)]
 
-#[path = "admission.rs"]
 pub mod admission;
 pub mod chain;
 pub mod dir;
@@ -26,9 +25,7 @@
 mod reader;
 mod repair;
 mod replacement;
-#[path = "state.rs"]
 pub mod state;
-#[path = "takeovers.rs"]
 pub mod takeovers;
 pub mod timeline;
 pub mod tool;
