--- a/crates/held/src/grants.rs
+++ b/crates/held/src/grants.rs
@@ -1,11 +1,12 @@
-//! Who may see and do what with held messages.
+//! Access rights to held messages.
 //!
-//! An owner is the client that handed a message in, and the partner named for its destination where the settings grant
-//! it. All else is refused, in the same words whether the message exists or not.
+//! The owners of a message are the client that submitted it, and the partner named for its destination where
+//! the settings grant it. Every other request is refused, with the same reply whether the message exists or
+//! not.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who asks.
+/// The party that makes a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
     /// A client, by number.
@@ -16,53 +17,59 @@
     Operator(String),
 }
 
-/// What is asked for.
+/// An operation on a held message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Deed {
-    /// To see it and its trail.
-    See,
-    /// To keep it from being dropped or handed in.
-    Hold,
-    /// To hand it in again.
-    HandIn,
-    /// To give it up.
-    GiveUp,
-    /// To say that it was not seen at its destination.
-    Vouch,
+pub enum Operation {
+    /// Show the message and its trail.
+    Show,
+    /// Keep the message from being dropped or resubmitted.
+    Keep,
+    /// Resubmit the message.
+    Resubmit,
+    /// Drop the message.
+    Drop,
+    /// State that the message was not received at its destination.
+    AttestNotReceived,
 }
 
-/// The grants of the settings.
+/// The access rights given by the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Grants {
-    /// Partners by destination, with what they may do.
-    partners: BTreeMap<(i64, String), BTreeSet<Deed>>,
-    /// What operators may do beyond seeing and holding.
-    operators: BTreeMap<String, BTreeSet<Deed>>,
+    /// The operations granted to partners, by destination and partner.
+    partners: BTreeMap<(i64, String), BTreeSet<Operation>>,
+    /// The operations granted to operators beyond seeing and keeping.
+    operators: BTreeMap<String, BTreeSet<Operation>>,
 }
 
 impl Grants {
-    /// A partner may do this with messages to a destination.
-    pub fn partner(&mut self, destination: i64, name: &str, deed: Deed) {
-        self.partners.entry((destination, name.to_string())).or_default().insert(deed);
+    /// Grants a partner an operation on messages to a destination.
+    pub fn partner(&mut self, destination: i64, name: &str, operation: Operation) {
+        self.partners.entry((destination, name.to_string())).or_default().insert(operation);
     }
 
-    /// An operator may do this.
-    pub fn operator(&mut self, name: &str, deed: Deed) {
-        self.operators.entry(name.to_string()).or_default().insert(deed);
+    /// Grants an operator an operation.
+    pub fn operator(&mut self, name: &str, operation: Operation) {
+        self.operators.entry(name.to_string()).or_default().insert(operation);
     }
 
-    /// Whether a party may do this with a message of a client to a destination.
-    pub fn allows(&self, party: &Party, deed: Deed, client: u32, destination: i64) -> bool {
+    /// Returns whether a party may perform an operation on a message from `client` to `destination`.
+    pub fn allows(&self, party: &Party, operation: Operation, client: u32, destination: i64) -> bool {
         match party {
-            // One's own messages are one's own, but nobody vouches for what another did not see.
-            Party::Client(c) => *c == client && deed != Deed::Vouch && deed != Deed::Hold,
+            // A client has rights on its own messages, but can't state what was received elsewhere.
+            Party::Client(c) => {
+                *c == client && operation != Operation::AttestNotReceived && operation != Operation::Keep
+            }
             Party::Partner(name) => {
                 let granted = self.partners.get(&(destination, name.clone()));
-                granted.is_some_and(|g| g.contains(&deed))
+                granted.is_some_and(|g| g.contains(&operation))
             }
             Party::Operator(name) => {
-                let usual = matches!(deed, Deed::See | Deed::Hold);
-                usual || self.operators.get(name).is_some_and(|g| g.contains(&deed) && deed != Deed::Vouch)
+                let always = matches!(operation, Operation::Show | Operation::Keep);
+                always
+                    || self
+                        .operators
+                        .get(name)
+                        .is_some_and(|g| g.contains(&operation) && operation != Operation::AttestNotReceived)
             }
         }
     }
@@ -73,21 +80,30 @@
     use super::*;
 
     #[test]
-    fn everyone_has_what_is_theirs_and_no_more() {
+    fn parties_have_only_the_operations_granted() {
         let mut g = Grants::default();
-        g.partner(7, "gym", Deed::See);
-        g.partner(7, "gym", Deed::Vouch);
-        g.operator("ada", Deed::HandIn);
-        g.operator("ada", Deed::Vouch);
-        let all = [Deed::See, Deed::Hold, Deed::HandIn, Deed::GiveUp, Deed::Vouch];
+        g.partner(7, "gym", Operation::Show);
+        g.partner(7, "gym", Operation::AttestNotReceived);
+        g.operator("ada", Operation::Resubmit);
+        g.operator("ada", Operation::AttestNotReceived);
+        let all = [
+            Operation::Show,
+            Operation::Keep,
+            Operation::Resubmit,
+            Operation::Drop,
+            Operation::AttestNotReceived,
+        ];
         let may = |p: Party, client, destination| {
             all.into_iter().filter(|d| g.allows(&p, *d, client, destination)).collect::<Vec<_>>()
         };
-        assert_eq!(may(Party::Client(1), 1, 7), [Deed::See, Deed::HandIn, Deed::GiveUp]);
+        assert_eq!(may(Party::Client(1), 1, 7), [Operation::Show, Operation::Resubmit, Operation::Drop]);
         assert_eq!(may(Party::Client(1), 2, 7), []);
-        assert_eq!(may(Party::Partner("gym".into()), 1, 7), [Deed::See, Deed::Vouch]);
+        assert_eq!(may(Party::Partner("gym".into()), 1, 7), [Operation::Show, Operation::AttestNotReceived]);
         assert_eq!(may(Party::Partner("gym".into()), 1, 8), []);
-        assert_eq!(may(Party::Operator("ada".into()), 1, 7), [Deed::See, Deed::Hold, Deed::HandIn]);
-        assert_eq!(may(Party::Operator("bo".into()), 1, 7), [Deed::See, Deed::Hold]);
+        assert_eq!(
+            may(Party::Operator("ada".into()), 1, 7),
+            [Operation::Show, Operation::Keep, Operation::Resubmit]
+        );
+        assert_eq!(may(Party::Operator("bo".into()), 1, 7), [Operation::Show, Operation::Keep]);
     }
 }
--- a/crates/held/src/store/file.rs
+++ b/crates/held/src/store/file.rs
@@ -1,19 +1,26 @@
-//! A message is filed, or taken out: all indexes and accounts with it.
+//! Adds and removes messages, and updates all indexes and counts.
 
 use super::room::Owner;
-use super::{Filed, Store};
+use super::{MessageRecord, Store};
 use crate::Micros;
-use crate::parts::Parts;
+use crate::partitions::MessagePartitions;
 
 impl Store {
-    /// Files a message, in the place of what was filed of it before; then drops what there is no room for. Gives the
+    /// Files a message, replacing an earlier record of it, then drops what exceeds the limits. Returns the
     /// identities of held messages that were dropped.
-    pub fn file(&mut self, now: Micros, id: u64, filed: Filed) -> Vec<u64> {
-        self.file_in(now, id, filed, Parts::default())
+    pub fn file(&mut self, now: Micros, id: u64, filed: MessageRecord) -> Vec<u64> {
+        self.file_in(now, id, filed, MessagePartitions::default())
     }
 
-    /// The same, in parts of its client's room. A part without a limit is the common room.
-    pub fn file_in(&mut self, now: Micros, id: u64, filed: Filed, parts: Parts) -> Vec<u64> {
+    /// Files a message in partitions of its client's storage. A partition without a limit is the common
+    /// storage.
+    pub fn file_in(
+        &mut self,
+        now: Micros,
+        id: u64,
+        filed: MessageRecord,
+        parts: MessagePartitions,
+    ) -> Vec<u64> {
         self.take(id);
         let (client, held) = (filed.client, filed.message.is_some());
         self.by_client.insert((client, id));
@@ -22,13 +29,13 @@
             self.by_key.insert((filed.key, id));
         }
         let size = filed.size();
-        let apart = self.apart.get_mut(&client);
-        let own = match apart {
-            Some(apart) if held => {
-                apart.hold(id, parts, size);
+        let partitions = self.partitions.get_mut(&client);
+        let own = match partitions {
+            Some(partitions) if held => {
+                partitions.hold(id, parts, size);
                 false
             }
-            Some(apart) => apart.trail(id, parts),
+            Some(partitions) => partitions.trail(id, parts),
             None => false,
         };
         if held {
@@ -53,14 +60,14 @@
         Vec::new()
     }
 
-    /// Takes a message out.
-    pub fn take(&mut self, id: u64) -> Option<Filed> {
+    /// Removes a message and returns its record.
+    pub fn take(&mut self, id: u64) -> Option<MessageRecord> {
         let filed = self.by_id.remove(&id)?;
         self.by_client.remove(&(filed.client, id));
         self.by_destination.remove(&(filed.destination, id));
         self.by_key.remove(&(filed.key, id));
         let held = filed.message.is_some();
-        let own = self.apart.get_mut(&filed.client).is_some_and(|a| a.take(id, held, filed.size()));
+        let own = self.partitions.get_mut(&filed.client).is_some_and(|a| a.take(id, held, filed.size()));
         if own {
             return Some(filed);
         }
@@ -76,11 +83,12 @@
         Some(filed)
     }
 
-    pub(in crate::store) fn parts(&self, client: u32, id: u64) -> Parts {
-        self.apart.get(&client).map_or(Parts::default(), |a| a.parts(id))
+    /// Returns the partitions of a message.
+    pub(in crate::store) fn parts(&self, client: u32, id: u64) -> MessagePartitions {
+        self.partitions.get(&client).map_or(MessagePartitions::default(), |a| a.parts(id))
     }
 
-    /// Where a message counts: held ones with their client, all others together.
+    /// Returns the counts that a message belongs to: those of its client if held, else those of all trails.
     pub(in crate::store) fn account(&mut self, client: u32, held: bool) -> &mut Owner {
         if held { self.owners.entry(client).or_default() } else { &mut self.all }
     }
--- a/crates/net/src/reactor/tests.rs
+++ b/crates/net/src/reactor/tests.rs
@@ -71,7 +71,7 @@
         wall: clock.wall(),
         list: 4,
         kept: None,
-        book: Some(journal.book().clone()),
+        state: Some(journal.state().clone()),
         fleet: false,
     };
     let (commands, command_queue) = channel();
--- a/crates/net/src/service.rs
+++ b/crates/net/src/service.rs
@@ -247,7 +247,7 @@
     // Under clients' rules, only the home sender has room for held messages. Another sender would drop those
     // that it held before.
     let needs_same_count = |journal: &Journal<Dir>| {
-        !journal.book().open.is_empty() || (cfg.fleet.is_some() && !journal.book().held.is_empty())
+        !journal.state().open.is_empty() || (cfg.fleet.is_some() && !journal.state().held.is_empty())
     };
     if previous_count != n && list.iter().flatten().any(needs_same_count) {
         return Err(StartError::SenderCount(previous_count));
--- a/crates/net/src/service/launch.rs
+++ b/crates/net/src/service/launch.rs
@@ -81,7 +81,7 @@
             wall: self.clock.wall(),
             list: 0,
             kept: self.saved_list.clone(),
-            book: journal.map(|j| j.book().clone()),
+            state: journal.map(|j| j.state().clone()),
             fleet: self.member.is_some(),
         }
     }
