--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Octets of an entry's body at most.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Who is in charge, in order: of two terms the greater one holds, and orders of a lesser one are refused. 0: nobody.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/fleet/src/frames.rs
+++ b/crates/fleet/src/frames.rs
@@ -9,7 +9,7 @@
 //!
 //! The number is not trusted before the tag is: whatever of a frame is looked at first only says how long it is.
 
-use crate::key::{Key, TAG, Tag};
+use crate::key::{Key, TAG_BYTES, Tag};
 use crate::kind::Kind;
 use serde::{Deserialize, Serialize};
 
@@ -20,8 +20,8 @@
 /// Octets of payload in a frame that is sent; a longer message goes as pieces, between which other kinds go out.
 pub const PIECE: usize = 64 * 1024;
 
-const LENGTH: usize = 4;
-const FRAME: &[u8] = b"heronroute frame\0";
+const LENGTH_BYTES: usize = 4;
+const FRAME_LABEL: &[u8] = b"heronroute frame\0";
 
 /// What a frame is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Raw<'a> {
     /// Length, head and payload.
-    said: &'a [u8],
+    covered: &'a [u8],
     tag: &'a [u8],
 }
 
@@ -75,8 +75,8 @@
     ///
     /// # Errors
     /// [`FrameError::Unreadable`].
-    pub fn unproved(&self) -> Result<(Head, &'a [u8]), FrameError> {
-        let body = self.said.get(LENGTH..).unwrap_or_default();
+    pub fn parse_unverified(&self) -> Result<(Head, &'a [u8]), FrameError> {
+        let body = self.covered.get(LENGTH_BYTES..).unwrap_or_default();
         postcard::take_from_bytes(body).map_err(|_| FrameError::Unreadable)
     }
 
@@ -85,54 +85,54 @@
     ///
     /// # Errors
     /// [`FrameError::Forged`], [`FrameError::Unreadable`].
-    pub fn open(&self, key: &Key, before: &[u8]) -> Result<(Head, &'a [u8]), FrameError> {
-        if !key.proves(FRAME, &[before, self.said], self.tag) {
+    pub fn open(&self, key: &Key, context: &[u8]) -> Result<(Head, &'a [u8]), FrameError> {
+        if !key.verify(FRAME_LABEL, &[context, self.covered], self.tag) {
             return Err(FrameError::Forged);
         }
-        self.unproved()
+        self.parse_unverified()
     }
 
     /// Its tag.
     pub fn tag(&self) -> Tag {
-        self.tag.try_into().unwrap_or([0; TAG])
+        self.tag.try_into().unwrap_or([0; TAG_BYTES])
     }
 }
 
 /// Appends a frame. `before` goes into the tag alone: a frame so sealed holds only after what it names. Gives the tag.
-pub fn seal(out: &mut Vec<u8>, key: &Key, before: &[u8], head: Head, payload: &[u8]) -> Tag {
+pub fn seal(out: &mut Vec<u8>, key: &Key, context: &[u8], head: Head, payload: &[u8]) -> Tag {
     let start = out.len();
-    out.extend_from_slice(&[0; LENGTH]);
+    out.extend_from_slice(&[0; LENGTH_BYTES]);
     // The head is of plain numbers and the writer takes all: postcard has nothing to fail on.
-    let mut octets = postcard::to_extend(&head, std::mem::take(out)).unwrap_or_default();
-    octets.extend_from_slice(payload);
-    let length = (octets.len() - start - LENGTH + TAG) as u32;
-    if let Some(place) = octets.get_mut(start..start + LENGTH) {
+    let mut bytes = postcard::to_extend(&head, std::mem::take(out)).unwrap_or_default();
+    bytes.extend_from_slice(payload);
+    let length = (bytes.len() - start - LENGTH_BYTES + TAG_BYTES) as u32;
+    if let Some(place) = bytes.get_mut(start..start + LENGTH_BYTES) {
         place.copy_from_slice(&length.to_be_bytes());
     }
-    let tag = key.tag(FRAME, &[before, octets.get(start..).unwrap_or_default()]);
-    octets.extend_from_slice(&tag);
-    *out = octets;
+    let tag = key.tag(FRAME_LABEL, &[context, bytes.get(start..).unwrap_or_default()]);
+    bytes.extend_from_slice(&tag);
+    *out = bytes;
     tag
 }
 
 /// Cuts a stream of octets into frames.
 #[derive(Debug, Default)]
 pub struct Reader {
-    octets: Vec<u8>,
+    bytes: Vec<u8>,
     /// Where the next frame begins.
-    at: usize,
+    position: usize,
 }
 
 impl Reader {
     /// Takes octets in. What is held is the octets of one call and less than a frame from before.
-    pub fn push(&mut self, octets: &[u8]) {
-        if self.at > 0 {
-            self.octets.drain(..self.at);
-            self.at = 0;
+    pub fn push(&mut self, bytes: &[u8]) {
+        if self.position > 0 {
+            self.bytes.drain(..self.position);
+            self.position = 0;
             // Nobody holds room for ever because a long message came once.
-            self.octets.shrink_to(2 * PIECE);
+            self.bytes.shrink_to(2 * PIECE);
         }
-        self.octets.extend_from_slice(octets);
+        self.bytes.extend_from_slice(bytes);
     }
 
     /// The next whole frame, of `most` octets after its length at most.
@@ -140,16 +140,18 @@
     /// # Errors
     /// [`FrameError::Long`] and [`FrameError::Short`], as soon as its length is there.
     pub fn next(&mut self, most: usize) -> Result<Option<Raw<'_>>, FrameError> {
-        let rest = self.octets.get(self.at..).unwrap_or_default();
-        let Some(length) = rest.first_chunk::<LENGTH>() else { return Ok(None) };
+        let rest = self.bytes.get(self.position..).unwrap_or_default();
+        let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
         if length > most {
             return Err(FrameError::Long);
         }
-        let Some(said) = length.checked_sub(TAG).filter(|n| *n > 0) else { return Err(FrameError::Short) };
-        let Some(frame) = rest.get(..LENGTH + length) else { return Ok(None) };
-        let (said, tag) = frame.split_at(LENGTH + said);
-        self.at += frame.len();
-        Ok(Some(Raw { said, tag }))
+        let Some(covered) = length.checked_sub(TAG_BYTES).filter(|n| *n > 0) else {
+            return Err(FrameError::Short);
+        };
+        let Some(frame) = rest.get(..LENGTH_BYTES + length) else { return Ok(None) };
+        let (covered, tag) = frame.split_at(LENGTH_BYTES + covered);
+        self.position += frame.len();
+        Ok(Some(Raw { covered, tag }))
     }
 }
--- a/crates/fleet/src/keepers/course.rs
+++ b/crates/fleet/src/keepers/course.rs
@@ -11,7 +11,7 @@
 use super::wire::Told;
 use super::{Output, Standing};
 use crate::Micros;
-use crate::entry::{Entry, MOST_BODY};
+use crate::entry::{Entry, MAX_BODY_BYTES};
 use crate::name::Name;
 use heronroute_journal::Storage;
 use omnipaxos::ballot_leader_election::Ballot;
@@ -199,7 +199,7 @@
     }
 
     fn asked(&mut self, now: Micros, from: &Name, entry: Entry, hops: u8) {
-        if entry.body.len() > MOST_BODY || !self.watchers.contains_key(from) {
+        if entry.body.len() > MAX_BODY_BYTES || !self.watchers.contains_key(from) {
             self.counts.refused += 1;
             return;
         }
--- a/crates/fleet/src/keepers/member.rs
+++ b/crates/fleet/src/keepers/member.rs
@@ -11,7 +11,7 @@
 use super::wire::{Lane, Told, pack, unpack};
 use super::{Counts, Group, Output, Standing, StartError, asks, record};
 use crate::Micros;
-use crate::entry::{Entry, MOST_BODY, Request};
+use crate::entry::{Entry, MAX_BODY_BYTES, Request};
 use crate::name::{Life, Name, Peer};
 use heronroute_journal::Storage;
 use serde::{Deserialize, Serialize};
@@ -169,7 +169,7 @@
     pub fn propose(&mut self, now: Micros, request: Request, wall: Micros, body: Vec<u8>) {
         self.now = now;
         let answer = match self.fold.known(&request) {
-            _ if body.len() > MOST_BODY => Answer::Long,
+            _ if body.len() > MAX_BODY_BYTES => Answer::Long,
             Known::At(place) => Answer::Decided(place),
             Known::Superseded => Answer::Superseded,
             Known::New if !self.majority(now) => Answer::NoMajority,
--- a/crates/fleet/src/keepers/mod.rs
+++ b/crates/fleet/src/keepers/mod.rs
@@ -168,4 +168,4 @@
     pub count: usize,
 }
 
-const _: () = assert!(entry::MOST_BODY < tuning::PIECE);
+const _: () = assert!(entry::MAX_BODY_BYTES < tuning::PIECE);
--- a/crates/fleet/src/key.rs
+++ b/crates/fleet/src/key.rs
@@ -8,20 +8,20 @@
 use std::fmt;
 
 /// Octets of a key at least.
-pub const LEAST_KEY: usize = 32;
+pub const MIN_KEY_BYTES: usize = 32;
 /// Octets of a key file at most.
 pub const MOST_KEY_TEXT: usize = 4_096;
 /// Octets of a tag: HMAC-SHA256 (RFC 2104, FIPS 198-1), not cut short.
-pub const TAG: usize = 32;
+pub const TAG_BYTES: usize = 32;
 
 /// A message's tag.
-pub type Tag = [u8; TAG];
+pub type Tag = [u8; TAG_BYTES];
 
 /// Why a text is no key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// Nothing but space.
-    #[error("the key file is empty; write {LEAST_KEY} random octets or more into it, as hex or base64")]
+    #[error("the key file is empty; write {MIN_KEY_BYTES} random octets or more into it, as hex or base64")]
     Empty,
     /// Longer than [`MOST_KEY_TEXT`].
     #[error("the key file has more than {MOST_KEY_TEXT} octets; that can't be a key")]
@@ -30,7 +30,7 @@
     #[error("the key file is neither hex nor base64")]
     Unreadable,
     /// Fewer than [`LEAST_KEY`] octets.
-    #[error("the key has {0} octets; {LEAST_KEY} are needed at least")]
+    #[error("the key has {0} octets; {MIN_KEY_BYTES} are needed at least")]
     Short(usize),
 }
 
@@ -59,16 +59,16 @@
             return Err(KeyError::Empty);
         }
         // Guards against a short key in hex that, read as base64, would seem long enough.
-        let octets = if text.iter().all(u8::is_ascii_hexdigit) { hex(&text) } else { base64(&text) };
-        let octets = octets.ok_or(KeyError::Unreadable)?;
-        if octets.len() < LEAST_KEY {
-            return Err(KeyError::Short(octets.len()));
+        let bytes = if text.iter().all(u8::is_ascii_hexdigit) { hex(&text) } else { base64(&text) };
+        let bytes = bytes.ok_or(KeyError::Unreadable)?;
+        if bytes.len() < MIN_KEY_BYTES {
+            return Err(KeyError::Short(bytes.len()));
         }
-        Key::of(&octets).ok_or(KeyError::Unreadable)
+        Key::from_bytes(&bytes).ok_or(KeyError::Unreadable)
     }
 
-    fn of(octets: &[u8]) -> Option<Self> {
-        Hmac::new_from_slice(octets).ok().map(Key)
+    fn from_bytes(bytes: &[u8]) -> Option<Self> {
+        Hmac::new_from_slice(bytes).ok().map(Key)
     }
 
     /// The tag of these parts, one after the other. The label keeps tags made for one purpose from serving another; it must
@@ -78,15 +78,15 @@
     }
 
     /// Whether that is their tag, in a time that says nothing of where it differs.
-    pub fn proves(&self, label: &[u8], parts: &[&[u8]], tag: &[u8]) -> bool {
+    pub fn verify(&self, label: &[u8], parts: &[&[u8]], tag: &[u8]) -> bool {
         self.mac(label, parts).verify_slice(tag).is_ok()
     }
 
     /// A key for one purpose. Knowing it, or any tag made by it, says nothing of this one.
     pub fn derive(&self, label: &[u8], parts: &[&[u8]]) -> Key {
-        let octets = self.tag(label, parts);
+        let bytes = self.tag(label, parts);
         // HMAC takes keys of any length; the other arm can't be reached.
-        Key::of(&octets).unwrap_or_else(|| self.clone())
+        Key::from_bytes(&bytes).unwrap_or_else(|| self.clone())
     }
 
     fn mac(&self, label: &[u8], parts: &[&[u8]]) -> Hmac<Sha256> {
@@ -134,10 +134,10 @@
     /// RFC 4231, test case 2 has a shorter key than is let in here; its octets are put in as they are.
     #[test]
     fn tags_are_hmac_sha256() {
-        let key = Key::of(b"Jefe").unwrap();
+        let key = Key::from_bytes(b"Jefe").unwrap();
         let tag = key.tag(b"what do ya ", &[b"want ", b"for nothing?"]);
         assert_eq!(tag[..4], [0x5b, 0xdc, 0xc1, 0x46]);
-        assert!(key.proves(b"what do ya want", &[b" for nothing?"], &tag));
-        assert!(!key.proves(b"what do ya want", &[b" for nothing?"], &tag[..31]));
+        assert!(key.verify(b"what do ya want", &[b" for nothing?"], &tag));
+        assert!(!key.verify(b"what do ya want", &[b" for nothing?"], &tag[..31]));
     }
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -37,7 +37,7 @@
 impl Grants {
     /// Of a keeper that starts now and may have granted before.
     pub fn new(now: Micros, tuning: &Tuning) -> Self {
-        Grants { until: now.saturating_add(held_for(tuning)), holder: None, term: Term(0) }
+        Grants { until: now.saturating_add(grant_duration(tuning)), holder: None, term: Term(0) }
     }
 
     /// Grants a life the term, unless another life may still be in charge or the term is older than one granted.
@@ -47,12 +47,12 @@
         }
         self.holder = Some(holder);
         self.term = term;
-        self.until = self.until.max(now.saturating_add(held_for(tuning)));
+        self.until = self.until.max(now.saturating_add(grant_duration(tuning)));
         true
     }
 }
 
-fn held_for(tuning: &Tuning) -> Micros {
+fn grant_duration(tuning: &Tuning) -> Micros {
     tuning.lease.saturating_add(tuning.lease.saturating_mul(tuning.drift) / 1000).saturating_add(1)
 }
 
@@ -61,33 +61,33 @@
 pub struct Lease {
     term: Term,
     /// For each keeper, when the renewal that it granted last was asked for.
-    asked: Vec<Option<Micros>>,
+    requested: Vec<Option<Micros>>,
 }
 
 impl Lease {
     /// Begins a term among so many keepers; nothing of an older one counts.
     pub fn begin(&mut self, term: Term, keepers: usize) {
         if self.term != term {
-            *self = Lease { term, asked: vec![None; keepers] };
+            *self = Lease { term, requested: vec![None; keepers] };
         }
     }
 
     /// A keeper, counted from 0, has granted what was asked for at this time.
-    pub fn granted(&mut self, keeper: usize, term: Term, asked: Micros, now: Micros) {
+    pub fn granted(&mut self, keeper: usize, term: Term, requested: Micros, now: Micros) {
         if term == self.term
-            && asked <= now
-            && let Some(at) = self.asked.get_mut(keeper)
+            && requested <= now
+            && let Some(at) = self.requested.get_mut(keeper)
         {
-            *at = (*at).max(Some(asked));
+            *at = (*at).max(Some(requested));
         }
     }
 
     /// Until when the term may be acted in; nothing where no majority has granted it.
     pub fn until(&self, tuning: &Tuning) -> Option<Micros> {
-        let mut asked: Vec<Micros> = self.asked.iter().flatten().copied().collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
+        let mut requested: Vec<Micros> = self.requested.iter().flatten().copied().collect();
+        requested.sort_unstable_by(|a, b| b.cmp(a));
         // Five at most: to sort them costs nothing.
-        asked.get(self.asked.len() / 2).map(|at| at.saturating_add(tuning.lease))
+        requested.get(self.requested.len() / 2).map(|at| at.saturating_add(tuning.lease))
     }
 }
 
--- a/crates/fleet/src/link/hello.rs
+++ b/crates/fleet/src/link/hello.rs
@@ -28,10 +28,10 @@
 /// Octets that no other connection has.
 pub type Nonce = [u8; 32];
 
-const DIALS: &[u8] = b"heronroute hello of the dialler\0";
-const ANSWERS: &[u8] = b"heronroute hello of the answerer\0";
-const FROM_DIALLER: &[u8] = b"heronroute link from the dialler\0";
-const FROM_ANSWERER: &[u8] = b"heronroute link from the answerer\0";
+const DIALLER_HELLO: &[u8] = b"heronroute hello of the dialler\0";
+const ANSWERER_HELLO: &[u8] = b"heronroute hello of the answerer\0";
+const DIALLER_FRAMES: &[u8] = b"heronroute link from the dialler\0";
+const ANSWERER_FRAMES: &[u8] = b"heronroute link from the answerer\0";
 
 /// Who speaks, after the version.
 #[derive(Debug, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 
 /// What the other side's hello proved, or said.
 #[derive(Debug)]
-pub(crate) struct Heard {
+pub(crate) struct PeerHello {
     pub life: Life,
     /// The latest start of this member that the other side knows.
     pub known: Start,
@@ -57,23 +57,23 @@
 /// The keys of one link.
 #[derive(Debug)]
 pub(crate) struct Keys {
-    pub sends: Key,
-    pub hears: Key,
+    pub outgoing: Key,
+    pub incoming: Key,
 }
 
 /// Which side of a connection this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Side {
-    Dials,
-    Answers,
+    Dialler,
+    Answerer,
 }
 
 fn key(roster: &Roster, from: Side) -> Key {
-    roster.key.derive(if from == Side::Dials { DIALS } else { ANSWERS }, &[])
+    roster.key.derive(if from == Side::Dialler { DIALLER_HELLO } else { ANSWERER_HELLO }, &[])
 }
 
 /// Appends a hello; gives its tag.
-pub(crate) fn say(
+pub(crate) fn write(
     out: &mut Vec<u8>,
     roster: &Roster,
     side: Side,
@@ -85,7 +85,7 @@
         installation: roster.installation.clone(),
         from: roster.me.clone(),
         to: to.clone(),
-        known: roster.known(to),
+        known: roster.latest_start(to),
         nonce,
     };
     // Plain strings and numbers into a vector: postcard has nothing to fail on.
@@ -95,28 +95,28 @@
 
 /// Appends what the answerer says to a dialler of another version: its own and nothing else, so that the dialler, which
 /// reads it first, knows as well why there is no link.
-pub(crate) fn refuse(out: &mut Vec<u8>, roster: &Roster) {
+pub(crate) fn write_refusal(out: &mut Vec<u8>, roster: &Roster) {
     let payload = postcard::to_stdvec(&VERSION).unwrap_or_default();
-    seal(out, &key(roster, Side::Answers), &[], Head { what: What::Hello, number: 0 }, &payload);
+    seal(out, &key(roster, Side::Answerer), &[], Head { what: What::Hello, number: 0 }, &payload);
 }
 
 /// The version that a hello is of, where it is not this one. Looked at before the tag is, so that an operator is told of an
 /// upgrade or of two installations that share a port rather than of a forger. Nothing is done on the word of it but to close.
 pub(crate) fn other_version(raw: &Raw<'_>) -> Option<u32> {
-    let (head, payload) = raw.unproved().ok()?;
+    let (head, payload) = raw.parse_unverified().ok()?;
     let (version, _) = postcard::take_from_bytes::<u32>(payload).ok()?;
     (head.what == What::Hello && version != VERSION).then_some(version)
 }
 
 /// Hears the other side's hello. `meant`: whom this side dialled.
-pub(crate) fn hear(
+pub(crate) fn verify(
     raw: &Raw<'_>,
     roster: &Roster,
     from: Side,
     meant: Option<&Name>,
     before: &[u8],
-) -> Result<Heard, Reason> {
-    let (head, payload) = raw.unproved()?;
+) -> Result<PeerHello, Reason> {
+    let (head, payload) = raw.parse_unverified()?;
     if head != (Head { what: What::Hello, number: 0 }) {
         return Err(Reason::Unreadable);
     }
@@ -140,20 +140,20 @@
         return Err(Reason::Namesake);
     }
     // Guards against a member taken for another, and against two links of one pair: the lower name dials.
-    let dials = if from == Side::Dials { &hello.from.name } else { &roster.me.name };
-    let answers = if from == Side::Dials { &roster.me.name } else { &hello.from.name };
+    let dials = if from == Side::Dialler { &hello.from.name } else { &roster.me.name };
+    let answers = if from == Side::Dialler { &roster.me.name } else { &hello.from.name };
     if hello.to != roster.me.name || meant.is_some_and(|n| *n != hello.from.name) || dials >= answers {
         return Err(Reason::Misplaced);
     }
-    Ok(Heard { life: hello.from, known: hello.known, tag: raw.tag() })
+    Ok(PeerHello { life: hello.from, known: hello.known, tag: raw.tag() })
 }
 
 /// The keys of the link that follows hello 2.
 pub(crate) fn keys(roster: &Roster, side: Side, second: &Tag) -> Keys {
-    let dialler = roster.key.derive(FROM_DIALLER, &[second]);
-    let answerer = roster.key.derive(FROM_ANSWERER, &[second]);
+    let dialler = roster.key.derive(DIALLER_FRAMES, &[second]);
+    let answerer = roster.key.derive(ANSWERER_FRAMES, &[second]);
     match side {
-        Side::Dials => Keys { sends: dialler, hears: answerer },
-        Side::Answers => Keys { sends: answerer, hears: dialler },
+        Side::Dialler => Keys { outgoing: dialler, incoming: answerer },
+        Side::Answerer => Keys { outgoing: answerer, incoming: dialler },
     }
 }
--- a/crates/fleet/src/link/pieces.rs
+++ b/crates/fleet/src/link/pieces.rs
@@ -28,7 +28,7 @@
     }
 
     /// Octets held.
-    pub fn octets(&self) -> usize {
+    pub fn bytes(&self) -> usize {
         self.0.iter().map(Vec::len).sum()
     }
 }
--- a/crates/fleet/src/link/redial.rs
+++ b/crates/fleet/src/link/redial.rs
@@ -5,47 +5,47 @@
 use rand::{Rng, SeedableRng};
 
 /// The first wait at most; each further failure doubles it.
-pub const FIRST: Micros = 100_000;
+pub const FIRST_DELAY: Micros = 100_000;
 /// No wait is longer.
 pub const MOST: Micros = 5_000_000;
 /// A link that stood for so long was no failure: the next wait is short again. Guards against a peer that lets in and
 /// throws out being dialled without pause.
-pub const STOOD: Micros = 5_000_000;
+pub const STABLE_AFTER: Micros = 5_000_000;
 
 /// The waits for one peer: doubling, capped, the upper half of each by chance from the seed. So those who lost a member
 /// in the same moment do not come back to it in the same moment (exponential backoff with "equal jitter", Brooker,
 /// AWS Architecture Blog 2015).
 #[derive(Debug)]
-pub struct Redial {
+pub struct RedialBackoff {
     failures: u32,
-    chance: SmallRng,
+    rng: SmallRng,
 }
 
-impl Redial {
+impl RedialBackoff {
     /// For one peer of one member.
     pub fn new(seed: u64, peer: usize) -> Self {
         let mixed = seed ^ (peer as u64).wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        Redial { failures: 0, chance: SmallRng::seed_from_u64(mixed) }
+        RedialBackoff { failures: 0, rng: SmallRng::seed_from_u64(mixed) }
     }
 
     /// The wait before the first dial of all: members started in one moment are spread over [`FIRST`].
-    pub fn first(&mut self) -> Micros {
-        self.chance.random_range(0..=FIRST)
+    pub fn initial_delay(&mut self) -> Micros {
+        self.rng.random_range(0..=FIRST_DELAY)
     }
 
     /// What ended the last one does not pass by itself: the next wait is of the longest.
-    pub fn slowest(&mut self) {
+    pub fn use_longest_delay(&mut self) {
         self.failures = 16;
     }
 
     /// The wait before the next dial. `stood`: how long the link stood; 0 where it never did.
-    pub fn wait(&mut self, stood: Micros) -> Micros {
-        if stood >= STOOD {
+    pub fn next_delay(&mut self, uptime: Micros) -> Micros {
+        if uptime >= STABLE_AFTER {
             self.failures = 0;
         }
-        let whole = FIRST.saturating_mul(1 << self.failures.min(16)).min(MOST);
+        let whole = FIRST_DELAY.saturating_mul(1 << self.failures.min(16)).min(MOST);
         self.failures = self.failures.saturating_add(1);
-        self.chance.random_range(whole / 2..=whole)
+        self.rng.random_range(whole / 2..=whole)
     }
 }
 
@@ -56,25 +56,25 @@
     #[test]
     fn waits_grow_to_the_cap_differ_by_seed_and_begin_anew_after_a_link_stood() {
         let waits = |seed| {
-            let mut redial = Redial::new(seed, 1);
-            (0..40).map(|_| redial.wait(0)).collect::<Vec<_>>()
+            let mut redial = RedialBackoff::new(seed, 1);
+            (0..40).map(|_| redial.next_delay(0)).collect::<Vec<_>>()
         };
         let (a, b) = (waits(1), waits(2));
         assert_ne!(a, b);
         assert_eq!(a, waits(1), "the same seed, the same waits");
-        for (n, wait) in a.iter().chain(&b).enumerate() {
-            let whole = (FIRST << (n % 40).min(16)).min(MOST);
-            assert!((whole / 2..=whole).contains(wait), "{n}: {wait}");
+        for (n, delay) in a.iter().chain(&b).enumerate() {
+            let whole = (FIRST_DELAY << (n % 40).min(16)).min(MOST);
+            assert!((whole / 2..=whole).contains(delay), "{n}: {delay}");
         }
-        let mut redial = Redial::new(3, 0);
-        (0..10).for_each(|_| _ = redial.wait(0));
-        assert!(redial.wait(STOOD - 1) > FIRST, "one that falls at once is no success");
-        assert!(redial.wait(STOOD) <= FIRST);
+        let mut redial = RedialBackoff::new(3, 0);
+        (0..10).for_each(|_| _ = redial.next_delay(0));
+        assert!(redial.next_delay(STABLE_AFTER - 1) > FIRST_DELAY, "one that falls at once is no success");
+        assert!(redial.next_delay(STABLE_AFTER) <= FIRST_DELAY);
     }
 
     #[test]
     fn a_hundred_who_lost_one_peer_come_back_spread() {
-        let mut at: Vec<Micros> = (0..100).map(|seed| Redial::new(seed, 7).wait(0)).collect();
+        let mut at: Vec<Micros> = (0..100).map(|seed| RedialBackoff::new(seed, 7).next_delay(0)).collect();
         at.sort_unstable();
         let most = at.windows(10).map(|w| w[9] - w[0]).min().unwrap_or(0);
         assert!(most > 1_000, "ten within {most} µs");
--- a/crates/fleet/src/link/roster.rs
+++ b/crates/fleet/src/link/roster.rs
@@ -5,17 +5,17 @@
 use std::collections::BTreeMap;
 
 /// Octets of an installation's id at most.
-pub const MOST_ID: usize = 64;
+pub const MAX_ID_BYTES: usize = 64;
 
 /// Why members can't be linked as they are named.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RosterError {
     /// An installation's id has 1 to 64 octets.
-    #[error("an installation's id has 1 to {MOST_ID} octets")]
-    Id,
+    #[error("an installation's id has 1 to {MAX_ID_BYTES} octets")]
+    InvalidId,
     /// Two bear one name.
     #[error("two members are named {0}")]
-    Twice(Name),
+    DuplicateName(Name),
     /// This member is not among them.
     #[error("{0} is not among the members")]
     NotListed(Name),
@@ -38,13 +38,13 @@
     /// # Errors
     /// Where the id or the names can't be.
     pub fn new(installation: &str, me: Life, key: Key, peers: &[Peer]) -> Result<Self, RosterError> {
-        if installation.is_empty() || installation.len() > MOST_ID {
-            return Err(RosterError::Id);
+        if installation.is_empty() || installation.len() > MAX_ID_BYTES {
+            return Err(RosterError::InvalidId);
         }
         let mut members = BTreeMap::new();
-        for (place, peer) in peers.iter().enumerate() {
-            if members.insert(peer.name.clone(), (place, Start(0))).is_some() {
-                return Err(RosterError::Twice(peer.name.clone()));
+        for (index, peer) in peers.iter().enumerate() {
+            if members.insert(peer.name.clone(), (index, Start(0))).is_some() {
+                return Err(RosterError::DuplicateName(peer.name.clone()));
             }
         }
         if !members.contains_key(&me.name) {
@@ -59,12 +59,12 @@
     }
 
     /// The latest start of a member that is known here; 0 where none is.
-    pub fn known(&self, name: &Name) -> Start {
+    pub fn latest_start(&self, name: &Name) -> Start {
         self.member(name).map_or(Start(0), |(_, start)| start)
     }
 
     /// A life was proved.
-    pub fn heard(&mut self, life: &Life) {
+    pub fn record_start(&mut self, life: &Life) {
         if let Some((_, start)) = self.members.get_mut(&life.name) {
             *start = (*start).max(life.start);
         }
--- a/crates/fleet/src/link/session.rs
+++ b/crates/fleet/src/link/session.rs
@@ -9,7 +9,7 @@
 use crate::key::Tag;
 use crate::kind::Kind;
 use crate::name::{Life, Name, Start};
-use crate::queue::{Queue, Queued};
+use crate::queue::{PushOutcome, Queue};
 
 /// Both sides must be proved so long after a connection was begun.
 pub const HANDSHAKE: Micros = 5_000_000;
@@ -48,16 +48,16 @@
 #[derive(Debug)]
 enum State {
     /// Said hello 1, waits for hello 2.
-    Dialled {
+    AwaitingReply {
         to: Name,
         first: Tag,
     },
     /// Waits for hello 1.
-    Asked {
+    AwaitingHello {
         nonce: Nonce,
     },
     /// Said hello 2, waits for a frame under the link's key.
-    Answered {
+    AwaitingProof {
         keys: Keys,
         life: Life,
     },
@@ -83,9 +83,9 @@
     next_out: u64,
     next_in: u64,
     pieces: Pieces,
-    begun: Micros,
-    said: Micros,
-    heard: Micros,
+    opened_at: Micros,
+    last_sent: Micros,
+    last_received: Micros,
     /// Frames that came twice.
     doubled: u64,
 }
@@ -94,13 +94,13 @@
     /// The side that dials `to`. `nonce`: octets that no other connection of this installation has.
     pub fn dial(now: Micros, roster: &Roster, to: &Name, nonce: Nonce) -> Self {
         let mut sealed = Vec::new();
-        let first = hello::say(&mut sealed, roster, Side::Dials, to, nonce, &[]);
-        Link::new(now, State::Dialled { to: to.clone(), first }, sealed)
+        let first = hello::write(&mut sealed, roster, Side::Dialler, to, nonce, &[]);
+        Link::new(now, State::AwaitingReply { to: to.clone(), first }, sealed)
     }
 
     /// The side that was dialled.
     pub fn answer(now: Micros, nonce: Nonce) -> Self {
-        Link::new(now, State::Asked { nonce }, Vec::new())
+        Link::new(now, State::AwaitingHello { nonce }, Vec::new())
     }
 
     fn new(now: Micros, state: State, sealed: Vec<u8>) -> Self {
@@ -113,9 +113,9 @@
             next_out: 1,
             next_in: 1,
             pieces: Pieces::default(),
-            begun: now,
-            said: now,
-            heard: now,
+            opened_at: now,
+            last_sent: now,
+            last_received: now,
             doubled: 0,
         }
     }
@@ -130,58 +130,63 @@
         matches!(self.state, State::Refused)
     }
 
-    /// Takes what came. Events are appended; after [`LinkEvent::Over`] nothing more is heard.
-    pub fn receive(&mut self, now: Micros, roster: &Roster, octets: &[u8], events: &mut Vec<LinkEvent>) {
+    /// Takes what came. Events are appended; after [`LinkEvent::Over`] nothing more is peer.
+    pub fn receive(&mut self, now: Micros, roster: &Roster, bytes: &[u8], events: &mut Vec<LinkEvent>) {
         if matches!(self.state, State::Over | State::Refused) {
             return;
         }
-        self.reader.push(octets);
+        self.reader.push(bytes);
         loop {
-            match self.step(now, roster, events) {
+            match self.process_frame(now, roster, events) {
                 Ok(true) => {}
                 Ok(false) => break,
                 Err(reason) => return self.end(reason, events),
             }
         }
-        self.fill(now);
+        self.seal_queued(now);
     }
 
     /// One frame. False: none is whole.
-    fn step(&mut self, now: Micros, roster: &Roster, events: &mut Vec<LinkEvent>) -> Result<bool, Reason> {
-        let proved = matches!(self.state, State::Answered { .. } | State::Up { .. });
+    fn process_frame(
+        &mut self,
+        now: Micros,
+        roster: &Roster,
+        events: &mut Vec<LinkEvent>,
+    ) -> Result<bool, Reason> {
+        let proved = matches!(self.state, State::AwaitingProof { .. } | State::Up { .. });
         let Some(raw) = self.reader.next(if proved { MOST_FRAME } else { MOST_HELLO })? else {
             return Ok(false);
         };
         if !proved && let Some(theirs) = hello::other_version(&raw) {
             events.push(LinkEvent::OtherVersion(theirs));
-            if matches!(self.state, State::Dialled { .. }) {
+            if matches!(self.state, State::AwaitingReply { .. }) {
                 return Err(Reason::Version);
             }
-            hello::refuse(&mut self.sealed, roster);
+            hello::write_refusal(&mut self.sealed, roster);
             (self.state, self.reader) = (State::Refused, Reader::default());
             return Ok(false);
         }
         match &self.state {
             State::Over | State::Refused => return Ok(false),
-            State::Asked { nonce } => {
-                let heard = hello::hear(&raw, roster, Side::Dials, None, &[])?;
-                outlived(roster, heard.known, events)?;
-                let (to, nonce) = (heard.life.name.clone(), *nonce);
-                let tag = hello::say(&mut self.sealed, roster, Side::Answers, &to, nonce, &heard.tag);
-                let keys = hello::keys(roster, Side::Answers, &tag);
-                self.state = State::Answered { keys, life: heard.life };
+            State::AwaitingHello { nonce } => {
+                let peer = hello::verify(&raw, roster, Side::Dialler, None, &[])?;
+                check_outlived(roster, peer.known, events)?;
+                let (to, nonce) = (peer.life.name.clone(), *nonce);
+                let tag = hello::write(&mut self.sealed, roster, Side::Answerer, &to, nonce, &peer.tag);
+                let keys = hello::keys(roster, Side::Answerer, &tag);
+                self.state = State::AwaitingProof { keys, life: peer.life };
             }
-            State::Dialled { to, first } => {
-                let heard = hello::hear(&raw, roster, Side::Answers, Some(to), first)?;
-                outlived(roster, heard.known, events)?;
-                self.state = State::Up { keys: hello::keys(roster, Side::Dials, &heard.tag) };
-                self.heard = now;
+            State::AwaitingReply { to, first } => {
+                let peer = hello::verify(&raw, roster, Side::Answerer, Some(to), first)?;
+                check_outlived(roster, peer.known, events)?;
+                self.state = State::Up { keys: hello::keys(roster, Side::Dialler, &peer.tag) };
+                self.last_received = now;
                 // It proves this side to the other.
                 self.seal(now, What::Alive, &[]);
-                events.push(LinkEvent::Up { life: heard.life });
+                events.push(LinkEvent::Up { life: peer.life });
             }
-            State::Answered { keys, .. } | State::Up { keys } => {
-                let (head, payload) = raw.open(&keys.hears, &[])?;
+            State::AwaitingProof { keys, .. } | State::Up { keys } => {
+                let (head, payload) = raw.open(&keys.incoming, &[])?;
                 if head.number < self.next_in {
                     // A relay that doubles does no harm. It is no sign of life: anyone could have kept it.
                     self.doubled += 1;
@@ -191,9 +196,9 @@
                     return Err(Reason::Gap);
                 }
                 self.next_in += 1;
-                self.heard = now;
+                self.last_received = now;
                 let came = self.pieces.take(head.what, payload)?;
-                self.up(events);
+                self.confirm_peer(events);
                 events.extend(came.map(|(kind, payload)| LinkEvent::Message { kind, payload }));
             }
         }
@@ -201,9 +206,9 @@
     }
 
     /// The dialler spoke under the key of this link: it is no echo of an older one.
-    fn up(&mut self, events: &mut Vec<LinkEvent>) {
+    fn confirm_peer(&mut self, events: &mut Vec<LinkEvent>) {
         self.state = match std::mem::replace(&mut self.state, State::Over) {
-            State::Answered { keys, life } => {
+            State::AwaitingProof { keys, life } => {
                 events.push(LinkEvent::Up { life });
                 State::Up { keys }
             }
@@ -219,7 +224,7 @@
         kind: Kind,
         payload: Vec<u8>,
         events: &mut Vec<LinkEvent>,
-    ) -> Option<Queued> {
+    ) -> Option<PushOutcome> {
         if !self.is_up() {
             return None;
         }
@@ -227,8 +232,8 @@
         match queued {
             // One too long for a frame of its kind would leave a gap too, and would each time: it is the sender's fault,
             // and the rest goes on.
-            Queued::Full => self.end(Reason::Full, events),
-            _ => self.fill(now),
+            PushOutcome::Full => self.end(Reason::Full, events),
+            _ => self.seal_queued(now),
         }
         Some(queued)
     }
@@ -241,25 +246,25 @@
     /// So many of [`Link::pending`] were written.
     pub fn wrote(&mut self, now: Micros, n: usize) {
         self.wrote = self.wrote.saturating_add(n).min(self.sealed.len());
-        self.fill(now);
+        self.seal_queued(now);
     }
 
     /// Time went on.
     pub fn tick(&mut self, now: Micros, events: &mut Vec<LinkEvent>) {
         match self.state {
             State::Over => {}
-            State::Up { .. } if now - self.heard >= SILENCE => self.end(Reason::Silent, events),
-            State::Up { .. } if now - self.said >= ALIVE_EVERY => {
+            State::Up { .. } if now - self.last_received >= SILENCE => self.end(Reason::Silent, events),
+            State::Up { .. } if now - self.last_sent >= ALIVE_EVERY => {
                 // Not to one that takes nothing: frames would pile up.
                 if self.pending().is_empty() {
                     self.seal(now, What::Alive, &[]);
                 } else {
-                    self.said = now;
+                    self.last_sent = now;
                 }
             }
             State::Up { .. } => {}
-            State::Refused if now - self.begun >= HANDSHAKE => self.end(Reason::Version, events),
-            _ if now - self.begun >= HANDSHAKE => self.end(Reason::Unproved, events),
+            State::Refused if now - self.opened_at >= HANDSHAKE => self.end(Reason::Version, events),
+            _ if now - self.opened_at >= HANDSHAKE => self.end(Reason::Unproved, events),
             _ => {}
         }
     }
@@ -268,8 +273,8 @@
     pub fn wake(&self) -> Micros {
         match self.state {
             State::Over => Micros::MAX,
-            State::Up { .. } => (self.said + ALIVE_EVERY).min(self.heard + SILENCE),
-            _ => self.begun + HANDSHAKE,
+            State::Up { .. } => (self.last_sent + ALIVE_EVERY).min(self.last_received + SILENCE),
+            _ => self.opened_at + HANDSHAKE,
         }
     }
 
@@ -280,7 +285,7 @@
 
     /// Octets held for the other side, and of messages from it that are not whole.
     pub fn held(&self) -> usize {
-        self.queue.octets() + self.sealed.len() + self.pieces.octets()
+        self.queue.bytes() + self.sealed.len() + self.pieces.bytes()
     }
 
     fn end(&mut self, reason: Reason, events: &mut Vec<LinkEvent>) {
@@ -293,7 +298,7 @@
     }
 
     /// Seals what waits, as far as [`SEALED`] lets it.
-    fn fill(&mut self, now: Micros) {
+    fn seal_queued(&mut self, now: Micros) {
         if self.wrote == self.sealed.len() || self.wrote > SEALED {
             self.sealed.drain(..self.wrote);
             self.sealed.shrink_to(SEALED);
@@ -302,27 +307,27 @@
         let State::Up { keys } = &self.state else { return };
         while self.sealed.len() - self.wrote < SEALED {
             let number = self.next_out;
-            let (sealed, key) = (&mut self.sealed, &keys.sends);
+            let (sealed, key) = (&mut self.sealed, &keys.outgoing);
             if !self.queue.next(|what, piece| _ = seal(sealed, key, &[], Head { what, number }, piece)) {
                 break;
             }
             self.next_out += 1;
-            self.said = now;
+            self.last_sent = now;
         }
     }
 
     fn seal(&mut self, now: Micros, what: What, payload: &[u8]) {
         if let State::Up { keys } = &self.state {
-            seal(&mut self.sealed, &keys.sends, &[], Head { what, number: self.next_out }, payload);
+            seal(&mut self.sealed, &keys.outgoing, &[], Head { what, number: self.next_out }, payload);
             self.next_out += 1;
-            self.said = now;
+            self.last_sent = now;
         }
     }
 }
 
 /// Ends a life that others know to be past. What they know is true whenever it was said, so a hello is enough, even an
-/// old one: a start that was heard once stays heard.
-fn outlived(roster: &Roster, known: Start, events: &mut Vec<LinkEvent>) -> Result<(), Reason> {
+/// old one: a start that was heard once stays peer.
+fn check_outlived(roster: &Roster, known: Start, events: &mut Vec<LinkEvent>) -> Result<(), Reason> {
     if known <= roster.me.start {
         return Ok(());
     }
--- a/crates/fleet/src/link/switch.rs
+++ b/crates/fleet/src/link/switch.rs
@@ -3,13 +3,13 @@
 use super::hello::Nonce;
 use super::output::{Conn, Output, Settings, Stats, TOLD_EVERY};
 use super::reason::Reason;
-use super::redial::Redial;
+use super::redial::RedialBackoff;
 use super::roster::{Roster, RosterError};
 use super::session::{Link, LinkEvent};
 use crate::Micros;
 use crate::kind::Kind;
 use crate::name::{Life, Name};
-use crate::queue::Queued;
+use crate::queue::PushOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -17,29 +17,29 @@
 pub const MOST_UNPROVED: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKey {
     Dial(usize),
     Conn(Conn),
 }
 
 #[derive(Debug)]
-struct Held {
+struct Connection {
     link: Link,
     /// Whom it was dialled for, or who was proved on it.
     peer: Option<usize>,
     /// In the timers since, and until when.
     due: Micros,
     /// A [`Output::Write`] is out that was not followed yet.
-    told: bool,
+    write_requested: bool,
 }
 
 #[derive(Debug)]
-struct Line {
+struct PeerLink {
     name: Name,
     address: SocketAddr,
     /// This side dials.
     dials: bool,
-    redial: Redial,
+    redial: RedialBackoff,
     /// The link that stands, and since when.
     up: Option<(Conn, Micros)>,
 }
@@ -49,12 +49,12 @@
 pub struct Switch {
     roster: Roster,
     seed: u64,
-    lines: Vec<Line>,
-    conns: BTreeMap<Conn, Held>,
-    next: Conn,
+    peer_links: Vec<PeerLink>,
+    conns: BTreeMap<Conn, Connection>,
+    next_conn: Conn,
     /// Connections that others made and that are not proved, oldest first.
-    unproved: BTreeSet<Conn>,
-    timers: BTreeSet<(Micros, Due)>,
+    parse_unverified: BTreeSet<Conn>,
+    timers: BTreeSet<(Micros, TimerKey)>,
     outputs: Vec<Output>,
     events: Vec<LinkEvent>,
     stats: Stats,
@@ -70,23 +70,29 @@
     pub fn new(now: Micros, settings: Settings) -> Result<Self, RosterError> {
         let Settings { installation, me, peers, key, seed } = settings;
         let mut timers = BTreeSet::new();
-        let mut lines = Vec::new();
-        for (place, peer) in peers.iter().enumerate() {
+        let mut peer_links = Vec::new();
+        for (index, peer) in peers.iter().enumerate() {
             let dials = me.name < peer.name;
-            let mut redial = Redial::new(seed, place);
+            let mut redial = RedialBackoff::new(seed, index);
             if dials {
-                timers.insert((now + redial.first(), Due::Dial(place)));
+                timers.insert((now + redial.initial_delay(), TimerKey::Dial(index)));
             }
-            lines.push(Line { name: peer.name.clone(), address: peer.address, dials, redial, up: None });
+            peer_links.push(PeerLink {
+                name: peer.name.clone(),
+                address: peer.address,
+                dials,
+                redial,
+                up: None,
+            });
         }
         let roster = Roster::new(&installation, me, key, &peers)?;
         Ok(Switch {
             roster,
             seed,
-            lines,
+            peer_links,
             conns: BTreeMap::new(),
-            next: 0,
-            unproved: BTreeSet::new(),
+            next_conn: 0,
+            parse_unverified: BTreeSet::new(),
             timers,
             outputs: Vec::new(),
             events: Vec::new(),
@@ -97,37 +103,37 @@
 
     /// Somebody connected. The oldest that is not proved makes way.
     pub fn accepted(&mut self, now: Micros) -> Conn {
-        if self.unproved.len() >= MOST_UNPROVED.max(self.lines.len())
-            && let Some(oldest) = self.unproved.first().copied()
+        if self.parse_unverified.len() >= MOST_UNPROVED.max(self.peer_links.len())
+            && let Some(oldest) = self.parse_unverified.first().copied()
         {
-            self.end(now, oldest, Reason::Crowded, true);
+            self.close_connection(now, oldest, Reason::Crowded, true);
         }
-        let conn = self.next;
+        let conn = self.next_conn;
         let link = Link::answer(now, self.nonce(conn));
-        self.unproved.insert(conn);
-        self.hold(conn, link, None);
+        self.parse_unverified.insert(conn);
+        self.add_connection(conn, link, None);
         conn
     }
 
     /// The connection asked for stands.
     pub fn connected(&mut self, _now: Micros, conn: Conn) {
-        self.tell(conn);
+        self.request_write(conn);
     }
 
     /// A connection ended, broke or could not be made.
     pub fn closed(&mut self, now: Micros, conn: Conn) {
-        self.end(now, conn, Reason::Ended, false);
+        self.close_connection(now, conn, Reason::Ended, false);
     }
 
     /// Octets came.
-    pub fn received(&mut self, now: Micros, conn: Conn, octets: &[u8]) {
+    pub fn received(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
         let mut events = std::mem::take(&mut self.events);
         if let Some(held) = self.conns.get_mut(&conn) {
             let before = held.link.doubled();
-            held.link.receive(now, &self.roster, octets, &mut events);
+            held.link.receive(now, &self.roster, bytes, &mut events);
             self.stats.doubled += held.link.doubled() - before;
         }
-        self.act(now, conn, events);
+        self.handle_events(now, conn, events);
     }
 
     /// What is to be written on a connection next.
@@ -139,13 +145,13 @@
     pub fn wrote(&mut self, now: Micros, conn: Conn, n: usize) {
         if let Some(held) = self.conns.get_mut(&conn) {
             held.link.wrote(now, n);
-            held.told = false;
+            held.write_requested = false;
         }
     }
 
     /// Sends to a peer, if its link stands.
     pub fn send(&mut self, now: Micros, peer: usize, kind: Kind, payload: Vec<u8>) {
-        let up = self.lines.get(peer).and_then(|line| line.up);
+        let up = self.peer_links.get(peer).and_then(|line| line.up);
         let held = up.and_then(|(conn, _)| Some((conn, self.conns.get_mut(&conn)?)));
         let Some((conn, held)) = held else {
             self.stats.unlinked += 1;
@@ -153,11 +159,11 @@
         };
         let mut events = std::mem::take(&mut self.events);
         match held.link.send(now, kind, payload, &mut events) {
-            Some(Queued::Instead(n)) => self.stats.given_up += n as u64,
-            Some(Queued::Long) => self.stats.long += 1,
-            Some(Queued::Waits | Queued::Full) | None => {}
+            Some(PushOutcome::Replaced(n)) => self.stats.given_up += n as u64,
+            Some(PushOutcome::TooLong) => self.stats.long += 1,
+            Some(PushOutcome::Added | PushOutcome::Full) | None => {}
         }
-        self.act(now, conn, events);
+        self.handle_events(now, conn, events);
     }
 
     /// Time went on. Costs by what is due.
@@ -165,14 +171,14 @@
         while let Some((at, due)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, due));
             match due {
-                Due::Dial(peer) => self.dial(now, peer),
-                Due::Conn(conn) => {
+                TimerKey::Dial(peer) => self.dial(now, peer),
+                TimerKey::Conn(conn) => {
                     let mut events = std::mem::take(&mut self.events);
                     if let Some(held) = self.conns.get_mut(&conn) {
                         held.due = Micros::MAX;
                         held.link.tick(now, &mut events);
                     }
-                    self.act(now, conn, events);
+                    self.handle_events(now, conn, events);
                 }
             }
         }
@@ -195,12 +201,12 @@
 
     /// Which life of a peer is linked: `None` where none is.
     pub fn linked(&self, peer: usize) -> bool {
-        self.lines.get(peer).is_some_and(|line| line.up.is_some())
+        self.peer_links.get(peer).is_some_and(|line| line.up.is_some())
     }
 
     /// Octets held for a peer and of unfinished messages from it.
     pub fn held(&self, peer: usize) -> usize {
-        let up = self.lines.get(peer).and_then(|line| line.up);
+        let up = self.peer_links.get(peer).and_then(|line| line.up);
         up.and_then(|(conn, _)| self.conns.get(&conn)).map_or(0, |held| held.link.held())
     }
 
@@ -210,18 +216,18 @@
     }
 
     fn dial(&mut self, now: Micros, peer: usize) {
-        let Some(line) = self.lines.get(peer).filter(|line| line.up.is_none()) else { return };
-        let (conn, address) = (self.next, line.address);
+        let Some(line) = self.peer_links.get(peer).filter(|line| line.up.is_none()) else { return };
+        let (conn, address) = (self.next_conn, line.address);
         let link = Link::dial(now, &self.roster, &line.name, self.nonce(conn));
-        self.hold(conn, link, Some(peer));
+        self.add_connection(conn, link, Some(peer));
         self.outputs.push(Output::Connect { conn, address });
     }
 
-    fn hold(&mut self, conn: Conn, link: Link, peer: Option<usize>) {
-        self.next += 1;
+    fn add_connection(&mut self, conn: Conn, link: Link, peer: Option<usize>) {
+        self.next_conn += 1;
         let due = link.wake();
-        self.timers.insert((due, Due::Conn(conn)));
-        self.conns.insert(conn, Held { link, peer, due, told: false });
+        self.timers.insert((due, TimerKey::Conn(conn)));
+        self.conns.insert(conn, Connection { link, peer, due, write_requested: false });
     }
 
     /// No other connection has these: a start never repeats, nor does a connection's number within it; the seed guards
@@ -234,10 +240,10 @@
     }
 
     /// Does what a link found, then looks at what it has to write and at its timer.
-    fn act(&mut self, now: Micros, conn: Conn, mut events: Vec<LinkEvent>) {
+    fn handle_events(&mut self, now: Micros, conn: Conn, mut events: Vec<LinkEvent>) {
         for event in events.drain(..) {
             match event {
-                LinkEvent::Up { life } => self.proved(now, conn, life),
+                LinkEvent::Up { life } => self.link_proved(now, conn, life),
                 LinkEvent::Outlived(start) => self.outputs.push(Output::Outlived(start)),
                 LinkEvent::Message { kind, payload } => {
                     // None comes of a connection that was turned down in this very call.
@@ -246,18 +252,18 @@
                     }
                 }
                 LinkEvent::OtherVersion(theirs) => self.other_version(now, theirs),
-                LinkEvent::Over(reason) => self.end(now, conn, reason, true),
+                LinkEvent::Over(reason) => self.close_connection(now, conn, reason, true),
             }
         }
         self.events = events;
-        self.tell(conn);
+        self.request_write(conn);
         if let Some(held) = self.conns.get_mut(&conn)
             // One that is due later than its timer is looked at when the timer comes: no work for each frame.
             && held.link.wake() < held.due
         {
-            self.timers.remove(&(held.due, Due::Conn(conn)));
+            self.timers.remove(&(held.due, TimerKey::Conn(conn)));
             held.due = held.link.wake();
-            self.timers.insert((held.due, Due::Conn(conn)));
+            self.timers.insert((held.due, TimerKey::Conn(conn)));
         }
     }
 
@@ -270,26 +276,28 @@
         }
     }
 
-    fn tell(&mut self, conn: Conn) {
-        if let Some(held) = self.conns.get_mut(&conn).filter(|h| !h.told && !h.link.pending().is_empty()) {
-            held.told = true;
+    fn request_write(&mut self, conn: Conn) {
+        if let Some(held) =
+            self.conns.get_mut(&conn).filter(|h| !h.write_requested && !h.link.pending().is_empty())
+        {
+            held.write_requested = true;
             self.outputs.push(Output::Write(conn));
         }
     }
 
     /// A life is proved on a connection: it is the peer's link from here on, unless a later life is known.
-    fn proved(&mut self, now: Micros, conn: Conn, life: Life) {
+    fn link_proved(&mut self, now: Micros, conn: Conn, life: Life) {
         let Some((peer, known)) = self.roster.member(&life.name) else { return };
         if life.start < known {
-            return self.end(now, conn, Reason::Stale, true);
+            return self.close_connection(now, conn, Reason::Stale, true);
         }
-        self.roster.heard(&life);
-        let before = self.lines.get(peer).and_then(|line| line.up);
+        self.roster.record_start(&life);
+        let before = self.peer_links.get(peer).and_then(|line| line.up);
         if let Some((old, _)) = before {
-            self.end(now, old, Reason::Replaced, true);
+            self.close_connection(now, old, Reason::Replaced, true);
         }
-        self.unproved.remove(&conn);
-        if let (Some(held), Some(line)) = (self.conns.get_mut(&conn), self.lines.get_mut(peer)) {
+        self.parse_unverified.remove(&conn);
+        if let (Some(held), Some(line)) = (self.conns.get_mut(&conn), self.peer_links.get_mut(peer)) {
             held.peer = Some(peer);
             line.up = Some((conn, now));
             self.stats.linked += 1;
@@ -297,30 +305,31 @@
         }
     }
 
-    fn end(&mut self, now: Micros, conn: Conn, why: Reason, close: bool) {
+    fn close_connection(&mut self, now: Micros, conn: Conn, why: Reason, close: bool) {
         let Some(held) = self.conns.remove(&conn) else { return };
-        self.timers.remove(&(held.due, Due::Conn(conn)));
-        self.unproved.remove(&conn);
+        self.timers.remove(&(held.due, TimerKey::Conn(conn)));
+        self.parse_unverified.remove(&conn);
         let why = if held.link.is_refused() { Reason::Version } else { why };
         *self.stats.ended.entry(why).or_default() += 1;
         if close {
             self.outputs.push(Output::Drop(conn));
         }
-        let Some((peer, line)) = held.peer.and_then(|peer| Some((peer, self.lines.get_mut(peer)?))) else {
+        let Some((peer, line)) = held.peer.and_then(|peer| Some((peer, self.peer_links.get_mut(peer)?)))
+        else {
             return;
         };
-        let mut stood = 0;
+        let mut uptime = 0;
         if let Some((_, since)) = line.up.filter(|(up, _)| *up == conn) {
             line.up = None;
-            stood = now - since;
+            uptime = now - since;
             self.outputs.push(Output::Unlinked { peer, why });
         }
         if line.dials {
             // Guards against a storm of dials between members that can't be linked before somebody acts.
             if why == Reason::Version {
-                line.redial.slowest();
+                line.redial.use_longest_delay();
             }
-            self.timers.insert((now + line.redial.wait(stood), Due::Dial(peer)));
+            self.timers.insert((now + line.redial.next_delay(uptime), TimerKey::Dial(peer)));
         }
     }
 }
--- a/crates/fleet/src/members/fresh.rs
+++ b/crates/fleet/src/members/freshness.rs
@@ -3,17 +3,17 @@
 use crate::Micros;
 
 /// Whether it is, and what was asked.
-pub(super) struct Fresh {
+pub(super) struct Freshness {
     /// Stale, and this marks answers to what was asked since.
     pub nonce: Option<u64>,
     pub since: Micros,
     pub next: Micros,
 }
 
-impl Fresh {
+impl Freshness {
     /// Stale from now on.
     pub fn begin(now: Micros, nonce: u64) -> Self {
-        Fresh { nonce: Some(nonce), since: now, next: now }
+        Freshness { nonce: Some(nonce), since: now, next: now }
     }
 
     pub fn stale(&self) -> bool {
@@ -26,7 +26,7 @@
     }
 
     /// A link came up: worth asking by then.
-    pub fn hurry(&mut self, by: Micros) {
+    pub fn advance(&mut self, by: Micros) {
         self.next = self.next.min(by);
     }
 }
--- a/crates/fleet/src/members/who.rs
+++ b/crates/fleet/src/members/member_id.rs
@@ -14,7 +14,7 @@
 
 /// Who speaks, or is spoken of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Who {
+pub(super) struct MemberId {
     /// Which name.
     #[serde(with = "postcard::fixint::le")]
     pub key: u64,
@@ -25,17 +25,17 @@
     pub nonce: u32,
     /// How often this life was declared dead and said that it lives. A start number is a process's and lives on disk,
     /// so a renewal must not make one up; a later start beats any number of renewals of an earlier one.
-    pub bump: u32,
+    pub renewals: u32,
 }
 
-impl Who {
+impl MemberId {
     pub fn new(life: &Life, nonce: u32) -> Self {
-        Who { key: key_of(&life.name), start: life.start, nonce, bump: 0 }
+        MemberId { key: key_of(&life.name), start: life.start, nonce, renewals: 0 }
     }
 
     /// Stands for a peer of which nothing was heard: loses against anyone.
     pub fn unknown(key: u64) -> Self {
-        Who { key, start: Start(0), nonce: 0, bump: 0 }
+        MemberId { key, start: Start(0), nonce: 0, renewals: 0 }
     }
 
     /// Orders the processes that bore one name; the greatest holds it.
@@ -44,11 +44,11 @@
     }
 }
 
-impl Identity for Who {
+impl Identity for MemberId {
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
-        Some(Who { bump: self.bump.checked_add(1)?, ..*self })
+        Some(MemberId { renewals: self.renewals.checked_add(1)?, ..*self })
     }
 
     fn addr(&self) -> u64 {
@@ -56,6 +56,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.process(), self.bump) > (other.process(), other.bump)
+        (self.process(), self.renewals) > (other.process(), other.renewals)
     }
 }
--- a/crates/fleet/src/members/mod.rs
+++ b/crates/fleet/src/members/mod.rs
@@ -11,20 +11,20 @@
 //! An event costs at most one pass over the members of the settings (`foca` looks them up one by one); nothing grows
 //! with time or traffic.
 
-mod again;
-mod ask;
 mod change;
-mod claim;
-mod drive;
-mod fresh;
+mod freshness;
+mod member_id;
+mod name_claim;
+mod name_conflicts;
 mod outbox;
+mod probe_retry;
 mod receive;
 mod rows;
+mod schedule;
 mod state;
 mod timers;
 mod tuning;
-mod twins;
-mod who;
+mod view_request;
 mod wire;
 
 pub use change::{Change, Counts, MembersError, Output};
--- a/crates/fleet/src/members/twins.rs
+++ b/crates/fleet/src/members/name_conflicts.rs
@@ -2,32 +2,32 @@
 //! the two do not declare each other dead for ever. A start number is never made up here: one that is behind is told so.
 
 use super::change::Change;
-use super::claim::Claim;
+use super::member_id::MemberId;
+use super::name_claim::NameClaim;
 use super::rows::Rival;
 use super::state::Members;
 use super::timers::Timers;
-use super::who::Who;
-use super::wire::Note;
+use super::wire::Extension;
 use crate::Micros;
 use crate::name::Life;
 use foca::{Member, State};
 
 /// An earlier life is told that it is one, this often at most.
-const NOTED: Micros = 200_000;
+const RIVAL_NOTICE_INTERVAL: Micros = 200_000;
 
 impl Members {
     /// Whether an identity under the own name is another process that holds it.
-    pub(super) fn beaten_by(&self, who: &Who) -> bool {
+    pub(super) fn loses_name_to(&self, who: &MemberId) -> bool {
         who.process() > self.swim.identity().process()
     }
 
     /// Heard of a process that holds the own name.
-    pub(super) fn claimed(&mut self, now: Micros, other: &Member<Who>) {
+    pub(super) fn name_claimed(&mut self, now: Micros, other: &Member<MemberId>) {
         let who = *other.id();
         if self.claim.as_ref().is_none_or(|c| c.who.process() < who.process()) {
-            self.claim = Some(Claim { who, since: now, alive: now, twin: false, behind: false });
-            (self.timers, self.again) = (Timers::default(), None);
-            self.stale_now(now);
+            self.claim = Some(NameClaim { who, since: now, alive: now, twin: false, behind: false });
+            (self.timers, self.probe_retry) = (Timers::default(), None);
+            self.become_stale(now);
         }
         let Some(claim) = self.claim.as_mut().filter(|c| c.who.process() == who.process()) else { return };
         if other.state() == State::Down {
@@ -47,7 +47,7 @@
     }
 
     /// Somebody answered and knew of no other process under the own name.
-    pub(super) fn unclaimed(&mut self, now: Micros) {
+    pub(super) fn name_not_claimed(&mut self, now: Micros) {
         // One answer may come from a member that has not heard yet; those who had may all have gone.
         let long = 2 * self.tuning.twin;
         if let Some(claim) = self.claim.as_mut().filter(|c| !c.behind && now - c.alive > long) {
@@ -58,29 +58,29 @@
 
     /// A peer's message came from an earlier life than the one known. Late ones of a process that was replaced are like
     /// that, and those of one that came back with an old disk; only one that goes on while the later life lives is a twin.
-    pub(super) fn rival(&mut self, now: Micros, index: usize, who: Who) {
+    pub(super) fn note_rival(&mut self, now: Micros, index: usize, who: MemberId) {
         let from = *self.swim.identity();
         let Some(row) = self.rows.all.get_mut(index) else { return };
         let Some(known) = row.known.clone() else { return };
         if row.rival.as_ref().is_none_or(|r| r.who.process() != who.process()) {
-            row.rival = Some(Rival { who, since: now, noted: Micros::MIN, told: false });
+            row.rival = Some(Rival { who, since: now, last_notified: Micros::MIN, reported: false });
         }
         let Some(rival) = row.rival.as_mut() else { return };
         if known.state() == State::Down {
             rival.since = now;
         }
         let mut notes = Vec::new();
-        if rival.noted.saturating_add(NOTED) <= now {
-            rival.noted = now;
-            notes.push(Note::Other { from, other: known });
+        if rival.last_notified.saturating_add(RIVAL_NOTICE_INTERVAL) <= now {
+            rival.last_notified = now;
+            notes.push(Extension::NameTaken { from, other: known });
         }
-        if !rival.told && now - rival.since >= self.tuning.twin {
-            rival.told = true;
+        if !rival.reported && now - rival.since >= self.tuning.twin {
+            rival.reported = true;
             self.out.change(Change::Twin(Life { name: row.name.clone(), start: who.start }));
-            notes.push(Note::Other { from, other: Member::alive(who) });
+            notes.push(Extension::NameTaken { from, other: Member::alive(who) });
         }
-        for octets in notes.iter().filter_map(Note::encode) {
-            self.out.send(&self.rows, index, octets);
+        for bytes in notes.iter().filter_map(Extension::encode) {
+            self.out.send(&self.rows, index, bytes);
         }
     }
 }
--- a/crates/fleet/src/members/outbox.rs
+++ b/crates/fleet/src/members/outbox.rs
@@ -1,18 +1,18 @@
 //! What is to be sent, and `foca`'s way out.
 
 use super::change::{Change, Counts};
+use super::member_id::MemberId;
 use super::rows::Rows;
 use super::timers::Timers;
-use super::who::Who;
 use super::wire;
 use crate::Micros;
 use foca::{Notification, Runtime, Timer};
 use std::collections::VecDeque;
 
 /// Messages that wait to be taken, at most. What does not fit is lost, as on a bad link.
-const MOST_SENDS: usize = 4096;
+const MAX_SENDS: usize = 4096;
 /// Changes other than of standing (which wait in the rows, each once) that wait to be taken, at most.
-const MOST_CHANGES: usize = 1024;
+const MAX_CHANGES: usize = 1024;
 
 /// Waits to be taken.
 #[derive(Default)]
@@ -24,46 +24,46 @@
 
 impl Outbox {
     /// To a peer, if its link stands.
-    pub fn send(&mut self, rows: &Rows, to: usize, octets: Vec<u8>) {
-        if !rows.all.get(to).is_some_and(|row| row.linked) || self.sends.len() >= MOST_SENDS {
+    pub fn send(&mut self, rows: &Rows, to: usize, bytes: Vec<u8>) {
+        if !rows.all.get(to).is_some_and(|row| row.linked) || self.sends.len() >= MAX_SENDS {
             self.counts.unsent += 1;
             return;
         }
         self.counts.sent += 1;
-        self.counts.sent_octets += octets.len() as u64;
-        self.sends.push_back((to, octets));
+        self.counts.sent_octets += bytes.len() as u64;
+        self.sends.push_back((to, bytes));
     }
 
     pub fn change(&mut self, change: Change) {
-        if self.changes.len() < MOST_CHANGES {
+        if self.changes.len() < MAX_CHANGES {
             self.changes.push_back(change);
         }
     }
 }
 
 /// Lends `foca` what it acts through.
-pub(super) struct Port<'a> {
+pub(super) struct FocaRuntime<'a> {
     pub now: Micros,
     pub rows: &'a Rows,
     pub timers: &'a mut Timers,
     pub out: &'a mut Outbox,
 }
 
-impl Runtime<Who> for Port<'_> {
-    fn notify(&mut self, notification: Notification<'_, Who>) {
+impl Runtime<MemberId> for FocaRuntime<'_> {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
         if let Notification::Rejoin(_) = notification {
             self.out.counts.renewed += 1;
         }
     }
 
-    fn send_to(&mut self, to: Who, data: &[u8]) {
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
         match self.rows.index(to.key) {
             Some(index) => self.out.send(self.rows, index, wire::swim(data)),
             None => self.out.counts.unsent += 1,
         }
     }
 
-    fn submit_after(&mut self, event: Timer<Who>, after: std::time::Duration) {
+    fn submit_after(&mut self, event: Timer<MemberId>, after: std::time::Duration) {
         let after = Micros::try_from(after.as_micros()).unwrap_or(Micros::MAX);
         self.timers.add(self.now.saturating_add(after), event);
     }
--- a/crates/fleet/src/members/receive.rs
+++ b/crates/fleet/src/members/receive.rs
@@ -2,23 +2,23 @@
 //! would make it fight another process over a name.
 
 use super::change::Change;
+use super::member_id::MemberId;
 use super::state::Members;
-use super::who::Who;
-use super::wire::{self, Note, Packet, Swim};
+use super::wire::{self, Extension, Packet, Swim};
 use crate::Micros;
 use crate::name::Life;
 use foca::{Identity, Incarnation, Member, State};
 
 impl Members {
     /// A message from the peer at `index`.
-    pub(super) fn take(&mut self, now: Micros, index: usize, octets: &[u8]) {
-        let Some(packet) = wire::read(octets) else {
+    pub(super) fn handle_message(&mut self, now: Micros, index: usize, bytes: &[u8]) {
+        let Some(packet) = wire::read(bytes) else {
             self.out.counts.undecoded += 1;
             return;
         };
         let from = match &packet {
             Packet::Swim(swim) => swim.header.src,
-            Packet::Note(note) => note.from(),
+            Packet::Extension(note) => note.from(),
         };
         if index == self.own || self.rows.key(index) != Some(from.key) {
             self.out.counts.misrouted += 1;
@@ -27,15 +27,17 @@
         let known = self.rows.all.get(index).and_then(|row| row.known.as_ref());
         let replaced = known.is_some_and(|known| from.process() < known.id().process());
         if replaced {
-            self.rival(now, index, from);
+            self.note_rival(now, index, from);
         } else {
-            self.heard = now;
+            self.last_received = now;
         }
         match packet {
-            Packet::Note(Note::Ask { nonce, .. }) => self.asked(now, index, from, nonce, replaced),
+            Packet::Extension(Extension::ViewRequest { nonce, .. }) => {
+                self.answer_view_request(now, index, from, nonce, replaced)
+            }
             _ if replaced => {}
             Packet::Swim(swim) => self.swim(now, index, &swim),
-            Packet::Note(note) => self.note(now, index, note),
+            Packet::Extension(note) => self.note(now, index, note),
         }
     }
 
@@ -47,41 +49,41 @@
             self.out.counts.misrouted += 1;
             return;
         }
-        if self.beaten_by(&swim.header.dst) {
+        if self.loses_name_to(&swim.header.dst) {
             // Meant for another process of our name: alive, or not known to be dead yet. Its sender can say.
-            let ask = Note::Ask { from: own, nonce: 0 };
-            if let Some(octets) = ask.encode().filter(|_| self.claim.is_none()) {
-                self.out.send(&self.rows, index, octets);
+            let ask = Extension::ViewRequest { from: own, nonce: 0 };
+            if let Some(bytes) = ask.encode().filter(|_| self.claim.is_none()) {
+                self.out.send(&self.rows, index, bytes);
             }
             return;
         }
         for (member, _) in &swim.updates {
-            if member.id().key == own.key && self.beaten_by(member.id()) {
-                self.claimed(now, member);
+            if member.id().key == own.key && self.loses_name_to(member.id()) {
+                self.name_claimed(now, member);
             }
         }
         if self.claim.is_some() {
             return;
         }
-        self.heeded(index, &swim.header.message);
+        self.settle_probe(index, &swim.header.message);
         let known = self.rows.all.get(index).and_then(|row| row.known.as_ref());
         let sender = known
             .is_none_or(|m| *m.id() != swim.header.src || m.incarnation() != swim.header.src_incarnation);
-        let listed = |m: &Member<Who>| self.rows.index(m.id().key).is_some();
+        let listed = |m: &Member<MemberId>| self.rows.index(m.id().key).is_some();
         let unknown = u64::from(!swim.updates.iter().all(|(m, _)| listed(m)));
         // Gossip repeats itself some ten times over, and `foca` goes through all members for each piece of it: what is
         // known here already it need not hear again.
-        let octets = swim.only(|m| self.wanted(m) && self.news(m));
-        let news = sender || octets.len() > swim.empty();
+        let bytes = swim.with_updates(|m| self.wanted(m) && self.news(m));
+        let news = sender || bytes.len() > swim.len_without_updates();
         self.out.counts.unknown += unknown;
-        self.drive(now, |foca, port| foca.handle_data(&octets, port));
+        self.with_swim(now, |foca, port| foca.handle_data(&bytes, port));
         if news {
-            self.scan(now);
+            self.sync_rows(now);
         }
     }
 
     /// Whether it could change what `foca` holds: the rows hold the same.
-    fn news(&self, update: &Member<Who>) -> bool {
+    fn news(&self, update: &Member<MemberId>) -> bool {
         let row = self.rows.index(update.id().key).and_then(|index| self.rows.all.get(index));
         let Some(known) = row.and_then(|row| row.known.as_ref()) else { return true };
         let newer = update.incarnation() > known.incarnation();
@@ -98,76 +100,76 @@
 
     /// Whether `foca` may hear of it. It keeps every identity that it hears of, and declares any other under its own name
     /// dead.
-    fn wanted(&self, member: &Member<Who>) -> bool {
+    fn wanted(&self, member: &Member<MemberId>) -> bool {
         let (own, who) = (self.swim.identity(), member.id());
-        let later = (who.process(), who.bump) > (own.process(), own.bump);
+        let later = (who.process(), who.renewals) > (own.process(), own.renewals);
         self.rows.index(who.key).is_some() && !(who.key == own.key && later)
     }
 
-    fn asked(&mut self, now: Micros, index: usize, from: Who, nonce: u64, replaced: bool) {
+    fn answer_view_request(&mut self, now: Micros, index: usize, from: MemberId, nonce: u64, replaced: bool) {
         let own = *self.swim.identity();
         if self.claim.is_some() {
             return;
         }
         if !replaced {
             let here = std::iter::once(Member::alive(from));
-            self.drive(now, |swim, port| swim.apply_many(here, true, port));
-            self.scan(now);
+            self.with_swim(now, |swim, port| swim.apply_many(here, true, port));
+            self.sync_rows(now);
         }
-        let view = Note::View { from: own, nonce, fresh: !self.fresh.stale(), members: self.state() };
-        if let Some(octets) = view.encode() {
-            self.out.send(&self.rows, index, octets);
+        let view = Extension::View { from: own, nonce, fresh: !self.fresh.stale(), members: self.state() };
+        if let Some(bytes) = view.encode() {
+            self.out.send(&self.rows, index, bytes);
         }
     }
 
-    fn note(&mut self, now: Micros, index: usize, note: Note) {
+    fn note(&mut self, now: Micros, index: usize, note: Extension) {
         let own = *self.swim.identity();
         match note {
-            Note::Doubt { .. } | Note::Here { .. } if self.claim.is_some() => return,
+            Extension::Suspicion { .. } | Extension::AliveReply { .. } if self.claim.is_some() => return,
             // Answered before this.
-            Note::Ask { .. } => {}
-            Note::View { from, nonce, fresh, members } => {
-                match members.iter().find(|m| m.id().key == own.key && self.beaten_by(m.id())) {
-                    Some(other) => self.claimed(now, &other.clone()),
-                    None => self.unclaimed(now),
+            Extension::ViewRequest { .. } => {}
+            Extension::View { from, nonce, fresh, members } => {
+                match members.iter().find(|m| m.id().key == own.key && self.loses_name_to(m.id())) {
+                    Some(other) => self.name_claimed(now, &other.clone()),
+                    None => self.name_not_claimed(now),
                 }
                 if self.claim.is_some() {
                     return;
                 }
                 let (members, rest): (Vec<_>, Vec<_>) = members.into_iter().partition(|m| self.wanted(m));
                 self.out.counts.unknown += u64::from(!rest.is_empty());
-                self.answered(now, nonce, from, fresh, members);
+                self.handle_view(now, nonce, from, fresh, members);
             }
-            Note::Doubt { about, .. } => {
+            Extension::Suspicion { about, .. } => {
                 if *about.id() != own {
                     // Of an identity before the last renewal, or of another life.
                     return;
                 }
                 let (state, incarnation) = (about.state(), about.incarnation());
-                self.drive(now, |swim, port| swim.apply_many(std::iter::once(about), true, port));
+                self.with_swim(now, |swim, port| swim.apply_many(std::iter::once(about), true, port));
                 if state == State::Suspect && incarnation < Incarnation::MAX {
                     // By now its incarnation is above the suspected one.
-                    let here = Note::Here { from: own, incarnation: incarnation + 1 };
-                    if let Some(octets) = here.encode() {
-                        self.out.send(&self.rows, index, octets);
+                    let here = Extension::AliveReply { from: own, incarnation: incarnation + 1 };
+                    if let Some(bytes) = here.encode() {
+                        self.out.send(&self.rows, index, bytes);
                     }
                 }
             }
-            Note::Here { from, incarnation } => {
+            Extension::AliveReply { from, incarnation } => {
                 let here = std::iter::once(Member::new(from, incarnation, State::Alive));
-                self.drive(now, |swim, port| swim.apply_many(here, true, port));
+                self.with_swim(now, |swim, port| swim.apply_many(here, true, port));
             }
-            Note::Other { other, .. } => {
+            Extension::NameTaken { other, .. } => {
                 if other.id().key != own.key {
                     self.out.counts.misrouted += 1;
-                } else if self.beaten_by(other.id()) {
-                    self.claimed(now, &other);
+                } else if self.loses_name_to(other.id()) {
+                    self.name_claimed(now, &other);
                 } else if other.id().process() < own.process() {
                     let name = self.life.name.clone();
                     self.out.change(Change::Twin(Life { name, start: other.id().start }));
                 }
             }
         }
-        self.scan(now);
+        self.sync_rows(now);
     }
 }
--- a/crates/fleet/src/members/rows.rs
+++ b/crates/fleet/src/members/rows.rs
@@ -1,7 +1,7 @@
 //! What is believed of each member, by its place in the settings.
 
 use super::change::MembersError;
-use super::who::{Who, key_of};
+use super::member_id::{MemberId, key_of};
 use crate::Micros;
 use crate::name::{Life, Name, Peer, Standing};
 use foca::{Incarnation, Member, State};
@@ -22,7 +22,7 @@
     pub since: Micros,
     /// A link to it stands.
     pub linked: bool,
-    pub(super) known: Option<Member<Who>>,
+    pub(super) known: Option<Member<MemberId>>,
     pub(super) rival: Option<Rival>,
     key: u64,
     changed: bool,
@@ -31,11 +31,11 @@
 /// An earlier life that still speaks although a later one holds its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Rival {
-    pub who: Who,
+    pub who: MemberId,
     pub since: Micros,
     /// When it was last told that it is not the one.
-    pub noted: Micros,
-    pub told: bool,
+    pub last_notified: Micros,
+    pub reported: bool,
 }
 
 /// All of them.
@@ -89,14 +89,14 @@
     }
 
     /// Whether it is suspected, in this incarnation.
-    pub fn suspected(&self, who: &Who, incarnation: Incarnation) -> bool {
+    pub fn suspected(&self, who: &MemberId, incarnation: Incarnation) -> bool {
         let row = self.index(who.key).and_then(|index| self.all.get(index));
         let known = row.and_then(|row| row.known.as_ref());
         known.is_some_and(|m| m.id() == who && m.incarnation() == incarnation && m.state() == State::Suspect)
     }
 
     /// Takes on what `foca` holds of a member. True where it has died.
-    pub fn update(&mut self, now: Micros, index: usize, member: &Member<Who>) -> bool {
+    pub fn update(&mut self, now: Micros, index: usize, member: &Member<MemberId>) -> bool {
         let Some(row) = self.all.get_mut(index) else { return false };
         if row.known.as_ref() == Some(member) {
             return false;
--- a/crates/fleet/src/members/state.rs
+++ b/crates/fleet/src/members/state.rs
@@ -1,25 +1,25 @@
 //! What a member holds, and the calls from outside.
 
-use super::again::Again;
 use super::change::{Change, Counts, MembersError, Output};
-use super::claim::Claim;
-use super::fresh::Fresh;
+use super::freshness::Freshness;
+use super::member_id::MemberId;
+use super::name_claim::NameClaim;
 use super::outbox::Outbox;
+use super::probe_retry::ProbeRetry;
 use super::rows::Row;
 use super::rows::Rows;
 use super::timers::Timers;
 use super::tuning::Tuning;
-use super::who::Who;
 use crate::Micros;
 use crate::name::{Life, Name, Peer, Standing, Start};
 use foca::{Foca, NoCustomBroadcast, PostcardCodec};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-pub(super) type Swim = Foca<Who, PostcardCodec, SmallRng, NoCustomBroadcast>;
+pub(super) type Swim = Foca<MemberId, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
 /// After a link came up, what waited for one is done this much later.
-const SOON: Micros = 100_000;
+const LINK_UP_DELAY: Micros = 100_000;
 
 /// The members, as one of them sees them.
 pub struct Members {
@@ -29,16 +29,16 @@
     pub(super) swim: Swim,
     pub(super) rows: Rows,
     pub(super) timers: Timers,
-    pub(super) again: Option<Again>,
+    pub(super) probe_retry: Option<ProbeRetry>,
     pub(super) out: Outbox,
     pub(super) rng: SmallRng,
-    pub(super) fresh: Fresh,
-    pub(super) claim: Option<Claim>,
+    pub(super) fresh: Freshness,
+    pub(super) claim: Option<NameClaim>,
     pub(super) left: bool,
     /// When anybody was last heard.
-    pub(super) heard: Micros,
+    pub(super) last_received: Micros,
     pub(super) last: Micros,
-    pub(super) knock: Micros,
+    pub(super) next_greeting: Micros,
 }
 
 impl Members {
@@ -57,67 +57,67 @@
         let rows = Rows::new(now, peers)?;
         let index = rows.named(&own.name).ok_or_else(|| MembersError::NotListed(own.name.clone()))?;
         let mut rng = SmallRng::seed_from_u64(seed);
-        let who = Who::new(&own, rng.random());
+        let who = MemberId::new(&own, rng.random());
         let swim = Foca::new(who, tuning.config(), SmallRng::from_rng(&mut rng), PostcardCodec);
-        let fresh = Fresh::begin(now, rng.random());
+        let fresh = Freshness::begin(now, rng.random());
         Ok(Members {
             own: index,
             life: own,
             swim,
             rows,
             timers: Timers::default(),
-            again: None,
+            probe_retry: None,
             out: Outbox::default(),
             rng,
             fresh,
             claim: None,
             left: false,
-            heard: now,
+            last_received: now,
             last: now,
-            knock: now.saturating_add(tuning.knock),
+            next_greeting: now.saturating_add(tuning.knock),
             tuning,
         })
     }
 
     /// A message came from a peer.
-    pub fn receive(&mut self, now: Micros, from: usize, octets: &[u8]) {
-        let now = self.enter(now);
+    pub fn receive(&mut self, now: Micros, from: usize, bytes: &[u8]) {
+        let now = self.advance_clock(now);
         if !self.left {
             self.out.counts.received += 1;
-            self.take(now, from, octets);
+            self.handle_message(now, from, bytes);
         }
-        self.fire(now);
+        self.run_timers(now);
     }
 
     /// Time has passed: call at [`Members::wake`], or any time.
     pub fn tick(&mut self, now: Micros) {
-        let now = self.enter(now);
-        self.fire(now);
+        let now = self.advance_clock(now);
+        self.run_timers(now);
     }
 
     /// The link to a peer stands, or is gone.
     pub fn link(&mut self, now: Micros, peer: usize, stands: bool) {
-        let now = self.enter(now);
+        let now = self.advance_clock(now);
         if let Some(row) = self.rows.all.get_mut(peer) {
             row.linked = stands && peer != self.own;
             if row.linked && self.fresh.stale() {
-                self.fresh.hurry(now.saturating_add(SOON));
+                self.fresh.advance(now.saturating_add(LINK_UP_DELAY));
             } else if row.linked && row.standing == Standing::Dead {
                 // Not at once: links often come up many at a time.
-                self.knock = self.knock.min(now.saturating_add(SOON));
+                self.next_greeting = self.next_greeting.min(now.saturating_add(LINK_UP_DELAY));
             }
         }
-        self.fire(now);
+        self.run_timers(now);
     }
 
     /// Goes in good order: others need not find out.
     pub fn leave(&mut self, now: Micros) {
-        let now = self.enter(now);
+        let now = self.advance_clock(now);
         if !self.left && self.claim.is_none() {
-            self.drive(now, |swim, port| swim.leave_cluster(port));
+            self.with_swim(now, |swim, port| swim.leave_cluster(port));
         }
         self.left = true;
-        (self.timers, self.again) = (Timers::default(), None);
+        (self.timers, self.probe_retry) = (Timers::default(), None);
     }
 
     /// Comes back as a later life of the same process, after [`Change::Behind`].
@@ -125,25 +125,25 @@
     /// # Errors
     /// Where the start is not above its own and every one that was seen.
     pub fn rise(&mut self, now: Micros, start: Start) -> Result<(), MembersError> {
-        let now = self.enter(now);
+        let now = self.advance_clock(now);
         if start <= self.life.start || self.claim.as_ref().is_some_and(|c| start <= c.who.start) {
             return Err(MembersError::NotAbove(start));
         }
         self.life.start = start;
         self.claim = None;
-        (self.timers, self.again) = (Timers::default(), None);
-        let who = Who::new(&self.life, self.rng.random());
+        (self.timers, self.probe_retry) = (Timers::default(), None);
+        let who = MemberId::new(&self.life, self.rng.random());
         self.swim = Foca::new(who, self.tuning.config(), SmallRng::from_rng(&mut self.rng), PostcardCodec);
         let known: Vec<_> = self.rows.all.iter().filter_map(|row| row.known.clone()).collect();
-        self.drive(now, |swim, port| swim.apply_many(known.into_iter(), false, port));
-        self.stale_now(now);
+        self.with_swim(now, |swim, port| swim.apply_many(known.into_iter(), false, port));
+        self.become_stale(now);
         Ok(())
     }
 
     /// What is to be sent and what happened, until none. To be taken after each call above.
     pub fn next_output(&mut self) -> Option<Output> {
-        if let Some((to, octets)) = self.out.sends.pop_front() {
-            return Some(Output::Send(to, octets));
+        if let Some((to, bytes)) = self.out.sends.pop_front() {
+            return Some(Output::Send(to, bytes));
         }
         if let Some(change) = self.out.changes.pop_front() {
             return Some(Output::Change(change));
@@ -161,8 +161,8 @@
     /// When [`Members::tick`] is due. Never later than [`Tuning::knock`] from the last call, so that a longer gap is a
     /// pause.
     pub fn wake(&self) -> Micros {
-        let due = self.timers.next().unwrap_or(Micros::MAX).min(self.knock);
-        let due = self.again_at().unwrap_or(Micros::MAX).min(due);
+        let due = self.timers.next().unwrap_or(Micros::MAX).min(self.next_greeting);
+        let due = self.probe_retry_at().unwrap_or(Micros::MAX).min(due);
         self.fresh.due().map_or(due, |ask| ask.min(due)).max(self.last)
     }
 
--- a/crates/fleet/src/members/timers.rs
+++ b/crates/fleet/src/members/timers.rs
@@ -1,10 +1,10 @@
 //! `foca`'s timers, bounded: it keeps one chain of each periodic kind, and one end of suspicion for each member.
 
-use super::who::Who;
+use super::member_id::MemberId;
 use crate::Micros;
 use foca::Timer;
 
-type Entry = (Micros, Timer<Who>);
+type Entry = (Micros, Timer<MemberId>);
 
 /// What is due when.
 #[derive(Default)]
@@ -19,7 +19,7 @@
 }
 
 impl Timers {
-    pub fn add(&mut self, due: Micros, timer: Timer<Who>) {
+    pub fn add(&mut self, due: Micros, timer: Timer<MemberId>) {
         let slot = match &timer {
             Timer::SendIndirectProbe { .. } => &mut self.indirect,
             Timer::ProbeRandomMember(_) => &mut self.probe,
@@ -52,7 +52,7 @@
     }
 
     /// Takes the first that is due.
-    pub fn pop(&mut self, now: Micros) -> Option<Timer<Who>> {
+    pub fn pop(&mut self, now: Micros) -> Option<Timer<MemberId>> {
         let due = self.next().filter(|due| *due <= now)?;
         for slot in self.slots() {
             if let Some((_, timer)) = slot.take_if(|(at, _)| *at == due) {
@@ -64,7 +64,7 @@
     }
 
     /// The next round of gossip comes by then.
-    pub fn hurry(&mut self, by: Micros) {
+    pub fn advance(&mut self, by: Micros) {
         if let Some((due, _)) = &mut self.gossip {
             *due = by.min(*due);
         }
@@ -78,7 +78,7 @@
     }
 
     /// No suspicion ends before then.
-    pub fn spare(&mut self, until: Micros) {
+    pub fn postpone_suspicions(&mut self, until: Micros) {
         self.ends.iter_mut().for_each(|(due, _)| *due = until.max(*due));
     }
 }
--- a/crates/fleet/src/members/tuning.rs
+++ b/crates/fleet/src/members/tuning.rs
@@ -43,7 +43,7 @@
 }
 
 const MS: Micros = 1000;
-const HELPERS: usize = 8;
+const INDIRECT_PROBES: usize = 8;
 
 impl Tuning {
     /// For an installation of so many members: a death is known to all within about 3 to 5 s.
@@ -54,9 +54,9 @@
             // Who probes whom is drawn anew each time: of a hundred, one in 150 is probed by nobody for five periods.
             period: 400 * MS,
             rtt: 150 * MS,
-            helpers: HELPERS,
+            helpers: INDIRECT_PROBES,
             // What few members lack in helpers: each loses two messages of four where one asked again loses one of two.
-            again: (HELPERS + 2).saturating_sub(members).max(2),
+            again: (INDIRECT_PROBES + 2).saturating_sub(members).max(2),
             suspicion: 2000 * MS,
             gossip: 200 * MS,
             fanout: 3,
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -14,86 +14,88 @@
 /// Octets of a kind in order that wait for one peer at most.
 pub const MOST_ORDERED: usize = 8 * 1024 * 1024;
 /// Messages of a kind in order that wait for one peer at most.
-pub const MOST_ORDERED_COUNT: usize = 8_192;
+pub const MAX_ORDERED_MESSAGES: usize = 8_192;
 /// Messages of a kind whose newest counts that wait for one peer at most.
 pub const MOST_NEWEST: usize = 8;
 /// Octets of them at most; one message always may wait.
-pub const MOST_NEWEST_OCTETS: usize = 1024 * 1024;
+pub const MAX_LATEST_BYTES: usize = 1024 * 1024;
 
 /// What became of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Queued {
+pub enum PushOutcome {
     /// It waits.
-    Waits,
+    Added,
     /// It waits, and so many older ones of its kind were given up for it.
-    Instead(usize),
+    Replaced(usize),
     /// There is no room for one that must not be left out: the link has to begin anew.
     Full,
     /// It has more than [`MOST_MESSAGE`] octets, and is given up.
-    Long,
+    TooLong,
 }
 
 #[derive(Debug, Default)]
-struct Lane {
+struct KindQueue {
     waiting: VecDeque<Vec<u8>>,
-    octets: usize,
+    bytes: usize,
     /// Octets of the first that went out already, as pieces.
-    gone: usize,
+    sent_bytes: usize,
 }
 
 /// The queue for one peer.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lanes: [Lane; Kind::COUNT],
+    kinds: [KindQueue; Kind::COUNT],
     /// Whose turn it is.
     turn: usize,
 }
 
 impl Queue {
     /// Takes a message in.
-    pub fn push(&mut self, kind: Kind, payload: Vec<u8>) -> Queued {
-        let Some(lane) = self.lanes.get_mut(kind.index()) else { return Queued::Long };
+    pub fn push(&mut self, kind: Kind, payload: Vec<u8>) -> PushOutcome {
+        let Some(kind_queue) = self.kinds.get_mut(kind.index()) else { return PushOutcome::TooLong };
         let size = payload.len();
         if size > MOST_MESSAGE {
-            return Queued::Long;
+            return PushOutcome::TooLong;
         }
-        let mut given_up = 0;
+        let mut discarded = 0;
         if kind.ordered() {
-            if lane.waiting.len() >= MOST_ORDERED_COUNT || lane.octets + size > MOST_ORDERED {
-                return Queued::Full;
+            if kind_queue.waiting.len() >= MAX_ORDERED_MESSAGES || kind_queue.bytes + size > MOST_ORDERED {
+                return PushOutcome::Full;
             }
         } else {
             // One that went out in part must go on: the other side holds its beginning.
-            let first = usize::from(lane.gone > 0);
-            while lane.waiting.len() > first
-                && (lane.waiting.len() >= MOST_NEWEST || lane.octets + size > MOST_NEWEST_OCTETS)
+            let first = usize::from(kind_queue.sent_bytes > 0);
+            while kind_queue.waiting.len() > first
+                && (kind_queue.waiting.len() >= MOST_NEWEST || kind_queue.bytes + size > MAX_LATEST_BYTES)
             {
-                let Some(old) = lane.waiting.remove(first) else { break };
-                lane.octets -= old.len();
-                given_up += 1;
+                let Some(old) = kind_queue.waiting.remove(first) else { break };
+                kind_queue.bytes -= old.len();
+                discarded += 1;
             }
         }
-        lane.octets += size;
-        lane.waiting.push_back(payload);
-        if given_up > 0 { Queued::Instead(given_up) } else { Queued::Waits }
+        kind_queue.bytes += size;
+        kind_queue.waiting.push_back(payload);
+        if discarded > 0 { PushOutcome::Replaced(discarded) } else { PushOutcome::Added }
     }
 
     /// Gives the next piece to `out`, of the kind whose turn it is. False: nothing waits.
     pub fn next(&mut self, out: impl FnOnce(What, &[u8])) -> bool {
         for step in 0..Kind::COUNT {
             let at = (self.turn + step) % Kind::COUNT;
-            let (Some(lane), Some(kind)) = (self.lanes.get_mut(at), Kind::ALL.get(at)) else { return false };
-            let Some(first) = lane.waiting.front() else { continue };
+            let (Some(kind_queue), Some(kind)) = (self.kinds.get_mut(at), Kind::ALL.get(at)) else {
+                return false;
+            };
+            let Some(first) = kind_queue.waiting.front() else { continue };
             self.turn = at + 1;
-            let rest = first.get(lane.gone..).unwrap_or_default();
+            let rest = first.get(kind_queue.sent_bytes..).unwrap_or_default();
             if let Some((piece, more)) = rest.split_at_checked(PIECE).filter(|(_, more)| !more.is_empty()) {
                 out(What::Piece(*kind), piece);
-                lane.gone = first.len() - more.len();
+                kind_queue.sent_bytes = first.len() - more.len();
             } else {
                 out(What::Message(*kind), rest);
-                lane.octets -= first.len();
-                lane.gone = 0;
-                lane.waiting.pop_front();
+                kind_queue.bytes -= first.len();
+                kind_queue.sent_bytes = 0;
+                kind_queue.waiting.pop_front();
             }
             return true;
         }
@@ -101,13 +103,13 @@
     }
 
     /// Octets that wait, of all kinds.
-    pub fn octets(&self) -> usize {
-        self.lanes.iter().map(|lane| lane.octets).sum()
+    pub fn bytes(&self) -> usize {
+        self.kinds.iter().map(|kind_queue| kind_queue.bytes).sum()
     }
 
     /// Messages that wait, of all kinds.
     pub fn waiting(&self) -> usize {
-        self.lanes.iter().map(|lane| lane.waiting.len()).sum()
+        self.kinds.iter().map(|kind_queue| kind_queue.waiting.len()).sum()
     }
 }
 
@@ -125,12 +127,12 @@
     fn the_newest_states_wait_and_go_out_in_order() {
         let mut queue = Queue::default();
         for n in 0..100_u8 {
-            let wanted = if n < 8 { Queued::Waits } else { Queued::Instead(1) };
+            let wanted = if n < 8 { PushOutcome::Added } else { PushOutcome::Replaced(1) };
             assert_eq!(queue.push(Kind::Gossip, vec![n]), wanted);
         }
         let out: Vec<u8> = drain(&mut queue).iter().map(|(_, p)| p[0]).collect();
         assert_eq!(out, (92..100).collect::<Vec<u8>>());
-        assert_eq!((queue.octets(), queue.waiting()), (0, 0));
+        assert_eq!((queue.bytes(), queue.waiting()), (0, 0));
     }
 
     #[test]
@@ -148,15 +150,15 @@
     fn what_must_not_be_left_out_is_full_by_count_and_by_octets() {
         let mut queue = Queue::default();
         let taken = |queue: &mut Queue, size: usize| {
-            (0..100_000).take_while(|_| queue.push(Kind::Log, vec![0; size]) == Queued::Waits).count()
+            (0..100_000).take_while(|_| queue.push(Kind::Log, vec![0; size]) == PushOutcome::Added).count()
         };
-        assert_eq!(taken(&mut queue, 1), MOST_ORDERED_COUNT);
+        assert_eq!(taken(&mut queue, 1), MAX_ORDERED_MESSAGES);
         let mut queue = Queue::default();
         assert_eq!(taken(&mut queue, 65_536), MOST_ORDERED / 65_536);
-        assert_eq!(queue.push(Kind::Agreement, vec![0; MOST_MESSAGE + 1]), Queued::Long);
+        assert_eq!(queue.push(Kind::Agreement, vec![0; MOST_MESSAGE + 1]), PushOutcome::TooLong);
         assert_eq!(
             queue.push(Kind::Agreement, vec![0; 9]),
-            Queued::Waits,
+            PushOutcome::Added,
             "another kind has room of its own"
         );
     }
--- a/crates/fleet/src/start.rs
+++ b/crates/fleet/src/start.rs
@@ -21,10 +21,10 @@
 /// The file.
 pub const FILE: &str = "start";
 /// What it is before it is whole.
-const NEXT: &str = "start.new";
+const TEMP_FILE: &str = "start.new";
 const MAGIC: [u8; 4] = *b"HRS1";
 /// Magic, the number, a checksum of both; little-endian.
-const LENGTH: usize = 16;
+const FILE_BYTES: usize = 16;
 
 /// What was on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// A number that may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Raised {
+pub struct NewStart {
     /// The number, durable.
     pub start: Start,
     /// What was there before.
@@ -62,32 +62,32 @@
 ///
 /// # Errors
 /// Where none can be made durable.
-pub fn raise(disk: &mut impl Storage, wall: Micros, above: Start) -> Result<Raised, StartError> {
+pub fn raise(disk: &mut impl Storage, wall: Micros, seen_by_others: Start) -> Result<NewStart, StartError> {
     let found = look(disk);
-    let kept = if let Found::Number(start) = found { start } else { Start(0) };
-    let next = kept.max(above).0.checked_add(1).ok_or(StartError::UsedUp)?;
-    let start = Start(next.max(u64::try_from(wall).unwrap_or(0)));
+    let stored = if let Found::Number(start) = found { start } else { Start(0) };
+    let candidate = stored.max(seen_by_others).0.checked_add(1).ok_or(StartError::UsedUp)?;
+    let start = Start(candidate.max(u64::try_from(wall).unwrap_or(0)));
     // A new file beside the old one: power lost at any step leaves one that is whole.
-    disk.create(NEXT)?;
-    disk.append(NEXT, &pack(start))?;
-    disk.sync(NEXT)?;
-    disk.rename(NEXT, FILE)?;
+    disk.create(TEMP_FILE)?;
+    disk.append(TEMP_FILE, &pack(start))?;
+    disk.sync(TEMP_FILE)?;
+    disk.rename(TEMP_FILE, FILE)?;
     disk.sync_names()?;
-    Ok(Raised { start, found })
+    Ok(NewStart { start, found })
 }
 
 /// What is on disk.
 pub fn look(disk: &impl Storage) -> Found {
     match disk.read(FILE) {
-        Ok(octets) => unpack(&octets).map_or(Found::Unreadable, Found::Number),
+        Ok(bytes) => unpack(&bytes).map_or(Found::Unreadable, Found::Number),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Found::Nothing,
         // Nor is this a reason not to start: the time of day is above what was there.
         Err(_) => Found::Unreadable,
     }
 }
 
-fn pack(start: Start) -> [u8; LENGTH] {
-    let mut out = [0; LENGTH];
+fn pack(start: Start) -> [u8; FILE_BYTES] {
+    let mut out = [0; FILE_BYTES];
     out[..4].copy_from_slice(&MAGIC);
     out[4..12].copy_from_slice(&start.0.to_le_bytes());
     let sum = crc32fast::hash(&out[..12]);
@@ -95,9 +95,9 @@
     out
 }
 
-fn unpack(octets: &[u8]) -> Option<Start> {
-    let octets: &[u8; LENGTH] = octets.try_into().ok()?;
-    let (body, sum) = octets.split_last_chunk::<4>()?;
+fn unpack(bytes: &[u8]) -> Option<Start> {
+    let bytes: &[u8; FILE_BYTES] = bytes.try_into().ok()?;
+    let (body, sum) = bytes.split_last_chunk::<4>()?;
     let (magic, number) = body.split_first_chunk::<4>()?;
     let whole = *magic == MAGIC && crc32fast::hash(body) == u32::from_le_bytes(*sum);
     whole.then(|| number.try_into().ok().map(|n| Start(u64::from_le_bytes(n)))).flatten()
