--- a/crates/fleet/src/frames.rs
+++ b/crates/fleet/src/frames.rs
@@ -1,77 +1,79 @@
-//! Frames on a link: length, head, payload, tag.
+//! Encodes and decodes the frames on a link.
 //!
 //! ```text
-//! length   u32, greatest octet first: octets that follow it, MOST_FRAME at most
-//! head     postcard of Head: what it is, its number on this link and way
-//! payload  the rest, up to the tag
-//! tag      32 octets: HMAC-SHA256 over length, head and payload under a key of this link and way
+//! length   u32, big-endian: the number of bytes that follow, at most MOST_FRAME
+//! head     postcard of Head: the frame's type, and its sequence number on this link and direction
+//! payload  everything up to the tag
+//! tag      32 bytes: HMAC-SHA256 over length, head and payload under the key of this link and direction
 //! ```
 //!
-//! The number is not trusted before the tag is: whatever of a frame is looked at first only says how long it is.
+//! Nothing in a frame is trusted before the tag has been verified; until then only the length is used, to
+//! find the end of the frame.
 
 use crate::key::{Key, TAG_BYTES, Tag};
 use crate::kind::Kind;
 use serde::{Deserialize, Serialize};
 
-/// Octets of a frame after its length at most.
+/// The maximum number of bytes in a frame after its length field.
 pub const MOST_FRAME: usize = 256 * 1024;
-/// The same before the other side is proved: nobody unknown has more held for him.
+/// The same before the peer is authenticated, so that an unknown peer can't make this side buffer much.
 pub const MOST_HELLO: usize = 1_024;
-/// Octets of payload in a frame that is sent; a longer message goes as pieces, between which other kinds go out.
+/// The number of payload bytes in a sent frame. A longer message is split into pieces, between which messages
+/// of other kinds are sent.
 pub const PIECE: usize = 64 * 1024;
 
 const LENGTH_BYTES: usize = 4;
 const FRAME_LABEL: &[u8] = b"heronroute frame\0";
 
-/// What a frame is.
+/// The type of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum What {
-    /// Who speaks; the first of each side.
+    /// The handshake; the first frame of each side.
     Hello,
-    /// Nothing but that its sender lives.
+    /// A keepalive without payload.
     Alive,
-    /// A message, or the last piece of one.
+    /// A whole message, or the last piece of one.
     Message(Kind),
-    /// A piece of a message; more of it follows.
+    /// A piece of a message that continues in a later frame.
     Piece(Kind),
 }
 
-/// A frame's head.
+/// The head of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// What it is.
+    /// The type.
     pub what: What,
-    /// Its number on this link and way, from 0 without gaps.
+    /// The sequence number on this link and direction, from 0 without gaps.
     pub number: u64,
 }
 
-/// Why no frame can be had from here on: where the next one begins is not known any more.
+/// A framing error. It is final: the start of the next frame is no longer known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It says that it is longer than is allowed.
+    /// The length exceeds the allowed maximum.
     #[error("a frame is too long")]
     Long,
-    /// It has no room for a tag.
+    /// The frame is too short to hold a tag.
     #[error("a frame is too short")]
     Short,
-    /// Its tag does not fit.
+    /// The tag doesn't verify.
     #[error("a frame was not made under this link's key, or was altered")]
     Forged,
-    /// Its head is none.
+    /// The head can't be decoded.
     #[error("a frame can't be read")]
     Unreadable,
 }
 
-/// A whole frame as it came.
+/// A whole received frame, not verified yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Raw<'a> {
-    /// Length, head and payload.
+    /// Length, head and payload: the bytes that the tag covers.
     covered: &'a [u8],
     tag: &'a [u8],
 }
 
 impl<'a> Raw<'a> {
-    /// Its head and payload, not proved by anything yet.
+    /// Decodes the head and payload without verifying the tag.
     ///
     /// # Errors
     /// [`FrameError::Unreadable`].
@@ -80,8 +82,8 @@
         postcard::take_from_bytes(body).map_err(|_| FrameError::Unreadable)
     }
 
-    /// Its head and payload, if it was made under this key and not altered since. `before` is what it must have been made
-    /// after, as for [`seal`].
+    /// Verifies the tag and decodes the head and payload. `context` must be the value that the sender passed
+    /// to [`seal`].
     ///
     /// # Errors
     /// [`FrameError::Forged`], [`FrameError::Unreadable`].
@@ -92,17 +94,18 @@
         self.parse_unverified()
     }
 
-    /// Its tag.
+    /// Returns the tag.
     pub fn tag(&self) -> Tag {
         self.tag.try_into().unwrap_or([0; TAG_BYTES])
     }
 }
 
-/// Appends a frame. `before` goes into the tag alone: a frame so sealed holds only after what it names. Gives the tag.
+/// Appends a frame and returns its tag. `context` is covered by the tag but not sent, so the frame verifies
+/// only for a receiver with the same context.
 pub fn seal(out: &mut Vec<u8>, key: &Key, context: &[u8], head: Head, payload: &[u8]) -> Tag {
     let start = out.len();
     out.extend_from_slice(&[0; LENGTH_BYTES]);
-    // The head is of plain numbers and the writer takes all: postcard has nothing to fail on.
+    // Encoding plain numbers into a vector can't fail.
     let mut bytes = postcard::to_extend(&head, std::mem::take(out)).unwrap_or_default();
     bytes.extend_from_slice(payload);
     let length = (bytes.len() - start - LENGTH_BYTES + TAG_BYTES) as u32;
@@ -115,30 +118,32 @@
     tag
 }
 
-/// Cuts a stream of octets into frames.
+/// Splits a stream of bytes into frames.
 #[derive(Debug, Default)]
 pub struct Reader {
     bytes: Vec<u8>,
-    /// Where the next frame begins.
+    /// The offset at which the next frame begins.
     position: usize,
 }
 
 impl Reader {
-    /// Takes octets in. What is held is the octets of one call and less than a frame from before.
+    /// Appends received bytes. The buffer holds at most the bytes of this call and an incomplete frame from
+    /// earlier calls.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.position > 0 {
             self.bytes.drain(..self.position);
             self.position = 0;
-            // Nobody holds room for ever because a long message came once.
+            // Releases the memory that an earlier long message needed.
             self.bytes.shrink_to(2 * PIECE);
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, of `most` octets after its length at most.
+    /// Returns the next whole frame, if there is one. `most` is the maximum number of bytes after the length
+    /// field.
     ///
     /// # Errors
-    /// [`FrameError::Long`] and [`FrameError::Short`], as soon as its length is there.
+    /// Fails with [`FrameError::Long`] or [`FrameError::Short`] as soon as the length field has arrived.
     pub fn next(&mut self, most: usize) -> Result<Option<Raw<'_>>, FrameError> {
         let rest = self.bytes.get(self.position..).unwrap_or_default();
         let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
--- a/crates/fleet/src/key.rs
+++ b/crates/fleet/src/key.rs
@@ -1,4 +1,4 @@
-//! The installation's key, and what is made from it.
+//! The installation's secret key, and the tags and keys derived from it.
 
 use base64::Engine as _;
 use base64::alphabet::STANDARD;
@@ -7,34 +7,35 @@
 use sha2::Sha256;
 use std::fmt;
 
-/// Octets of a key at least.
+/// The minimum number of bytes in a key.
 pub const MIN_KEY_BYTES: usize = 32;
-/// Octets of a key file at most.
+/// The maximum number of bytes in a key file.
 pub const MOST_KEY_TEXT: usize = 4_096;
-/// Octets of a tag: HMAC-SHA256 (RFC 2104, FIPS 198-1), not cut short.
+/// The number of bytes in a tag: HMAC-SHA256 (RFC 2104, FIPS 198-1), not truncated.
 pub const TAG_BYTES: usize = 32;
 
-/// A message's tag.
+/// An authentication tag.
 pub type Tag = [u8; TAG_BYTES];
 
-/// Why a text is no key.
+/// The reason why a key file is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// Nothing but space.
+    /// The file holds only whitespace.
     #[error("the key file is empty; write {MIN_KEY_BYTES} random octets or more into it, as hex or base64")]
     Empty,
-    /// Longer than [`MOST_KEY_TEXT`].
+    /// The file is longer than [`MOST_KEY_TEXT`].
     #[error("the key file has more than {MOST_KEY_TEXT} octets; that can't be a key")]
     Long,
-    /// Neither hex nor base64.
+    /// The content is neither hex nor base64.
     #[error("the key file is neither hex nor base64")]
     Unreadable,
-    /// Fewer than [`LEAST_KEY`] octets.
+    /// The key has fewer than [`MIN_KEY_BYTES`] bytes.
     #[error("the key has {0} octets; {MIN_KEY_BYTES} are needed at least")]
     Short(usize),
 }
 
-/// A secret key, set up for HMAC-SHA256. It is never shown, and never leaves but as tags and keys made from it.
+/// A secret key, set up for HMAC-SHA256. `Debug` doesn't print it, and only tags and derived keys can be
+/// obtained from it.
 #[derive(Clone)]
 pub struct Key(Hmac<Sha256>);
 
@@ -45,11 +46,11 @@
 }
 
 impl Key {
-    /// Reads a key file's text: hex digits alone are hex, anything else is base64 with or without padding. Space and line
-    /// ends don't count.
+    /// Parses the text of a key file. Text of hex digits alone is hex; anything else is base64, with or
+    /// without padding. Whitespace is ignored.
     ///
     /// # Errors
-    /// Where it is no key; the text itself is not told again.
+    /// Fails when the text isn't a valid key. The error doesn't contain the text.
     pub fn read(text: &str) -> Result<Self, KeyError> {
         if text.len() > MOST_KEY_TEXT {
             return Err(KeyError::Long);
@@ -58,7 +59,7 @@
         if text.is_empty() {
             return Err(KeyError::Empty);
         }
-        // Guards against a short key in hex that, read as base64, would seem long enough.
+        // A hex key that is too short must not be read as base64, where it could seem long enough.
         let bytes = if text.iter().all(u8::is_ascii_hexdigit) { hex(&text) } else { base64(&text) };
         let bytes = bytes.ok_or(KeyError::Unreadable)?;
         if bytes.len() < MIN_KEY_BYTES {
@@ -71,21 +72,21 @@
         Hmac::new_from_slice(bytes).ok().map(Key)
     }
 
-    /// The tag of these parts, one after the other. The label keeps tags made for one purpose from serving another; it must
-    /// not be the beginning of another label.
+    /// Returns the tag of the concatenated parts. The label separates the purposes that tags are used for; no
+    /// label may be a prefix of another.
     pub fn tag(&self, label: &[u8], parts: &[&[u8]]) -> Tag {
         self.mac(label, parts).finalize().into_bytes().into()
     }
 
-    /// Whether that is their tag, in a time that says nothing of where it differs.
+    /// Returns whether the tag is that of the parts. The comparison takes constant time.
     pub fn verify(&self, label: &[u8], parts: &[&[u8]], tag: &[u8]) -> bool {
         self.mac(label, parts).verify_slice(tag).is_ok()
     }
 
-    /// A key for one purpose. Knowing it, or any tag made by it, says nothing of this one.
+    /// Derives a key for one purpose. Neither the derived key nor its tags reveal this key.
     pub fn derive(&self, label: &[u8], parts: &[&[u8]]) -> Key {
         let bytes = self.tag(label, parts);
-        // HMAC takes keys of any length; the other arm can't be reached.
+        // HMAC accepts keys of any length, so the fallback is unreachable.
         Key::from_bytes(&bytes).unwrap_or_else(|| self.clone())
     }
 
@@ -125,13 +126,13 @@
         assert_eq!(tag("  \n"), Err(KeyError::Empty));
         assert_eq!(tag("not a key!"), Err(KeyError::Unreadable));
         assert_eq!(tag(&hex[..64]), Err(KeyError::Unreadable), "half an octet");
-        // 48 digits are 24 octets; as base64 they would pass for 36.
+        // 48 digits are 24 bytes; read as base64 they would be 36.
         assert_eq!(tag(&"0123456789ab".repeat(4)), Err(KeyError::Short(24)));
         assert_eq!(tag(&"a".repeat(MOST_KEY_TEXT + 1)), Err(KeyError::Long));
         assert_eq!(format!("{:?}", Key::read(hex).unwrap()), "Key");
     }
 
-    /// RFC 4231, test case 2 has a shorter key than is let in here; its octets are put in as they are.
+    /// Test case 2 of RFC 4231. Its key is shorter than [`Key::read`] accepts, so it is passed in as bytes.
     #[test]
     fn tags_are_hmac_sha256() {
         let key = Key::from_bytes(b"Jefe").unwrap();
--- a/crates/fleet/src/kind.rs
+++ b/crates/fleet/src/kind.rs
@@ -2,36 +2,39 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Kinds of messages between members; for each peer they are queued by kind.
+/// The kind of a message between members. Each peer has a queue for each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// Of the keepers' agreement, in order, none left out while the link stands.
+    /// Messages of the consensus protocol: in order, none left out while the link is up.
     Agreement,
-    /// Who is there: the newest counts.
+    /// Membership gossip: newer messages may replace older ones.
     Gossip,
-    /// Decided entries for those who lack them, and requests sent on to a keeper; in order.
+    /// Decided entries for members that lack them, and requests forwarded to a replica: in order, none left
+    /// out while the link is up.
     Log,
-    /// Reports and verdicts: the newest counts.
+    /// Drift reports and verdicts: newer messages may replace older ones.
     Drift,
-    /// What goes through a third member, as two have no link: the newest counts, in a room of its own, so that what is carried
-    /// for others takes nobody's place.
+    /// Messages relayed through a third member because two members have no link between them: newer messages
+    /// may replace older ones. They have a queue of their own, so that relayed traffic takes no room from
+    /// other kinds.
     Carried,
 }
 
 impl Kind {
-    /// How many there are.
+    /// The number of kinds.
     pub const COUNT: usize = 5;
 
-    /// All, in the order of [`Kind::index`].
+    /// All kinds, in the order of [`Kind::index`].
     pub const ALL: [Kind; Kind::COUNT] =
         [Kind::Agreement, Kind::Gossip, Kind::Log, Kind::Drift, Kind::Carried];
 
-    /// Its place in tables by kind.
+    /// Returns the index of the kind in tables by kind.
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// In order and none left out while a link stands; of the others the newest counts.
+    /// Returns whether messages of this kind are delivered in order with none left out while a link is up.
+    /// For the other kinds, newer messages may replace older ones.
     pub fn ordered(self) -> bool {
         matches!(self, Kind::Agreement | Kind::Log)
     }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,46 +1,49 @@
-//! Until when whoever is in charge may act.
+//! The leader's lease: how long a leader may act.
 //!
-//! The keeper that leads asks the others, again and again, to stay in charge. A keeper that grants it gives no other life a
-//! term for [`Tuning::lease`] and the drift allowed, counted on its own clock from when it granted. The one in charge
-//! counts [`Tuning::lease`] on its own clock from when it *asked*, and acts only while a majority's grants are that fresh;
-//! its own is one of them, under the same rule.
+//! The leading replica repeatedly asks the others to renew its lease. A replica that grants it gives no other
+//! life a term for [`Tuning::lease`] plus the allowed drift, counted on its own clock from when it granted.
+//! The leader counts [`Tuning::lease`] on its own clock from when it *asked*, and acts only while it has
+//! grants of that age from a majority; its own grant is one of them, under the same rule.
 //!
-//! What holds, whatever clocks do: a term belongs to one life of one keeper (it is that keeper's ballot), so two members
-//! are never in charge in one term, and orders that bear a lesser term than one seen are to be refused.
+//! Guaranteed, whatever the clocks do: a term belongs to one life of one replica (it is that replica's
+//! ballot), so two members never lead in the same term, and orders with a term less than one already seen are
+//! to be refused.
 //!
-//! What holds while no clock runs more than [`Tuning::drift`] thousandths faster than another: two members are never in
-//! charge at one time, in whatever terms. Two majorities share a keeper; that keeper's grant to the first is over
-//! before it grants the second anything. A keeper that starts has forgotten its grants and waits one whole grant
-//! before its first. One that was paused finds its lease over by its own clock when it wakes, *if that clock went on*: it
-//! does under SIGSTOP; a machine whose clock stands while it is suspended breaks this promise, and only the term in
-//! its orders still protects.
+//! Guaranteed while no clock runs more than [`Tuning::drift`] thousandths faster than another: two members
+//! never lead at the same time, in whatever terms. Any two majorities share a replica, and that replica's
+//! grant to the first leader expires before it grants the second one anything. A replica that starts doesn't
+//! know its earlier grants and waits for the length of one grant before its first. A replica that was paused
+//! finds its lease expired by its own clock when it continues, *if that clock went on*: it does under
+//! SIGSTOP. A machine whose clock stops while it is suspended breaks this guarantee, and then only the term
+//! in its orders protects.
 //!
-//! What does not hold: an act that was begun within the lease may end after it. So an order bears its term, and
-//! whoever acts asks again before each act.
+//! Not guaranteed: an act that was begun within the lease may end after it. Therefore an order carries its
+//! term, and the leader checks its lease again before each act.
 
 use crate::Micros;
 use crate::entry::Term;
 use crate::keepers::Tuning;
 
-/// Who holds a grant: a keeper, and which life of it.
+/// The holder of a grant: a replica, and which life of it.
 pub type Holder = (u8, u64);
 
-/// What a keeper has granted.
+/// The lease that a replica has granted.
 #[derive(Clone, Debug)]
 pub struct Grants {
-    /// Nothing is granted to anybody else before it.
+    /// No other life is granted a term before this time.
     until: Micros,
     holder: Option<Holder>,
     term: Term,
 }
 
 impl Grants {
-    /// Of a keeper that starts now and may have granted before.
+    /// Returns the grants of a replica that starts now and may have granted a lease before.
     pub fn new(now: Micros, tuning: &Tuning) -> Self {
         Grants { until: now.saturating_add(grant_duration(tuning)), holder: None, term: Term(0) }
     }
 
-    /// Grants a life the term, unless another life may still be in charge or the term is older than one granted.
+    /// Grants the term to a life, unless another life may still lead or a later term was granted. Returns
+    /// whether it was granted.
     pub fn grant(&mut self, now: Micros, holder: Holder, term: Term, tuning: &Tuning) -> bool {
         if term < self.term || self.holder != Some(holder) && now < self.until {
             return false;
@@ -56,23 +59,23 @@
     tuning.lease.saturating_add(tuning.lease.saturating_mul(tuning.drift) / 1000).saturating_add(1)
 }
 
-/// The lease of a keeper that leads.
+/// The lease of a leading replica.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
     term: Term,
-    /// For each keeper, when the renewal that it granted last was asked for.
+    /// For each replica, the time at which the renewal that it granted last was requested.
     requested: Vec<Option<Micros>>,
 }
 
 impl Lease {
-    /// Begins a term among so many keepers; nothing of an older one counts.
+    /// Begins a term among the given number of replicas; grants of other terms are dropped.
     pub fn begin(&mut self, term: Term, keepers: usize) {
         if self.term != term {
             *self = Lease { term, requested: vec![None; keepers] };
         }
     }
 
-    /// A keeper, counted from 0, has granted what was asked for at this time.
+    /// Records that a replica, counted from 0, has granted the renewal that was requested at this time.
     pub fn granted(&mut self, keeper: usize, term: Term, requested: Micros, now: Micros) {
         if term == self.term
             && requested <= now
@@ -82,11 +85,11 @@
         }
     }
 
-    /// Until when the term may be acted in; nothing where no majority has granted it.
+    /// Returns the end of the lease, or `None` when no majority has granted the term.
     pub fn until(&self, tuning: &Tuning) -> Option<Micros> {
         let mut requested: Vec<Micros> = self.requested.iter().flatten().copied().collect();
         requested.sort_unstable_by(|a, b| b.cmp(a));
-        // Five at most: to sort them costs nothing.
+        // There are at most five replicas, so sorting is cheap.
         requested.get(self.requested.len() / 2).map(|at| at.saturating_add(tuning.lease))
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,15 @@
-//! Who belongs to an installation, and what its members agree on.
+//! Membership of an installation, and the replicated log that its members agree on.
 //!
-//! Does: tells who is there, suspected, gone, come back or replaced ([`members`]); carries an ordered log of decisions by
-//! majority of the keepers to every member ([`keepers`]); packs what members say to each other into frames under the
-//! installation's key ([`frames`]) and queues it for each peer, bounded ([`queue`]).
-//! Decides: which life of a member counts (its start number, kept on disk), whether there is a majority, whose term
-//! holds, until when an order binds.
-//! Never: touches a socket, a thread, a clock or a random source of the machine; knows what the entries of the log
-//! mean; decides anything about messages.
+//! - [`link`] authenticates connections between members and carries messages on them; [`frames`] encodes the
+//!   messages under the installation's [`key`], and [`queue`] holds a bounded number of them for each peer.
+//! - [`members`] tracks which members are alive, suspected or dead, and which have been replaced.
+//! - [`keepers`] replicates an ordered log of decisions: a majority of the replicas decides, and every member
+//!   learns the result. [`lease`] limits how long its leader may act.
+//! - [`start`] keeps the start number, which tells the successive processes of a member apart, on disk.
+//!
+//! The crate uses no socket, thread, clock or random source of the machine: the caller passes in time,
+//! received bytes and seeds, and carries out the outputs. It doesn't interpret log entries and decides
+//! nothing about messages.
 
 #![forbid(unsafe_code)]
 
@@ -26,5 +29,6 @@
 pub use kind::Kind;
 pub use name::{Life, Name, NameError, Peer, Standing, Start};
 
-/// Time in microseconds: on the caller's clock, or of the day (since 1970 UTC) where a field says `wall`.
+/// Time in microseconds: on the caller's clock or, where a field is called `wall`, the time of day (since
+/// 1970 UTC).
 pub type Micros = i64;
--- a/crates/fleet/src/link/hello.rs
+++ b/crates/fleet/src/link/hello.rs
@@ -1,16 +1,16 @@
-//! How two members prove who they are.
+//! The handshake in which two members authenticate each other.
 //!
 //! ```text
 //! dialler  -> Hello 1   tag under the installation's key
-//! answerer -> Hello 2   tag under the installation's key, over hello 1's tag too
-//! dialler  -> Alive     tag under the key of this link and way
+//! answerer -> Hello 2   tag under the installation's key, also covering hello 1's tag
+//! dialler  -> Alive     tag under the key of this link and direction
 //! ```
 //!
-//! The keys of the link, one for each way, are made from the installation's key and hello 2's tag, which rests on both
-//! hellos and so on both nonces. A hello 2 of another connection does not fit hello 1; a hello 1 of another
-//! connection gets an answer, but nothing of before fits the keys that follow; and a frame sent back to its sender is
-//! under the other way's key. Each side says whom it takes the other for: an address that leads to another member
-//! ends there.
+//! The keys of a link, one for each direction, are derived from the installation's key and hello 2's tag,
+//! which depends on both hellos and therefore on both nonces. A hello 2 of another connection doesn't match
+//! hello 1. A replayed hello 1 gets an answer, but no earlier frame verifies under the keys that follow. A
+//! frame that is reflected to its sender was made under the other direction's key. Each side names the member
+//! that it takes the peer for, so an address that leads to another member is detected.
 
 use super::reason::Reason;
 use super::roster::Roster;
@@ -19,13 +19,13 @@
 use crate::name::{Life, Name, Start};
 use serde::{Deserialize, Serialize};
 
-/// The number of all that members say to each other: frames, hellos, gossip, the keepers' messages, and what the
-/// installation packs into them (reports, verdicts, orders, questions). To be raised by one whenever the octets of any of
-/// these change, or what they mean: members of two numbers are not linked. It stands first in a hello, whatever else changes.
-/// `tests/golden.rs` fails where octets change.
+/// The version of everything that members send each other: frames, hellos, gossip, the replicas' messages,
+/// and what the installation encodes in them (reports, verdicts, orders, questions). Raise it by one whenever
+/// the bytes of any of these change, or what they mean: members of different versions are not linked. It is
+/// the first field of a hello in every version. `tests/golden.rs` fails when the bytes change.
 pub const VERSION: u32 = 3;
 
-/// Octets that no other connection has.
+/// Bytes that no other connection uses.
 pub type Nonce = [u8; 32];
 
 const DIALLER_HELLO: &[u8] = b"heronroute hello of the dialler\0";
@@ -33,23 +33,23 @@
 const DIALLER_FRAMES: &[u8] = b"heronroute link from the dialler\0";
 const ANSWERER_FRAMES: &[u8] = b"heronroute link from the answerer\0";
 
-/// Who speaks, after the version.
+/// The content of a hello after the version.
 #[derive(Debug, Serialize, Deserialize)]
 struct Hello {
     installation: String,
     from: Life,
     to: Name,
-    /// The latest start of the other side that is known here: one that was brought back from an old disk learns by it
-    /// that it must not go on under its start.
+    /// The latest start of the peer that is known here. From it, a process restored from an old disk learns
+    /// that it must not continue under its start number.
     known: Start,
     nonce: Nonce,
 }
 
-/// What the other side's hello proved, or said.
+/// The verified content of the peer's hello.
 #[derive(Debug)]
 pub(crate) struct PeerHello {
     pub life: Life,
-    /// The latest start of this member that the other side knows.
+    /// The latest start of this member that the peer knows.
     pub known: Start,
     pub tag: Tag,
 }
@@ -61,7 +61,7 @@
     pub incoming: Key,
 }
 
-/// Which side of a connection this is.
+/// The role of a side of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Side {
     Dialler,
@@ -72,7 +72,7 @@
     roster.key.derive(if from == Side::Dialler { DIALLER_HELLO } else { ANSWERER_HELLO }, &[])
 }
 
-/// Appends a hello; gives its tag.
+/// Appends a hello and returns its tag.
 pub(crate) fn write(
     out: &mut Vec<u8>,
     roster: &Roster,
@@ -88,27 +88,28 @@
         known: roster.latest_start(to),
         nonce,
     };
-    // Plain strings and numbers into a vector: postcard has nothing to fail on.
+    // Encoding plain strings and numbers into a vector can't fail.
     let payload = postcard::to_stdvec(&(VERSION, hello)).unwrap_or_default();
     seal(out, &key(roster, side), before, Head { what: What::Hello, number: 0 }, &payload)
 }
 
-/// Appends what the answerer says to a dialler of another version: its own and nothing else, so that the dialler, which
-/// reads it first, knows as well why there is no link.
+/// Appends the answerer's reply to a dialler of another version. It holds only this side's version, which the
+/// dialler reads first, so that it knows as well why there is no link.
 pub(crate) fn write_refusal(out: &mut Vec<u8>, roster: &Roster) {
     let payload = postcard::to_stdvec(&VERSION).unwrap_or_default();
     seal(out, &key(roster, Side::Answerer), &[], Head { what: What::Hello, number: 0 }, &payload);
 }
 
-/// The version that a hello is of, where it is not this one. Looked at before the tag is, so that an operator is told of an
-/// upgrade or of two installations that share a port rather than of a forger. Nothing is done on the word of it but to close.
+/// Returns the version of a hello if it differs from this one. It is checked before the tag, so that an
+/// operator is informed of an upgrade, or of two installations that share a port, and not of a forgery. An
+/// unverified version has no effect except that the connection is closed.
 pub(crate) fn other_version(raw: &Raw<'_>) -> Option<u32> {
     let (head, payload) = raw.parse_unverified().ok()?;
     let (version, _) = postcard::take_from_bytes::<u32>(payload).ok()?;
     (head.what == What::Hello && version != VERSION).then_some(version)
 }
 
-/// Hears the other side's hello. `meant`: whom this side dialled.
+/// Verifies the peer's hello. `meant` is the member that this side dialled.
 pub(crate) fn verify(
     raw: &Raw<'_>,
     roster: &Roster,
@@ -139,7 +140,8 @@
     if hello.from.name == roster.me.name {
         return Err(Reason::Namesake);
     }
-    // Guards against a member taken for another, and against two links of one pair: the lower name dials.
+    // The peer must be the member that was dialled, and only the lower name may dial, so that a pair of
+    // members has one link.
     let dials = if from == Side::Dialler { &hello.from.name } else { &roster.me.name };
     let answers = if from == Side::Dialler { &roster.me.name } else { &hello.from.name };
     if hello.to != roster.me.name || meant.is_some_and(|n| *n != hello.from.name) || dials >= answers {
@@ -148,7 +150,7 @@
     Ok(PeerHello { life: hello.from, known: hello.known, tag: raw.tag() })
 }
 
-/// The keys of the link that follows hello 2.
+/// Derives the keys of the link from hello 2's tag.
 pub(crate) fn keys(roster: &Roster, side: Side, second: &Tag) -> Keys {
     let dialler = roster.key.derive(DIALLER_FRAMES, &[second]);
     let answerer = roster.key.derive(ANSWERER_FRAMES, &[second]);
--- a/crates/fleet/src/link/mod.rs
+++ b/crates/fleet/src/link/mod.rs
@@ -1,13 +1,15 @@
 //! Links between members.
 //!
-//! Does: proves on a connection, under the installation's key, who is at its other end and which life of it ([`hello`]);
-//! carries messages on it by kind ([`session`]); holds all links of one member ([`switch`]), dials anew ([`redial`]).
-//! Decides: which connection is a peer's link, when one is over and why.
-//! Never: knows what a message says; touches a socket or a clock.
+//! [`hello`] authenticates the peer on a connection under the installation's key, [`session`] carries
+//! messages on one connection, by kind, and [`switch`] manages all links of a member: it decides which
+//! connection is a peer's link, and when and why a link ends. [`redial`] computes the delays between dials.
+//! None of them interprets the messages, or uses a socket or a clock.
 //!
-//! Who dials: of two members the one whose name is lower. So there are never two connections that were both meant, and of
-//! two that are there at once, one is left over from before. The later proved one holds, unless it is of an earlier
-//! life: the dialler dials only once its own end is gone, and a proof can't be one of before (its nonce is new).
+//! The member with the lower name dials. So two members never open connections to each other on purpose at
+//! the same time, and of two connections that exist at once, one is left over from before. The connection
+//! that was authenticated later is used, unless it belongs to an earlier life: the dialler dials again only
+//! after its own end of the old connection is closed, and an authentication can't be replayed, as its nonce
+//! is new.
 
 pub mod hello;
 mod output;
--- a/crates/fleet/src/link/output.rs
+++ b/crates/fleet/src/link/output.rs
@@ -1,4 +1,4 @@
-//! What a switch starts from, asks and counts.
+//! The settings, outputs and counters of a switch.
 
 use super::reason::Reason;
 use crate::Micros;
@@ -8,88 +8,90 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Another version is told of once in so long, whatever comes: anybody can say a number.
+/// The minimum time between two reports of another protocol version. Reports are limited because anybody can
+/// send a version number.
 pub const TOLD_EVERY: Micros = 60_000_000;
 
-/// A connection, by number; numbers are never used twice.
+/// The number of a connection. Numbers are never reused.
 pub type Conn = u64;
 
-/// What a switch starts from.
+/// The settings of a switch.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The installation's id.
     pub installation: String,
     /// This member.
     pub me: Life,
-    /// All members, this one among them; a peer's number is its place here.
+    /// All members, including this one. A peer is identified by its index here.
     pub peers: Vec<Peer>,
     /// The installation's key.
     pub key: Key,
-    /// For nonces and for the times of dialling. Not the same at two starts.
+    /// The seed for nonces and dialling delays. It must differ at every start.
     pub seed: u64,
 }
 
-/// What is to be done or was found, in order.
+/// An action for the caller, or an event, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Connect; then say [`Switch::connected`] or [`Switch::closed`].
+    /// Open a connection, then call [`Switch::connected`] or [`Switch::closed`].
     Connect {
-        /// The number for it.
+        /// The connection's number.
         conn: Conn,
-        /// Where to.
+        /// The address to connect to.
         address: SocketAddr,
     },
-    /// There is something to write; see [`Switch::pending`].
+    /// Bytes are ready to be written; see [`Switch::pending`].
     Write(Conn),
-    /// Close at once; nothing more is to be said of it.
+    /// Close the connection at once. It needs no further call.
     Drop(Conn),
-    /// A link stands.
+    /// A link is up.
     Linked {
         /// The peer.
         peer: usize,
-        /// Which life of it.
+        /// The life of the peer.
         life: Life,
     },
-    /// It stands no more; what was queued for it is gone.
+    /// A link is down; messages queued for it are lost.
     Unlinked {
         /// The peer.
         peer: usize,
-        /// Why.
+        /// The reason.
         why: Reason,
     },
-    /// A whole message came.
+    /// A whole message arrived.
     Message {
-        /// From whom.
+        /// The peer that sent it.
         peer: usize,
-        /// Of this kind.
+        /// The kind of the message.
         kind: Kind,
-        /// Its octets.
+        /// The content.
         payload: Vec<u8>,
     },
-    /// Others know a later start of this member.
+    /// Another member knows a later start of this member.
     Outlived(Start),
-    /// Somebody speaks another version of the protocol. Told of the first, and then of one in [`TOLD_EVERY`].
+    /// A peer uses another version of the protocol. Reported for the first such peer, and then at most once
+    /// in [`TOLD_EVERY`].
     OtherVersion {
-        /// The version, not this one's ([`VERSION`](super::hello::VERSION)).
+        /// The peer's version, which differs from [`VERSION`](super::hello::VERSION).
         theirs: u32,
-        /// Connections that were refused for it so far.
+        /// The number of connections refused for this reason so far.
         refused: u64,
     },
 }
 
-/// What happened on all links so far.
+/// Counters over all links since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Links that stood.
+    /// Links that came up.
     pub linked: u64,
-    /// Connections that ended, by reason; those of strangers and of other installations too.
+    /// Connections that ended, by reason, including those of strangers and of other installations.
     pub ended: BTreeMap<Reason, u64>,
-    /// Messages given up for a newer one of their kind.
+    /// Messages discarded for newer ones of their kind.
     pub given_up: u64,
-    /// Messages given up since they are too long.
+    /// Messages discarded because they were too long.
     pub long: u64,
-    /// Messages given up since no link stood.
+    /// Messages discarded because no link was up.
     pub unlinked: u64,
-    /// Frames that came twice.
+    /// Frames that arrived twice.
     pub doubled: u64,
 }
--- a/crates/fleet/src/link/pieces.rs
+++ b/crates/fleet/src/link/pieces.rs
@@ -1,16 +1,16 @@
-//! Puts messages together that came in pieces.
+//! Reassembles messages that arrive in pieces.
 
 use super::reason::Reason;
 use crate::frames::What;
 use crate::kind::Kind;
 use crate::queue::MOST_MESSAGE;
 
-/// Pieces of messages whose end has not come, by kind.
+/// The received pieces of incomplete messages, by kind.
 #[derive(Debug, Default)]
 pub(crate) struct Pieces([Vec<u8>; Kind::COUNT]);
 
 impl Pieces {
-    /// Takes a frame's payload; gives a message once it is whole.
+    /// Handles a frame's payload; returns a message once it is complete.
     pub fn take(&mut self, what: What, payload: &[u8]) -> Result<Option<(Kind, Vec<u8>)>, Reason> {
         let (kind, whole) = match what {
             What::Alive => return Ok(None),
@@ -19,7 +19,8 @@
             What::Piece(kind) => (kind, false),
         };
         let held = self.0.get_mut(kind.index()).ok_or(Reason::Unreadable)?;
-        // Pieces are bounded as a whole message is, or a member gone wrong could have memory without end held for it.
+        // An incomplete message is bounded like a whole one, so that a faulty member can't make this side
+        // buffer without limit.
         if held.len() + payload.len() > MOST_MESSAGE {
             return Err(Reason::Length);
         }
@@ -27,7 +28,7 @@
         Ok(whole.then(|| (kind, std::mem::take(held))))
     }
 
-    /// Octets held.
+    /// Returns the number of buffered bytes.
     pub fn bytes(&self) -> usize {
         self.0.iter().map(Vec::len).sum()
     }
--- a/crates/fleet/src/link/reason.rs
+++ b/crates/fleet/src/link/reason.rs
@@ -1,44 +1,45 @@
-//! Why links end.
+//! Reasons why links end.
 
 use crate::frames::FrameError;
 
-/// Why a link is over.
+/// The reason why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The connection ended, broke or could not be made.
+    /// The connection ended, broke or couldn't be made.
     Ended,
-    /// The other side was not proved within the time for it.
+    /// The peer wasn't authenticated in time.
     Unproved,
-    /// No whole frame came for too long.
+    /// No whole frame arrived for too long.
     Silent,
-    /// A frame's length can't be.
+    /// A frame has an impossible length.
     Length,
-    /// A frame's tag does not fit: another key, another link, the other way, or altered.
+    /// A frame's tag doesn't verify: it was made under another key, for another link or direction, or was
+    /// altered.
     Forged,
-    /// A frame that can't be read, or that has no place here.
+    /// A frame can't be decoded, or isn't allowed at this point.
     Unreadable,
     /// A frame is missing.
     Gap,
-    /// Another version of the protocol.
+    /// The peer uses another version of the protocol.
     Version,
-    /// Another installation.
+    /// The peer belongs to another installation.
     Foreign,
-    /// It has the key and is not among the members.
+    /// The peer has the key but isn't listed among the members.
     Stranger,
-    /// It bears this member's own name.
+    /// The peer uses this member's own name.
     Namesake,
-    /// Another member than the one meant, or the side that should not dial.
+    /// The peer isn't the member that was dialled, or is the side that shouldn't dial.
     Misplaced,
-    /// A life of the peer that was followed by a later one.
+    /// The peer is an earlier life of a member whose later life is known.
     Stale,
     /// The peer knows a later life of this member.
     Outlived,
     /// A later connection of the same member took its place.
     Replaced,
-    /// The peer does not take what must not be left out.
+    /// The queue of messages that must not be left out is full: the peer doesn't read fast enough.
     Full,
-    /// Too many are not proved; the oldest goes.
+    /// There were too many unauthenticated connections, and this was the oldest.
     Crowded,
 }
 
--- a/crates/fleet/src/link/redial.rs
+++ b/crates/fleet/src/link/redial.rs
@@ -1,20 +1,20 @@
-//! When a peer is dialled again.
+//! The delays before a peer is dialled again.
 
 use crate::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The first wait at most; each further failure doubles it.
+/// The maximum of the first delay; each further failure doubles it.
 pub const FIRST_DELAY: Micros = 100_000;
-/// No wait is longer.
+/// The maximum delay.
 pub const MOST: Micros = 5_000_000;
-/// A link that stood for so long was no failure: the next wait is short again. Guards against a peer that lets in and
-/// throws out being dialled without pause.
+/// A link that was up for this long counts as a success, and the next delay is short again. A peer that
+/// accepts and closes at once is therefore not dialled without pause.
 pub const STABLE_AFTER: Micros = 5_000_000;
 
-/// The waits for one peer: doubling, capped, the upper half of each by chance from the seed. So those who lost a member
-/// in the same moment do not come back to it in the same moment (exponential backoff with "equal jitter", Brooker,
-/// AWS Architecture Blog 2015).
+/// The backoff for one peer: delays double up to a maximum, and the upper half of each is random. So members
+/// that lost the same peer at the same moment don't dial it at the same moment (exponential backoff with
+/// "equal jitter", Brooker, AWS Architecture Blog 2015).
 #[derive(Debug)]
 pub struct RedialBackoff {
     failures: u32,
@@ -22,23 +22,25 @@
 }
 
 impl RedialBackoff {
-    /// For one peer of one member.
+    /// Returns the backoff of one member for one peer.
     pub fn new(seed: u64, peer: usize) -> Self {
         let mixed = seed ^ (peer as u64).wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         RedialBackoff { failures: 0, rng: SmallRng::seed_from_u64(mixed) }
     }
 
-    /// The wait before the first dial of all: members started in one moment are spread over [`FIRST`].
+    /// Returns the delay before the very first dial. It spreads members that start at the same moment over
+    /// [`FIRST_DELAY`].
     pub fn initial_delay(&mut self) -> Micros {
         self.rng.random_range(0..=FIRST_DELAY)
     }
 
-    /// What ended the last one does not pass by itself: the next wait is of the longest.
+    /// Makes the next delay one of the longest, after a failure that doesn't pass by itself.
     pub fn use_longest_delay(&mut self) {
         self.failures = 16;
     }
 
-    /// The wait before the next dial. `stood`: how long the link stood; 0 where it never did.
+    /// Returns the delay before the next dial. `uptime` is how long the last link was up, or 0 if it never
+    /// was.
     pub fn next_delay(&mut self, uptime: Micros) -> Micros {
         if uptime >= STABLE_AFTER {
             self.failures = 0;
--- a/crates/fleet/src/link/roster.rs
+++ b/crates/fleet/src/link/roster.rs
@@ -1,27 +1,27 @@
-//! Who belongs to the installation, as one member knows it.
+//! The members of the installation, as one member knows them.
 
 use crate::key::Key;
 use crate::name::{Life, Name, Peer, Start};
 use std::collections::BTreeMap;
 
-/// Octets of an installation's id at most.
+/// The maximum number of bytes in an installation's id.
 pub const MAX_ID_BYTES: usize = 64;
 
-/// Why members can't be linked as they are named.
+/// The reason why a roster is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RosterError {
-    /// An installation's id has 1 to 64 octets.
+    /// The installation's id doesn't have 1 to 64 bytes.
     #[error("an installation's id has 1 to {MAX_ID_BYTES} octets")]
     InvalidId,
-    /// Two bear one name.
+    /// Two members have the same name.
     #[error("two members are named {0}")]
     DuplicateName(Name),
-    /// This member is not among them.
+    /// This member isn't listed.
     #[error("{0} is not among the members")]
     NotListed(Name),
 }
 
-/// The installation's members, and which life of each is the latest known here.
+/// The installation's members, and the latest life of each that is known here.
 #[derive(Clone, Debug)]
 pub struct Roster {
     /// The installation's id.
@@ -33,10 +33,10 @@
 }
 
 impl Roster {
-    /// Of these members, `me` among them.
+    /// Returns the roster of these members; `me` must be one of them.
     ///
     /// # Errors
-    /// Where the id or the names can't be.
+    /// Fails when the id or the names aren't valid.
     pub fn new(installation: &str, me: Life, key: Key, peers: &[Peer]) -> Result<Self, RosterError> {
         if installation.is_empty() || installation.len() > MAX_ID_BYTES {
             return Err(RosterError::InvalidId);
@@ -53,17 +53,17 @@
         Ok(Roster { installation: installation.to_string(), me, key, members })
     }
 
-    /// A member's place in the settings, and its latest start known here.
+    /// Returns a member's index in the settings, and its latest start known here.
     pub fn member(&self, name: &Name) -> Option<(usize, Start)> {
         self.members.get(name).copied()
     }
 
-    /// The latest start of a member that is known here; 0 where none is.
+    /// Returns the latest start of a member that is known here, or 0.
     pub fn latest_start(&self, name: &Name) -> Start {
         self.member(name).map_or(Start(0), |(_, start)| start)
     }
 
-    /// A life was proved.
+    /// Records the start of a life that was authenticated.
     pub fn record_start(&mut self, life: &Life) {
         if let Some((_, start)) = self.members.get_mut(&life.name) {
             *start = (*start).max(life.start);
--- a/crates/fleet/src/link/session.rs
+++ b/crates/fleet/src/link/session.rs
@@ -1,4 +1,4 @@
-//! One connection between two members, from its first octet to its end.
+//! The state machine of one connection between two members.
 
 use super::hello::{self, Keys, Nonce, Side};
 use super::pieces::Pieces;
@@ -11,43 +11,44 @@
 use crate::name::{Life, Name, Start};
 use crate::queue::{PushOutcome, Queue};
 
-/// Both sides must be proved so long after a connection was begun.
+/// The time from the start of a connection within which both sides must be authenticated.
 pub const HANDSHAKE: Micros = 5_000_000;
-/// Where nothing else was sent for so long, a frame says that its sender lives.
+/// The time without other frames after which a keepalive is sent.
 pub const ALIVE_EVERY: Micros = 1_000_000;
-/// A link without a whole frame for so long is over.
+/// A link on which no whole frame arrived for this long is closed.
 pub const SILENCE: Micros = 4_000_000;
-/// Octets that are sealed but not written at most, before another piece is sealed. What is sealed can't be given up for
-/// something newer, so it is kept short.
+/// The number of sealed but unwritten bytes above which no further piece is sealed. Sealed bytes can't be
+/// replaced by newer messages, so the limit is low.
 pub const SEALED: usize = 16 * 1024;
 
-/// What came of octets or time.
+/// The result of received bytes or of passed time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
-    /// The other side is proved.
+    /// The peer is authenticated.
     Up {
-        /// Who it is.
+        /// The peer's life.
         life: Life,
     },
-    /// The other side has heard this member under a later start than its own: this one was brought back from an old disk,
-    /// or another process goes by its name. [`LinkEvent::Over`] follows.
+    /// The peer knows this member under a later start than its own: this process was restored from an old
+    /// disk, or another process uses its name. [`LinkEvent::Over`] follows.
     Outlived(Start),
-    /// The other side is of this other version of the protocol. The connection is over, or ends once the other side was told.
+    /// The peer uses this other version of the protocol. The connection is over, or ends once the peer has
+    /// been informed.
     OtherVersion(u32),
     /// A whole message.
     Message {
-        /// Of this kind.
+        /// The kind of the message.
         kind: Kind,
-        /// Its octets.
+        /// The content.
         payload: Vec<u8>,
     },
-    /// It is over: close the connection. Nothing follows.
+    /// The connection has to be closed. No event follows.
     Over(Reason),
 }
 
 #[derive(Debug)]
 enum State {
-    /// Said hello 1, waits for hello 2.
+    /// Hello 1 was sent; waits for hello 2.
     AwaitingReply {
         to: Name,
         first: Tag,
@@ -56,14 +57,14 @@
     AwaitingHello {
         nonce: Nonce,
     },
-    /// Said hello 2, waits for a frame under the link's key.
+    /// Hello 2 was sent; waits for a frame under the link's key.
     AwaitingProof {
         keys: Keys,
         life: Life,
     },
-    /// Was dialled by another version and said so; the other side closes.
+    /// A dialler of another version was refused; waits until it closes the connection.
     Refused,
-    /// Both are proved.
+    /// Both sides are authenticated.
     Up {
         keys: Keys,
     },
@@ -76,29 +77,29 @@
     state: State,
     reader: Reader,
     queue: Queue,
-    /// Sealed and not written yet, from `wrote` on.
+    /// Sealed bytes; those from `wrote` on are not written yet.
     sealed: Vec<u8>,
     wrote: usize,
-    /// Numbers of the next frame out and in.
+    /// The sequence numbers of the next outgoing and incoming frame.
     next_out: u64,
     next_in: u64,
     pieces: Pieces,
     opened_at: Micros,
     last_sent: Micros,
     last_received: Micros,
-    /// Frames that came twice.
+    /// The number of frames that arrived twice.
     doubled: u64,
 }
 
 impl Link {
-    /// The side that dials `to`. `nonce`: octets that no other connection of this installation has.
+    /// Begins a connection as the dialler. `nonce` must be used by no other connection of this installation.
     pub fn dial(now: Micros, roster: &Roster, to: &Name, nonce: Nonce) -> Self {
         let mut sealed = Vec::new();
         let first = hello::write(&mut sealed, roster, Side::Dialler, to, nonce, &[]);
         Link::new(now, State::AwaitingReply { to: to.clone(), first }, sealed)
     }
 
-    /// The side that was dialled.
+    /// Begins a connection as the answerer.
     pub fn answer(now: Micros, nonce: Nonce) -> Self {
         Link::new(now, State::AwaitingHello { nonce }, Vec::new())
     }
@@ -120,17 +121,18 @@
         }
     }
 
-    /// Both sides are proved.
+    /// Returns whether both sides are authenticated.
     pub fn is_up(&self) -> bool {
         matches!(self.state, State::Up { .. })
     }
 
-    /// The other side was told that it is of another version.
+    /// Returns whether the peer was refused for its protocol version.
     pub fn is_refused(&self) -> bool {
         matches!(self.state, State::Refused)
     }
 
-    /// Takes what came. Events are appended; after [`LinkEvent::Over`] nothing more is peer.
+    /// Handles received bytes and appends the resulting events. After [`LinkEvent::Over`], received bytes are
+    /// ignored.
     pub fn receive(&mut self, now: Micros, roster: &Roster, bytes: &[u8], events: &mut Vec<LinkEvent>) {
         if matches!(self.state, State::Over | State::Refused) {
             return;
@@ -146,7 +148,7 @@
         self.seal_queued(now);
     }
 
-    /// One frame. False: none is whole.
+    /// Handles the next frame. Returns false when no whole frame is buffered.
     fn process_frame(
         &mut self,
         now: Micros,
@@ -181,14 +183,15 @@
                 check_outlived(roster, peer.known, events)?;
                 self.state = State::Up { keys: hello::keys(roster, Side::Dialler, &peer.tag) };
                 self.last_received = now;
-                // It proves this side to the other.
+                // This frame authenticates this side to the peer.
                 self.seal(now, What::Alive, &[]);
                 events.push(LinkEvent::Up { life: peer.life });
             }
             State::AwaitingProof { keys, .. } | State::Up { keys } => {
                 let (head, payload) = raw.open(&keys.incoming, &[])?;
                 if head.number < self.next_in {
-                    // A relay that doubles does no harm. It is no sign of life: anyone could have kept it.
+                    // A relay that repeats frames does no harm. A repeated frame doesn't count as a sign of
+                    // life, as anyone could have kept it.
                     self.doubled += 1;
                     return Ok(true);
                 }
@@ -205,7 +208,8 @@
         Ok(true)
     }
 
-    /// The dialler spoke under the key of this link: it is no echo of an older one.
+    /// Completes the handshake of an answerer: the dialler has used the key of this link, so its hello was no
+    /// replay.
     fn confirm_peer(&mut self, events: &mut Vec<LinkEvent>) {
         self.state = match std::mem::replace(&mut self.state, State::Over) {
             State::AwaitingProof { keys, life } => {
@@ -216,8 +220,8 @@
         };
     }
 
-    /// Queues a message. [`LinkEvent::Over`] follows where one that must not be left out has no room. Before the link is up
-    /// it is given up.
+    /// Queues a message. [`LinkEvent::Over`] follows when there is no room for a message that must not be
+    /// left out. Before the link is up, the message is discarded.
     pub fn send(
         &mut self,
         now: Micros,
@@ -230,32 +234,32 @@
         }
         let queued = self.queue.push(kind, payload);
         match queued {
-            // One too long for a frame of its kind would leave a gap too, and would each time: it is the sender's fault,
-            // and the rest goes on.
+            // A message that is too long would leave a gap too, but would do so on each new link. It is the
+            // sender's fault, and the link goes on.
             PushOutcome::Full => self.end(Reason::Full, events),
             _ => self.seal_queued(now),
         }
         Some(queued)
     }
 
-    /// Octets to be written next.
+    /// Returns the bytes to be written next.
     pub fn pending(&self) -> &[u8] {
         self.sealed.get(self.wrote..).unwrap_or_default()
     }
 
-    /// So many of [`Link::pending`] were written.
+    /// Records that `n` bytes of [`Link::pending`] were written.
     pub fn wrote(&mut self, now: Micros, n: usize) {
         self.wrote = self.wrote.saturating_add(n).min(self.sealed.len());
         self.seal_queued(now);
     }
 
-    /// Time went on.
+    /// Handles the passing of time.
     pub fn tick(&mut self, now: Micros, events: &mut Vec<LinkEvent>) {
         match self.state {
             State::Over => {}
             State::Up { .. } if now - self.last_received >= SILENCE => self.end(Reason::Silent, events),
             State::Up { .. } if now - self.last_sent >= ALIVE_EVERY => {
-                // Not to one that takes nothing: frames would pile up.
+                // A peer that reads nothing gets no further keepalives: they would pile up.
                 if self.pending().is_empty() {
                     self.seal(now, What::Alive, &[]);
                 } else {
@@ -269,7 +273,7 @@
         }
     }
 
-    /// When [`Link::tick`] is due.
+    /// Returns the time at which [`Link::tick`] is due.
     pub fn wake(&self) -> Micros {
         match self.state {
             State::Over => Micros::MAX,
@@ -278,12 +282,12 @@
         }
     }
 
-    /// Frames that came twice and were dropped.
+    /// Returns the number of frames that arrived twice and were dropped.
     pub fn doubled(&self) -> u64 {
         self.doubled
     }
 
-    /// Octets held for the other side, and of messages from it that are not whole.
+    /// Returns the number of bytes queued for the peer, and buffered of its incomplete messages.
     pub fn held(&self) -> usize {
         self.queue.bytes() + self.sealed.len() + self.pieces.bytes()
     }
@@ -297,7 +301,7 @@
         }
     }
 
-    /// Seals what waits, as far as [`SEALED`] lets it.
+    /// Seals queued messages up to [`SEALED`] bytes.
     fn seal_queued(&mut self, now: Micros) {
         if self.wrote == self.sealed.len() || self.wrote > SEALED {
             self.sealed.drain(..self.wrote);
@@ -325,8 +329,8 @@
     }
 }
 
-/// Ends a life that others know to be past. What they know is true whenever it was said, so a hello is enough, even an
-/// old one: a start that was heard once stays peer.
+/// Ends a life when the peer knows a later one. What the peer knows stays true whenever it was said, so even
+/// a replayed hello is sufficient: a start number that was once received remains used.
 fn check_outlived(roster: &Roster, known: Start, events: &mut Vec<LinkEvent>) -> Result<(), Reason> {
     if known <= roster.me.start {
         return Ok(());
--- a/crates/fleet/src/link/switch.rs
+++ b/crates/fleet/src/link/switch.rs
@@ -1,4 +1,4 @@
-//! All links of one member.
+//! The links of one member.
 
 use super::hello::Nonce;
 use super::output::{Conn, Output, Settings, Stats, TOLD_EVERY};
@@ -13,7 +13,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Connections that others made and that are not proved, at most, or as many as there are members; the oldest goes.
+/// The maximum number of unauthenticated incoming connections, unless there are more members than that; the
+/// oldest is closed first.
 pub const MOST_UNPROVED: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,11 +26,11 @@
 #[derive(Debug)]
 struct Connection {
     link: Link,
-    /// Whom it was dialled for, or who was proved on it.
+    /// The peer that was dialled, or that was authenticated on it.
     peer: Option<usize>,
-    /// In the timers since, and until when.
+    /// The time of its entry in the timers.
     due: Micros,
-    /// A [`Output::Write`] is out that was not followed yet.
+    /// Whether an [`Output::Write`] was issued that [`Switch::wrote`] hasn't answered yet.
     write_requested: bool,
 }
 
@@ -37,14 +38,14 @@
 struct PeerLink {
     name: Name,
     address: SocketAddr,
-    /// This side dials.
+    /// Whether this side dials.
     dials: bool,
     redial: RedialBackoff,
-    /// The link that stands, and since when.
+    /// The connection that is the peer's link, and the time when it came up.
     up: Option<(Conn, Micros)>,
 }
 
-/// All links of one member, without their sockets.
+/// Manages all links of one member; the caller owns the sockets.
 #[derive(Debug)]
 pub struct Switch {
     roster: Roster,
@@ -52,21 +53,21 @@
     peer_links: Vec<PeerLink>,
     conns: BTreeMap<Conn, Connection>,
     next_conn: Conn,
-    /// Connections that others made and that are not proved, oldest first.
+    /// Unauthenticated incoming connections, oldest first.
     parse_unverified: BTreeSet<Conn>,
     timers: BTreeSet<(Micros, TimerKey)>,
     outputs: Vec<Output>,
     events: Vec<LinkEvent>,
     stats: Stats,
-    /// Connections refused for another version of the protocol, and when that was told last.
+    /// The number of connections refused for another protocol version, and the time of the last report.
     refused: (u64, Option<Micros>),
 }
 
 impl Switch {
-    /// Begins to dial at once, spread a little.
+    /// Returns a switch that dials its peers within a short random delay.
     ///
     /// # Errors
-    /// Where the members can't be as they are named.
+    /// Fails when the installation's id or the members' names aren't valid.
     pub fn new(now: Micros, settings: Settings) -> Result<Self, RosterError> {
         let Settings { installation, me, peers, key, seed } = settings;
         let mut timers = BTreeSet::new();
@@ -101,7 +102,7 @@
         })
     }
 
-    /// Somebody connected. The oldest that is not proved makes way.
+    /// Handles an incoming connection. Closes the oldest unauthenticated one if there are too many.
     pub fn accepted(&mut self, now: Micros) -> Conn {
         if self.parse_unverified.len() >= MOST_UNPROVED.max(self.peer_links.len())
             && let Some(oldest) = self.parse_unverified.first().copied()
@@ -115,17 +116,17 @@
         conn
     }
 
-    /// The connection asked for stands.
+    /// Handles that a requested connection was established.
     pub fn connected(&mut self, _now: Micros, conn: Conn) {
         self.request_write(conn);
     }
 
-    /// A connection ended, broke or could not be made.
+    /// Handles that a connection ended, broke or couldn't be made.
     pub fn closed(&mut self, now: Micros, conn: Conn) {
         self.close_connection(now, conn, Reason::Ended, false);
     }
 
-    /// Octets came.
+    /// Handles received bytes.
     pub fn received(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
         let mut events = std::mem::take(&mut self.events);
         if let Some(held) = self.conns.get_mut(&conn) {
@@ -136,12 +137,12 @@
         self.handle_events(now, conn, events);
     }
 
-    /// What is to be written on a connection next.
+    /// Returns the bytes to be written next on a connection.
     pub fn pending(&self, conn: Conn) -> &[u8] {
         self.conns.get(&conn).map(|held| held.link.pending()).unwrap_or_default()
     }
 
-    /// So many octets of it were written; there may be more pending then.
+    /// Records that `n` pending bytes were written; more may be pending then.
     pub fn wrote(&mut self, now: Micros, conn: Conn, n: usize) {
         if let Some(held) = self.conns.get_mut(&conn) {
             held.link.wrote(now, n);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Sends to a peer, if its link stands.
+    /// Sends a message to a peer if its link is up.
     pub fn send(&mut self, now: Micros, peer: usize, kind: Kind, payload: Vec<u8>) {
         let up = self.peer_links.get(peer).and_then(|line| line.up);
         let held = up.and_then(|(conn, _)| Some((conn, self.conns.get_mut(&conn)?)));
@@ -166,7 +167,7 @@
         self.handle_events(now, conn, events);
     }
 
-    /// Time went on. Costs by what is due.
+    /// Handles the timers that are due. The cost depends on their number only.
     pub fn tick(&mut self, now: Micros) {
         while let Some((at, due)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, due));
@@ -184,33 +185,33 @@
         }
     }
 
-    /// When [`Switch::tick`] is due.
+    /// Returns the time at which [`Switch::tick`] is due.
     pub fn wake(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes what is to be done.
+    /// Takes the pending outputs.
     pub fn outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Counts so far.
+    /// Returns the counters.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Which life of a peer is linked: `None` where none is.
+    /// Returns whether a peer's link is up.
     pub fn linked(&self, peer: usize) -> bool {
         self.peer_links.get(peer).is_some_and(|line| line.up.is_some())
     }
 
-    /// Octets held for a peer and of unfinished messages from it.
+    /// Returns the number of bytes queued for a peer and buffered of its incomplete messages.
     pub fn held(&self, peer: usize) -> usize {
         let up = self.peer_links.get(peer).and_then(|line| line.up);
         up.and_then(|(conn, _)| self.conns.get(&conn)).map_or(0, |held| held.link.held())
     }
 
-    /// Connections of any kind.
+    /// Returns the number of connections of any kind.
     pub fn conns(&self) -> usize {
         self.conns.len()
     }
@@ -230,8 +231,9 @@
         self.conns.insert(conn, Connection { link, peer, due, write_requested: false });
     }
 
-    /// No other connection has these: a start never repeats, nor does a connection's number within it; the seed guards
-    /// where a disk was put back. Under the key, so that nobody can tell them beforehand.
+    /// Returns a nonce that no other connection has: a start never repeats, nor does a connection's number
+    /// within it. The seed covers the case of a restored disk. The nonce is computed under the key, so that
+    /// nobody can predict it.
     fn nonce(&self, conn: Conn) -> Nonce {
         let (me, start) = (&self.roster.me, self.roster.me.start.0.to_be_bytes());
         let parts =
@@ -239,14 +241,14 @@
         self.roster.key.tag(b"heronroute nonce\0", &parts)
     }
 
-    /// Does what a link found, then looks at what it has to write and at its timer.
+    /// Handles the events of a link, then updates its pending write and its timer.
     fn handle_events(&mut self, now: Micros, conn: Conn, mut events: Vec<LinkEvent>) {
         for event in events.drain(..) {
             match event {
                 LinkEvent::Up { life } => self.link_proved(now, conn, life),
                 LinkEvent::Outlived(start) => self.outputs.push(Output::Outlived(start)),
                 LinkEvent::Message { kind, payload } => {
-                    // None comes of a connection that was turned down in this very call.
+                    // A connection that was closed in this same call delivers no message.
                     if let Some(peer) = self.conns.get(&conn).and_then(|held| held.peer) {
                         self.outputs.push(Output::Message { peer, kind, payload });
                     }
@@ -258,7 +260,8 @@
         self.events = events;
         self.request_write(conn);
         if let Some(held) = self.conns.get_mut(&conn)
-            // One that is due later than its timer is looked at when the timer comes: no work for each frame.
+            // A later deadline is handled when the earlier timer fires, so that a frame doesn't change the
+            // timers.
             && held.link.wake() < held.due
         {
             self.timers.remove(&(held.due, TimerKey::Conn(conn)));
@@ -285,7 +288,7 @@
         }
     }
 
-    /// A life is proved on a connection: it is the peer's link from here on, unless a later life is known.
+    /// Makes the connection on which a life was authenticated the peer's link, unless a later life is known.
     fn link_proved(&mut self, now: Micros, conn: Conn, life: Life) {
         let Some((peer, known)) = self.roster.member(&life.name) else { return };
         if life.start < known {
@@ -325,7 +328,7 @@
             self.outputs.push(Output::Unlinked { peer, why });
         }
         if line.dials {
-            // Guards against a storm of dials between members that can't be linked before somebody acts.
+            // Members of different versions can't be linked until somebody acts, so they must not dial often.
             if why == Reason::Version {
                 line.redial.use_longest_delay();
             }
--- a/crates/fleet/src/name.rs
+++ b/crates/fleet/src/name.rs
@@ -1,4 +1,4 @@
-//! Members by name, and their lives: a member that came back is never taken for the one that died.
+//! Names of members, and the identity of each process that runs under a name.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,16 +9,16 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Box<str>);
 
-/// A text that is no name.
+/// The text isn't a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a member's name has 1 to 32 of a-z, 0-9 and -")]
 pub struct NameError;
 
 impl Name {
-    /// Reads a name.
+    /// Parses a name.
     ///
     /// # Errors
-    /// Where the text is none.
+    /// Fails when the text isn't a valid name.
     pub fn new(text: &str) -> Result<Self, NameError> {
         let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
         if text.is_empty() || text.len() > 32 || !text.chars().all(fits) {
@@ -27,7 +27,7 @@
         Ok(Name(text.into()))
     }
 
-    /// As text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -52,41 +52,42 @@
     }
 }
 
-/// Which start of a member this is. Kept on disk and raised before anything is said, so that it never repeats; where the
-/// disk was lost it begins at the time of day in microseconds, above every count.
+/// The start number of a process. It is kept on disk and raised before the process sends anything, so that it
+/// never repeats. Where the disk was lost, it begins at the time of day in microseconds, which is above every
+/// earlier number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Start(pub u64);
 
-/// One life of a member.
+/// One life of a member: the process that a particular start of it began.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Life {
-    /// Whose.
+    /// The member's name.
     pub name: Name,
-    /// Which.
+    /// The start number.
     pub start: Start,
 }
 
-/// A member as the settings name it.
+/// A member as the settings describe it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name, unique within the installation.
+    /// The name, unique within the installation.
     pub name: Name,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Where it listens.
+    /// The address at which it accepts links.
     pub address: SocketAddr,
-    /// It takes part in agreement; 1, 3 or 5 do.
+    /// Whether it is a voting replica of the log. An installation has 1, 3 or 5 of them.
     pub keeper: bool,
 }
 
-/// What is believed of a member.
+/// The state of a member as another member believes it to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer, and may still say that it lives.
+    /// It didn't answer, and can still refute the suspicion.
     Suspect,
-    /// It is gone; only a later start comes back under its name.
+    /// It is considered dead. Only a process with a later start can return under its name.
     Dead,
 }
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -1,35 +1,36 @@
-//! What waits for one peer, by kind, bounded.
+//! The bounded queue of outgoing messages for one peer, by kind.
 //!
-//! [`Kind::Agreement`] and [`Kind::Log`] go out in order and none is left out: where one of them is full, the link has
-//! to begin anew, so that whoever sends knows that what it sent is gone. Of [`Kind::Gossip`], [`Kind::Drift`] and
-//! [`Kind::Carried`] the newest few wait, and the oldest are given up for them; what is left goes out in order, so that nobody hears an
-//! older state after a newer one. Kinds take turns, piece by piece: none waits longer than a piece of each other kind.
+//! [`Kind::Agreement`] and [`Kind::Log`] are sent in order and without omissions. When one of them is full,
+//! the link has to be reset, so that the sender learns that its messages were lost. Of [`Kind::Gossip`],
+//! [`Kind::Drift`] and [`Kind::Carried`] the queue keeps the newest few messages and discards the oldest; the
+//! remaining ones are sent in order, so that a peer never receives an older state after a newer one. The
+//! kinds are served in turn, piece by piece: a message waits at most for one piece of each other kind.
 
 use crate::frames::{PIECE, What};
 use crate::kind::Kind;
 use std::collections::VecDeque;
 
-/// Octets of one message at most.
+/// The maximum number of bytes in a message.
 pub const MOST_MESSAGE: usize = 4 * 1024 * 1024;
-/// Octets of a kind in order that wait for one peer at most.
+/// The maximum number of bytes queued for a peer in one ordered kind.
 pub const MOST_ORDERED: usize = 8 * 1024 * 1024;
-/// Messages of a kind in order that wait for one peer at most.
+/// The maximum number of messages queued for a peer in one ordered kind.
 pub const MAX_ORDERED_MESSAGES: usize = 8_192;
-/// Messages of a kind whose newest counts that wait for one peer at most.
+/// The maximum number of messages queued for a peer in one kind that keeps the newest.
 pub const MOST_NEWEST: usize = 8;
-/// Octets of them at most; one message always may wait.
+/// The maximum number of bytes queued in such a kind; a single message is always accepted.
 pub const MAX_LATEST_BYTES: usize = 1024 * 1024;
 
-/// What became of a message.
+/// The result of queueing a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PushOutcome {
-    /// It waits.
+    /// The message was queued.
     Added,
-    /// It waits, and so many older ones of its kind were given up for it.
+    /// The message was queued, and this many older ones of its kind were discarded.
     Replaced(usize),
-    /// There is no room for one that must not be left out: the link has to begin anew.
+    /// There is no room for a message that must not be left out: the link has to be reset.
     Full,
-    /// It has more than [`MOST_MESSAGE`] octets, and is given up.
+    /// The message has more than [`MOST_MESSAGE`] bytes and was discarded.
     TooLong,
 }
 
@@ -37,7 +38,7 @@
 struct KindQueue {
     waiting: VecDeque<Vec<u8>>,
     bytes: usize,
-    /// Octets of the first that went out already, as pieces.
+    /// The number of bytes of the first message that were sent already, in pieces.
     sent_bytes: usize,
 }
 
@@ -45,12 +46,12 @@
 #[derive(Debug, Default)]
 pub struct Queue {
     kinds: [KindQueue; Kind::COUNT],
-    /// Whose turn it is.
+    /// The kind to serve next.
     turn: usize,
 }
 
 impl Queue {
-    /// Takes a message in.
+    /// Queues a message.
     pub fn push(&mut self, kind: Kind, payload: Vec<u8>) -> PushOutcome {
         let Some(kind_queue) = self.kinds.get_mut(kind.index()) else { return PushOutcome::TooLong };
         let size = payload.len();
@@ -63,7 +64,7 @@
                 return PushOutcome::Full;
             }
         } else {
-            // One that went out in part must go on: the other side holds its beginning.
+            // A message that was sent in part has to be completed: the receiver holds its beginning.
             let first = usize::from(kind_queue.sent_bytes > 0);
             while kind_queue.waiting.len() > first
                 && (kind_queue.waiting.len() >= MOST_NEWEST || kind_queue.bytes + size > MAX_LATEST_BYTES)
@@ -78,7 +79,7 @@
         if discarded > 0 { PushOutcome::Replaced(discarded) } else { PushOutcome::Added }
     }
 
-    /// Gives the next piece to `out`, of the kind whose turn it is. False: nothing waits.
+    /// Passes the next piece to `out` and returns true, or returns false when nothing is queued.
     pub fn next(&mut self, out: impl FnOnce(What, &[u8])) -> bool {
         for step in 0..Kind::COUNT {
             let at = (self.turn + step) % Kind::COUNT;
@@ -102,12 +103,12 @@
         false
     }
 
-    /// Octets that wait, of all kinds.
+    /// Returns the number of queued bytes, over all kinds.
     pub fn bytes(&self) -> usize {
         self.kinds.iter().map(|kind_queue| kind_queue.bytes).sum()
     }
 
-    /// Messages that wait, of all kinds.
+    /// Returns the number of queued messages, over all kinds.
     pub fn waiting(&self) -> usize {
         self.kinds.iter().map(|kind_queue| kind_queue.waiting.len()).sum()
     }
--- a/crates/fleet/src/start.rs
+++ b/crates/fleet/src/start.rs
@@ -1,55 +1,58 @@
-//! The start number on disk: raised, and durable, before a process says anything.
+//! The start number on disk. It is raised and made durable before a process sends anything.
 //!
-//! What must never happen is that two lives of one member bear one number: the second would be taken for the first, and
-//! what the first asked for would be taken for the second's. The next number is the greatest of
-//! - the number on disk plus one: it holds whatever the wall clock says;
-//! - the time of day in microseconds: where the disk is empty, or an old one was put back, the numbers lost were given
-//!   out before now, and each was at most the time of day then or a count on from it. A count gains on the clock only by
-//!   starts less than a microsecond apart;
-//! - the number above one that others have seen ([`Change::Behind`](crate::members::Change::Behind)): where the disk
-//!   is old or empty and the clock was set back as well, the others still know, and the member keeps still until its
-//!   number is above theirs.
+//! Two lives of one member must never have the same number: the second would be mistaken for the first, and
+//! requests of the first for requests of the second. The next number is the greatest of
 //!
-//! What is left: disk lost, clock set back, and nobody alive who remembers. A number is then repeated only if the clock
-//! reads the same microsecond again, and the nonce of [`members`](crate::members) still tells the two apart.
+//! - the number on disk plus one, which is right whatever the wall clock says;
+//! - the time of day in microseconds. Where the disk is empty or an old one was restored, the lost numbers
+//!   were assigned before now, and each was at most the time of day then or a count onwards from it. A count
+//!   can overtake the clock only by starts that are less than a microsecond apart;
+//! - the number above the greatest one that others have seen
+//!   ([`Change::Behind`](crate::members::Change::Behind)). Where the disk is old or empty and the clock was
+//!   set back as well, the others still know the number, and the member stays silent until its own is
+//!   greater.
+//!
+//! One case remains: the disk is lost, the clock was set back, and no running member remembers the number. A
+//! number then repeats only if the clock reads the same microsecond again, and the nonce of
+//! [`members`](crate::members) still tells the two processes apart.
 
 use crate::Micros;
 use crate::name::Start;
 use heronroute_journal::Storage;
 use std::io;
 
-/// The file.
+/// The name of the file.
 pub const FILE: &str = "start";
-/// What it is before it is whole.
+/// The name of the file while it is being written.
 const TEMP_FILE: &str = "start.new";
 const MAGIC: [u8; 4] = *b"HRS1";
-/// Magic, the number, a checksum of both; little-endian.
+/// The magic bytes, the number, and a checksum of both; little-endian.
 const FILE_BYTES: usize = 16;
 
-/// What was on disk.
+/// The content of the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// No file: the first start, or an empty disk.
+    /// There is no file: this is the first start, or the disk is empty.
     Nothing,
-    /// A number.
+    /// A start number.
     Number(Start),
-    /// A file that holds none: torn, altered, or not to be read. To be told an operator.
+    /// The file is torn, altered or can't be read. An operator has to be informed.
     Unreadable,
 }
 
-/// A number that may be used.
+/// A start number that may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewStart {
-    /// The number, durable.
+    /// The number, which is durable.
     pub start: Start,
-    /// What was there before.
+    /// The content of the disk before.
     pub found: Found,
 }
 
-/// No number can be had; the process must not speak under its name.
+/// No start number is available; the process must not communicate under its name.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// It can't be made durable.
+    /// The number can't be made durable.
     #[error("start number can't be stored: {0}")]
     Store(#[from] io::Error),
     /// There is no greater number.
@@ -57,17 +60,17 @@
     UsedUp,
 }
 
-/// Raises the number for a new life. `wall`: time of day in microseconds. `above`: the greatest number that others have
-/// seen of this member, or 0.
+/// Raises the start number for a new life. `wall` is the time of day in microseconds; `seen_by_others` is the
+/// greatest number that others have seen of this member, or 0.
 ///
 /// # Errors
-/// Where none can be made durable.
+/// Fails when no number can be made durable.
 pub fn raise(disk: &mut impl Storage, wall: Micros, seen_by_others: Start) -> Result<NewStart, StartError> {
     let found = look(disk);
     let stored = if let Found::Number(start) = found { start } else { Start(0) };
     let candidate = stored.max(seen_by_others).0.checked_add(1).ok_or(StartError::UsedUp)?;
     let start = Start(candidate.max(u64::try_from(wall).unwrap_or(0)));
-    // A new file beside the old one: power lost at any step leaves one that is whole.
+    // A power loss at any step leaves either the old or the new file whole.
     disk.create(TEMP_FILE)?;
     disk.append(TEMP_FILE, &pack(start))?;
     disk.sync(TEMP_FILE)?;
@@ -76,12 +79,12 @@
     Ok(NewStart { start, found })
 }
 
-/// What is on disk.
+/// Reads the start number on disk.
 pub fn look(disk: &impl Storage) -> Found {
     match disk.read(FILE) {
         Ok(bytes) => unpack(&bytes).map_or(Found::Unreadable, Found::Number),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Found::Nothing,
-        // Nor is this a reason not to start: the time of day is above what was there.
+        // An unreadable file doesn't prevent a start: the time of day is greater than the number in it.
         Err(_) => Found::Unreadable,
     }
 }
