--- a/crates/fleet/src/key.rs
+++ b/crates/fleet/src/key.rs
@@ -117,7 +117,7 @@
     use super::*;
 
     #[test]
-    fn keys_are_read_as_hex_or_base64_and_short_ones_named() {
+    fn keys_are_parsed_as_hex_or_base64_and_short_ones_refused() {
         let hex = "00112233445566778899aabbccddeeff\n00112233445566778899AABBCCDDEEFF\n";
         let same = "ABEiM0RVZneImaq7zN3u/wARIjNEVWZ3iJmqu8zd7v8=";
         let tag = |text: &str| Key::read(text).map(|k| k.tag(b"a", &[b"b"]));
@@ -125,7 +125,7 @@
         assert_eq!(tag(same), tag(same.trim_end_matches('=')));
         assert_eq!(tag("  \n"), Err(KeyError::Empty));
         assert_eq!(tag("not a key!"), Err(KeyError::Unreadable));
-        assert_eq!(tag(&hex[..64]), Err(KeyError::Unreadable), "half an octet");
+        assert_eq!(tag(&hex[..64]), Err(KeyError::Unreadable), "half a byte");
         // 48 digits are 24 bytes; read as base64 they would be 36.
         assert_eq!(tag(&"0123456789ab".repeat(4)), Err(KeyError::Short(24)));
         assert_eq!(tag(&"a".repeat(MOST_KEY_TEXT + 1)), Err(KeyError::Long));
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -116,19 +116,22 @@
     };
 
     #[test]
-    fn a_grant_binds_beyond_the_lease_by_the_drift_and_from_the_start() {
+    fn a_grant_lasts_for_lease_and_drift_and_a_restart_counts_as_one() {
         let mut grants = Grants::new(0, &T);
-        assert!(!grants.grant(1_100, (1, 1), Term(5), &T), "it may have granted before it started");
+        assert!(
+            !grants.grant(1_100, (1, 1), Term(5), &T),
+            "a grant from before the start may still be valid"
+        );
         assert!(grants.grant(1_101, (1, 1), Term(5), &T));
-        assert!(grants.grant(1_500, (1, 1), Term(6), &T), "its holder renews it");
-        assert!(!grants.grant(1_600, (1, 2), Term(7), &T), "the same name, another life");
+        assert!(grants.grant(1_500, (1, 1), Term(6), &T), "the holder may renew");
+        assert!(!grants.grant(1_600, (1, 2), Term(7), &T), "another life under the same name");
         assert!(!grants.grant(2_600, (2, 1), Term(7), &T));
         assert!(grants.grant(2_601, (2, 1), Term(7), &T));
-        assert!(!grants.grant(9_999, (1, 1), Term(6), &T), "an older term is never granted again");
+        assert!(!grants.grant(9_999, (1, 1), Term(6), &T), "an older term is never granted");
     }
 
     #[test]
-    fn a_lease_counts_from_when_it_was_asked_for_and_needs_a_majority() {
+    fn a_lease_counts_from_the_request_and_needs_a_majority() {
         let mut lease = Lease::default();
         lease.begin(Term(3), 5);
         lease.granted(0, Term(3), 100, 100);
@@ -137,7 +140,7 @@
         lease.granted(1, Term(3), 60, 110);
         lease.granted(4, Term(2), 100, 110);
         lease.granted(3, Term(3), 999, 110);
-        assert_eq!(lease.until(&T), None, "other terms and times to come are no grants");
+        assert_eq!(lease.until(&T), None, "grants of other terms or with future times don't count");
         lease.granted(2, Term(3), 90, 120);
         assert_eq!(lease.until(&T), Some(1_070));
         lease.begin(Term(4), 5);
--- a/crates/fleet/src/link/pieces.rs
+++ b/crates/fleet/src/link/pieces.rs
@@ -39,7 +39,7 @@
     use super::*;
 
     #[test]
-    fn pieces_without_an_end_are_bounded() {
+    fn an_incomplete_message_is_bounded() {
         let mut pieces = Pieces::default();
         let piece = vec![0; 65_536];
         let taken = (0..1_000).take_while(|_| pieces.take(What::Piece(Kind::Log), &piece).is_ok()).count();
--- a/crates/fleet/src/link/redial.rs
+++ b/crates/fleet/src/link/redial.rs
@@ -56,29 +56,29 @@
     use super::*;
 
     #[test]
-    fn waits_grow_to_the_cap_differ_by_seed_and_begin_anew_after_a_link_stood() {
-        let waits = |seed| {
+    fn delays_double_to_the_maximum_vary_by_seed_and_reset_after_a_stable_link() {
+        let delays = |seed| {
             let mut redial = RedialBackoff::new(seed, 1);
             (0..40).map(|_| redial.next_delay(0)).collect::<Vec<_>>()
         };
-        let (a, b) = (waits(1), waits(2));
+        let (a, b) = (delays(1), delays(2));
         assert_ne!(a, b);
-        assert_eq!(a, waits(1), "the same seed, the same waits");
+        assert_eq!(a, delays(1), "the same seed must give the same delays");
         for (n, delay) in a.iter().chain(&b).enumerate() {
             let whole = (FIRST_DELAY << (n % 40).min(16)).min(MOST);
             assert!((whole / 2..=whole).contains(delay), "{n}: {delay}");
         }
         let mut redial = RedialBackoff::new(3, 0);
         (0..10).for_each(|_| _ = redial.next_delay(0));
-        assert!(redial.next_delay(STABLE_AFTER - 1) > FIRST_DELAY, "one that falls at once is no success");
+        assert!(redial.next_delay(STABLE_AFTER - 1) > FIRST_DELAY, "a link that fails at once is no success");
         assert!(redial.next_delay(STABLE_AFTER) <= FIRST_DELAY);
     }
 
     #[test]
-    fn a_hundred_who_lost_one_peer_come_back_spread() {
+    fn a_hundred_members_that_lost_one_peer_redial_at_spread_times() {
         let mut at: Vec<Micros> = (0..100).map(|seed| RedialBackoff::new(seed, 7).next_delay(0)).collect();
         at.sort_unstable();
         let most = at.windows(10).map(|w| w[9] - w[0]).min().unwrap_or(0);
-        assert!(most > 1_000, "ten within {most} µs");
+        assert!(most > 1_000, "ten dials within {most} µs");
     }
 }
--- a/crates/fleet/src/members/change.rs
+++ b/crates/fleet/src/members/change.rs
@@ -1,79 +1,80 @@
-//! What members tell the outside.
+//! The outputs, errors and counters of [`Members`](super::Members).
 
 use crate::Micros;
 use crate::name::{Life, Name, Standing, Start};
 
-/// Settings that can't be used, or a start that can't be taken.
+/// The reason why the settings or a start number are refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembersError {
-    /// The own name is not among the members.
+    /// The own name isn't among the members.
     #[error("{0} is not among the members")]
     NotListed(Name),
-    /// A name is listed twice.
+    /// A name is listed more than once.
     #[error("{0} is listed twice")]
     Twice(Name),
-    /// More than 65,535.
+    /// There are more than 65,535 members.
     #[error("too many members")]
     TooMany,
-    /// [`Members::rise`](super::Members::rise) with a start that does not beat the others.
+    /// [`Members::rise`](super::Members::rise) was called with a start that isn't greater than all others.
     #[error("start {0:?} is not above every start that was seen of the own name")]
     NotAbove(Start),
 }
 
-/// What happened.
+/// An event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member is believed to stand otherwise than before; where it changed again before this was taken, only the last
-    /// is told. A `life` with another start than before: the member was replaced.
+    /// The believed state of a member has changed. When it changes again before this is taken, only the last
+    /// change is reported. A `life` with another start than before means that the member was replaced.
     Standing {
-        /// Whose place in the settings.
+        /// The member's index in the settings.
         peer: usize,
-        /// Which life.
+        /// The member's life.
         life: Life,
-        /// How it stands.
+        /// The state.
         standing: Standing,
-        /// Since when.
+        /// The time of the change.
         since: Micros,
     },
-    /// What is believed is (or is no longer) from before a pause or a start, see [`Members::stale`](super::Members::stale).
+    /// The view has become stale, or is no longer; see [`Members::stale`](super::Members::stale).
     Stale(bool),
-    /// Another living process claims the name that this `life` bears, told once for each. With the own name: if the other
-    /// life is the greater, this member keeps still until it is gone.
+    /// Another running process claims the name of this `life`; reported once for each. If the name is this
+    /// member's own and the other life is the greater one, this member stays silent until the other is gone.
     Twin(Life),
-    /// The own name was last borne by a life with this start or one not below ours, and it is dead: this process came
-    /// back with an old disk. Raise the start above it on disk, then call [`Members::rise`](super::Members::rise).
+    /// The last life under this member's own name had this start number, which isn't less than the own one,
+    /// and is dead: this process was restored from an old disk. Raise the start above it on disk, then call
+    /// [`Members::rise`](super::Members::rise).
     Behind(Start),
 }
 
-/// What is to be done, or known, outside.
+/// An action for the caller, or an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send these octets to a peer by its place in the settings. May get lost.
+    /// Send these bytes to the peer with this index in the settings. They may be lost.
     Send(usize, Vec<u8>),
-    /// Something happened.
+    /// An event.
     Change(Change),
 }
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages handed out, and their octets.
+    /// Messages sent.
     pub sent: u64,
-    /// Octets of those.
+    /// Bytes of the messages sent.
     pub sent_octets: u64,
-    /// Messages that had no link, or no room.
+    /// Messages not sent because no link was up or the outbox was full.
     pub unsent: u64,
-    /// Messages taken in.
+    /// Messages received.
     pub received: u64,
-    /// Dropped: no message at all, or too long.
+    /// Messages dropped because they couldn't be decoded or were too long.
     pub undecoded: u64,
-    /// Dropped: in the name of another than the link's peer, or not for this member.
+    /// Messages dropped because they named another sender than the link's peer, or weren't for this member.
     pub misrouted: u64,
-    /// Dropped, or left out of a message: names that the settings don't list.
+    /// Messages dropped, or entries removed from a message, because the settings don't list the name.
     pub unknown: u64,
-    /// Dropped: refused by the protocol.
+    /// Messages refused by the protocol.
     pub refused: u64,
-    /// Times that this life was declared dead and said that it lives.
+    /// How often this life was declared dead and refuted it.
     pub renewed: u64,
     /// Gaps of the own clock longer than the lease.
     pub pauses: u64,
--- a/crates/fleet/src/members/freshness.rs
+++ b/crates/fleet/src/members/freshness.rs
@@ -1,17 +1,18 @@
-//! Whether what is believed may be acted on: not after a start or a pause, until somebody has answered since.
+//! Whether the view may be acted on: not after a start or a pause, until a member has answered a request made
+//! since.
 
 use crate::Micros;
 
-/// Whether it is, and what was asked.
+/// The freshness of the view, and the requests that are to restore it.
 pub(super) struct Freshness {
-    /// Stale, and this marks answers to what was asked since.
+    /// While the view is stale, the nonce that marks answers to requests made since.
     pub nonce: Option<u64>,
     pub since: Micros,
     pub next: Micros,
 }
 
 impl Freshness {
-    /// Stale from now on.
+    /// Returns a view that is stale from now on.
     pub fn begin(now: Micros, nonce: u64) -> Self {
         Freshness { nonce: Some(nonce), since: now, next: now }
     }
@@ -20,12 +21,12 @@
         self.nonce.is_some()
     }
 
-    /// When it asks again.
+    /// Returns the time of the next request.
     pub fn due(&self) -> Option<Micros> {
         self.nonce.map(|_| self.next)
     }
 
-    /// A link came up: worth asking by then.
+    /// Moves the next request forward to this time, after a link came up.
     pub fn advance(&mut self, by: Micros) {
         self.next = self.next.min(by);
     }
--- a/crates/fleet/src/members/member_id.rs
+++ b/crates/fleet/src/members/member_id.rs
@@ -1,30 +1,32 @@
-//! Identities as they go over the wire: a key for the name, and what tells lives and renewals of one name apart.
+//! Identities in membership messages: a key for the name, and what distinguishes lives and renewals under it.
 
 use crate::name::{Life, Name, Start};
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The first 64 bits of a name's SHA-256. Members whose settings list their peers in another order, or list more of
-/// them, still mean the same one, which an index would not give; and it compares at no cost, which a text does not.
+/// Returns the first 64 bits of the name's SHA-256. Unlike an index, it identifies the same member when two
+/// members' settings list their peers in another order or list more of them, and it is cheaper to compare
+/// than the text.
 pub(super) fn key_of(name: &Name) -> u64 {
     let digest = Sha256::digest(name.as_str().as_bytes());
     digest.iter().take(8).fold(0, |key, octet| key << 8 | u64::from(*octet))
 }
 
-/// Who speaks, or is spoken of.
+/// The identity of a member in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct MemberId {
-    /// Which name.
+    /// The key of the name.
     #[serde(with = "postcard::fixint::le")]
     pub key: u64,
-    /// Which life of it.
+    /// The start number.
     pub start: Start,
-    /// Drawn by each process for itself: two that came up with one start number (a folder copied, both clocks set
-    /// back) are still two.
+    /// A random number of the process. It distinguishes two processes that have the same start number, as
+    /// after a folder was copied or both clocks were set back.
     pub nonce: u32,
-    /// How often this life was declared dead and said that it lives. A start number is a process's and lives on disk,
-    /// so a renewal must not make one up; a later start beats any number of renewals of an earlier one.
+    /// How often this life was declared dead and refuted it. A start number belongs to a process and is kept
+    /// on disk, so a renewal must not choose one; a later start takes precedence over any number of renewals
+    /// of an earlier one.
     pub renewals: u32,
 }
 
@@ -33,12 +35,13 @@
         MemberId { key: key_of(&life.name), start: life.start, nonce, renewals: 0 }
     }
 
-    /// Stands for a peer of which nothing was heard: loses against anyone.
+    /// Returns the identity for a peer about which nothing is known. Any other identity takes precedence over
+    /// it.
     pub fn unknown(key: u64) -> Self {
         MemberId { key, start: Start(0), nonce: 0, renewals: 0 }
     }
 
-    /// Orders the processes that bore one name; the greatest holds it.
+    /// Returns the key by which processes under one name are ordered; the greatest holds the name.
     pub fn process(&self) -> (Start, u32) {
         (self.start, self.nonce)
     }
--- a/crates/fleet/src/members/mod.rs
+++ b/crates/fleet/src/members/mod.rs
@@ -1,15 +1,17 @@
-//! Who is there, who is suspected, gone, come back, replaced: SWIM with suspicion and incarnations.
+//! Membership and failure detection: SWIM with suspicion and incarnations.
 //!
-//! Does: probes one member after another, by itself and through others; spreads what it hears; tells changes of
-//! standing, two processes that claim one name, and that its own start number is behind one that was seen.
-//! Decides: which life of a name counts (the greatest start, then the greatest nonce); when what it believes is stale.
-//! Never: touches a socket or a clock; makes up a start number; remembers a name that the settings don't list.
+//! [`Members`] probes the other members, directly and through others, spreads what it learns by gossip, and
+//! reports changes of a member's state, two processes that claim one name, and an own start number that is
+//! less than one already seen. Of the lives under one name, the one with the greatest start counts, then the
+//! one with the greatest nonce. It uses no socket or clock, never chooses a start number, and stores no name
+//! that the settings don't list.
 //!
-//! `foca` runs the protocol. Around it stands what it has no words for: whom it may learn of (`receive`), a view that
-//! is stale after a start or a pause (`ask`), and processes that share a name (`twins`).
+//! `foca` implements the protocol. The modules around it add what it lacks: a filter for the members that it
+//! may learn of (`receive`), a view that is stale after a start or a pause (`view_request`), and processes
+//! that share a name (`name_conflicts`).
 //!
-//! An event costs at most one pass over the members of the settings (`foca` looks them up one by one); nothing grows
-//! with time or traffic.
+//! An event costs at most one pass over the members of the settings, because `foca` searches them linearly.
+//! No state grows with time or traffic.
 
 mod change;
 mod freshness;
--- a/crates/fleet/src/members/name_claim.rs
+++ b/crates/fleet/src/members/name_claim.rs
@@ -1,13 +1,13 @@
-//! Another process under the own name.
+//! Another process that uses this member's own name.
 
 use super::member_id::MemberId;
 use crate::Micros;
 
-/// A process that holds the own name before this one does.
+/// A process that takes precedence over this one under the same name.
 pub(super) struct NameClaim {
     pub who: MemberId,
     pub since: Micros,
-    /// When it was last said to live.
+    /// The time at which it was last reported alive.
     pub alive: Micros,
     pub twin: bool,
     pub behind: bool,
--- a/crates/fleet/src/members/name_conflicts.rs
+++ b/crates/fleet/src/members/name_conflicts.rs
@@ -1,5 +1,6 @@
-//! Two processes that bear one name. The one with the greater start (then nonce) holds it; the other keeps still, so that
-//! the two do not declare each other dead for ever. A start number is never made up here: one that is behind is told so.
+//! Handles two processes with the same name. The one with the greater start (then the greater nonce) holds
+//! the name; the other stays silent, so that the two don't keep declaring each other dead. Start numbers are
+//! never chosen here: a process whose number is too low is informed.
 
 use super::change::Change;
 use super::member_id::MemberId;
@@ -12,16 +13,16 @@
 use crate::name::Life;
 use foca::{Member, State};
 
-/// An earlier life is told that it is one, this often at most.
+/// The minimum time between two notifications of an earlier life.
 const RIVAL_NOTICE_INTERVAL: Micros = 200_000;
 
 impl Members {
-    /// Whether an identity under the own name is another process that holds it.
+    /// Returns whether an identity under the own name is another process, and takes precedence.
     pub(super) fn loses_name_to(&self, who: &MemberId) -> bool {
         who.process() > self.swim.identity().process()
     }
 
-    /// Heard of a process that holds the own name.
+    /// Handles the news of a process that takes precedence under the own name.
     pub(super) fn name_claimed(&mut self, now: Micros, other: &Member<MemberId>) {
         let who = *other.id();
         if self.claim.as_ref().is_none_or(|c| c.who.process() < who.process()) {
@@ -46,9 +47,9 @@
         }
     }
 
-    /// Somebody answered and knew of no other process under the own name.
+    /// Handles an answer whose sender knows of no other process under the own name.
     pub(super) fn name_not_claimed(&mut self, now: Micros) {
-        // One answer may come from a member that has not heard yet; those who had may all have gone.
+        // The sender may not have learnt of the other process yet, and those that had may all be gone.
         let long = 2 * self.tuning.twin;
         if let Some(claim) = self.claim.as_mut().filter(|c| !c.behind && now - c.alive > long) {
             claim.behind = true;
@@ -56,8 +57,9 @@
         }
     }
 
-    /// A peer's message came from an earlier life than the one known. Late ones of a process that was replaced are like
-    /// that, and those of one that came back with an old disk; only one that goes on while the later life lives is a twin.
+    /// Handles a message from an earlier life of a peer than the known one. Late messages of a replaced
+    /// process are like that, and those of a process restored from an old disk. It is a conflict only if they
+    /// continue while the later life is alive.
     pub(super) fn note_rival(&mut self, now: Micros, index: usize, who: MemberId) {
         let from = *self.swim.identity();
         let Some(row) = self.rows.all.get_mut(index) else { return };
--- a/crates/fleet/src/members/outbox.rs
+++ b/crates/fleet/src/members/outbox.rs
@@ -1,4 +1,4 @@
-//! What is to be sent, and `foca`'s way out.
+//! Pending outputs, and the runtime that `foca` acts through.
 
 use super::change::{Change, Counts};
 use super::member_id::MemberId;
@@ -9,12 +9,12 @@
 use foca::{Notification, Runtime, Timer};
 use std::collections::VecDeque;
 
-/// Messages that wait to be taken, at most. What does not fit is lost, as on a bad link.
+/// The maximum number of pending messages. Further ones are lost, as on a bad link.
 const MAX_SENDS: usize = 4096;
-/// Changes other than of standing (which wait in the rows, each once) that wait to be taken, at most.
+/// The maximum number of pending changes, except changes of state, which the rows hold once for each member.
 const MAX_CHANGES: usize = 1024;
 
-/// Waits to be taken.
+/// Outputs that the caller hasn't taken yet.
 #[derive(Default)]
 pub(super) struct Outbox {
     pub sends: VecDeque<(usize, Vec<u8>)>,
@@ -23,7 +23,7 @@
 }
 
 impl Outbox {
-    /// To a peer, if its link stands.
+    /// Queues a message for a peer if its link is up.
     pub fn send(&mut self, rows: &Rows, to: usize, bytes: Vec<u8>) {
         if !rows.all.get(to).is_some_and(|row| row.linked) || self.sends.len() >= MAX_SENDS {
             self.counts.unsent += 1;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Lends `foca` what it acts through.
+/// Gives `foca` access to the outbox and the timers.
 pub(super) struct FocaRuntime<'a> {
     pub now: Micros,
     pub rows: &'a Rows,
--- a/crates/fleet/src/members/probe_retry.rs
+++ b/crates/fleet/src/members/probe_retry.rs
@@ -1,12 +1,13 @@
-//! The probe under way, asked again of its target itself. Where there are many members, others probe for this one; among
-//! three there is one other, and two messages lost would make a suspicion.
+//! Repeats an unanswered direct probe. In a large installation other members probe indirectly on this one's
+//! behalf; among three members there is only one other, and without retries two lost messages would raise a
+//! suspicion.
 
 use super::state::Members;
 use super::wire::{self, Packet};
 use crate::Micros;
 use foca::{Message, ProbeNumber};
 
-/// A probe that has not been answered.
+/// A probe that hasn't been answered.
 pub(super) struct ProbeRetry {
     to: usize,
     key: u64,
@@ -17,14 +18,15 @@
 }
 
 impl ProbeRetry {
-    /// The process did not run for so long.
+    /// Shifts the next retry by the time for which the process didn't run.
     pub fn shift(&mut self, by: Micros) {
         self.next = self.next.saturating_add(by);
     }
 }
 
 impl Members {
-    /// A probe has begun: the last that was put out since the outbox held so many.
+    /// Remembers the probe that was just sent: the last ping in the outbox beyond the first `before`
+    /// messages.
     pub(super) fn remember_probe(&mut self, now: Micros, before: usize) {
         self.probe_retry = None;
         let ping = |(to, bytes): &(usize, Vec<u8>)| match wire::read(bytes)? {
@@ -41,7 +43,7 @@
         self.probe_retry = Some(ProbeRetry { to, key, number, bytes, next, left: self.tuning.again });
     }
 
-    /// A message may answer it: by the target itself, or through another.
+    /// Ends the retries if a message answers the probe, directly or through another member.
     pub(super) fn settle_probe(&mut self, index: usize, message: &Message<super::member_id::MemberId>) {
         let Some(retry) = &self.probe_retry else { return };
         let answers = match message {
@@ -56,12 +58,12 @@
         }
     }
 
-    /// When it is asked again.
+    /// Returns the time of the next retry.
     pub(super) fn probe_retry_at(&self) -> Option<Micros> {
         self.probe_retry.as_ref().map(|retry| retry.next)
     }
 
-    /// Asks again, as far as due: evenly over what is left of the period.
+    /// Sends the probe again if that is due. Retries are spread evenly over the rest of the probe period.
     pub(super) fn retry_probe(&mut self, now: Micros) {
         let tuning = &self.tuning;
         let every = (tuning.period - tuning.rtt) / (tuning.again as Micros + 1);
--- a/crates/fleet/src/members/receive.rs
+++ b/crates/fleet/src/members/receive.rs
@@ -1,5 +1,5 @@
-//! What comes in, looked at before `foca` sees it: only names of the settings, only in the link's own name, nothing that
-//! would make it fight another process over a name.
+//! Filters received messages before `foca` handles them: only names of the settings, only in the name of the
+//! link's peer, and nothing that would make `foca` compete with another process for a name.
 
 use super::change::Change;
 use super::member_id::MemberId;
@@ -10,7 +10,7 @@
 use foca::{Identity, Incarnation, Member, State};
 
 impl Members {
-    /// A message from the peer at `index`.
+    /// Handles a message from the peer at `index`.
     pub(super) fn handle_message(&mut self, now: Micros, index: usize, bytes: &[u8]) {
         let Some(packet) = wire::read(bytes) else {
             self.out.counts.undecoded += 1;
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Names in an indirect probe need not be listed here: `foca` does not keep them, and a member that refused would leave
-    /// a new one, whom its settings don't list yet, holding it for dead.
+    /// Handles a packet of `foca`. The names in an indirect probe need not be listed in the settings: `foca`
+    /// doesn't keep them, and a member that refused the probe would make the sender take a new member, which
+    /// these settings don't list yet, for dead.
     fn swim(&mut self, now: Micros, index: usize, swim: &Swim<'_>) {
         let own = *self.swim.identity();
         if swim.header.dst.key != own.key {
@@ -50,7 +51,8 @@
             return;
         }
         if self.loses_name_to(&swim.header.dst) {
-            // Meant for another process of our name: alive, or not known to be dead yet. Its sender can say.
+            // The packet is for another process under our name, which is alive or not yet known to be dead.
+            // Its sender can tell.
             let ask = Extension::ViewRequest { from: own, nonce: 0 };
             if let Some(bytes) = ask.encode().filter(|_| self.claim.is_none()) {
                 self.out.send(&self.rows, index, bytes);
@@ -71,8 +73,8 @@
             .is_none_or(|m| *m.id() != swim.header.src || m.incarnation() != swim.header.src_incarnation);
         let listed = |m: &Member<MemberId>| self.rows.index(m.id().key).is_some();
         let unknown = u64::from(!swim.updates.iter().all(|(m, _)| listed(m)));
-        // Gossip repeats itself some ten times over, and `foca` goes through all members for each piece of it: what is
-        // known here already it need not hear again.
+        // Gossip repeats each update about ten times, and `foca` goes through all members for each update, so
+        // known updates are removed.
         let bytes = swim.with_updates(|m| self.wanted(m) && self.news(m));
         let news = sender || bytes.len() > swim.len_without_updates();
         self.out.counts.unknown += unknown;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Whether it could change what `foca` holds: the rows hold the same.
+    /// Returns whether an update could change `foca`'s state, which the rows mirror.
     fn news(&self, update: &Member<MemberId>) -> bool {
         let row = self.rows.index(update.id().key).and_then(|index| self.rows.all.get(index));
         let Some(known) = row.and_then(|row| row.known.as_ref()) else { return true };
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Whether `foca` may hear of it. It keeps every identity that it hears of, and declares any other under its own name
-    /// dead.
+    /// Returns whether `foca` may see an entry. `foca` keeps every identity that it learns of, and declares
+    /// any other identity under its own name dead.
     fn wanted(&self, member: &Member<MemberId>) -> bool {
         let (own, who) = (self.swim.identity(), member.id());
         let later = (who.process(), who.renewals) > (own.process(), own.renewals);
@@ -126,7 +128,7 @@
         let own = *self.swim.identity();
         match note {
             Extension::Suspicion { .. } | Extension::AliveReply { .. } if self.claim.is_some() => return,
-            // Answered before this.
+            // Handled by the caller.
             Extension::ViewRequest { .. } => {}
             Extension::View { from, nonce, fresh, members } => {
                 match members.iter().find(|m| m.id().key == own.key && self.loses_name_to(m.id())) {
@@ -142,13 +144,13 @@
             }
             Extension::Suspicion { about, .. } => {
                 if *about.id() != own {
-                    // Of an identity before the last renewal, or of another life.
+                    // It concerns an identity before the last renewal, or another life.
                     return;
                 }
                 let (state, incarnation) = (about.state(), about.incarnation());
                 self.with_swim(now, |swim, port| swim.apply_many(std::iter::once(about), true, port));
                 if state == State::Suspect && incarnation < Incarnation::MAX {
-                    // By now its incarnation is above the suspected one.
+                    // `foca` has just raised its incarnation above the suspected one.
                     let here = Extension::AliveReply { from: own, incarnation: incarnation + 1 };
                     if let Some(bytes) = here.encode() {
                         self.out.send(&self.rows, index, bytes);
--- a/crates/fleet/src/members/rows.rs
+++ b/crates/fleet/src/members/rows.rs
@@ -1,4 +1,4 @@
-//! What is believed of each member, by its place in the settings.
+//! The believed state of each member, by index in the settings.
 
 use super::change::MembersError;
 use super::member_id::{MemberId, key_of};
@@ -7,20 +7,20 @@
 use foca::{Incarnation, Member, State};
 use std::collections::VecDeque;
 
-/// A member and what is believed of it.
+/// A member and its believed state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its name.
+    /// The name.
     pub name: Name,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// The latest life heard of; none: nothing was heard of it since this process started.
+    /// The latest known life; `None` if nothing was received about the member since this process started.
     pub life: Option<Life>,
-    /// [`Standing::Dead`] as well where nothing was heard of it.
+    /// The state; [`Standing::Dead`] also if nothing was received about the member.
     pub standing: Standing,
-    /// Since when, on the caller's clock.
+    /// The time since which it has this state, on the caller's clock.
     pub since: Micros,
-    /// A link to it stands.
+    /// Whether its link is up.
     pub linked: bool,
     pub(super) known: Option<Member<MemberId>>,
     pub(super) rival: Option<Rival>,
@@ -28,22 +28,22 @@
     changed: bool,
 }
 
-/// An earlier life that still speaks although a later one holds its name.
+/// An earlier life that still sends messages although a later one holds its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Rival {
     pub who: MemberId,
     pub since: Micros,
-    /// When it was last told that it is not the one.
+    /// The time at which it was last informed of the later life.
     pub last_notified: Micros,
     pub reported: bool,
 }
 
-/// All of them.
+/// The rows of all members.
 pub(super) struct Rows {
     pub all: Vec<Row>,
     by_key: Vec<(u64, u16)>,
     by_name: Vec<u16>,
-    /// Rows that changed and were not told yet, each once.
+    /// Rows with a change that wasn't reported yet, each once.
     changed: VecDeque<u16>,
 }
 
@@ -88,14 +88,14 @@
         self.all.get(index).map(|row| row.key)
     }
 
-    /// Whether it is suspected, in this incarnation.
+    /// Returns whether a member is suspected in this incarnation.
     pub fn suspected(&self, who: &MemberId, incarnation: Incarnation) -> bool {
         let row = self.index(who.key).and_then(|index| self.all.get(index));
         let known = row.and_then(|row| row.known.as_ref());
         known.is_some_and(|m| m.id() == who && m.incarnation() == incarnation && m.state() == State::Suspect)
     }
 
-    /// Takes on what `foca` holds of a member. True where it has died.
+    /// Stores `foca`'s state of a member. Returns whether the member has died.
     pub fn update(&mut self, now: Micros, index: usize, member: &Member<MemberId>) -> bool {
         let Some(row) = self.all.get_mut(index) else { return false };
         if row.known.as_ref() == Some(member) {
@@ -124,7 +124,7 @@
         lived && standing == Standing::Dead
     }
 
-    /// The next row that changed and was not told yet.
+    /// Returns the next row with a change that wasn't reported yet.
     pub fn next_changed(&mut self) -> Option<usize> {
         let index = usize::from(self.changed.pop_front()?);
         self.all.get_mut(index)?.changed = false;
--- a/crates/fleet/src/members/schedule.rs
+++ b/crates/fleet/src/members/schedule.rs
@@ -1,4 +1,5 @@
-//! Time, and what is done when it has passed: `foca`'s timers, knocks, word to those who are suspected.
+//! Runs `foca`'s timers, and the periodic work beside them: greeting members that are thought dead, and
+//! notifying suspects.
 
 use super::change::Change;
 use super::freshness::Freshness;
@@ -12,14 +13,16 @@
 use foca::{Member, State, Timer};
 use rand::Rng;
 
-/// Ticks this much late are lateness of a busy machine; more, and others are given the time that was lost here.
+/// A tick that is late by no more than this is normal on a busy machine. After a longer delay, deadlines for
+/// other members are extended by the lost time.
 const MAX_TICK_LATENESS: Micros = 50_000;
-/// News of a death waits so long for others of its kind: half of the members may die at once.
+/// The delay before news of a death is gossiped, so that several deaths are reported together: half of the
+/// members may die at once.
 const DEATH_GOSSIP_DELAY: Micros = 10_000;
 
 impl Members {
-    /// Time goes on. Nobody answered, gossiped or probed while this process did not run: that time is not held against
-    /// them, and after a long pause nothing that was believed is.
+    /// Advances the clock. While this process didn't run, nobody could answer, gossip or be probed: that time
+    /// doesn't count against other members, and after a long pause the view becomes stale.
     pub(super) fn advance_clock(&mut self, now: Micros) -> Micros {
         let now = now.max(self.last);
         let late = now - self.wake().min(now);
@@ -48,13 +51,13 @@
     pub(super) fn run_timers(&mut self, now: Micros) {
         while let Some(timer) = self.timers.pop(now) {
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-                // `foca` tells a member that it is dead when this fires, even if it has refuted by then, and it would renew
-                // itself for nothing.
+                // When this timer fires, `foca` tells the member that it is dead even if the member has
+                // refuted the suspicion, and it would renew its identity for nothing.
                 if !self.rows.suspected(member_id, *incarnation) {
                     continue;
                 }
                 if self.fresh.stale() {
-                    // To declare a death is to act on what is believed.
+                    // A death must not be declared on the basis of a stale view.
                     self.timers.add(now.saturating_add(self.tuning.suspicion), timer);
                     continue;
                 }
@@ -62,8 +65,9 @@
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer
                 && now - self.last_received > self.tuning.suspicion
             {
-                // Nobody at all was heard: either all are gone, or this member is the one that is cut off, perhaps deaf
-                // only. So it tells nobody; its word would make all of them renew themselves.
+                // No message arrived from anybody: either all others are gone, or this member is cut off,
+                // perhaps in one direction only. The death isn't announced, because the announcement would
+                // make all members renew their identities.
                 let dead = Member::new(member_id, incarnation, State::Down);
                 self.with_swim(now, |swim, port| swim.apply_many(std::iter::once(dead), false, port));
                 self.sync_rows(now);
@@ -95,7 +99,7 @@
         self.request_views(now);
     }
 
-    /// Lets `foca` act.
+    /// Runs an operation of `foca`.
     pub(super) fn with_swim(
         &mut self,
         now: Micros,
@@ -107,14 +111,14 @@
             out.counts.refused += 1;
         }
         if out.counts.renewed > renewed {
-            // A renewal leaves `foca` unconnected until it next hears something, and silent if nobody heard of the
-            // renewal: this connects it.
+            // After a renewal, `foca` is unconnected until it next receives a message, and silent if no
+            // member has learnt of the renewal. This call connects it.
             let again = swim.apply_many(std::iter::empty(), false, FocaRuntime { now, rows, timers, out });
             out.counts.refused += u64::from(again.is_err());
         }
     }
 
-    /// Takes over what `foca` holds.
+    /// Copies `foca`'s state of the members to the rows.
     pub(super) fn sync_rows(&mut self, now: Micros) {
         let mut died = false;
         for member in self.swim.iter_membership_state() {
@@ -123,16 +127,18 @@
             }
         }
         if died {
-            // Whoever hears of a death says so at once, not with its next round: at a hundred members it is known to all half
-            // a second sooner.
+            // A death is gossiped at once and not with the next round: with a hundred members all of them
+            // know of it half a second sooner.
             self.timers.advance(now.saturating_add(DEATH_GOSSIP_DELAY));
         }
     }
 
-    /// Tells those whom it suspects. Their answer would else come round by gossip, which at 10% loss is late for some.
+    /// Notifies the members that this one suspects. Otherwise their refutation would arrive only by gossip,
+    /// which is late for some at 10% loss.
     fn notify_suspects(&mut self) {
         let from = *self.swim.identity();
-        // By the rows: a suspicion that was taken over from another's view has no timer here, and would last for ever.
+        // The rows are used because a suspicion adopted from another member's view has no timer here, and
+        // would never end.
         for index in 0..self.rows.all.len() {
             let known = self.rows.all.get(index).and_then(|row| row.known.clone());
             if let Some(about) = known.filter(|m| m.state() == State::Suspect)
@@ -143,8 +149,8 @@
         }
     }
 
-    /// Greets some whose link stands and who are thought dead, or were never heard of: after a cut, the two sides would
-    /// else leave each other alone for good.
+    /// Greets some members whose link is up and that are thought dead or were never heard from. Otherwise the
+    /// two sides of a network partition would ignore each other for good after it ends.
     fn greet_dead(&mut self, now: Micros) {
         if self.claim.is_some() {
             return;
@@ -160,7 +166,7 @@
         }
     }
 
-    /// Some random members whose link stands.
+    /// Picks some random members whose link is up.
     pub(super) fn pick_linked(&mut self, most: usize, wanted: impl Fn(&Row) -> bool) -> Vec<usize> {
         let count = self.rows.all.len();
         let first = self.rng.random_range(0..count.max(1));
@@ -169,7 +175,7 @@
         order.filter(fits).take(most).collect()
     }
 
-    /// An entry of `foca`'s, as this member would tell it of another.
+    /// Returns `foca`'s entries for the other members, as they are sent in a view.
     pub(super) fn state(&self) -> Vec<Member<MemberId>> {
         let own = self.swim.identity().key;
         let members = self.swim.iter_membership_state().filter(|member| member.id().key != own);
--- a/crates/fleet/src/members/state.rs
+++ b/crates/fleet/src/members/state.rs
@@ -1,4 +1,4 @@
-//! What a member holds, and the calls from outside.
+//! The state of [`Members`] and its public methods.
 
 use super::change::{Change, Counts, MembersError, Output};
 use super::freshness::Freshness;
@@ -18,10 +18,10 @@
 
 pub(super) type Swim = Foca<MemberId, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
-/// After a link came up, what waited for one is done this much later.
+/// The delay after a link comes up before work that waited for a link is done.
 const LINK_UP_DELAY: Micros = 100_000;
 
-/// The members, as one of them sees them.
+/// The members of the installation as one of them sees them.
 pub struct Members {
     pub(super) own: usize,
     pub(super) life: Life,
@@ -35,18 +35,19 @@
     pub(super) fresh: Freshness,
     pub(super) claim: Option<NameClaim>,
     pub(super) left: bool,
-    /// When anybody was last heard.
+    /// The time of the last message from any member.
     pub(super) last_received: Micros,
     pub(super) last: Micros,
     pub(super) next_greeting: Micros,
 }
 
 impl Members {
-    /// A process that has just started. `peers`: all members of the settings, itself too; their places are the indices
-    /// used below. `seed` must differ from process to process, also between two that bear one name.
+    /// Returns the state of a process that has just started. `peers` lists all members of the settings,
+    /// including this one; their indices identify them below. `seed` must differ between any two processes,
+    /// including two with the same name.
     ///
     /// # Errors
-    /// Where the settings contradict themselves.
+    /// Fails when the settings contradict themselves.
     pub fn new(
         now: Micros,
         own: Life,
@@ -79,7 +80,7 @@
         })
     }
 
-    /// A message came from a peer.
+    /// Handles a message from a peer.
     pub fn receive(&mut self, now: Micros, from: usize, bytes: &[u8]) {
         let now = self.advance_clock(now);
         if !self.left {
@@ -89,13 +90,13 @@
         self.run_timers(now);
     }
 
-    /// Time has passed: call at [`Members::wake`], or any time.
+    /// Handles the passing of time. Call it at [`Members::wake`] or at any time.
     pub fn tick(&mut self, now: Micros) {
         let now = self.advance_clock(now);
         self.run_timers(now);
     }
 
-    /// The link to a peer stands, or is gone.
+    /// Records whether the link to a peer is up.
     pub fn link(&mut self, now: Micros, peer: usize, stands: bool) {
         let now = self.advance_clock(now);
         if let Some(row) = self.rows.all.get_mut(peer) {
@@ -103,14 +104,14 @@
             if row.linked && self.fresh.stale() {
                 self.fresh.advance(now.saturating_add(LINK_UP_DELAY));
             } else if row.linked && row.standing == Standing::Dead {
-                // Not at once: links often come up many at a time.
+                // Links often come up many at a time, so the greeting is delayed a little.
                 self.next_greeting = self.next_greeting.min(now.saturating_add(LINK_UP_DELAY));
             }
         }
         self.run_timers(now);
     }
 
-    /// Goes in good order: others need not find out.
+    /// Leaves the installation; the other members are informed and need not detect it.
     pub fn leave(&mut self, now: Micros) {
         let now = self.advance_clock(now);
         if !self.left && self.claim.is_none() {
@@ -120,10 +121,10 @@
         (self.timers, self.probe_retry) = (Timers::default(), None);
     }
 
-    /// Comes back as a later life of the same process, after [`Change::Behind`].
+    /// Continues as a later life of the same process, after [`Change::Behind`].
     ///
     /// # Errors
-    /// Where the start is not above its own and every one that was seen.
+    /// Fails unless the start is greater than the own one and every one that was seen.
     pub fn rise(&mut self, now: Micros, start: Start) -> Result<(), MembersError> {
         let now = self.advance_clock(now);
         if start <= self.life.start || self.claim.as_ref().is_some_and(|c| start <= c.who.start) {
@@ -140,7 +141,7 @@
         Ok(())
     }
 
-    /// What is to be sent and what happened, until none. To be taken after each call above.
+    /// Returns the next output, or `None`. Call it after each of the methods above until it returns `None`.
     pub fn next_output(&mut self) -> Option<Output> {
         if let Some((to, bytes)) = self.out.sends.pop_front() {
             return Some(Output::Send(to, bytes));
@@ -158,46 +159,48 @@
         None
     }
 
-    /// When [`Members::tick`] is due. Never later than [`Tuning::knock`] from the last call, so that a longer gap is a
-    /// pause.
+    /// Returns the time at which [`Members::tick`] is due. It is never later than [`Tuning::knock`] after the
+    /// last call, so that a longer gap is a pause.
     pub fn wake(&self) -> Micros {
         let due = self.timers.next().unwrap_or(Micros::MAX).min(self.next_greeting);
         let due = self.probe_retry_at().unwrap_or(Micros::MAX).min(due);
         self.fresh.due().map_or(due, |ask| ask.min(due)).max(self.last)
     }
 
-    /// The own life.
+    /// Returns the own life.
     pub fn life(&self) -> &Life {
         &self.life
     }
 
-    /// The own place in the settings.
+    /// Returns the own index in the settings.
     pub fn own(&self) -> usize {
         self.own
     }
 
-    /// What is believed of a member; of oneself nothing but what others should. None: the settings don't list it.
+    /// Returns the believed state of a member, or `None` if the settings don't list it. The row of this
+    /// member itself holds only what other members have to know.
     pub fn standing(&self, name: &Name) -> Option<&Row> {
         self.rows.named(name).and_then(|index| self.rows.all.get(index))
     }
 
-    /// All members of the settings, in their order. The own row is among them.
+    /// Returns all members of the settings in their order, including this one.
     pub fn rows(&self) -> &[Row] {
         &self.rows.all
     }
 
-    /// Nothing of what is believed may be acted on: it is from before a pause, or nothing was heard since the start, or
-    /// another process holds the name. Ends when a member has answered a question put after that.
+    /// Returns whether the view must not be acted on: it dates from before a pause, or nothing was received
+    /// since the start, or another process holds the name. It becomes fresh when a member answers a request
+    /// made after that.
     pub fn stale(&self) -> bool {
         self.fresh.stale()
     }
 
-    /// The opposite of [`Members::stale`].
+    /// Returns the opposite of [`Members::stale`].
     pub fn awake(&self) -> bool {
         !self.stale()
     }
 
-    /// Counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.out.counts
     }
--- a/crates/fleet/src/members/timers.rs
+++ b/crates/fleet/src/members/timers.rs
@@ -1,4 +1,5 @@
-//! `foca`'s timers, bounded: it keeps one chain of each periodic kind, and one end of suspicion for each member.
+//! `foca`'s timers, in bounded space: one of each periodic kind, and the end of one suspicion for each
+//! member.
 
 use super::member_id::MemberId;
 use crate::Micros;
@@ -6,15 +7,16 @@
 
 type Entry = (Micros, Timer<MemberId>);
 
-/// What is due when.
+/// The pending timers.
 #[derive(Default)]
 pub(super) struct Timers {
-    /// The latest of each kind: a new one means that the token has moved on, or that the old one has fired.
+    /// The latest timer of each kind. A new one means that the previous one has fired or has become invalid.
     indirect: Option<Entry>,
     probe: Option<Entry>,
     announce: Option<Entry>,
     gossip: Option<Entry>,
-    /// Ends of suspicions raised here. One probe in a period can raise one, so there are few: suspicion / period.
+    /// The ends of suspicions raised by this member. Each probe period raises at most one, so there are about
+    /// suspicion / period of them.
     ends: Vec<Entry>,
 }
 
@@ -26,7 +28,8 @@
             Timer::PeriodicAnnounce(_) => &mut self.announce,
             Timer::PeriodicGossip(_) => &mut self.gossip,
             Timer::ChangeSuspectToDown { member_id, .. } => {
-                // The same suspicion raised again keeps its first end; another one of the same member takes its place.
+                // A suspicion that is raised again keeps its first end. Another suspicion of the same member
+                // replaces it.
                 let same = |old: &&mut Entry| matches!(&old.1, Timer::ChangeSuspectToDown { member_id: m, .. } if m.key == member_id.key);
                 match self.ends.iter_mut().find(same) {
                     Some(old) if old.1 == timer => {}
@@ -35,7 +38,7 @@
                 }
                 return;
             }
-            // Nobody who died is forgotten, see `Tuning::config`; members that are down are greeted by knocks.
+            // Dead members aren't forgotten, see `Tuning::config`; `Members::greet_dead` greets them.
             Timer::RemoveDown(_) | Timer::PeriodicAnnounceDown(_) => return,
         };
         *slot = Some((due, timer));
@@ -45,13 +48,13 @@
         [&mut self.indirect, &mut self.probe, &mut self.announce, &mut self.gossip]
     }
 
-    /// When the next one is due.
+    /// Returns the time of the next timer.
     pub fn next(&self) -> Option<Micros> {
         let slots = [&self.indirect, &self.probe, &self.announce, &self.gossip];
         slots.into_iter().flatten().chain(&self.ends).map(|(due, _)| *due).min()
     }
 
-    /// Takes the first that is due.
+    /// Takes the first timer that is due.
     pub fn pop(&mut self, now: Micros) -> Option<Timer<MemberId>> {
         let due = self.next().filter(|due| *due <= now)?;
         for slot in self.slots() {
@@ -63,21 +66,21 @@
         Some(self.ends.swap_remove(at).1)
     }
 
-    /// The next round of gossip comes by then.
+    /// Moves the next round of gossip forward to this time.
     pub fn advance(&mut self, by: Micros) {
         if let Some((due, _)) = &mut self.gossip {
             *due = by.min(*due);
         }
     }
 
-    /// The process did not run for so long: nobody had the time to answer that the clock says they had.
+    /// Shifts all timers by the time for which the process didn't run: nobody could answer during it.
     pub fn shift(&mut self, by: Micros) {
         let slots = self.slots();
         slots.into_iter().flatten().for_each(|(due, _)| *due = due.saturating_add(by));
         self.ends.iter_mut().for_each(|(due, _)| *due = due.saturating_add(by));
     }
 
-    /// No suspicion ends before then.
+    /// Postpones the ends of all suspicions to this time or later.
     pub fn postpone_suspicions(&mut self, until: Micros) {
         self.ends.iter_mut().for_each(|(due, _)| *due = until.max(*due));
     }
--- a/crates/fleet/src/members/tuning.rs
+++ b/crates/fleet/src/members/tuning.rs
@@ -1,44 +1,47 @@
-//! How fast it probes, how long it waits, how often it repeats itself.
+//! The parameters of the membership protocol: probe and gossip intervals, timeouts and repetitions.
 
 use crate::Micros;
 use foca::{Config, PeriodicParams};
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Octets of one message at most: the whole state of 500 members fits.
+/// The maximum number of bytes in a message: the whole state of 500 members fits.
 pub const MOST_MESSAGE: usize = 24 * 1024;
 
-/// Times in microseconds. [`Tuning::for_size`] is what runs; tests and slow networks may change fields.
+/// Parameters, with times in microseconds. [`Tuning::for_size`] gives the values for production; tests and
+/// slow networks may change fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// One member is probed every so often; within it a direct and then an indirect answer must come.
+    /// The probe interval. Within it, a direct and then an indirect answer must arrive.
     pub period: Micros,
-    /// After so long without a direct answer others are asked to probe.
+    /// The time without a direct answer after which other members are asked to probe.
     pub rtt: Micros,
-    /// How many others. Each adds four messages to a probe that failed directly and nothing to one that did not; at 10%
-    /// loss eight of them make a false suspicion 200 times rarer than three.
+    /// The number of members asked to probe. Each adds four messages to a probe that failed directly, and
+    /// none to one that succeeded; at 10% loss, eight of them make a false suspicion 200 times rarer than
+    /// three.
     pub helpers: usize,
-    /// How often the target itself is asked again meanwhile.
+    /// How often the target itself is probed again meanwhile.
     pub again: usize,
-    /// A suspect is declared dead after so long.
+    /// The time after which a suspect is declared dead.
     pub suspicion: Micros,
-    /// News goes out every so often...
+    /// The gossip interval.
     pub gossip: Micros,
-    /// ... to so many members...
+    /// The number of members in a round of gossip.
     pub fanout: usize,
-    /// ... and each piece of it so many times in all. With r repeats a member misses it with e^-r.
+    /// How often each update is sent in all. With r repetitions a member misses it with probability e^-r.
     pub repeats: u8,
-    /// One random member is asked for the list of the living every so often.
+    /// The interval at which one random member is asked for the list of living members.
     pub announce: Micros,
-    /// Members that are thought dead, and whose link stands, are greeted every so often, ...
+    /// The interval at which members that are thought dead, and whose link is up, are greeted.
     pub knock: Micros,
-    /// ... so many at a time.
+    /// The number of members greeted at a time.
     pub knocks: usize,
-    /// A gap of the own clock longer than this makes all that was believed stale. Greater than `knock`.
+    /// A gap of the own clock longer than this makes the view stale. It must be greater than `knock`.
     pub lease: Micros,
-    /// So long it waits for an answer from one that is not stale itself before it takes any.
+    /// How long a stale member waits for the view of a member that isn't stale before it accepts any view.
     pub settle: Micros,
-    /// Two processes that claim one name for so long are twins; before, the elder may have died just now.
+    /// Two processes that claim one name for this long are reported as a conflict; before that, the earlier
+    /// one may just have died.
     pub twin: Micros,
 }
 
@@ -46,16 +49,19 @@
 const INDIRECT_PROBES: usize = 8;
 
 impl Tuning {
-    /// For an installation of so many members: a death is known to all within about 3 to 5 s.
+    /// Returns the parameters for an installation of this size: all members know of a death within about 3 to
+    /// 5 s.
     pub fn for_size(members: usize) -> Self {
         let members = members.clamp(1, 65_535);
         let log = (members as f64 + 1.0).log10();
         Tuning {
-            // Who probes whom is drawn anew each time: of a hundred, one in 150 is probed by nobody for five periods.
+            // Probe targets are random: of a hundred members, one in 150 is probed by nobody for five
+            // periods.
             period: 400 * MS,
             rtt: 150 * MS,
             helpers: INDIRECT_PROBES,
-            // What few members lack in helpers: each loses two messages of four where one asked again loses one of two.
+            // In a small installation, retries make up for missing helpers. A helper's probe takes four
+            // messages of which two may be lost, a retry two of which one may be lost.
             again: (INDIRECT_PROBES + 2).saturating_sub(members).max(2),
             suspicion: 2000 * MS,
             gossip: 200 * MS,
@@ -70,7 +76,8 @@
         }
     }
 
-    /// For `foca`; a figure out of its range is brought into it, as it would trip assertions there.
+    /// Returns the configuration of `foca`. Values outside their range are clamped, as they would trigger
+    /// assertions there.
     pub(super) fn config(&self) -> Config {
         let time = |t: Micros| Duration::from_micros(u64::try_from(t.max(1)).unwrap_or(1));
         let count = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
@@ -81,13 +88,13 @@
             num_indirect_probes: count(self.helpers),
             max_transmissions: NonZeroU8::new(self.repeats).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: time(self.suspicion),
-            // Its timers are not kept: who is dead stays so until a later start or a renewal, and the settings bound
-            // how many there are.
+            // The timers for this aren't kept: a dead member stays dead until a later start or a renewal, and
+            // the settings bound the number of members.
             remove_down_after: Duration::from_secs(86_400),
             max_packet_size: count(MOST_MESSAGE - 1),
             notify_down_members: true,
             periodic_announce: each(self.announce, 1),
-            // Knocks do this, and reach those of whom nothing was heard yet as well.
+            // `Members::greet_dead` does this, and also reaches members about which nothing was received yet.
             periodic_announce_to_down_members: None,
             periodic_gossip: each(self.gossip, self.fanout),
         }
--- a/crates/fleet/src/members/view_request.rs
+++ b/crates/fleet/src/members/view_request.rs
@@ -1,4 +1,4 @@
-//! After a start or a pause: asks who is there, and takes over what it is told.
+//! Requests the membership views of other members after a start or a pause, and adopts an answer.
 
 use super::change::Change;
 use super::member_id::MemberId;
@@ -7,14 +7,15 @@
 use crate::Micros;
 use foca::Member;
 
-/// Questions go to so many at a time.
+/// The number of members that are asked at a time.
 const VIEW_REQUESTS: usize = 3;
 
 impl Members {
-    /// Asks some, if stale and due.
+    /// Asks some members for their views, if the own view is stale and a request is due.
     pub(super) fn request_views(&mut self, now: Micros) {
         let Some(nonce) = self.fresh.nonce.filter(|_| self.fresh.next <= now) else { return };
-        // Where links go to whoever spoke last under a name, each question takes them from the process that holds it.
+        // When another process uses the same name and a link belongs to whichever process connected last,
+        // each request takes links from the process that holds the name, so there are fewer.
         let (wait, most) = if self.claim.is_some() {
             (self.tuning.twin / 2, 1)
         } else {
@@ -29,8 +30,8 @@
         }
     }
 
-    /// An answer came. What another believes is taken over only while stale: at any other time it would bring in deaths
-    /// that a cut made it believe.
+    /// Handles a member's view. It is adopted only while the own view is stale: at any other time it would
+    /// bring in deaths that the sender believes in because of a network partition.
     pub(super) fn handle_view(
         &mut self,
         now: Micros,
@@ -43,7 +44,7 @@
             return;
         }
         let here = Member::alive(from);
-        // Where all started at once nobody is fresh; after a while anyone's word will do.
+        // When all members start together, none has a fresh view; after a while any answer is accepted.
         if !fresh && now - self.fresh.since < self.tuning.settle {
             self.with_swim(now, |swim, port| swim.apply_many(std::iter::once(here), true, port));
             return;
--- a/crates/fleet/src/members/wire.rs
+++ b/crates/fleet/src/members/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between members: `foca`'s packets, and notes of our own for what it has no words for.
+//! Messages between members: `foca`'s packets, and extensions for what `foca` lacks.
 
 use super::member_id::MemberId;
 use super::tuning::MOST_MESSAGE;
@@ -6,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 
-/// Members told in one answer, at most; an entry has 31 octets at most.
+/// The maximum number of members in a view; an entry has at most 31 bytes.
 pub(super) const MAX_MEMBERS: usize = 750;
 
 const SWIM: u8 = 0;
 const EXTENSION: u8 = 1;
 
-/// What `foca` does not say.
+/// A message that isn't part of `foca`'s protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Extension {
-    /// Who is there? Asked by one that knows nothing, or only what it knew before it slept.
+    /// Asks for the receiver's view. Sent by a member that has just started or was paused.
     ViewRequest { from: MemberId, nonce: u64 },
-    /// The whole state. `nonce` shows that it was sent after the question: what lay in a socket while a process slept
-    /// does not bear it.
+    /// The sender's whole view. The `nonce` shows that it was sent after the request: a message that waited
+    /// in a socket buffer during a pause doesn't carry it.
     View { from: MemberId, nonce: u64, fresh: bool, members: Vec<Member<MemberId>> },
-    /// You are suspected here: said to the suspect itself, so that its answer need not wait for gossip to reach it.
+    /// Tells a member that the sender suspects it, so that its answer need not wait until gossip reaches it.
     Suspicion { from: MemberId, about: Member<MemberId> },
-    /// The answer: I live, in this incarnation.
+    /// Refutes a suspicion: the sender is alive in this incarnation.
     AliveReply { from: MemberId, incarnation: Incarnation },
-    /// Another process bears, or bore, your name.
+    /// Tells the receiver that another process uses, or used, its name.
     NameTaken { from: MemberId, other: Member<MemberId> },
 }
 
@@ -38,25 +38,25 @@
         }
     }
 
-    /// As octets; none where it would be too long.
+    /// Encodes the message; returns `None` if it would be too long.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_extend(self, vec![EXTENSION]).ok()?;
         (bytes.len() <= MOST_MESSAGE).then_some(bytes)
     }
 }
 
-/// A packet of `foca`, taken apart.
+/// A decoded packet of `foca`.
 pub(super) struct Swim<'a> {
     pub header: Header<MemberId>,
-    /// What it says of members, and where.
+    /// The updates about members, and their positions in the packet.
     pub updates: Vec<(Member<MemberId>, Range<usize>)>,
     bytes: &'a [u8],
     header_len: usize,
 }
 
 impl Swim<'_> {
-    /// Its octets, without those updates that are not wanted. Dropping the whole packet instead would cut two members
-    /// off from each other as soon as the settings of one list a member that the other's do not have yet.
+    /// Returns the packet without the updates that aren't wanted. Dropping the whole packet would cut two
+    /// members off from each other as soon as one's settings list a member that the other's don't have yet.
     pub fn with_updates(&self, wanted: impl Fn(&Member<MemberId>) -> bool) -> Vec<u8> {
         let kept: Vec<_> =
             self.updates.iter().filter(|(member, _)| wanted(member)).map(|(_, at)| at).collect();
@@ -70,7 +70,7 @@
         out
     }
 
-    /// Octets of it without any update.
+    /// Returns the length of the packet without updates.
     pub fn len_without_updates(&self) -> usize {
         if self.bytes.len() > self.header_len { self.header_len + 2 } else { self.header_len }
     }
@@ -81,7 +81,7 @@
     Extension(Extension),
 }
 
-/// A packet of `foca`, as octets.
+/// Encodes a packet of `foca`.
 pub(super) fn swim(bytes: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(bytes.len() + 1);
     out.push(SWIM);
@@ -89,7 +89,7 @@
     out
 }
 
-/// Reads a message. None where it is not wholly one.
+/// Decodes a message. Returns `None` unless all of the bytes are one message.
 pub(super) fn read(bytes: &[u8]) -> Option<Packet<'_>> {
     if bytes.len() > MOST_MESSAGE {
         return None;
@@ -118,7 +118,7 @@
             updates.push((member, start..bytes.len() - rest.len()));
         }
     }
-    // Custom broadcasts would follow; this installation has none.
+    // Custom broadcasts would follow; they aren't used here.
     rest.is_empty().then_some(Swim { header, updates, bytes, header_len })
 }
 
@@ -137,9 +137,9 @@
         "002c01000000000000ad02ae0203042c01000000000000ad02ae02030009",
     ];
 
-    /// Where these octets change, raise [`VERSION`] and write the new ones here.
+    /// When these bytes change, raise [`VERSION`] and update them here.
     #[test]
-    fn notes_have_the_octets_of_their_version() {
+    fn messages_keep_the_bytes_of_their_version() {
         let from = MemberId { key: 300, start: crate::name::Start(301), nonce: 302, renewals: 3 };
         let member = Member::new(from, 4, State::Suspect);
         let notes = [
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn the_newest_states_wait_and_go_out_in_order() {
+    fn the_newest_messages_are_kept_and_sent_in_order() {
         let mut queue = Queue::default();
         for n in 0..100_u8 {
             let wanted = if n < 8 { PushOutcome::Added } else { PushOutcome::Replaced(1) };
@@ -137,7 +137,7 @@
     }
 
     #[test]
-    fn a_state_half_out_is_not_given_up() {
+    fn a_message_sent_in_part_is_not_discarded() {
         let mut queue = Queue::default();
         queue.push(Kind::Drift, vec![1; PIECE + 1]);
         assert!(queue.next(|what, _| assert_eq!(what, What::Piece(Kind::Drift))));
@@ -148,7 +148,7 @@
     }
 
     #[test]
-    fn what_must_not_be_left_out_is_full_by_count_and_by_octets() {
+    fn an_ordered_kind_is_limited_by_count_and_by_bytes() {
         let mut queue = Queue::default();
         let taken = |queue: &mut Queue, size: usize| {
             (0..100_000).take_while(|_| queue.push(Kind::Log, vec![0; size]) == PushOutcome::Added).count()
@@ -160,12 +160,12 @@
         assert_eq!(
             queue.push(Kind::Agreement, vec![0; 9]),
             PushOutcome::Added,
-            "another kind has room of its own"
+            "each kind has its own limit"
         );
     }
 
     #[test]
-    fn a_long_message_lets_other_kinds_go_between_its_pieces() {
+    fn other_kinds_are_sent_between_the_pieces_of_a_long_message() {
         let mut queue = Queue::default();
         queue.push(Kind::Log, vec![7; PIECE * 4]);
         queue.push(Kind::Gossip, vec![1]);
