--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,6 +15,7 @@
 
 pub mod entry;
 pub mod frames;
+#[path = "replicas/mod.rs"]
 pub mod keepers;
 pub mod key;
 pub mod kind;
--- a/crates/fleet/src/keepers/fold.rs
+++ b/crates/fleet/src/replicas/applied_state.rs
@@ -11,11 +11,11 @@
 use std::collections::BTreeMap;
 
 /// Names whose requests are told apart.
-pub const NAMES: usize = 1_024;
+pub const MAX_NAMES: usize = 1_024;
 /// Lives of each; an older one asks nothing any more.
-pub const LIVES: usize = 4;
+pub const MAX_LIVES: usize = 4;
 /// Numbers of each life, up to the highest decided.
-pub const WINDOW: u64 = 128;
+pub const REQUEST_WINDOW: u64 = 128;
 
 /// What is known of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,25 +30,25 @@
 
 /// What an item at its slot comes to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ApplyOutcome {
     /// An entry at its place.
     Deliver(Decided),
     /// A request that was there before, or that can't be told apart from one.
-    Again(Request, Known),
+    Duplicate(Request, Known),
     /// Nothing for the caller.
     Internal,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Numbers {
+struct RequestWindow {
     high: u64,
-    places: BTreeMap<u64, u64>,
+    indexes: BTreeMap<u64, u64>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Lives {
+struct NameHistory {
     floor: Start,
-    lives: BTreeMap<Start, Numbers>,
+    lives: BTreeMap<Start, RequestWindow>,
 }
 
 /// The state that follows from the log up to a slot.
@@ -61,29 +61,29 @@
     /// Who leads, by the log.
     pub charge: Option<(Term, Life)>,
     /// Keepers let in again: slot and life.
-    pub readmits: BTreeMap<u8, (u64, u64)>,
-    names: BTreeMap<Name, Lives>,
+    pub readmissions: BTreeMap<u8, (u64, u64)>,
+    names: BTreeMap<Name, NameHistory>,
 }
 
 impl Fold {
     /// What is known of a request.
     pub fn known(&self, request: &Request) -> Known {
         let Some(lives) = self.names.get(&request.from.name) else {
-            return if self.names.len() < NAMES { Known::New } else { Known::Superseded };
+            return if self.names.len() < MAX_NAMES { Known::New } else { Known::Superseded };
         };
         if request.from.start < lives.floor {
             return Known::Superseded;
         }
         let Some(numbers) = lives.lives.get(&request.from.start) else { return Known::New };
-        match numbers.places.get(&request.number) {
+        match numbers.indexes.get(&request.number) {
             Some(place) => Known::At(*place),
-            None if request.number.saturating_add(WINDOW) <= numbers.high => Known::Superseded,
+            None if request.number.saturating_add(REQUEST_WINDOW) <= numbers.high => Known::Superseded,
             None => Known::New,
         }
     }
 
     /// Takes the item of the next slot.
-    pub fn apply(&mut self, item: &Item) -> Step {
+    pub fn apply(&mut self, item: &Item) -> ApplyOutcome {
         let slot = self.slot;
         self.slot += 1;
         match item {
@@ -91,19 +91,19 @@
                 if self.charge.as_ref().is_none_or(|(t, _)| t < term) {
                     self.charge = Some((*term, life.clone()));
                 }
-                Step::Internal
+                ApplyOutcome::Internal
             }
             Item::Readmit { pid, nonce } => {
-                self.readmits.insert(*pid, (slot, *nonce));
-                Step::Internal
+                self.readmissions.insert(*pid, (slot, *nonce));
+                ApplyOutcome::Internal
             }
             Item::Asked(entry) => match self.known(&entry.request) {
                 Known::New => {
                     self.index += 1;
                     self.remember(&entry.request);
-                    Step::Deliver(Decided { index: self.index, entry: entry.clone() })
+                    ApplyOutcome::Deliver(Decided { index: self.index, entry: entry.clone() })
                 }
-                known => Step::Again(entry.request.clone(), known),
+                known => ApplyOutcome::Duplicate(entry.request.clone(), known),
             },
         }
     }
@@ -112,12 +112,12 @@
         let lives = self.names.entry(request.from.name.clone()).or_default();
         let numbers = lives.lives.entry(request.from.start).or_default();
         numbers.high = numbers.high.max(request.number);
-        numbers.places.insert(request.number, self.index);
-        let low = numbers.high.saturating_sub(WINDOW - 1);
-        while numbers.places.first_key_value().is_some_and(|(n, _)| *n < low) {
-            numbers.places.pop_first();
+        numbers.indexes.insert(request.number, self.index);
+        let low = numbers.high.saturating_sub(REQUEST_WINDOW - 1);
+        while numbers.indexes.first_key_value().is_some_and(|(n, _)| *n < low) {
+            numbers.indexes.pop_first();
         }
-        while lives.lives.len() > LIVES {
+        while lives.lives.len() > MAX_LIVES {
             lives.lives.pop_first();
             lives.floor = lives.lives.first_key_value().map_or(lives.floor, |(start, _)| *start);
         }
@@ -133,8 +133,8 @@
         let from = Life { name: Name::new(name).unwrap(), start: Start(start) };
         Item::Asked(Entry { request: Request { from, number }, wall: 0, body: vec![] })
     }
-    fn place(step: Step) -> Option<u64> {
-        if let Step::Deliver(d) = step { Some(d.index) } else { None }
+    fn place(step: ApplyOutcome) -> Option<u64> {
+        if let ApplyOutcome::Deliver(d) = step { Some(d.index) } else { None }
     }
 
     #[test]
@@ -143,7 +143,7 @@
         assert_eq!(place(fold.apply(&asked("a", 1, 7))), Some(1));
         assert_eq!(place(fold.apply(&asked("a", 2, 7))), Some(2));
         let Item::Asked(entry) = asked("a", 1, 7) else { panic!() };
-        assert_eq!(fold.apply(&asked("a", 1, 7)), Step::Again(entry.request, Known::At(1)));
+        assert_eq!(fold.apply(&asked("a", 1, 7)), ApplyOutcome::Duplicate(entry.request, Known::At(1)));
         assert_eq!(place(fold.apply(&asked("a", 1, 6))), Some(3), "out of order within the window");
         assert_eq!((fold.index, fold.slot), (3, 4));
     }
@@ -152,18 +152,18 @@
     fn what_the_window_or_the_lives_no_longer_cover_is_never_delivered() {
         let mut fold = Fold::default();
         fold.apply(&asked("a", 1, 1));
-        fold.apply(&asked("a", 1, 1 + WINDOW));
+        fold.apply(&asked("a", 1, 1 + REQUEST_WINDOW));
         assert_eq!(place(fold.apply(&asked("a", 1, 1))), None);
         assert_eq!(place(fold.apply(&asked("a", 1, 2))), Some(3));
-        for start in 2..=LIVES as u64 + 1 {
+        for start in 2..=MAX_LIVES as u64 + 1 {
             fold.apply(&asked("a", start, 1));
         }
         assert_eq!(place(fold.apply(&asked("a", 1, 200))), None, "a life before the newest four");
         let mut full = Fold::default();
-        for i in 0..NAMES {
+        for i in 0..MAX_NAMES {
             full.apply(&asked(&format!("n{i}"), 1, 1));
         }
         assert_eq!(place(full.apply(&asked("one-more", 1, 1))), None);
-        assert_eq!(place(full.apply(&asked("n0", 1, 2))), Some(NAMES as u64 + 1));
+        assert_eq!(place(full.apply(&asked("n0", 1, 2))), Some(MAX_NAMES as u64 + 1));
     }
 }
--- a/crates/fleet/src/keepers/chain.rs
+++ b/crates/fleet/src/replicas/chain.rs
@@ -14,6 +14,6 @@
 /// The head after an item.
 pub fn next(before: &Chain, item: &Item) -> Chain {
     // Plain numbers, names and octets: postcard has nothing to fail on.
-    let octets = postcard::to_stdvec(item).unwrap_or_default();
-    Sha256::new().chain_update(before).chain_update(octets).finalize().into()
+    let bytes = postcard::to_stdvec(item).unwrap_or_default();
+    Sha256::new().chain_update(before).chain_update(bytes).finalize().into()
 }
--- a/crates/fleet/src/keepers/check.rs
+++ b/crates/fleet/src/replicas/check.rs
@@ -13,8 +13,8 @@
 /// The number of the one configuration there is.
 pub const CONFIGURATION: u32 = 1;
 /// Ballots and places beyond it can't be counted on without overflow.
-const MOST_BALLOT: u32 = 1 << 30;
-const MOST_PLACE: usize = 1 << 46;
+const MAX_BALLOT: u32 = 1 << 30;
+const MAX_INDEX: usize = 1 << 46;
 
 /// What to do with a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,8 +37,8 @@
     leads: bool,
 ) -> Verdict {
     let ballot =
-        |b: &Ballot| b.n < MOST_BALLOT && b.priority == 0 && b.pid <= keepers && b.config_id <= CONFIGURATION;
-    let of = |b: &Ballot, pid: u64| ballot(b) && b.pid == pid && b.config_id == CONFIGURATION;
+        |b: &Ballot| b.n < MAX_BALLOT && b.priority == 0 && b.pid <= keepers && b.config_id <= CONFIGURATION;
+    let owned_by = |b: &Ballot, pid: u64| ballot(b) && b.pid == pid && b.config_id == CONFIGURATION;
     if message.get_sender() != from || message.get_receiver() != own {
         return Verdict::Drop;
     }
@@ -50,7 +50,7 @@
         Message::BLE(ble) => {
             let fits = match &ble.msg {
                 HeartbeatMsg::Request(_) => true,
-                HeartbeatMsg::Reply(r) => of(&r.ballot, from) && ballot(&r.leader),
+                HeartbeatMsg::Reply(r) => owned_by(&r.ballot, from) && ballot(&r.leader),
             };
             return if fits { Verdict::Take } else { Verdict::Drop };
         }
@@ -59,17 +59,17 @@
     let fits = match &mut paxos.msg {
         PaxosMsg::PrepareReq(m) => ballot(&m.n),
         PaxosMsg::Prepare(m) => {
-            if !of(&m.n, from) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
+            if !owned_by(&m.n, from) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
                 return Verdict::Drop;
             }
             // What we would have to send may be trimmed or too much for one message.
             if behind(m.decided_idx) {
                 return Verdict::Behind;
             }
-            m.accepted_idx < MOST_PLACE
+            m.accepted_idx < MAX_INDEX
         }
         PaxosMsg::Promise(m) => {
-            if !of(&m.n, own) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
+            if !owned_by(&m.n, own) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
                 return Verdict::Drop;
             }
             if behind(m.decided_idx) {
@@ -84,22 +84,22 @@
             }
             // What it calls decided it brings, or it is here.
             let brings = m.log_sync.as_ref().map_or(0, |sync| sync.sync_idx + sync.suffix.len());
-            m.accepted_idx < MOST_PLACE && (leads || m.decided_idx <= brings.max(state.end() as usize))
+            m.accepted_idx < MAX_INDEX && (leads || m.decided_idx <= brings.max(state.end() as usize))
         }
         PaxosMsg::AcceptSync(m) => {
-            of(&m.n, from)
-                && m.seq_num.session < MOST_PLACE as u64
-                && m.seq_num.counter < MOST_PLACE as u64
+            owned_by(&m.n, from)
+                && m.seq_num.session < MAX_INDEX as u64
+                && m.seq_num.counter < MAX_INDEX as u64
                 && sync_fits(&mut m.log_sync, state)
                 && m.decided_idx <= m.log_sync.sync_idx + m.log_sync.suffix.len()
         }
         PaxosMsg::AcceptDecide(m) => {
-            of(&m.n, from) && m.decided_idx < MOST_PLACE && m.seq_num.counter < MOST_PLACE as u64
+            owned_by(&m.n, from) && m.decided_idx < MAX_INDEX && m.seq_num.counter < MAX_INDEX as u64
         }
         PaxosMsg::Decide(m) => {
-            of(&m.n, from) && m.decided_idx < MOST_PLACE && m.seq_num.counter < MOST_PLACE as u64
+            owned_by(&m.n, from) && m.decided_idx < MAX_INDEX && m.seq_num.counter < MAX_INDEX as u64
         }
-        PaxosMsg::Accepted(m) => of(&m.n, own) && m.accepted_idx as u64 <= state.end(),
+        PaxosMsg::Accepted(m) => owned_by(&m.n, own) && m.accepted_idx as u64 <= state.end(),
         PaxosMsg::NotAccepted(m) => ballot(&m.n),
         // Not used here: requests go to the leader by their own way, each keeper trims for itself, and which members
         // are keepers does not change.
--- a/crates/fleet/src/keepers/compare.rs
+++ b/crates/fleet/src/replicas/compare.rs
@@ -12,16 +12,16 @@
 //! one; and what a snapshot says of the slots before it, where the slots themselves are no longer kept.
 
 use super::Counts;
-use super::peers::{Compared, Peer};
+use super::peers::{LogComparison, Peer};
 use super::record::Mark;
-use super::seat::Seat;
+use super::replica::Replica;
 use super::wire::{Said, Spot};
 use crate::entry::Term;
 use heronroute_journal::Storage;
 
-impl<S: Storage> Seat<S> {
+impl<S: Storage> Replica<S> {
     /// Says hello to a keeper, and how the log stands here.
-    pub(super) fn greet(&mut self, pid: u8, ask: bool) {
+    pub(super) fn send_hello(&mut self, pid: u8, ask: bool) {
         let Some(peer) = self.peers.get(usize::from(pid).wrapping_sub(1)) else { return };
         let spot = {
             let log = self.shared.log();
@@ -30,13 +30,13 @@
             let at = decided.min(peer.decided.unwrap_or(decided));
             Spot { decided, end: state.end(), at, head: state.head(at), ask }
         };
-        self.out.push((pid, Said::Hello(spot)));
+        self.outbox.push((pid, Said::Hello(spot)));
     }
 
     /// Holds another's log against this one's.
     pub(super) fn compare(&mut self, from: u8, spot: &Spot, counts: &mut Counts) {
         let Some(peer) = self.peers.get_mut(usize::from(from).wrapping_sub(1)) else { return };
-        (peer.decided, peer.end) = (Some(spot.decided), spot.end);
+        (peer.decided, peer.log_end) = (Some(spot.decided), spot.end);
         let (known, own) = {
             let log = self.shared.log();
             (log.state().known(), log.state().head(spot.at))
@@ -44,59 +44,60 @@
         // Guards against a head of a place where the two would agree whatever they hold: the other did not know yet, or knew of an
         // earlier life, how far this one goes.
         if spot.at == known.min(spot.decided) {
-            let found = match (spot.head, own) {
-                (Some(theirs), Some(own)) if theirs == own => Compared::Same,
-                (Some(_), Some(_)) => Compared::Differs,
-                _ => peer.compared.unwrap_or(Compared::Apart),
+            let comparison = match (spot.head, own) {
+                (Some(theirs), Some(own)) if theirs == own => LogComparison::Same,
+                (Some(_), Some(_)) => LogComparison::Differs,
+                _ => peer.comparison.unwrap_or(LogComparison::Apart),
             };
-            if found == Compared::Differs && peer.compared != Some(found) {
+            if comparison == LogComparison::Differs && peer.comparison != Some(comparison) {
                 counts.differ += 1;
                 tracing::warn!(keeper = from, slots = spot.at, "another keeper's log is not this one's");
             }
-            peer.compared = Some(found);
+            peer.comparison = Some(comparison);
         }
         if spot.ask {
-            self.greet(from, false);
+            self.send_hello(from, false);
         }
     }
 
-    fn count(&self, which: impl Fn(Compared) -> bool) -> usize {
-        self.peers.iter().filter(|peer| peer.compared.is_some_and(&which)).count()
+    fn count(&self, which: impl Fn(LogComparison) -> bool) -> usize {
+        self.peers.iter().filter(|peer| peer.comparison.is_some_and(&which)).count()
     }
 
     /// Whether another has another log, and it is not known yet whose is the majority's.
-    pub(super) fn differs(&self) -> bool {
-        !self.checked && self.count(|c| c == Compared::Differs) > 0
+    pub(super) fn log_disputed(&self) -> bool {
+        !self.log_verified && self.count(|c| c == LogComparison::Differs) > 0
     }
 
     /// Whether the log that it came with is the others'. Where it is not, it is given up.
-    pub(super) fn check(&mut self) -> bool {
+    pub(super) fn verify_log(&mut self) -> bool {
         let quorum = self.group.count / 2 + 1;
-        let differ = self.count(|c| c == Compared::Differs);
-        let shut_out = differ > self.group.count - quorum || differ > 0 && self.admit.is_some();
-        if !self.checked && (self.altered || shut_out) {
-            self.give_up();
+        let differ = self.count(|c| c == LogComparison::Differs);
+        let shut_out = differ > self.group.count - quorum || differ > 0 && self.admission.is_some();
+        if !self.log_verified && (self.log_altered || shut_out) {
+            self.discard_log();
         }
         // What is learnt from now on comes from those whose logs were held against each other.
-        self.checked |= self.decided() == 0 || self.count(|c| c != Compared::Differs) + 1 >= quorum;
-        self.checked
+        self.log_verified |= self.decided() == 0 || self.count(|c| c != LogComparison::Differs) + 1 >= quorum;
+        self.log_verified
     }
 
-    fn give_up(&mut self) {
+    fn discard_log(&mut self) {
         tracing::error!("this keeper's log is not the other keepers': it is given up, and learnt anew");
-        self.shared.log().give_up();
+        self.shared.log().discard_log();
         let count = self.group.count;
-        (self.omni, self.catching, self.admit) = (None, None, None);
-        (self.opened, self.charged, self.ready, self.doubt) = (Mark::default(), Term(0), false, false);
+        (self.omni, self.catch_up, self.admission) = (None, None, None);
+        (self.opened, self.announced_term, self.ready, self.copy_unverified) =
+            (Mark::default(), Term(0), false, false);
         (self.seen, self.epochs) = (vec![Default::default(); count], vec![0; count]);
-        self.peers.iter_mut().for_each(|peer: &mut Peer| peer.compared = None);
-        (self.altered, self.emptied) = (true, true);
+        self.peers.iter_mut().for_each(|peer: &mut Peer| peer.comparison = None);
+        (self.log_altered, self.log_discarded) = (true, true);
     }
 
     /// Whether somebody who learns the log has more of it than this keeper and all that it hears of: then one of them has
     /// forgotten what it took, and it may be this one, whose disk was put back.
-    pub(super) fn outrun(&self) -> bool {
+    pub(super) fn readers_are_ahead(&self) -> bool {
         let end = self.shared.log().state().end();
-        self.claimed > self.peers.iter().map(|peer| peer.end).fold(end, u64::max)
+        self.max_requested_slot > self.peers.iter().map(|peer| peer.log_end).fold(end, u64::max)
     }
 }
--- a/crates/fleet/src/keepers/learn.rs
+++ b/crates/fleet/src/replicas/learn.rs
@@ -13,13 +13,13 @@
     /// The keeper asked, by its number.
     source: u8,
     /// When it is asked again.
-    next: Micros,
+    next_ask: Micros,
     /// It has not answered yet.
-    open: bool,
+    awaiting_answer: bool,
     /// It is to be asked whatever it says of a majority.
-    turned: bool,
+    forced: bool,
     /// For each keeper: when it was asked what it answered last, and whether it had a majority and was adrift then.
-    said: Vec<Option<(Micros, bool, bool)>>,
+    reports: Vec<Option<(Micros, bool, bool)>>,
     snapshot: Option<(u64, Vec<u8>)>,
 }
 
@@ -40,16 +40,16 @@
     /// One that asks these many keepers, beginning with one by chance.
     pub fn new(keepers: usize, seed: u64) -> Self {
         let source = (seed % keepers.max(1) as u64) as u8 + 1;
-        Learn { source, said: vec![None; keepers], ..Learn::default() }
+        Learn { source, reports: vec![None; keepers], ..Learn::default() }
     }
 
     /// A question that is due, and to whom. `own` is this keeper's own number, which is not asked.
     pub fn ask(&mut self, now: Micros, from: u64, own: Option<u8>, every: Micros) -> Option<(u8, Told)> {
-        if now < self.next {
+        if now < self.next_ask {
             return None;
         }
-        let count = self.said.len() as u8;
-        if self.open || !std::mem::take(&mut self.turned) && !self.tells(self.source) {
+        let count = self.reports.len() as u8;
+        if self.awaiting_answer || !std::mem::take(&mut self.forced) && !self.is_useful(self.source) {
             self.source = self.source % count + 1;
         }
         if Some(self.source) == own {
@@ -58,70 +58,70 @@
         if Some(self.source) == own {
             return None;
         }
-        (self.open, self.next) = (true, now.saturating_add(every));
+        (self.awaiting_answer, self.next_ask) = (true, now.saturating_add(every));
         let part = self.snapshot.as_ref().map(|(slot, octets)| (*slot, octets.len() as u64));
         Some((self.source, Told::Pull { from, part, sent: now }))
     }
 
     /// Whether a question is due.
     pub fn due(&self, now: Micros) -> bool {
-        now >= self.next
+        now >= self.next_ask
     }
 
     /// To ask this keeper at once.
-    pub fn turn_to(&mut self, keeper: u8) {
-        (self.source, self.next, self.open, self.turned) = (keeper, 0, false, true);
+    pub fn switch_to(&mut self, keeper: u8) {
+        (self.source, self.next_ask, self.awaiting_answer, self.forced) = (keeper, 0, false, true);
     }
 
     /// A link to this keeper is gone.
     pub fn lost(&mut self, keeper: u8) {
-        if let Some(said) = self.said.get_mut(usize::from(keeper).wrapping_sub(1)) {
-            *said = None;
+        if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1)) {
+            *report = None;
         }
         if keeper == self.source {
-            (self.next, self.open) = (0, true);
+            (self.next_ask, self.awaiting_answer) = (0, true);
         }
     }
 
     /// A keeper said that it has no majority.
     pub fn refused(&mut self, now: Micros, keeper: u8) {
-        if let Some(said) = self.said.get_mut(usize::from(keeper).wrapping_sub(1)) {
-            *said = Some((now, false, false));
+        if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1)) {
+            *report = Some((now, false, false));
         }
     }
 
     /// It has a majority, and what is decided reaches it.
-    fn tells(&self, keeper: u8) -> bool {
-        let said = self.said.get(usize::from(keeper).wrapping_sub(1)).copied().flatten();
-        said.is_some_and(|(_, majority, adrift)| majority && !adrift)
+    fn is_useful(&self, keeper: u8) -> bool {
+        let report = self.reports.get(usize::from(keeper).wrapping_sub(1)).copied().flatten();
+        report.is_some_and(|(_, majority, adrift)| majority && !adrift)
     }
 
     /// A keeper that said lately that it has a majority.
     pub fn with_majority(&self, now: Micros, window: Micros) -> Option<u8> {
-        let fresh = |said: &Option<(Micros, bool, bool)>| {
-            said.is_some_and(|(asked, majority, _)| majority && asked.saturating_add(window) >= now)
+        let fresh = |report: &Option<(Micros, bool, bool)>| {
+            report.is_some_and(|(asked, majority, _)| majority && asked.saturating_add(window) >= now)
         };
         let source = usize::from(self.source).wrapping_sub(1);
-        if self.said.get(source).is_some_and(fresh) && self.tells(self.source) {
+        if self.reports.get(source).is_some_and(fresh) && self.is_useful(self.source) {
             return Some(self.source);
         }
         // One that is adrift hands on to a leader that decides nothing.
-        let steady = |said: &Option<_>| fresh(said) && said.is_some_and(|(_, _, adrift)| !adrift);
-        let any = || self.said.iter().position(fresh);
-        self.said.iter().position(steady).or_else(any).map(|i| i as u8 + 1)
+        let steady = |report: &Option<_>| fresh(report) && report.is_some_and(|(_, _, adrift)| !adrift);
+        let any = || self.reports.iter().position(fresh);
+        self.reports.iter().position(steady).or_else(any).map(|i| i as u8 + 1)
     }
 
-    fn tip(&mut self, now: Micros, keeper: u8, tip: Tip, more: bool) {
-        if let Some(said) = self.said.get_mut(usize::from(keeper).wrapping_sub(1))
+    fn record_status(&mut self, now: Micros, keeper: u8, tip: Tip, more: bool) {
+        if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1))
             && tip.echo <= now
-            && said.is_none_or(|(asked, ..)| asked <= tip.echo)
+            && report.is_none_or(|(asked, ..)| asked <= tip.echo)
         {
-            *said = Some((tip.echo, tip.majority, tip.adrift));
+            *report = Some((tip.echo, tip.majority, tip.adrift));
         }
         if keeper == self.source {
-            self.open = false;
+            self.awaiting_answer = false;
             if more {
-                self.next = now;
+                self.next_ask = now;
             }
         }
     }
@@ -132,7 +132,7 @@
             Told::Items { from: at, items, tip } => {
                 let fits = at == from && !items.is_empty();
                 // Asked on at once, also where there is no more: so the keeper tells of the next as soon as it is decided.
-                self.tip(now, keeper, tip, fits);
+                self.record_status(now, keeper, tip, fits);
                 if !fits {
                     return if from >= tip.decided { Learnt::All } else { Learnt::Nothing };
                 }
@@ -146,14 +146,14 @@
                 }
                 let wanted = slot > from && total <= MOST_SNAPSHOT as u64 * 2 && !octets.is_empty();
                 if !wanted {
-                    self.tip(now, keeper, tip, false);
+                    self.record_status(now, keeper, tip, false);
                     return Learnt::Nothing;
                 }
                 let next = so_far.len() as u64 == at;
                 if next {
                     so_far.extend_from_slice(&octets);
                 }
-                self.tip(now, keeper, tip, next);
+                self.record_status(now, keeper, tip, next);
                 if so_far.len() as u64 >= total {
                     return Learnt::Snapshot(slot, so_far);
                 }
--- a/crates/fleet/src/keepers/log.rs
+++ b/crates/fleet/src/replicas/log.rs
@@ -10,9 +10,9 @@
 use std::io;
 
 const FILE: &str = "agreed";
-const NEW: &str = "agreed.new";
+const TEMP_FILE: &str = "agreed.new";
 /// A file below this size is never written anew.
-const LEAST_REWRITE: u64 = 256 * 1024;
+const MIN_REWRITE_BYTES: u64 = 256 * 1024;
 
 /// Why a keeper's file can't be used.
 #[derive(Debug, thiserror::Error)]
@@ -46,7 +46,7 @@
     pending: Vec<u8>,
     size: u64,
     /// Size of the file when it was last written anew.
-    base_size: u64,
+    rewritten_size: u64,
     failed: Option<String>,
     /// The file is a copy of the one that was written.
     copied: bool,
@@ -60,26 +60,26 @@
     pub fn open(mut storage: S, group: u32, pid: u8, keepers: usize) -> Result<Self, LogError> {
         let names = storage.list()?;
         // A file that was being written anew and never got its name says nothing that the old one does not.
-        if names.iter().any(|n| n == NEW) {
-            storage.remove(NEW)?;
+        if names.iter().any(|n| n == TEMP_FILE) {
+            storage.remove(TEMP_FILE)?;
         }
         let mut state = State::new(keepers);
-        let (mut size, mut place) = (0, None);
+        let (mut size, mut identity) = (0, None);
         if names.iter().any(|n| n == FILE) {
-            let octets = storage.read(FILE)?;
-            if let Some(format) = record::other_format(&octets) {
+            let bytes = storage.read(FILE)?;
+            if let Some(format) = record::other_format(&bytes) {
                 return Err(LogError::Format(format));
             }
-            let mut rest = &octets[..];
+            let mut rest = &bytes[..];
             while let Some((number, payload, after)) = record::read(rest) {
-                let at = octets.len() - rest.len();
+                let at = bytes.len() - rest.len();
                 let records = record::records(payload).ok_or(LogError::Broken(at))?;
                 if at > 0 && number != state.writes + 1 {
                     return Err(LogError::Broken(at));
                 }
                 for record in records {
                     if let Record::Place(written) = record {
-                        place = Some(written);
+                        identity = Some(written);
                     }
                     if let Record::Owner { group: g, pid: p } = record
                         && (g, p) != (group, pid)
@@ -93,9 +93,9 @@
                 state.writes = number;
                 rest = after;
             }
-            let end = octets.len() - rest.len();
+            let end = bytes.len() - rest.len();
             if !rest.is_empty() {
-                if record::any_behind(rest) {
+                if record::contains_frame(rest) {
                     return Err(LogError::Broken(end));
                 }
                 storage.truncate(FILE, end as u64)?;
@@ -107,9 +107,10 @@
             }
             size = end as u64;
         }
-        let copied = place.is_some_and(|place| storage.identity(FILE).is_some_and(|now| now != place));
+        let copied =
+            identity.is_some_and(|identity| storage.identity(FILE).is_some_and(|now| now != identity));
         let (pending, failed) = (Vec::new(), None);
-        Ok(Log { storage, state, group, pid, pending, size, base_size: size, failed, copied })
+        Ok(Log { storage, state, group, pid, pending, size, rewritten_size: size, failed, copied })
     }
 
     /// What it holds, changes that wait for their commit included.
@@ -129,18 +130,18 @@
 
     /// It is known not to be older. The next commit writes it anew, as this storage's own.
     pub fn settle(&mut self) {
-        self.base_size = if std::mem::take(&mut self.copied) { 0 } else { self.base_size };
+        self.rewritten_size = if std::mem::take(&mut self.copied) { 0 } else { self.rewritten_size };
     }
 
     /// Forgets all that it holds, but how often it was written. The next commit writes it anew.
-    pub fn give_up(&mut self) {
+    pub fn discard_log(&mut self) {
         if self.failed.is_some() {
             return;
         }
         let empty = State::new(self.state.seen.len());
         let writes = std::mem::replace(&mut self.state, empty).writes;
         self.state.writes = writes;
-        (self.base_size, self.copied) = (0, false);
+        (self.rewritten_size, self.copied) = (0, false);
         self.pending.clear();
         self.write(Record::Lost);
     }
@@ -188,7 +189,7 @@
 
     fn try_commit(&mut self) -> io::Result<()> {
         let grown = self.size + self.pending.len() as u64;
-        if self.base_size == 0 || grown > LEAST_REWRITE && grown > 3 * self.base_size {
+        if self.rewritten_size == 0 || grown > MIN_REWRITE_BYTES && grown > 3 * self.rewritten_size {
             return self.rewrite();
         }
         let mut frame = Vec::with_capacity(HEAD + self.pending.len());
@@ -196,34 +197,34 @@
         self.storage.append(FILE, &frame)?;
         self.storage.sync(FILE)?;
         self.size += frame.len() as u64;
-        self.done();
+        self.committed();
         Ok(())
     }
 
     /// The whole state as a new file, in place of the old one and of what waits.
     fn rewrite(&mut self) -> io::Result<()> {
-        self.storage.create(NEW)?;
+        self.storage.create(TEMP_FILE)?;
         let mut payload = Vec::new();
-        let place = self.storage.identity(NEW).map(Record::Place);
-        for record in self.state.whole(self.group, self.pid).into_iter().chain(place) {
+        let identity = self.storage.identity(TEMP_FILE).map(Record::Place);
+        for record in self.state.whole(self.group, self.pid).into_iter().chain(identity) {
             payload = postcard::to_extend(&record, payload).map_err(io::Error::other)?;
         }
-        if payload.len() > record::MOST {
+        if payload.len() > record::MAX_PAYLOAD_BYTES {
             return Err(io::Error::other("the keepers' log is too large"));
         }
         let mut frame = Vec::with_capacity(HEAD + payload.len());
         record::write(self.state.writes + 1, &payload, &mut frame);
-        self.storage.append(NEW, &frame)?;
-        self.storage.sync(NEW)?;
-        self.storage.rename(NEW, FILE)?;
+        self.storage.append(TEMP_FILE, &frame)?;
+        self.storage.sync(TEMP_FILE)?;
+        self.storage.rename(TEMP_FILE, FILE)?;
         self.storage.sync_names()?;
         self.size = frame.len() as u64;
-        self.base_size = self.size;
-        self.done();
+        self.rewritten_size = self.size;
+        self.committed();
         Ok(())
     }
 
-    fn done(&mut self) {
+    fn committed(&mut self) {
         self.pending.clear();
         self.state.writes += 1;
     }
--- a/crates/fleet/src/keepers/member.rs
+++ b/crates/fleet/src/replicas/member.rs
@@ -2,10 +2,10 @@
 
 use super::asks::{Answer, Asks};
 use super::chain::Chain;
-use super::fold::{Fold, Known, Step};
+use super::fold::{ApplyOutcome, Fold, Known};
 use super::learn::{self, Learn};
 use super::log::Log;
-use super::seat::Seat;
+use super::replica::Replica;
 use super::store::Shared;
 use super::tuning::{MOST_SNAPSHOT, Tuning};
 use super::wire::{Lane, Told, pack, unpack};
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Serialize, Deserialize)]
-pub(super) struct Base {
+pub(super) struct Snapshot {
     pub(super) fold: Fold,
     pub(super) machine: Vec<u8>,
     /// The chain's head up to there.
@@ -34,18 +34,18 @@
     /// The keepers, by number.
     pub(super) keepers: Vec<Name>,
     pub(super) own: Option<u8>,
-    pub(super) seat: Option<Seat<S>>,
+    pub(super) replica: Option<Replica<S>>,
     pub(super) fold: Fold,
     pub(super) learn: Learn,
     pub(super) asks: Asks,
     /// Members that have all that is decided, until when they are told of more, and their clock when they asked.
     pub(super) watchers: BTreeMap<Name, Option<(u64, Micros, Micros)>>,
-    pub(super) told: Vec<(Name, Told)>,
+    pub(super) log_outbox: Vec<(Name, Told)>,
     pub(super) outputs: VecDeque<Output>,
     pub(super) next_tick: Micros,
     /// The time that came with the last input.
     pub(super) now: Micros,
-    pub(super) wanted: bool,
+    pub(super) snapshot_requested: bool,
     pub(super) standing: Standing,
     pub(super) counts: Counts,
 }
@@ -82,47 +82,48 @@
         let nonce = mix(seed ^ mix(own.start.0)) | 1;
         let mut fold = Fold::default();
         let mut outputs = VecDeque::new();
-        let seat = match (pid, storage) {
+        let replica = match (pid, storage) {
             (Some(pid), Some(storage)) => {
                 let log = Log::open(storage, group.digest, pid, group.count)?;
-                let mut torn = false;
+                let mut mismatch = false;
                 if !log.state().base.is_empty() {
-                    let base: Base = postcard::from_bytes(&log.state().base).map_err(|_| StartError::Base)?;
+                    let base: Snapshot =
+                        postcard::from_bytes(&log.state().base).map_err(|_| StartError::Base)?;
                     // Guards against slots altered behind a snapshot that were there when it was made.
-                    torn = log.state().head(base.fold.slot).is_some_and(|head| head != base.head);
-                    if torn && group.count == 1 {
+                    mismatch = log.state().head(base.fold.slot).is_some_and(|head| head != base.head);
+                    if mismatch && group.count == 1 {
                         return Err(StartError::Altered);
                     }
                     fold = base.fold;
                     outputs.push_back(Output::Restore { index: fold.index, machine: base.machine });
                 }
-                let mut seat = Seat::new(now, pid, own.clone(), nonce, group, tuning, Shared::new(log));
-                seat.altered = torn;
-                Some(seat)
+                let mut replica = Replica::new(now, pid, own.clone(), nonce, group, tuning, Shared::new(log));
+                replica.log_altered = mismatch;
+                Some(replica)
             }
             (None, None) => None,
             _ => return Err(StartError::Storage),
         };
         let watchers = peers.iter().filter(|p| p.name != own.name).map(|p| (p.name.clone(), None)).collect();
-        let standing = if seat.is_some() { Standing::Starting } else { Standing::Learner };
+        let standing = if replica.is_some() { Standing::Starting } else { Standing::Learner };
         Ok(Keepers {
             life: own,
             nonce,
             tuning,
             group,
             own: pid,
-            seat,
+            replica,
             fold,
             learn: Learn::new(keepers.len(), mix(nonce)),
             keepers,
             asks: Asks::default(),
             watchers,
-            told: Vec::new(),
+            log_outbox: Vec::new(),
             outputs,
             // Members started at one moment do not all speak at one moment.
             next_tick: now + (nonce % tuning.tick.max(1) as u64) as Micros,
             now,
-            wanted: false,
+            snapshot_requested: false,
             standing,
             counts: Counts::default(),
         })
@@ -137,11 +138,15 @@
     pub fn handle(&mut self, now: Micros, from: &Name, lane: Lane, octets: &[u8]) {
         self.now = now;
         let pid = self.pid(from);
-        match (lane, pid, &mut self.seat) {
-            (Lane::Agreement, Some(pid), Some(seat)) => seat.receive(now, pid, octets, &mut self.counts),
+        match (lane, pid, &mut self.replica) {
+            (Lane::Agreement, Some(pid), Some(replica)) => {
+                replica.receive(now, pid, octets, &mut self.counts)
+            }
             (Lane::Agreement, ..) => self.counts.refused += 1,
             (Lane::Log, ..) => match unpack::<(u32, Told)>(octets) {
-                Some((digest, told)) if digest == self.group.digest => self.hear(now, from, pid, told),
+                Some((digest, message)) if digest == self.group.digest => {
+                    self.handle_log_message(now, from, pid, message)
+                }
                 Some(_) => self.counts.foreign += 1,
                 None => self.counts.undecodable += 1,
             },
@@ -150,8 +155,8 @@
 
     /// A link to a member stands (again).
     pub fn reconnected(&mut self, _now: Micros, peer: &Name) {
-        if let (Some(pid), Some(seat)) = (self.pid(peer), &mut self.seat) {
-            seat.reconnected(pid);
+        if let (Some(pid), Some(replica)) = (self.pid(peer), &mut self.replica) {
+            replica.reconnected(pid);
         }
     }
 
@@ -159,8 +164,8 @@
     pub fn lost(&mut self, _now: Micros, peer: &Name) {
         let Some(pid) = self.pid(peer) else { return };
         self.learn.lost(pid);
-        if let Some(peer) = self.seat.as_mut().and_then(|s| s.peers.get_mut(usize::from(pid) - 1)) {
-            peer.heard = None;
+        if let Some(peer) = self.replica.as_mut().and_then(|s| s.peers.get_mut(usize::from(pid) - 1)) {
+            peer.answered_at = None;
         }
     }
 
@@ -176,7 +181,7 @@
             Known::New => {
                 let entry = Entry { request: request.clone(), wall, body };
                 if self.asks.take(entry, now.saturating_add(self.tuning.patience)) {
-                    return self.send_due(now);
+                    return self.forward_requests(now);
                 }
                 Answer::Busy
             }
@@ -192,36 +197,36 @@
             return;
         }
         self.next_tick = now.saturating_add(self.tuning.tick);
-        if let Some(seat) = &mut self.seat {
+        if let Some(replica) = &mut self.replica {
             let fold = &self.fold;
-            seat.tick(now, &|pid| fold.readmits.get(&pid).copied());
-            if let Some(pid) = seat.ahead.take() {
-                self.learn.turn_to(pid);
+            replica.tick(now, &|pid| fold.readmissions.get(&pid).copied());
+            if let Some(pid) = replica.newer_replica.take() {
+                self.learn.switch_to(pid);
             }
-            if std::mem::take(&mut seat.emptied) {
+            if std::mem::take(&mut replica.log_discarded) {
                 // What was told from the log that is given up may be wrong: all of it is taken back.
                 self.fold = Fold::default();
                 self.learn = Learn::new(self.keepers.len(), mix(self.nonce));
                 self.outputs.push_back(Output::Restore { index: 0, machine: Vec::new() });
             }
         }
-        if self.pulls()
+        if self.fetches_log()
             && let Some((pid, pull)) = self.learn.ask(now, self.next_slot(), self.own, self.tuning.pull)
         {
-            self.tell_keeper(pid, pull);
+            self.send_to_replica(pid, pull);
         }
         let over = self.asks.over(now, !self.majority(now));
         self.answer_all(over, Answer::NoMajority);
-        self.send_due(now);
+        self.forward_requests(now);
     }
 
     /// Makes durable what the inputs since the last flush did, and lets out what may be said then.
     pub fn flush(&mut self, now: Micros) {
         let mut sends = Vec::new();
-        if let Some(seat) = &mut self.seat {
-            if !seat.flush(now, &mut sends) {
-                self.told.clear();
-                return self.stand(now);
+        if let Some(replica) = &mut self.replica {
+            if !replica.flush(now, &mut sends) {
+                self.log_outbox.clear();
+                return self.update_standing(now);
             }
             self.fold_decided(now);
         }
@@ -230,12 +235,12 @@
                 self.outputs.push_back(Output::Send { to: to.clone(), lane: Lane::Agreement, octets });
             }
         }
-        for (to, told) in std::mem::take(&mut self.told) {
-            if let Some(octets) = pack(&(self.group.digest, told)) {
+        for (to, message) in std::mem::take(&mut self.log_outbox) {
+            if let Some(octets) = pack(&(self.group.digest, message)) {
                 self.outputs.push_back(Output::Send { to, lane: Lane::Log, octets });
             }
         }
-        self.stand(now);
+        self.update_standing(now);
     }
 
     /// The next thing to do.
@@ -247,21 +252,23 @@
     /// taken: there are newer entries, or it is longer than [`MOST_SNAPSHOT`].
     pub fn snapshot(&mut self, index: u64, machine: Vec<u8>) -> bool {
         let unapplied = self.outputs.iter().any(|o| matches!(o, Output::Decided(_) | Output::Restore { .. }));
-        self.wanted = false;
+        self.snapshot_requested = false;
         if index != self.fold.index || unapplied {
             return false;
         }
         // A keeper out of its leader's reach has folded more than its own log may be cut at.
         let slot = self.fold.slot;
-        let Some(seat) = self.seat.as_mut().filter(|seat| slot <= seat.decided()) else { return false };
+        let Some(replica) = self.replica.as_mut().filter(|replica| slot <= replica.decided()) else {
+            return false;
+        };
         if machine.len() > MOST_SNAPSHOT {
             return false;
         }
-        let Some(head) = seat.shared.log().state().head(slot) else { return false };
-        let base = Base { fold: self.fold.clone(), machine, head };
+        let Some(head) = replica.shared.log().state().head(slot) else { return false };
+        let base = Snapshot { fold: self.fold.clone(), machine, head };
         let Ok(octets) = postcard::to_stdvec(&base) else { return false };
-        seat.shared.log().write(record::Record::Base(slot, octets));
-        seat.trim(slot.saturating_sub(self.tuning.keep));
+        replica.shared.log().write(record::Record::Base(slot, octets));
+        replica.trim(slot.saturating_sub(self.tuning.keep));
         true
     }
 
@@ -274,16 +281,16 @@
         self.outputs.extend(answers);
     }
 
-    pub(super) fn take_step(&mut self, step: Step) {
+    pub(super) fn handle_step(&mut self, step: ApplyOutcome) {
         let (request, answer) = match step {
-            Step::Deliver(decided) => {
-                let told = (decided.entry.request.clone(), Answer::Decided(decided.index));
+            ApplyOutcome::Deliver(decided) => {
+                let answer = (decided.entry.request.clone(), Answer::Decided(decided.index));
                 self.outputs.push_back(Output::Decided(decided));
-                told
+                answer
             }
-            Step::Again(request, Known::At(place)) => (request, Answer::Decided(place)),
-            Step::Again(request, _) => (request, Answer::Superseded),
-            Step::Internal => return,
+            ApplyOutcome::Duplicate(request, Known::At(place)) => (request, Answer::Decided(place)),
+            ApplyOutcome::Duplicate(request, _) => (request, Answer::Superseded),
+            ApplyOutcome::Internal => return,
         };
         if self.asks.done(&request) {
             self.outputs.push_back(Output::Answer { request, answer });
@@ -299,14 +306,14 @@
         echo: Micros,
     ) -> Option<Told> {
         // Nothing is told on of a log that is not known to be the others'.
-        let seat = self.seat.as_ref().filter(|seat| seat.checked)?;
-        let majority = seat.majority(now);
-        let log = seat.shared.log();
+        let replica = self.replica.as_ref().filter(|replica| replica.log_verified)?;
+        let majority = replica.majority(now);
+        let log = replica.shared.log();
         let state = log.state();
         let tip = super::wire::Tip {
             decided: state.known(),
             majority,
-            adrift: seat.adrift(now),
+            adrift: replica.adrift(now),
             ballot: state.promise,
             echo,
         };
--- a/crates/fleet/src/keepers/mod.rs
+++ b/crates/fleet/src/replicas/mod.rs
@@ -19,25 +19,27 @@
 //! **Use.** Inputs change memory only; [`Keepers::flush`] makes what they did durable with one sync and lets out what may be
 //! said then, so a round of inputs costs one sync. After each flush the caller takes every [`Output`], in order.
 
+#[path = "pending_requests.rs"]
 pub mod asks;
 pub mod chain;
 pub mod check;
 mod compare;
-mod course;
+#[path = "applied_state.rs"]
 pub mod fold;
-mod hear;
 pub mod item;
 pub mod learn;
 pub mod log;
 mod member;
-mod office;
 pub mod peers;
+mod progress;
+mod receive;
 pub mod record;
-mod seat;
+mod replica;
 pub mod state;
 pub mod store;
 pub mod tuning;
 mod view;
+mod voting;
 pub mod wire;
 
 pub use asks::Answer;
--- a/crates/fleet/src/keepers/peers.rs
+++ b/crates/fleet/src/replicas/peers.rs
@@ -23,15 +23,15 @@
     /// Its clock, as it last said.
     pub sent: Micros,
     /// When we sent the latest message that it has answered; on our clock.
-    pub heard: Option<Micros>,
+    pub answered_at: Option<Micros>,
     /// The greatest mark of ours that it knows of.
-    pub seen_me: Mark,
+    pub seen_of_us: Mark,
     /// Numbers of the last message each way.
     pub number_in: u64,
     /// See [`Peer::number_in`].
     pub number_out: u64,
     /// When the last gap was told.
-    pub gap_at: Option<Micros>,
+    pub last_gap_report: Option<Micros>,
     /// When a readmission of this life was last asked of the log.
     pub readmit_at: Option<Micros>,
     /// Since when it asks to be prepared above the ballot that is led here.
@@ -39,16 +39,16 @@
     /// Slots decided there, as it last said; none where it has not said yet.
     pub decided: Option<u64>,
     /// Slots in all there, as it last said.
-    pub end: u64,
+    pub log_end: u64,
     /// How its log stands to ours.
-    pub compared: Option<Compared>,
+    pub comparison: Option<LogComparison>,
     /// When this life was first heard.
-    pub since: Micros,
+    pub first_seen: Micros,
 }
 
 /// How another keeper's decided log stands to ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Compared {
+pub enum LogComparison {
     /// The same, as far as both go.
     Same,
     /// Another.
@@ -59,7 +59,7 @@
 
 /// How a message stands to what was heard before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum MessageOrder {
     /// The next in order.
     Next,
     /// One before it is missing.
@@ -74,39 +74,40 @@
 
 impl Peer {
     /// Takes the head of a message. `known` is the greatest mark heard of the sender from anybody.
-    pub fn hear(&mut self, now: Micros, own: u64, head: &Head, known: &Seen, window: Micros) -> Heard {
-        let heard = if head.nonce != self.nonce {
+    pub fn hear(&mut self, now: Micros, own: u64, head: &Head, known: &Seen, window: Micros) -> MessageOrder {
+        let order = if head.nonce != self.nonce {
             if head.voting && head.opened < known.mark && head.nonce != known.nonce {
-                return Heard::Stale;
+                return MessageOrder::Stale;
             }
             // A lesser start is of a life that is over, unless the one known has fallen silent: a folder that was put
             // back counts its starts again from where it was.
             if self.nonce != 0 && head.start < self.start && self.fresh(now, window) {
-                return Heard::Late;
+                return MessageOrder::Late;
             }
             // Our own numbers go on: the new life may have heard some of them before we heard of it.
             let number_out = self.number_out;
-            *self = Peer { nonce: head.nonce, start: head.start, since: now, number_out, ..Peer::default() };
-            Heard::NewLife
+            *self =
+                Peer { nonce: head.nonce, start: head.start, first_seen: now, number_out, ..Peer::default() };
+            MessageOrder::NewLife
         } else if head.number <= self.number_in {
-            return Heard::Late;
+            return MessageOrder::Late;
         } else if head.number > self.number_in + 1 {
-            Heard::Gap
+            MessageOrder::Gap
         } else {
-            Heard::Next
+            MessageOrder::Next
         };
         self.number_in = head.number;
         self.voting = head.voting;
         self.sent = head.sent;
         if head.to == own && head.echo <= now {
-            self.heard = self.heard.max(Some(head.echo));
+            self.answered_at = self.answered_at.max(Some(head.echo));
         }
-        heard
+        order
     }
 
     /// Whether it has answered lately.
     pub fn fresh(&self, now: Micros, window: Micros) -> bool {
-        self.heard.is_some_and(|at| at.saturating_add(window) >= now)
+        self.answered_at.is_some_and(|at| at.saturating_add(window) >= now)
     }
 }
 
@@ -138,17 +139,21 @@
         let mut peer = Peer::default();
         let known = Seen { mark: Mark { epoch: 0, writes: 10 }, nonce: 1 };
         let mut hear = |at, h: Head| peer.hear(at, 9, &h, &known, 100);
-        assert_eq!(hear(10, head(1, 1, 4, 3)), Heard::NewLife);
-        assert_eq!(hear(10, head(1, 1, 4, 3)), Heard::Late, "twice");
-        assert_eq!(hear(10, head(1, 1, 6, 3)), Heard::Gap);
-        assert_eq!(hear(10, head(1, 1, 5, 3)), Heard::Late, "overtaken");
-        assert_eq!(hear(10, head(1, 1, 7, 3)), Heard::Next);
-        assert_eq!(hear(10, head(2, 2, 1, 9)), Heard::Stale, "its disk knows less than was heard from it");
-        assert_eq!(hear(10, head(2, 2, 1, 10)), Heard::NewLife);
-        assert_eq!(hear(11, head(1, 1, 8, 10)), Heard::Late, "the life before");
+        assert_eq!(hear(10, head(1, 1, 4, 3)), MessageOrder::NewLife);
+        assert_eq!(hear(10, head(1, 1, 4, 3)), MessageOrder::Late, "twice");
+        assert_eq!(hear(10, head(1, 1, 6, 3)), MessageOrder::Gap);
+        assert_eq!(hear(10, head(1, 1, 5, 3)), MessageOrder::Late, "overtaken");
+        assert_eq!(hear(10, head(1, 1, 7, 3)), MessageOrder::Next);
+        assert_eq!(
+            hear(10, head(2, 2, 1, 9)),
+            MessageOrder::Stale,
+            "its disk knows less than was heard from it"
+        );
+        assert_eq!(hear(10, head(2, 2, 1, 10)), MessageOrder::NewLife);
+        assert_eq!(hear(11, head(1, 1, 8, 10)), MessageOrder::Late, "the life before");
         assert_eq!(
             hear(500, head(3, 1, 1, 10)),
-            Heard::NewLife,
+            MessageOrder::NewLife,
             "a folder put back, and the newer life is silent"
         );
     }
--- a/crates/fleet/src/keepers/asks.rs
+++ b/crates/fleet/src/replicas/pending_requests.rs
@@ -23,16 +23,16 @@
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingRequest {
     entry: Entry,
     until: Micros,
-    again: Micros,
+    next_send: Micros,
 }
 
 /// The requests; [`MOST_PENDING`] at most.
 #[derive(Clone, Debug, Default)]
 pub struct Asks {
-    pending: BTreeMap<Request, Pending>,
+    pending: BTreeMap<Request, PendingRequest>,
 }
 
 impl Asks {
@@ -40,7 +40,11 @@
     pub fn take(&mut self, entry: Entry, until: Micros) -> bool {
         let full = self.pending.len() >= MOST_PENDING && !self.pending.contains_key(&entry.request);
         if !full {
-            self.pending.entry(entry.request.clone()).or_insert(Pending { entry, until, again: Micros::MIN });
+            self.pending.entry(entry.request.clone()).or_insert(PendingRequest {
+                entry,
+                until,
+                next_send: Micros::MIN,
+            });
         }
         !full
     }
@@ -57,9 +61,9 @@
 
     /// Those to be sent on now; each again after `every`.
     pub fn due(&mut self, now: Micros, every: Micros) -> Vec<Entry> {
-        let due = self.pending.values_mut().filter(|p| p.again <= now);
+        let due = self.pending.values_mut().filter(|p| p.next_send <= now);
         due.map(|p| {
-            p.again = now.saturating_add(every);
+            p.next_send = now.saturating_add(every);
             p.entry.clone()
         })
         .collect()
--- a/crates/fleet/src/keepers/course.rs
+++ b/crates/fleet/src/replicas/progress.rs
@@ -5,9 +5,9 @@
 use super::fold::Known;
 use super::item::Item;
 use super::learn::Learnt;
-use super::member::{Base, Keepers};
+use super::member::{Keepers, Snapshot};
 use super::record::Record;
-use super::seat::{Offer, Seat};
+use super::replica::{ProposeOutcome, Replica};
 use super::wire::Told;
 use super::{Output, Standing};
 use crate::Micros;
@@ -18,45 +18,50 @@
 
 impl<S: Storage> Keepers<S> {
     /// Whether the log is asked of others: where it comes from them alone, and at a keeper that agreement passes by.
-    pub(super) fn pulls(&self) -> bool {
-        self.learns() || self.seat.as_ref().is_some_and(|seat| seat.adrift(self.now))
+    pub(super) fn fetches_log(&self) -> bool {
+        self.is_learning() || self.replica.as_ref().is_some_and(|replica| replica.adrift(self.now))
     }
 
     /// Whether the log comes from others by asking: at all that don't agree on it just now, and at a keeper that is out of
     /// its leader's reach.
-    pub(super) fn learns(&self) -> bool {
-        let lacks = |seat: &Seat<S>| seat.omni.is_none() && !seat.alone() || seat.deaf(self.now);
+    pub(super) fn is_learning(&self) -> bool {
+        let lacks = |replica: &Replica<S>| {
+            replica.omni.is_none() && !replica.is_single() || replica.leader_unreachable(self.now)
+        };
         // Nothing is put behind a log that is not known to be the others'.
-        self.seat.as_ref().is_none_or(|seat| seat.checked && lacks(seat))
+        self.replica.as_ref().is_none_or(|replica| replica.log_verified && lacks(replica))
     }
 
     /// The first slot that this member lacks. A keeper out of its leader's reach folds what is decided without touching
     /// what it has promised and taken, which `omnipaxos` holds and would not see change.
     pub(super) fn next_slot(&self) -> u64 {
-        self.seat.as_ref().filter(|seat| seat.omni.is_none()).map_or(self.fold.slot, Seat::decided)
+        self.replica
+            .as_ref()
+            .filter(|replica| replica.omni.is_none())
+            .map_or(self.fold.slot, Replica::decided)
     }
 
-    pub(super) fn tell_keeper(&mut self, pid: u8, told: Told) {
+    pub(super) fn send_to_replica(&mut self, pid: u8, message: Told) {
         if let Some(name) = self.keepers.get(usize::from(pid).wrapping_sub(1)) {
-            self.told.push((name.clone(), told));
+            self.log_outbox.push((name.clone(), message));
         }
     }
 
-    pub(super) fn hear(&mut self, now: Micros, from: &Name, pid: Option<u8>, told: Told) {
-        match told {
+    pub(super) fn handle_log_message(&mut self, now: Micros, from: &Name, pid: Option<u8>, message: Told) {
+        match message {
             Told::Pull { from: slot, part, sent } => {
-                if let Some(seat) = self.seat.as_mut().filter(|_| self.watchers.contains_key(from)) {
-                    seat.claimed = seat.claimed.max(slot);
+                if let Some(replica) = self.replica.as_mut().filter(|_| self.watchers.contains_key(from)) {
+                    replica.max_requested_slot = replica.max_requested_slot.max(slot);
                 }
                 let Some(answer) = self.serve(now, slot, part, sent) else { return };
                 let all = matches!(&answer, Told::Items { items, .. } if items.is_empty());
                 if let Some(watcher) = self.watchers.get_mut(from) {
                     let until = now.saturating_add(2 * self.tuning.pull);
                     *watcher = all.then_some((slot, until, sent));
-                    self.told.push((from.clone(), answer));
+                    self.log_outbox.push((from.clone(), answer));
                 }
             }
-            Told::Ask { entry, hops } => self.asked(now, from, entry, hops),
+            Told::Ask { entry, hops } => self.handle_request(now, from, entry, hops),
             Told::Refuse { request, busy: true } if pid.is_some() => {
                 if self.asks.done(&request) {
                     self.outputs.push_back(Output::Answer { request, answer: Answer::Busy });
@@ -72,26 +77,26 @@
             Told::Items { tip, .. } | Told::Part { tip, .. } => {
                 let fits = |b: &Ballot| b.config_id == CONFIGURATION && b.pid <= self.group.count as u64;
                 let ballot = tip.ballot.filter(|b| fits(b) && b.n < 1 << 30 && b.priority == 0);
-                let (Some(pid), true) = (pid, self.pulls()) else { return };
-                let learnt = self.learn.hear(now, pid, self.next_slot(), told);
-                self.learnt(now, pid, learnt, ballot);
+                let (Some(pid), true) = (pid, self.fetches_log()) else { return };
+                let outcome = self.learn.hear(now, pid, self.next_slot(), message);
+                self.apply_learnt(now, pid, outcome, ballot);
                 if self.learn.due(now)
                     && let Some((pid, pull)) =
                         self.learn.ask(now, self.next_slot(), self.own, self.tuning.pull)
                 {
-                    self.tell_keeper(pid, pull);
+                    self.send_to_replica(pid, pull);
                 }
             }
         }
     }
 
-    fn learnt(&mut self, now: Micros, from: u8, learnt: Learnt, ballot: Option<Ballot>) {
-        let Some(seat) = self.seat.as_mut().filter(|seat| seat.omni.is_none()) else {
-            match learnt {
+    fn apply_learnt(&mut self, now: Micros, from: u8, outcome: Learnt, ballot: Option<Ballot>) {
+        let Some(replica) = self.replica.as_mut().filter(|replica| replica.omni.is_none()) else {
+            match outcome {
                 Learnt::Items(_, items) => {
                     for item in items {
                         let step = self.fold.apply(&item);
-                        self.take_step(step);
+                        self.handle_step(step);
                     }
                 }
                 Learnt::Snapshot(_, octets) => _ = self.restore(&octets),
@@ -99,18 +104,18 @@
             }
             return;
         };
-        let nobodys = seat.nobodys();
-        let all = learnt == Learnt::All;
-        let mut log = seat.shared.log();
-        let records = match learnt {
-            Learnt::Items(slot, items) => log.state().learnt(slot, items, ballot, nobodys),
+        let unled_ballot = replica.unled_ballot();
+        let all = outcome == Learnt::All;
+        let mut log = replica.shared.log();
+        let records = match outcome {
+            Learnt::Items(slot, items) => log.state().learnt(slot, items, ballot, unled_ballot),
             Learnt::Snapshot(slot, octets) => {
                 // A base that can't be read would stop this keeper at its next start.
-                let base = postcard::from_bytes::<Base>(&octets).ok().filter(|b| b.fold.slot == slot);
+                let base = postcard::from_bytes::<Snapshot>(&octets).ok().filter(|b| b.fold.slot == slot);
                 let sound = base.is_some();
                 let mut records = log.state().follow(ballot);
                 if sound && slot >= log.state().end() {
-                    records.push(Record::Accepted(nobodys));
+                    records.push(Record::Accepted(unled_ballot));
                 }
                 if let Some(base) = base {
                     records.extend([Record::Install(slot, octets), Record::Root(base.head)]);
@@ -122,15 +127,15 @@
         records.into_iter().for_each(|record| log.write(record));
         // Another that lacks as much has nothing to teach, and would send this one back to be turned away again.
         let decided = log.state().decided;
-        seat.catching = seat.catching.filter(|c| decided < c.target && !(all && from == c.teller));
-        if let Some(catching) = seat.catching.as_mut().filter(|c| c.teller == from) {
-            catching.until = now.saturating_add(4 * self.tuning.pull);
+        replica.catch_up = replica.catch_up.filter(|c| decided < c.target && !(all && from == c.source));
+        if let Some(catch_up) = replica.catch_up.as_mut().filter(|c| c.source == from) {
+            catch_up.until = now.saturating_add(4 * self.tuning.pull);
         }
     }
 
     /// Takes over the state that a snapshot stands for. False where it can't be read or is not newer.
     fn restore(&mut self, octets: &[u8]) -> bool {
-        let Ok(base) = postcard::from_bytes::<Base>(octets) else { return false };
+        let Ok(base) = postcard::from_bytes::<Snapshot>(octets) else { return false };
         if base.fold.slot <= self.fold.slot {
             return false;
         }
@@ -152,8 +157,8 @@
     /// Delivers what is decided and durable.
     pub(super) fn fold_decided(&mut self, now: Micros) {
         let before = self.fold.slot;
-        let Some(seat) = &self.seat else { return };
-        let shared = seat.shared.clone();
+        let Some(replica) = &self.replica else { return };
+        let shared = replica.shared.clone();
         if self.fold.slot < shared.log().state().compacted {
             let base = std::sync::Arc::clone(&shared.log().state().base);
             if !self.restore(&base) {
@@ -169,23 +174,26 @@
             };
             let Some(item) = item else { break };
             let step = self.fold.apply(&item);
-            self.take_step(step);
+            self.handle_step(step);
         }
         shared.log().fold_to(self.fold.slot);
         if self.fold.slot > before {
-            self.tell_watchers(now);
+            self.notify_watchers(now);
         }
         let grown = {
             let log = shared.log();
-            log.state().octets_between(log.state().base_slot, self.fold.slot)
+            log.state().bytes_between(log.state().base_slot, self.fold.slot)
         };
-        if grown > self.tuning.compact && !self.wanted && self.fold.slot <= shared.log().state().decided {
-            self.wanted = true;
+        if grown > self.tuning.compact
+            && !self.snapshot_requested
+            && self.fold.slot <= shared.log().state().decided
+        {
+            self.snapshot_requested = true;
             self.outputs.push_back(Output::WantSnapshot { index: self.fold.index });
         }
     }
 
-    fn tell_watchers(&mut self, now: Micros) {
+    fn notify_watchers(&mut self, now: Micros) {
         let due = |(name, watch): (&Name, &mut Option<(u64, Micros, Micros)>)| {
             let (slot, _, sent) = watch.take().filter(|(_, until, _)| *until >= now)?;
             Some((name.clone(), slot, sent))
@@ -193,69 +201,73 @@
         let due: Vec<_> = self.watchers.iter_mut().filter_map(due).collect();
         for (name, slot, sent) in due {
             if let Some(answer) = self.serve(now, slot, None, sent) {
-                self.told.push((name, answer));
+                self.log_outbox.push((name, answer));
             }
         }
     }
 
-    fn asked(&mut self, now: Micros, from: &Name, entry: Entry, hops: u8) {
+    fn handle_request(&mut self, now: Micros, from: &Name, entry: Entry, hops: u8) {
         if entry.body.len() > MAX_BODY_BYTES || !self.watchers.contains_key(from) {
             self.counts.refused += 1;
             return;
         }
-        let Some(seat) = &mut self.seat else { return };
+        let Some(replica) = &mut self.replica else { return };
         if self.fold.known(&entry.request) != Known::New {
             return;
         }
         let refuse = |busy| Told::Refuse { request: entry.request.clone(), busy };
-        if !seat.majority(now) {
-            return self.told.push((from.clone(), refuse(false)));
+        if !replica.majority(now) {
+            return self.log_outbox.push((from.clone(), refuse(false)));
         }
-        match seat.offer(Item::Asked(entry.clone())) {
-            Offer::Busy => self.told.push((from.clone(), refuse(true))),
-            Offer::Leader(pid) if hops < 2 => self.tell_keeper(pid, Told::Ask { entry, hops: hops + 1 }),
-            Offer::Taken | Offer::Leader(_) | Offer::Nobody => {}
+        match replica.propose(Item::Asked(entry.clone())) {
+            ProposeOutcome::Busy => self.log_outbox.push((from.clone(), refuse(true))),
+            ProposeOutcome::Leader(pid) if hops < 2 => {
+                self.send_to_replica(pid, Told::Ask { entry, hops: hops + 1 })
+            }
+            ProposeOutcome::InLog | ProposeOutcome::Leader(_) | ProposeOutcome::NoLeader => {}
         }
     }
 
     /// Sends on what is asked for and not decided.
-    pub(super) fn send_due(&mut self, now: Micros) {
+    pub(super) fn forward_requests(&mut self, now: Micros) {
         for entry in self.asks.due(now, self.tuning.again) {
-            if self.pulls() {
+            if self.fetches_log() {
                 let window = self.tuning.pull + self.tuning.fresh;
                 if let Some(pid) = self.learn.with_majority(now, window) {
-                    self.tell_keeper(pid, Told::Ask { entry: entry.clone(), hops: 0 });
+                    self.send_to_replica(pid, Told::Ask { entry: entry.clone(), hops: 0 });
                 }
             }
-            if self.learns() {
+            if self.is_learning() {
                 continue;
             }
-            let Some(seat) = &mut self.seat else { continue };
-            match seat.offer(Item::Asked(entry.clone())) {
-                Offer::Busy => {
+            let Some(replica) = &mut self.replica else { continue };
+            match replica.propose(Item::Asked(entry.clone())) {
+                ProposeOutcome::Busy => {
                     self.asks.done(&entry.request);
                     self.answer_all(vec![entry.request], Answer::Busy);
                 }
-                Offer::Leader(pid) => self.tell_keeper(pid, Told::Ask { entry, hops: 1 }),
-                Offer::Taken | Offer::Nobody => {}
+                ProposeOutcome::Leader(pid) => self.send_to_replica(pid, Told::Ask { entry, hops: 1 }),
+                ProposeOutcome::InLog | ProposeOutcome::NoLeader => {}
             }
         }
     }
 
     /// Says so where its standing has changed.
-    pub(super) fn stand(&mut self, now: Micros) {
-        let Some(seat) = &self.seat else { return };
+    pub(super) fn update_standing(&mut self, now: Micros) {
+        let Some(replica) = &self.replica else { return };
         let (failed, voting) = {
-            let log = seat.shared.log();
+            let log = replica.shared.log();
             (log.failed().map(str::to_string), log.state().voting)
         };
-        let altered = seat.altered;
-        let starting = now < seat.born.saturating_add(self.tuning.hear_all);
+        let log_altered = replica.log_altered;
+        let starting = now < replica.started_at.saturating_add(self.tuning.hear_all);
         let standing = match failed {
             Some(why) => Standing::Halted(why),
-            None if voting && (seat.omni.is_some() || seat.leading().is_some()) => Standing::Voting,
-            None if voting && seat.catching.is_some() => Standing::CatchingUp,
-            None if altered && !voting => Standing::Altered,
+            None if voting && (replica.omni.is_some() || replica.leading_term().is_some()) => {
+                Standing::Voting
+            }
+            None if voting && replica.catch_up.is_some() => Standing::CatchingUp,
+            None if log_altered && !voting => Standing::Altered,
             None if voting || starting => Standing::Starting,
             None => Standing::Amnesiac,
         };
--- a/crates/fleet/src/keepers/hear.rs
+++ b/crates/fleet/src/replicas/receive.rs
@@ -3,19 +3,19 @@
 use super::Counts;
 use super::check::{self, CONFIGURATION, Verdict};
 use super::item::Item;
-use super::peers::Heard;
+use super::peers::MessageOrder;
 use super::record::{Mark, Record, Seen};
-use super::seat::{Catching, Seat, term_of};
+use super::replica::{CatchUp, Replica, term_of};
 use super::wire::{Head, Said, unpack};
 use crate::Micros;
 use heronroute_journal::Storage;
 use omnipaxos::messages::Message;
 use omnipaxos::messages::sequence_paxos::{PaxosMessage, PaxosMsg};
 
-impl<S: Storage> Seat<S> {
+impl<S: Storage> Replica<S> {
     /// Takes a message of another keeper.
-    pub(super) fn receive(&mut self, now: Micros, from: u8, octets: &[u8], counts: &mut Counts) {
-        let Some((head, said)) = unpack::<(Head, Said)>(octets) else {
+    pub(super) fn receive(&mut self, now: Micros, from: u8, bytes: &[u8], counts: &mut Counts) {
+        let Some((head, said)) = unpack::<(Head, Said)>(bytes) else {
             counts.undecodable += 1;
             return;
         };
@@ -30,29 +30,29 @@
             counts.refused += 1;
             return;
         }
-        let heard = peer.hear(now, self.nonce, &head, known, self.tuning.fresh);
-        match heard {
-            Heard::Late => {
+        let order = peer.hear(now, self.nonce, &head, known, self.tuning.fresh);
+        match order {
+            MessageOrder::Late => {
                 counts.late += 1;
                 return;
             }
-            Heard::Stale => {
+            MessageOrder::Stale => {
                 counts.stale += 1;
-                self.greet(from, false);
+                self.send_hello(from, false);
                 return;
             }
-            Heard::Gap => {
+            MessageOrder::Gap => {
                 counts.gaps += 1;
-                if peer.gap_at.is_none_or(|at| now >= at.saturating_add(2 * self.tuning.tick)) {
-                    peer.gap_at = Some(now);
-                    self.out.push((from, Said::Gap));
+                if peer.last_gap_report.is_none_or(|at| now >= at.saturating_add(2 * self.tuning.tick)) {
+                    peer.last_gap_report = Some(now);
+                    self.outbox.push((from, Said::Gap));
                 }
                 self.reconnected(from);
             }
-            Heard::NewLife => self.reconnected(from),
-            Heard::Next => {}
+            MessageOrder::NewLife => self.reconnected(from),
+            MessageOrder::Next => {}
         }
-        self.marks(at, &head);
+        self.merge_marks(at, &head);
         let for_us = head.to == self.nonce && head.voting;
         match said {
             Said::Hello(spot) => self.compare(from, &spot, counts),
@@ -61,24 +61,24 @@
                 let lacks = decided > self.shared.log().state().decided;
                 if lacks && self.omni.take().is_some() {
                     let until = now.saturating_add(4 * self.tuning.pull);
-                    self.catching = Some(Catching { teller: from, target: decided, until });
-                    self.ahead = Some(from);
+                    self.catch_up = Some(CatchUp { source: from, target: decided, until });
+                    self.newer_replica = Some(from);
                 }
             }
-            Said::Paxos(message) if for_us => self.paxos(now, from, message, counts),
+            Said::Paxos(message) if for_us => self.handle_paxos(now, from, message, counts),
             Said::Renew { term, sent, held } if for_us => {
                 let follows = self.omni.as_ref().is_some_and(|o| term_of(&o.get_promise()) == term);
                 if follows && held {
-                    self.touched = now;
+                    self.leader_confirmed_at = now;
                 }
                 if follows && self.grants.grant(now, (from, head.nonce), term, &self.tuning) {
-                    self.out.push((from, Said::Grant { term, sent }));
+                    self.outbox.push((from, Said::Grant { term, sent }));
                 }
             }
             Said::Grant { term, sent } if for_us => self.lease.granted(at, term, sent, now),
             Said::Admit { nonce, slot, ballot } if nonce == self.nonce && for_us => {
                 if ballot.pid == u64::from(from) && ballot.config_id == CONFIGURATION {
-                    self.admit = Some((slot, ballot));
+                    self.admission = Some((slot, ballot));
                 }
             }
             _ => counts.refused += 1,
@@ -86,7 +86,7 @@
     }
 
     /// Marks and readmissions that the sender knows of.
-    fn marks(&mut self, from: usize, head: &Head) {
+    fn merge_marks(&mut self, from: usize, head: &Head) {
         let own = usize::from(self.own).wrapping_sub(1);
         for (i, (mine, theirs)) in self.seen.iter_mut().zip(&head.seen).enumerate() {
             if i != own && theirs.mark > mine.mark {
@@ -100,7 +100,7 @@
         }
         let of_me = head.seen.get(own).map_or(Mark::default(), |s| s.mark);
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.seen_me = of_me;
+            peer.seen_of_us = of_me;
         }
         let mut log = self.shared.log();
         if log.state().voting && of_me > log.state().mark() {
@@ -125,7 +125,7 @@
         }
     }
 
-    fn paxos(&mut self, now: Micros, from: u8, mut message: Message<Item>, counts: &mut Counts) {
+    fn handle_paxos(&mut self, now: Micros, from: u8, mut message: Message<Item>, counts: &mut Counts) {
         let Some(omni) = &mut self.omni else { return };
         let verdict = {
             let log = self.shared.log();
@@ -147,13 +147,13 @@
                     Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::PrepareReq(m), .. }) if m.n > omni.get_promise());
                 omni.handle_incoming(message);
                 if above {
-                    self.raise(now, from);
+                    self.raise_ballot(now, from);
                 }
             }
             Verdict::Drop => counts.refused += 1,
             Verdict::Behind => {
                 let decided = self.shared.log().state().decided;
-                self.out.push((from, Said::Behind(decided)));
+                self.outbox.push((from, Said::Behind(decided)));
             }
         }
     }
@@ -161,8 +161,9 @@
     /// A keeper asks to be prepared and has promised more than this leader's ballot: it was a candidate, and started again.
     /// `omnipaxos` has the leader ignore it and the others content, so it would stay out for as long as this leader
     /// leads. Where a majority follows this leader all the while, it leads on in a ballot that the other can follow.
-    fn raise(&mut self, now: Micros, from: u8) {
-        let followed = self.leading().is_some() && self.lease.until(&self.tuning).is_some_and(|at| now < at);
+    fn raise_ballot(&mut self, now: Micros, from: u8) {
+        let followed =
+            self.leading_term().is_some() && self.lease.until(&self.tuning).is_some_and(|at| now < at);
         let Some(peer) = self.peers.get_mut(usize::from(from).wrapping_sub(1)) else { return };
         let fresh = self.tuning.fresh;
         let since = peer.above_since.filter(|since| now < since.saturating_add(3 * fresh)).unwrap_or(now);
--- a/crates/fleet/src/keepers/record.rs
+++ b/crates/fleet/src/replicas/record.rs
@@ -86,7 +86,7 @@
 /// Octets before the payload.
 pub const HEAD: usize = 20;
 /// Octets of a payload at most.
-pub const MOST: usize = 64 * 1024 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
 
 /// Appends a frame.
 pub fn write(number: u64, payload: &[u8], out: &mut Vec<u8>) {
@@ -107,22 +107,22 @@
 }
 
 /// The frame that begins here: its number, its payload, and what follows. Nothing where none is whole.
-pub fn read(octets: &[u8]) -> Option<(u64, &[u8], &[u8])> {
-    read_as(MAGIC, octets)
+pub fn read(bytes: &[u8]) -> Option<(u64, &[u8], &[u8])> {
+    read_with_magic(MAGIC, bytes)
 }
 
 /// The format of the frame that begins here, where it is a whole one of another format.
-pub fn other_format(octets: &[u8]) -> Option<u8> {
-    (0..=9).filter(|format| *format != FORMAT).find(|format| read_as(magic(*format), octets).is_some())
+pub fn other_format(bytes: &[u8]) -> Option<u8> {
+    (0..=9).filter(|format| *format != FORMAT).find(|format| read_with_magic(magic(*format), bytes).is_some())
 }
 
-fn read_as(wanted: [u8; 4], octets: &[u8]) -> Option<(u64, &[u8], &[u8])> {
-    let (magic, rest) = octets.split_first_chunk::<4>()?;
+fn read_with_magic(wanted: [u8; 4], bytes: &[u8]) -> Option<(u64, &[u8], &[u8])> {
+    let (magic, rest) = bytes.split_first_chunk::<4>()?;
     let (length, rest) = rest.split_first_chunk::<4>()?;
     let (crc, rest) = rest.split_first_chunk::<4>()?;
     let (number, rest) = rest.split_first_chunk::<8>()?;
     let size = u32::from_le_bytes(*length) as usize;
-    if *magic != wanted || size > MOST || rest.len() < size {
+    if *magic != wanted || size > MAX_PAYLOAD_BYTES || rest.len() < size {
         return None;
     }
     let (payload, rest) = rest.split_at(size);
@@ -131,9 +131,9 @@
 }
 
 /// Whether a whole frame begins anywhere here. Looked for only once something is wrong, so it may cost.
-pub fn any_behind(octets: &[u8]) -> bool {
-    let starts = octets.windows(4).enumerate().filter(|(_, w)| *w == MAGIC).map(|(i, _)| i);
-    starts.filter_map(|i| octets.get(i..)).any(|rest| read(rest).is_some())
+pub fn contains_frame(bytes: &[u8]) -> bool {
+    let starts = bytes.windows(4).enumerate().filter(|(_, w)| *w == MAGIC).map(|(i, _)| i);
+    starts.filter_map(|i| bytes.get(i..)).any(|rest| read(rest).is_some())
 }
 
 /// The records of a payload.
--- a/crates/fleet/src/keepers/seat.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -7,7 +7,7 @@
 use super::peers::Peer;
 use super::record::{Mark, Record, Seen};
 use super::store::Shared;
-use super::tuning::{MOST_LOG, MOST_UNDECIDED, Tuning};
+use super::tuning::{MAX_LOG_BYTES, MOST_UNDECIDED, Tuning};
 use super::wire::{Head, Said, pack};
 use crate::Micros;
 use crate::entry::Term;
@@ -21,13 +21,13 @@
 
 /// What became of an item that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum ProposeOutcome {
     /// It stands in the log, not decided yet.
-    Taken,
+    InLog,
     /// This keeper leads.
     Leader(u8),
     /// Nobody leads, or this keeper does not take part.
-    Nobody,
+    NoLeader,
     /// No room.
     Busy,
 }
@@ -39,9 +39,9 @@
 
 /// What a keeper waits for before it agrees again.
 #[derive(Clone, Copy, Debug)]
-pub struct Catching {
+pub struct CatchUp {
     /// Who said that it lacks too much.
-    pub teller: u8,
+    pub source: u8,
     /// Slots that the teller has.
     pub target: u64,
     /// Nothing was heard from the teller up to then: the others may need this keeper to go on without.
@@ -49,7 +49,7 @@
 }
 
 /// A keeper.
-pub struct Seat<S: Storage> {
+pub struct Replica<S: Storage> {
     pub(super) own: u8,
     pub(super) life: Life,
     pub(super) nonce: u64,
@@ -61,36 +61,36 @@
     pub(super) seen: Vec<Seen>,
     pub(super) epochs: Vec<u64>,
     pub(super) opened: Mark,
-    pub(super) born: Micros,
+    pub(super) started_at: Micros,
     /// When it last heard that a majority has the leader that it follows in charge, or found so of itself.
-    pub(super) touched: Micros,
+    pub(super) leader_confirmed_at: Micros,
     /// Others have told what they saw of this keeper's disk, or have had their time to.
     pub(super) ready: bool,
     /// Its file was put back from a copy: it says that it does not vote until all others have told what they saw of it, however
     /// long that takes, or have let it in again.
-    pub(super) doubt: bool,
+    pub(super) copy_unverified: bool,
     /// Enough others were found to have the log that it came with, as far as they go; nothing is shown, told on or agreed before.
-    pub(super) checked: bool,
+    pub(super) log_verified: bool,
     /// Its log was not the others', or not one with its snapshot.
-    pub(super) altered: bool,
+    pub(super) log_altered: bool,
     /// It was given up just now.
-    pub(super) emptied: bool,
+    pub(super) log_discarded: bool,
     /// The slots that somebody who learns the log has.
-    pub(super) claimed: u64,
+    pub(super) max_requested_slot: u64,
     /// It lacks more of the log than agreement may bring, and learns it first.
-    pub(super) catching: Option<Catching>,
-    pub(super) admit: Option<(u64, Ballot)>,
+    pub(super) catch_up: Option<CatchUp>,
+    pub(super) admission: Option<(u64, Ballot)>,
     pub(super) grants: Grants,
     pub(super) lease: Lease,
-    pub(super) charged: Term,
-    pub(super) renew_at: Micros,
-    pub(super) hello_at: Micros,
-    pub(super) out: Vec<(u8, Said)>,
+    pub(super) announced_term: Term,
+    pub(super) next_renewal: Micros,
+    pub(super) next_hello: Micros,
+    pub(super) outbox: Vec<(u8, Said)>,
     /// A keeper that has what this one lacks.
-    pub(super) ahead: Option<u8>,
+    pub(super) newer_replica: Option<u8>,
 }
 
-impl<S: Storage> Seat<S> {
+impl<S: Storage> Replica<S> {
     pub(super) fn new(
         now: Micros,
         own: u8,
@@ -103,12 +103,12 @@
         let log = shared.log();
         let (seen, epochs, opened) =
             (log.state().seen.clone(), log.state().epochs.clone(), log.state().mark());
-        let doubt = log.copied() && log.state().voting && group.count > 1;
-        let checked = group.count == 1 || log.state().known() == 0;
+        let copy_unverified = log.copied() && log.state().voting && group.count > 1;
+        let log_verified = group.count == 1 || log.state().known() == 0;
         drop(log);
         let peers = vec![Peer::default(); group.count];
         let grants = Grants::new(now, &tuning);
-        Seat {
+        Replica {
             own,
             life,
             nonce,
@@ -120,23 +120,23 @@
             seen,
             epochs,
             opened,
-            born: now,
-            touched: now,
+            started_at: now,
+            leader_confirmed_at: now,
             ready: false,
-            doubt,
-            checked,
-            altered: false,
-            emptied: false,
-            claimed: 0,
-            catching: None,
-            admit: None,
+            copy_unverified,
+            log_verified,
+            log_altered: false,
+            log_discarded: false,
+            max_requested_slot: 0,
+            catch_up: None,
+            admission: None,
             grants,
             lease: Lease::default(),
-            charged: Term(0),
-            renew_at: now,
-            hello_at: now,
-            out: Vec::new(),
-            ahead: None,
+            announced_term: Term(0),
+            next_renewal: now,
+            next_hello: now,
+            outbox: Vec::new(),
+            newer_replica: None,
         }
     }
 
@@ -144,7 +144,7 @@
         self.shared.log().state().voting
     }
 
-    pub(super) fn alone(&self) -> bool {
+    pub(super) fn is_single(&self) -> bool {
         self.group.count == 1
     }
 
@@ -156,7 +156,7 @@
     /// Agreement from what is on disk, as after a crash: nothing is followed or led that was before.
     pub(super) fn rebuild(&mut self) {
         self.omni = None;
-        if self.alone() {
+        if self.is_single() {
             return;
         }
         let cluster = ClusterConfig {
@@ -178,8 +178,8 @@
     }
 
     /// The term that this keeper leads in; the others may not know yet, or follow another.
-    pub(super) fn leading(&self) -> Option<Term> {
-        if self.alone() {
+    pub(super) fn leading_term(&self) -> Option<Term> {
+        if self.is_single() {
             let log = self.shared.log();
             return log.state().promise.filter(|_| self.ready && log.state().voting).as_ref().map(term_of);
         }
@@ -190,15 +190,15 @@
 
     /// Whether a majority has answered lately.
     pub(super) fn majority(&self, now: Micros) -> bool {
-        if self.alone() {
-            return self.leading().is_some();
+        if self.is_single() {
+            return self.leading_term().is_some();
         }
         let fresh = |p: &&Peer| p.voting && p.fresh(now, self.tuning.fresh);
         self.omni.is_some() && self.peers.iter().filter(fresh).count() + 1 > self.group.count / 2
     }
 
     /// A ballot of this keeper that nobody leads in, below all that are led; see [`super::state::State::learnt`].
-    pub(super) fn nobodys(&self) -> Ballot {
+    pub(super) fn unled_ballot(&self) -> Ballot {
         Ballot::with(CONFIGURATION, 0, 0, u64::from(self.own))
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Whether it follows a leader that does not answer it, though others may follow that leader still (the chain).
-    pub(super) fn deaf(&self, now: Micros) -> bool {
+    pub(super) fn leader_unreachable(&self, now: Micros) -> bool {
         let leader = self.omni.as_ref().map_or(0, |o| o.get_promise().pid);
         let at = usize::try_from(leader).unwrap_or(0).wrapping_sub(1);
         leader != u64::from(self.own) && self.peers.get(at).is_some_and(|p| !p.fresh(now, self.tuning.fresh))
@@ -217,13 +217,13 @@
     /// Whether what is decided passes it by. Guards against one that leads, or follows another, though a majority has put a
     /// leader in charge that neither hears: links stand, nobody tells it, and it would wait for ever.
     pub(super) fn adrift(&self, now: Micros) -> bool {
-        !self.alone() && now >= self.touched.saturating_add(self.tuning.lease)
+        !self.is_single() && now >= self.leader_confirmed_at.saturating_add(self.tuning.lease)
     }
 
     pub(super) fn append(&mut self, item: Item) {
         if let Some(omni) = &mut self.omni {
             _ = omni.append(item);
-        } else if self.alone() {
+        } else if self.is_single() {
             let mut log = self.shared.log();
             let end = log.state().end();
             log.write(Record::Put(end, vec![item]));
@@ -231,27 +231,27 @@
         }
     }
 
-    pub(super) fn offer(&mut self, item: Item) -> Offer {
-        if self.leading().is_some() {
+    pub(super) fn propose(&mut self, item: Item) -> ProposeOutcome {
+        if self.leading_term().is_some() {
             let log = self.shared.log();
             let state = log.state();
             let undecided = state.octets_from(state.decided);
             if let Item::Asked(entry) = &item
                 && state.is_open(&entry.request)
             {
-                return Offer::Taken;
+                return ProposeOutcome::InLog;
             }
-            let full = state.octets_from(state.compacted) >= MOST_LOG || undecided >= MOST_UNDECIDED;
+            let full = state.octets_from(state.compacted) >= MAX_LOG_BYTES || undecided >= MOST_UNDECIDED;
             drop(log);
             if full {
-                return Offer::Busy;
+                return ProposeOutcome::Busy;
             }
             self.append(item);
-            return Offer::Taken;
+            return ProposeOutcome::InLog;
         }
         match self.omni.as_ref().and_then(OmniPaxos::get_current_leader) {
-            Some((pid, _)) if pid != u64::from(self.own) => Offer::Leader(pid as u8),
-            _ => Offer::Nobody,
+            Some((pid, _)) if pid != u64::from(self.own) => ProposeOutcome::Leader(pid as u8),
+            _ => ProposeOutcome::NoLeader,
         }
     }
 
@@ -273,7 +273,7 @@
         if let Some(omni) = &mut self.omni {
             omni.reconnected(u64::from(pid));
         }
-        self.greet(pid, false);
+        self.send_hello(pid, false);
     }
 
     /// Makes all durable and packs what may be said then. Nothing is said where the disk failed.
@@ -282,7 +282,7 @@
             let mut messages = Vec::new();
             omni.take_outgoing_messages(&mut messages);
             let to = |m: Message<Item>| (m.get_receiver() as u8, Said::Paxos(m));
-            self.out.extend(messages.into_iter().map(to));
+            self.outbox.extend(messages.into_iter().map(to));
         }
         let mut log = self.shared.log();
         if log.waits() && log.state().seen != self.seen {
@@ -290,16 +290,16 @@
         }
         if !log.commit() {
             drop(log);
-            self.out.clear();
+            self.outbox.clear();
             self.omni = None;
             return false;
         }
-        let doubt = self.doubt || self.differs();
-        let (voting, mark) = (log.state().voting && !doubt, log.state().mark());
+        let copy_unverified = self.copy_unverified || self.log_disputed();
+        let (voting, mark) = (log.state().voting && !copy_unverified, log.state().mark());
         let epochs = log.state().epochs.iter().zip(&self.epochs).map(|(a, b)| *a.max(b)).collect();
         drop(log);
         self.epochs = epochs;
-        for (pid, said) in std::mem::take(&mut self.out) {
+        for (pid, said) in std::mem::take(&mut self.outbox) {
             let Some(peer) = self.peers.get_mut(usize::from(pid).wrapping_sub(1)) else { continue };
             if pid == self.own {
                 continue;
@@ -319,8 +319,8 @@
                 sent: now,
                 echo: peer.sent,
             };
-            if let Some(octets) = pack(&(head, said)) {
-                sends.push((pid, octets));
+            if let Some(bytes) = pack(&(head, said)) {
+                sends.push((pid, bytes));
             }
         }
         true
--- a/crates/fleet/src/keepers/state.rs
+++ b/crates/fleet/src/replicas/state.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct LogSlot {
     item: Item,
     /// Octets of all items up to this one, since the state was made.
-    upto: u64,
+    bytes_through: u64,
     /// The chain's head after it.
     head: Chain,
 }
@@ -44,9 +44,9 @@
     pub epochs: Vec<u64>,
     /// The chain's head before the first slot that the log still has.
     root: Chain,
-    items: VecDeque<Held>,
-    open: HashMap<Request, u32>,
-    folded: u64,
+    items: VecDeque<LogSlot>,
+    open_requests: HashMap<Request, u32>,
+    applied: u64,
 }
 
 impl State {
@@ -85,19 +85,19 @@
 
     /// Octets of the log from this slot on.
     pub fn octets_from(&self, slot: u64) -> u64 {
-        let all = self.items.back().map_or(0, |h| h.upto);
-        let first = self.items.front().map_or(0, |h| h.upto - h.item.octets());
+        let all = self.items.back().map_or(0, |h| h.bytes_through);
+        let first = self.items.front().map_or(0, |h| h.bytes_through - h.item.octets());
         match slot.checked_sub(self.compacted) {
             None | Some(0) => all - first,
             Some(n) => {
                 let before = usize::try_from(n - 1).ok().and_then(|n| self.items.get(n));
-                before.map_or(0, |h| all - h.upto)
+                before.map_or(0, |h| all - h.bytes_through)
             }
         }
     }
 
     /// Octets between two slots.
-    pub fn octets_between(&self, from: u64, to: u64) -> u64 {
+    pub fn bytes_between(&self, from: u64, to: u64) -> u64 {
         self.octets_from(from).saturating_sub(self.octets_from(to))
     }
 
@@ -112,25 +112,25 @@
 
     /// Whether this request stands in the log and is not folded yet.
     pub fn is_open(&self, request: &Request) -> bool {
-        self.open.contains_key(request)
+        self.open_requests.contains_key(request)
     }
 
     /// The caller has folded all before this slot.
     pub fn fold_to(&mut self, slot: u64) {
-        while self.folded < slot {
-            if let Some(Item::Asked(entry)) = self.item(self.folded) {
+        while self.applied < slot {
+            if let Some(Item::Asked(entry)) = self.item(self.applied) {
                 let request = entry.request.clone();
-                close(&mut self.open, &request);
+                close_request(&mut self.open_requests, &request);
             }
-            self.folded += 1;
+            self.applied += 1;
         }
     }
 
     fn push(&mut self, item: Item) {
         let slot = self.end();
         match &item {
-            Item::Asked(entry) if slot >= self.folded => {
-                *self.open.entry(entry.request.clone()).or_default() += 1;
+            Item::Asked(entry) if slot >= self.applied => {
+                *self.open_requests.entry(entry.request.clone()).or_default() += 1;
             }
             Item::Readmit { pid, .. } => {
                 if let Some(epoch) = self.epochs.get_mut(usize::from(*pid).wrapping_sub(1)) {
@@ -139,18 +139,19 @@
             }
             _ => {}
         }
-        let (upto, before) = self.items.back().map_or((0, &self.root), |h| (h.upto, &h.head));
-        let (upto, head) = (upto + item.octets(), chain::next(before, &item));
-        self.items.push_back(Held { item, upto, head });
+        let (bytes_through, before) =
+            self.items.back().map_or((0, &self.root), |h| (h.bytes_through, &h.head));
+        let (bytes_through, head) = (bytes_through + item.octets(), chain::next(before, &item));
+        self.items.push_back(LogSlot { item, bytes_through, head });
     }
 
     fn truncate(&mut self, end: u64) {
         while self.end() > end {
             let Some(held) = self.items.pop_back() else { return };
             if let Item::Asked(entry) = &held.item
-                && self.end() >= self.folded
+                && self.end() >= self.applied
             {
-                close(&mut self.open, &entry.request);
+                close_request(&mut self.open_requests, &entry.request);
             }
         }
     }
@@ -212,13 +213,13 @@
                     self.fold_to(self.compacted + 1);
                     let Some(held) = self.items.pop_front() else {
                         // What it is before this slot is said by the record that follows.
-                        (self.compacted, self.folded, self.root) = (slot, slot, ROOT);
+                        (self.compacted, self.applied, self.root) = (slot, slot, ROOT);
                         break;
                     };
                     (self.compacted, self.root) = (self.compacted + 1, held.head);
                 }
                 (self.base_slot, self.base) = (slot, octets.into());
-                self.folded = self.folded.max(slot);
+                self.applied = self.applied.max(slot);
                 self.decided = self.decided.max(slot);
             }
             Record::Root(root) if self.root == root => {}
@@ -262,7 +263,7 @@
     }
 }
 
-fn close(open: &mut HashMap<Request, u32>, request: &Request) {
+fn close_request(open: &mut HashMap<Request, u32>, request: &Request) {
     if let Some(count) = open.get_mut(request) {
         *count -= 1;
         if *count == 0 {
--- a/crates/fleet/src/keepers/store.rs
+++ b/crates/fleet/src/replicas/store.rs
@@ -32,10 +32,10 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn op(&self, op: StorageOp<Item>) {
+    fn apply_op(&self, apply_op: StorageOp<Item>) {
         let mut log = self.log();
         let end = log.state().end();
-        let record = match op {
+        let record = match apply_op {
             StorageOp::AppendEntry(item) => Record::Put(end, vec![item]),
             StorageOp::AppendEntries(items) if items.is_empty() => return,
             StorageOp::AppendEntries(items) => Record::Put(end, items),
@@ -58,34 +58,34 @@
 impl<S: Storage> omnipaxos::storage::Storage<Item> for Shared<S> {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Item>>) -> StorageResult<()> {
         // All of them, and all else until the next commit, stand in one frame.
-        ops.into_iter().for_each(|op| self.op(op));
+        ops.into_iter().for_each(|apply_op| self.apply_op(apply_op));
         Ok(())
     }
     fn append_entry(&mut self, entry: Item) -> StorageResult<()> {
-        self.op(StorageOp::AppendEntry(entry));
+        self.apply_op(StorageOp::AppendEntry(entry));
         Ok(())
     }
     fn append_entries(&mut self, entries: Vec<Item>) -> StorageResult<()> {
-        self.op(StorageOp::AppendEntries(entries));
+        self.apply_op(StorageOp::AppendEntries(entries));
         Ok(())
     }
     fn append_on_prefix(&mut self, from_idx: usize, entries: Vec<Item>) -> StorageResult<()> {
-        self.op(StorageOp::AppendOnPrefix(from_idx, entries));
+        self.apply_op(StorageOp::AppendOnPrefix(from_idx, entries));
         Ok(())
     }
     fn set_promise(&mut self, n_prom: Ballot) -> StorageResult<()> {
-        self.op(StorageOp::SetPromise(n_prom));
+        self.apply_op(StorageOp::SetPromise(n_prom));
         Ok(())
     }
     fn set_decided_idx(&mut self, ld: usize) -> StorageResult<()> {
-        self.op(StorageOp::SetDecidedIndex(ld));
+        self.apply_op(StorageOp::SetDecidedIndex(ld));
         Ok(())
     }
     fn get_decided_idx(&self) -> StorageResult<usize> {
         Ok(self.log().state().decided as usize)
     }
     fn set_accepted_round(&mut self, na: Ballot) -> StorageResult<()> {
-        self.op(StorageOp::SetAcceptedRound(na));
+        self.apply_op(StorageOp::SetAcceptedRound(na));
         Ok(())
     }
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
@@ -112,7 +112,7 @@
         Ok(None)
     }
     fn trim(&mut self, idx: usize) -> StorageResult<()> {
-        self.op(StorageOp::Trim(idx));
+        self.apply_op(StorageOp::Trim(idx));
         Ok(())
     }
     fn set_compacted_idx(&mut self, _: usize) -> StorageResult<()> {
--- a/crates/fleet/src/keepers/tuning.rs
+++ b/crates/fleet/src/replicas/tuning.rs
@@ -9,7 +9,7 @@
 /// Octets of log that one keeper sends another within agreement; one that lacks more learns the decided prefix first.
 pub const MOST_SYNC: u64 = 1024 * 1024;
 /// Octets of log in memory at which nothing more is taken on until the caller has given a snapshot.
-pub const MOST_LOG: u64 = 16 * 1024 * 1024;
+pub const MAX_LOG_BYTES: u64 = 16 * 1024 * 1024;
 /// Octets of a snapshot at most.
 pub const MOST_SNAPSHOT: usize = 16 * 1024 * 1024;
 /// Octets of a piece of log or snapshot for those who learn.
--- a/crates/fleet/src/keepers/view.rs
+++ b/crates/fleet/src/replicas/view.rs
@@ -11,8 +11,8 @@
     /// Whether a majority of keepers has been heard lately: by this keeper, or by one that this member has asked. What is not
     /// known is no majority.
     pub fn majority(&self, now: Micros) -> bool {
-        match &self.seat {
-            Some(seat) if !self.learns() => seat.majority(now),
+        match &self.replica {
+            Some(replica) if !self.is_learning() => replica.majority(now),
             _ => self.learn.with_majority(now, self.tuning.pull + self.tuning.fresh).is_some(),
         }
     }
@@ -29,11 +29,11 @@
 
     /// Whether this member is in charge now. To be asked before each act; see [`crate::lease`] for what it promises.
     pub fn in_charge(&self, now: Micros) -> Option<Charge> {
-        let seat = self.seat.as_ref()?;
-        let term = seat.leading()?;
+        let replica = self.replica.as_ref()?;
+        let term = replica.leading_term()?;
         let charged = self.fold.charge.as_ref().is_some_and(|(t, life)| *t == term && *life == self.life);
-        let until = if seat.alone() { Micros::MAX } else { seat.lease.until(&self.tuning)? };
-        let halted = seat.shared.log().failed().is_some();
+        let until = if replica.is_single() { Micros::MAX } else { replica.lease.until(&self.tuning)? };
+        let halted = replica.shared.log().failed().is_some();
         (charged && now < until && !halted).then(|| Charge { term, life: self.life.clone(), until })
     }
 
@@ -59,8 +59,8 @@
 
     /// Octets of decided and undecided log in memory, and of the file.
     pub fn sizes(&self) -> (u64, u64) {
-        self.seat.as_ref().map_or((0, 0), |seat| {
-            let log = seat.shared.log();
+        self.replica.as_ref().map_or((0, 0), |replica| {
+            let log = replica.shared.log();
             (log.state().octets_from(0), log.size())
         })
     }
--- a/crates/fleet/src/keepers/office.rs
+++ b/crates/fleet/src/replicas/voting.rs
@@ -35,54 +35,55 @@
 
 use super::item::Item;
 use super::record::{Mark, Record};
-use super::seat::Seat;
+use super::replica::Replica;
 use super::wire::Said;
 use crate::Micros;
 use heronroute_journal::Storage;
 use omnipaxos::ballot_leader_election::Ballot;
 
-impl<S: Storage> Seat<S> {
+impl<S: Storage> Replica<S> {
     /// One tick. `readmitted`: slot and life of this keeper's last readmission by the log; `readmits`: of any.
-    pub(super) fn tick(&mut self, now: Micros, readmits: &dyn Fn(u8) -> Option<(u64, u64)>) {
-        self.begin(now, readmits(self.own));
+    pub(super) fn tick(&mut self, now: Micros, readmissions: &dyn Fn(u8) -> Option<(u64, u64)>) {
+        self.start_voting(now, readmissions(self.own));
         if let Some(omni) = &mut self.omni {
             omni.tick();
         }
-        if now >= self.hello_at {
-            self.hello_at = now.saturating_add(self.tuning.tick * self.tuning.election as Micros);
+        if now >= self.next_hello {
+            self.next_hello = now.saturating_add(self.tuning.tick * self.tuning.election as Micros);
             if self.omni.is_none() {
-                let ask = !self.checked;
-                self.others().for_each(|pid| self.greet(pid, ask));
+                let ask = !self.log_verified;
+                self.others().for_each(|pid| self.send_hello(pid, ask));
             }
         }
-        self.lead(now, readmits);
+        self.run_leader(now, readmissions);
     }
 
-    fn begin(&mut self, now: Micros, readmitted: Option<(u64, u64)>) {
+    fn start_voting(&mut self, now: Micros, readmitted: Option<(u64, u64)>) {
         if self.omni.is_some() || self.shared.log().failed().is_some() {
             return;
         }
-        if !self.check() {
+        if !self.verify_log() {
             return;
         }
-        let all_heard = self.others().all(|pid| {
+        let all_answered = self.others().all(|pid| {
             let peer = self.peers.get(usize::from(pid) - 1);
-            peer.is_some_and(|p| p.nonce != 0 && p.heard.is_some())
+            peer.is_some_and(|p| p.nonce != 0 && p.answered_at.is_some())
         });
-        self.resolve(all_heard);
-        let time_over =
-            !self.doubt && !self.outrun() && now >= self.born.saturating_add(self.tuning.hear_all);
+        self.resolve_copy(all_answered);
+        let time_over = !self.copy_unverified
+            && !self.readers_are_ahead()
+            && now >= self.started_at.saturating_add(self.tuning.hear_all);
         if !self.voting() {
-            self.ready = self.found(all_heard, time_over) || self.admitted(readmitted);
+            self.ready = self.start_empty(all_answered, time_over) || self.apply_admission(readmitted);
         }
-        self.ready |= self.alone() || all_heard || time_over;
-        self.catching = self.catching.filter(|c| now < c.until);
-        if !self.ready || !self.voting() || self.catching.is_some() {
+        self.ready |= self.is_single() || all_answered || time_over;
+        self.catch_up = self.catch_up.filter(|c| now < c.until);
+        if !self.ready || !self.voting() || self.catch_up.is_some() {
             return;
         }
-        if self.alone() {
-            if self.leading().is_none() || self.charged.0 == 0 {
-                self.crown();
+        if self.is_single() {
+            if self.leading_term().is_none() || self.announced_term.0 == 0 {
+                self.lead_alone();
             }
             return;
         }
@@ -90,32 +91,32 @@
     }
 
     /// Whether a file that was put back still has to be doubted.
-    fn resolve(&mut self, all_heard: bool) {
-        if !self.doubt {
+    fn resolve_copy(&mut self, all_answered: bool) {
+        if !self.copy_unverified {
             return;
         }
         let mut log = self.shared.log();
-        if all_heard {
+        if all_answered {
             // Whatever was said from it, one of them has seen, and `Seat::marks` has held it against the disk.
             log.settle();
-        } else if self.admit.is_some() {
+        } else if self.admission.is_some() {
             // A majority goes on without this keeper and lets it in: what was promised from this disk is given up.
             log.write(Record::Lost);
         }
-        self.doubt = !all_heard && log.state().voting;
+        self.copy_unverified = !all_answered && log.state().voting;
     }
 
     /// A keeper that is the only one leads from its start, in a term of its own.
-    fn crown(&mut self) {
+    fn lead_alone(&mut self) {
         let mut log = self.shared.log();
         let n = log.state().promise.map_or(0, |b| b.n).saturating_add(1);
         log.write(Record::Promise(Ballot::with(super::check::CONFIGURATION, n, 0, u64::from(self.own))));
     }
 
-    fn found(&mut self, all_heard: bool, time_over: bool) -> bool {
-        let unseen = self.peers.iter().all(|p| p.seen_me == Mark::default());
+    fn start_empty(&mut self, all_answered: bool, time_over: bool) -> bool {
+        let unseen = self.peers.iter().all(|p| p.seen_of_us == Mark::default());
         let never = self.seen.get(usize::from(self.own) - 1).is_none_or(|s| s.mark == Mark::default());
-        if unseen && never && (all_heard || time_over && self.tuning.found) {
+        if unseen && never && (all_answered || time_over && self.tuning.found) {
             let mut log = self.shared.log();
             log.settle();
             log.write(Record::Voting(0));
@@ -124,67 +125,69 @@
         false
     }
 
-    fn admitted(&mut self, readmitted: Option<(u64, u64)>) -> bool {
-        let (Some((slot, ballot)), Some((decided, nonce))) = (self.admit, readmitted) else { return false };
-        let nobodys = self.nobodys();
+    fn apply_admission(&mut self, readmitted: Option<(u64, u64)>) -> bool {
+        let (Some((slot, ballot)), Some((decided, nonce))) = (self.admission, readmitted) else {
+            return false;
+        };
+        let unled_ballot = self.unled_ballot();
         let mut log = self.shared.log();
         if nonce != self.nonce || decided != slot || log.state().decided <= slot {
             return false;
         }
         // What was learnt from the others and nothing else.
         log.write(Record::Lost);
-        log.write(Record::Accepted(nobodys));
+        log.write(Record::Accepted(unled_ballot));
         for record in log.state().follow(Some(ballot)) {
             log.write(record);
         }
         log.settle();
         log.write(Record::Voting(slot + 1));
         drop(log);
-        self.admit = None;
+        self.admission = None;
         self.opened = Mark { epoch: slot + 1, writes: 0 };
         true
     }
 
-    fn lead(&mut self, now: Micros, readmits: &dyn Fn(u8) -> Option<(u64, u64)>) {
-        let Some(term) = self.leading() else { return };
-        if self.charged != term {
+    fn run_leader(&mut self, now: Micros, readmissions: &dyn Fn(u8) -> Option<(u64, u64)>) {
+        let Some(term) = self.leading_term() else { return };
+        if self.announced_term != term {
             // Its own entry at the end of a log that holds all decided before: once it is decided and folded, so is
             // all that any leader before it had decided.
-            self.charged = term;
+            self.announced_term = term;
             self.append(Item::Charge { term, life: self.life.clone() });
         }
         self.lease.begin(term, self.group.count);
-        if now >= self.renew_at {
-            self.renew_at = now.saturating_add(self.tuning.lease / 8);
-            if self.alone() || self.grants.grant(now, (self.own, self.nonce), term, &self.tuning) {
+        if now >= self.next_renewal {
+            self.next_renewal = now.saturating_add(self.tuning.lease / 8);
+            if self.is_single() || self.grants.grant(now, (self.own, self.nonce), term, &self.tuning) {
                 self.lease.granted(usize::from(self.own) - 1, term, now, now);
             }
             let held = self.lease.until(&self.tuning).is_some_and(|until| now < until);
             if held {
-                self.touched = now;
+                self.leader_confirmed_at = now;
             }
             let renew = self.others().map(|pid| (pid, Said::Renew { term, sent: now, held }));
-            self.out.extend(renew);
+            self.outbox.extend(renew);
         }
         if self.tuning.readmit && self.omni.is_some() {
-            self.readmit(now, readmits);
+            self.readmit_others(now, readmissions);
         }
     }
 
-    fn readmit(&mut self, now: Micros, readmits: &dyn Fn(u8) -> Option<(u64, u64)>) {
+    fn readmit_others(&mut self, now: Micros, readmissions: &dyn Fn(u8) -> Option<(u64, u64)>) {
         let fresh = self.tuning.fresh;
         let Some(ballot) = self.omni.as_ref().map(|o| o.get_promise()) else { return };
         for pid in self.others() {
             let Some(peer) = self.peers.get_mut(usize::from(pid) - 1) else { continue };
             let waits = !peer.voting && peer.nonce != 0 && peer.fresh(now, fresh);
             // One that never voted is given time to begin by itself.
-            if !waits || now < peer.since.saturating_add(2 * fresh) {
+            if !waits || now < peer.first_seen.saturating_add(2 * fresh) {
                 continue;
             }
-            if let Some((slot, nonce)) = readmits(pid)
+            if let Some((slot, nonce)) = readmissions(pid)
                 && nonce == peer.nonce
             {
-                self.out.push((pid, Said::Admit { nonce, slot, ballot }));
+                self.outbox.push((pid, Said::Admit { nonce, slot, ballot }));
             } else if peer.readmit_at.is_none_or(|at| now >= at.saturating_add(4 * fresh)) {
                 peer.readmit_at = Some(now);
                 let nonce = peer.nonce;
