--- a/crates/fleet/src/replicas/applied_state.rs
+++ b/crates/fleet/src/replicas/applied_state.rs
@@ -1,8 +1,9 @@
-//! What follows from the decided log, the same at every member: the place of each entry, each request once, who is in
-//! charge, which keepers were let in again.
+//! The state that follows from the decided log, identical at every member: the index of each entry, the
+//! requests already applied, the leader, and readmitted replicas.
 //!
-//! Bounded: [`NAMES`] names, the newest [`LIVES`] lives of each, [`WINDOW`] numbers of each life. What falls outside is
-//! never delivered, rather than perhaps twice: its asker hears that it is superseded.
+//! It is bounded: [`MAX_NAMES`] names, the newest [`MAX_LIVES`] lives of each, and [`REQUEST_WINDOW`] request
+//! numbers of each life. A request outside these bounds is never delivered, because it could be a repetition;
+//! it is answered as superseded.
 
 use super::item::Item;
 use crate::entry::{Decided, Request, Term};
@@ -10,32 +11,32 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Names whose requests are told apart.
+/// The maximum number of names whose requests are tracked.
 pub const MAX_NAMES: usize = 1_024;
-/// Lives of each; an older one asks nothing any more.
+/// The maximum number of lives of each name; requests of older ones are refused.
 pub const MAX_LIVES: usize = 4;
-/// Numbers of each life, up to the highest decided.
+/// The number of request numbers tracked for each life, up to the highest decided.
 pub const REQUEST_WINDOW: u64 = 128;
 
-/// What is known of a request.
+/// What is known about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Known {
-    /// Not decided.
+    /// It isn't decided.
     New,
-    /// Decided at this place.
+    /// It was decided at this index.
     At(u64),
-    /// So old that it is not known whether it was decided; it is not delivered (again).
+    /// It is so old that it isn't known whether it was decided; it isn't delivered (again).
     Superseded,
 }
 
-/// What an item at its slot comes to.
+/// The result of applying an item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyOutcome {
-    /// An entry at its place.
+    /// An entry is delivered at its index.
     Deliver(Decided),
-    /// A request that was there before, or that can't be told apart from one.
+    /// The request was applied before, or can't be distinguished from one that was.
     Duplicate(Request, Known),
-    /// Nothing for the caller.
+    /// The item doesn't concern the caller.
     Internal,
 }
 
@@ -54,19 +55,19 @@
 /// The state that follows from the log up to a slot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fold {
-    /// Slots folded.
+    /// The number of slots applied.
     pub slot: u64,
-    /// Place of the last entry delivered; 0 where there was none.
+    /// The index of the last entry delivered; 0 if there was none.
     pub index: u64,
-    /// Who leads, by the log.
+    /// The leader according to the log.
     pub charge: Option<(Term, Life)>,
-    /// Keepers let in again: slot and life.
+    /// Readmitted replicas, with the slot and the life.
     pub readmissions: BTreeMap<u8, (u64, u64)>,
     names: BTreeMap<Name, NameHistory>,
 }
 
 impl Fold {
-    /// What is known of a request.
+    /// Returns what is known about a request.
     pub fn known(&self, request: &Request) -> Known {
         let Some(lives) = self.names.get(&request.from.name) else {
             return if self.names.len() < MAX_NAMES { Known::New } else { Known::Superseded };
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Takes the item of the next slot.
+    /// Applies the item of the next slot.
     pub fn apply(&mut self, item: &Item) -> ApplyOutcome {
         let slot = self.slot;
         self.slot += 1;
--- a/crates/fleet/src/replicas/check.rs
+++ b/crates/fleet/src/replicas/check.rs
@@ -1,5 +1,5 @@
-//! What a message of agreement must be before `omnipaxos` sees it: that library indexes by what messages say and panics
-//! on what a correct peer does not send.
+//! Validates messages of the consensus protocol before `omnipaxos` handles them: the library uses their
+//! content as indexes, and panics on messages that a correct peer doesn't send.
 
 use super::item::Item;
 use super::state::State;
@@ -10,24 +10,25 @@
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
 use omnipaxos::util::LogSync;
 
-/// The number of the one configuration there is.
+/// The number of the only configuration.
 pub const CONFIGURATION: u32 = 1;
-/// Ballots and places beyond it can't be counted on without overflow.
+/// Greater ballots and indexes could overflow.
 const MAX_BALLOT: u32 = 1 << 30;
 const MAX_INDEX: usize = 1 << 46;
 
 /// What to do with a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Hand it over.
+    /// Pass it on.
     Take,
-    /// A correct peer does not send it, or it has come too late to mean anything.
+    /// Drop it: a correct peer doesn't send it, or it is too late to matter.
     Drop,
-    /// The sender lacks more of the log than agreement may bring.
+    /// The sender lacks more of the log than consensus may carry.
     Behind,
 }
 
-/// Judges a message; cuts from it what is decided here already. `leads`: this keeper leads, and has a majority's promises.
+/// Validates a message and removes what is already decided here from it. `leads` tells whether this replica
+/// leads and has a majority's promises.
 pub fn check(
     message: &mut Message<Item>,
     from: u64,
@@ -62,7 +63,7 @@
             if !owned_by(&m.n, from) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
                 return Verdict::Drop;
             }
-            // What we would have to send may be trimmed or too much for one message.
+            // What we would have to send may have been trimmed, or be too much for one message.
             if behind(m.decided_idx) {
                 return Verdict::Behind;
             }
@@ -76,13 +77,13 @@
                 return Verdict::Behind;
             }
             if leads {
-                // The leader's log is settled, and may have gone beyond what a promise sent again offers.
+                // The leader's log is settled, and may be longer than what a repeated promise offers.
                 m.log_sync = None;
             }
             if !m.log_sync.as_mut().is_none_or(|sync| sync_fits(sync, state)) {
                 return Verdict::Drop;
             }
-            // What it calls decided it brings, or it is here.
+            // Everything that it reports as decided is in the message or here.
             let brings = m.log_sync.as_ref().map_or(0, |sync| sync.sync_idx + sync.suffix.len());
             m.accepted_idx < MAX_INDEX && (leads || m.decided_idx <= brings.max(state.end() as usize))
         }
@@ -101,8 +102,8 @@
         }
         PaxosMsg::Accepted(m) => owned_by(&m.n, own) && m.accepted_idx as u64 <= state.end(),
         PaxosMsg::NotAccepted(m) => ballot(&m.n),
-        // Not used here: requests go to the leader by their own way, each keeper trims for itself, and which members
-        // are keepers does not change.
+        // Not used: requests are sent to the leader separately, each replica trims its own log, and the set
+        // of replicas doesn't change.
         PaxosMsg::ProposalForward(_)
         | PaxosMsg::Compaction(_)
         | PaxosMsg::AcceptStopSign(_)
@@ -111,8 +112,8 @@
     if fits { Verdict::Take } else { Verdict::Drop }
 }
 
-/// Whether a part of a log can be put on ours. One that begins before what is decided here says the same up to there: that
-/// part is left out, so that nothing decided is ever written over.
+/// Returns whether a part of a log can be written to ours. A part that begins before the end of the decided
+/// log is equal to it up to there; that much is removed, so that nothing decided is ever overwritten.
 fn sync_fits(sync: &mut LogSync<Item>, state: &State) -> bool {
     let decided = state.decided as usize;
     if sync.decided_snapshot.is_some() || sync.stopsign.is_some() || sync.sync_idx as u64 > state.end() {
--- a/crates/fleet/src/replicas/compare.rs
+++ b/crates/fleet/src/replicas/compare.rs
@@ -1,15 +1,18 @@
-//! Whether the log that a keeper came with is the others': the chain's heads held against each other.
+//! Compares the log that a replica started with to the others', by the heads of the hash chain.
 //!
-//! A file whose frames are whole may say what was never decided: somebody altered it, and the checksums with it. Each keeper
-//! tells in its hellos the head of its decided log as far as the receiver's goes too. One that starts with a log takes no
-//! part, tells nothing on and learns nothing before as many others as make a majority with it have been heard of; then
-//! - where those that have the same log make a majority with it, it goes on;
-//! - where so many have another that no majority can have its own, its log is given up, and it goes on as one whose folder is empty
-//!   ([`super::office`]): it learns, and votes once it is let in. Likewise where one has another and a leader lets it in;
-//! - else it waits for the rest.
+//! A file of whole frames may contain what was never decided, if somebody altered it together with its
+//! checksums. Each replica sends in its hellos the head of its decided log, as far as the receiver's log goes
+//! too. A replica that starts with a log takes no part in consensus, serves no learner and learns nothing
+//! until enough others for a majority have answered. Then
 //!
-//! Not found out: a log altered alike at a majority; slots that no other keeper within reach has; a keeper that is the only
-//! one; and what a snapshot says of the slots before it, where the slots themselves are no longer kept.
+//! - if those with the same log form a majority with it, it continues;
+//! - if so many have another log that no majority can have its own, its log is discarded, and it continues
+//!   like a replica with an empty disk ([`super::voting`]): it learns, and votes once it is readmitted. The
+//!   same holds if one replica has another log and a leader readmits it;
+//! - otherwise it waits for the rest.
+//!
+//! Not detected: a log altered in the same way at a majority; slots that no other reachable replica has; a
+//! single replica; and what a snapshot says about earlier slots that are no longer kept.
 
 use super::Counts;
 use super::peers::{LogComparison, Peer};
@@ -20,7 +23,7 @@
 use heronroute_journal::Storage;
 
 impl<S: Storage> Replica<S> {
-    /// Says hello to a keeper, and how the log stands here.
+    /// Sends a replica a hello with the position of this log.
     pub(super) fn send_hello(&mut self, pid: u8, ask: bool) {
         let Some(peer) = self.peers.get(usize::from(pid).wrapping_sub(1)) else { return };
         let spot = {
@@ -33,7 +36,7 @@
         self.outbox.push((pid, Said::Hello(spot)));
     }
 
-    /// Holds another's log against this one's.
+    /// Compares another replica's log with this one.
     pub(super) fn compare(&mut self, from: u8, spot: &Spot, counts: &mut Counts) {
         let Some(peer) = self.peers.get_mut(usize::from(from).wrapping_sub(1)) else { return };
         (peer.decided, peer.log_end) = (Some(spot.decided), spot.end);
@@ -41,8 +44,8 @@
             let log = self.shared.log();
             (log.state().known(), log.state().head(spot.at))
         };
-        // Guards against a head of a place where the two would agree whatever they hold: the other did not know yet, or knew of an
-        // earlier life, how far this one goes.
+        // A head is ignored at a place where the two would agree whatever they hold, which happens when the
+        // sender didn't know yet, or knew of an earlier life, how far this log goes.
         if spot.at == known.min(spot.decided) {
             let comparison = match (spot.head, own) {
                 (Some(theirs), Some(own)) if theirs == own => LogComparison::Same,
@@ -64,12 +67,13 @@
         self.peers.iter().filter(|peer| peer.comparison.is_some_and(&which)).count()
     }
 
-    /// Whether another has another log, and it is not known yet whose is the majority's.
+    /// Returns whether another replica has another log, and it isn't known yet which one the majority has.
     pub(super) fn log_disputed(&self) -> bool {
         !self.log_verified && self.count(|c| c == LogComparison::Differs) > 0
     }
 
-    /// Whether the log that it came with is the others'. Where it is not, it is given up.
+    /// Verifies the log that the replica started with, and discards it if it differs from the others'.
+    /// Returns whether the log is verified.
     pub(super) fn verify_log(&mut self) -> bool {
         let quorum = self.group.count / 2 + 1;
         let differ = self.count(|c| c == LogComparison::Differs);
@@ -77,7 +81,7 @@
         if !self.log_verified && (self.log_altered || shut_out) {
             self.discard_log();
         }
-        // What is learnt from now on comes from those whose logs were held against each other.
+        // What is learnt from now on comes from replicas whose logs were compared with each other.
         self.log_verified |= self.decided() == 0 || self.count(|c| c != LogComparison::Differs) + 1 >= quorum;
         self.log_verified
     }
@@ -94,8 +98,8 @@
         (self.log_altered, self.log_discarded) = (true, true);
     }
 
-    /// Whether somebody who learns the log has more of it than this keeper and all that it hears of: then one of them has
-    /// forgotten what it took, and it may be this one, whose disk was put back.
+    /// Returns whether a learner has more of the log than this replica and all others that it knows of. Then
+    /// one of them has lost what it accepted, and it may be this one, whose disk was restored.
     pub(super) fn readers_are_ahead(&self) -> bool {
         let end = self.shared.log().state().end();
         self.max_requested_slot > self.peers.iter().map(|peer| peer.log_end).fold(end, u64::max)
--- a/crates/fleet/src/replicas/item.rs
+++ b/crates/fleet/src/replicas/item.rs
@@ -1,40 +1,42 @@
-//! What a slot of the keepers' log holds.
+//! The items in the slots of the replicated log.
 
 use crate::entry::{Entry, Term};
 use crate::name::Life;
 use omnipaxos::storage::NoSnapshot;
 use serde::{Deserialize, Serialize};
 
-/// What a slot holds. Slots are the places of the agreed log, counted from 0; the places that members see ([`crate::Decided`])
-/// count [`Item::Asked`] alone, and of a request that was decided twice only the first.
+/// The item in a slot. Slots are the positions of the log, counted from 0. The indexes that members see
+/// ([`crate::Decided`]) count only [`Item::Asked`], and only the first occurrence of a request that was
+/// decided twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Item {
-    /// What somebody asked for.
+    /// A requested entry.
     Asked(Entry),
-    /// Who leads from here on, in which term.
+    /// A new leader and its term, from here on.
     Charge {
         /// The term.
         term: Term,
-        /// The life that leads.
+        /// The leading life.
         life: Life,
     },
-    /// A keeper whose promises were lost (an empty disk, an old one) may take part again, in this life of it.
+    /// A replica that lost its promises (its disk is empty or an old one) may take part again, in this life.
     Readmit {
-        /// The keeper.
+        /// The replica's number.
         pid: u8,
-        /// Its life, by the number it drew at its start.
+        /// The life, by the random number it drew at its start.
         nonce: u64,
     },
 }
 
 impl omnipaxos::storage::Entry for Item {
-    /// None: a follower that lacks more than the log holds learns the decided prefix first ([`super::learn`]), in bounded
-    /// pieces, instead of getting all of it in one message of the agreement.
+    /// No snapshots in the protocol: a follower that lacks more than the log holds first learns the decided
+    /// prefix ([`super::learn`]) in bounded pieces, and not in one large protocol message.
     type Snapshot = NoSnapshot;
 }
 
 impl Item {
-    /// Octets that it counts for in bounds; its own and an allowance for what surrounds them.
+    /// Returns the number of bytes that the item counts towards limits: its body and an allowance for the
+    /// encoding.
     pub fn octets(&self) -> u64 {
         match self {
             Item::Asked(entry) => entry.body.len() as u64 + 128,
--- a/crates/fleet/src/replicas/learn.rs
+++ b/crates/fleet/src/replicas/learn.rs
@@ -1,5 +1,5 @@
-//! How the decided log reaches those who do not agree on it, and keepers that lack too much of it: asked for by place,
-//! in bounded pieces, as a snapshot where the log has been left out.
+//! Distributes the decided log to members that take no part in consensus, and to replicas that lack too much
+//! of it. Learners request it by slot, in bounded pieces, or as a snapshot where the log was removed.
 
 use super::item::Item;
 use super::state::State;
@@ -7,43 +7,45 @@
 use super::wire::{Tip, Told};
 use crate::Micros;
 
-/// The asking side.
+/// The learner's side.
 #[derive(Clone, Debug, Default)]
 pub struct Learn {
-    /// The keeper asked, by its number.
+    /// The number of the replica that is asked.
     source: u8,
-    /// When it is asked again.
+    /// The time of the next request.
     next_ask: Micros,
-    /// It has not answered yet.
+    /// Whether the last request is unanswered.
     awaiting_answer: bool,
-    /// It is to be asked whatever it says of a majority.
+    /// Whether the replica is to be asked whatever it reports about its majority.
     forced: bool,
-    /// For each keeper: when it was asked what it answered last, and whether it had a majority and was adrift then.
+    /// For each replica: the time of the request that it answered last, whether it had a majority, and
+    /// whether decisions bypassed it.
     reports: Vec<Option<(Micros, bool, bool)>>,
     snapshot: Option<(u64, Vec<u8>)>,
 }
 
-/// What an answer has brought.
+/// The content of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Learnt {
-    /// All that the keeper asked has is known.
+    /// Everything that the asked replica has is known.
     All,
     /// Nothing new.
     Nothing,
     /// Decided items from a slot on.
     Items(u64, Vec<Item>),
-    /// The state at a slot.
+    /// The snapshot at a slot.
     Snapshot(u64, Vec<u8>),
 }
 
 impl Learn {
-    /// One that asks these many keepers, beginning with one by chance.
+    /// Returns a learner that asks this many replicas, beginning with a random one.
     pub fn new(keepers: usize, seed: u64) -> Self {
         let source = (seed % keepers.max(1) as u64) as u8 + 1;
         Learn { source, reports: vec![None; keepers], ..Learn::default() }
     }
 
-    /// A question that is due, and to whom. `own` is this keeper's own number, which is not asked.
+    /// Returns a request and its receiver if one is due. `own` is this replica's own number, which isn't
+    /// asked.
     pub fn ask(&mut self, now: Micros, from: u64, own: Option<u8>, every: Micros) -> Option<(u8, Told)> {
         if now < self.next_ask {
             return None;
@@ -63,17 +65,17 @@
         Some((self.source, Told::Pull { from, part, sent: now }))
     }
 
-    /// Whether a question is due.
+    /// Returns whether a request is due.
     pub fn due(&self, now: Micros) -> bool {
         now >= self.next_ask
     }
 
-    /// To ask this keeper at once.
+    /// Makes this replica the next to be asked, at once.
     pub fn switch_to(&mut self, keeper: u8) {
         (self.source, self.next_ask, self.awaiting_answer, self.forced) = (keeper, 0, false, true);
     }
 
-    /// A link to this keeper is gone.
+    /// Handles the loss of the link to a replica.
     pub fn lost(&mut self, keeper: u8) {
         if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1)) {
             *report = None;
@@ -83,20 +85,20 @@
         }
     }
 
-    /// A keeper said that it has no majority.
+    /// Records that a replica reported that it has no majority.
     pub fn refused(&mut self, now: Micros, keeper: u8) {
         if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1)) {
             *report = Some((now, false, false));
         }
     }
 
-    /// It has a majority, and what is decided reaches it.
+    /// Returns whether the replica has a majority and receives decisions.
     fn is_useful(&self, keeper: u8) -> bool {
         let report = self.reports.get(usize::from(keeper).wrapping_sub(1)).copied().flatten();
         report.is_some_and(|(_, majority, adrift)| majority && !adrift)
     }
 
-    /// A keeper that said lately that it has a majority.
+    /// Returns a replica that lately reported that it has a majority.
     pub fn with_majority(&self, now: Micros, window: Micros) -> Option<u8> {
         let fresh = |report: &Option<(Micros, bool, bool)>| {
             report.is_some_and(|(asked, majority, _)| majority && asked.saturating_add(window) >= now)
@@ -105,7 +107,7 @@
         if self.reports.get(source).is_some_and(fresh) && self.is_useful(self.source) {
             return Some(self.source);
         }
-        // One that is adrift hands on to a leader that decides nothing.
+        // A replica that decisions bypass would forward requests to a leader that decides nothing.
         let steady = |report: &Option<_>| fresh(report) && report.is_some_and(|(_, _, adrift)| !adrift);
         let any = || self.reports.iter().position(fresh);
         self.reports.iter().position(steady).or_else(any).map(|i| i as u8 + 1)
@@ -126,12 +128,13 @@
         }
     }
 
-    /// Takes an answer; `from` is the next slot wanted.
+    /// Handles an answer; `from` is the next slot wanted.
     pub fn hear(&mut self, now: Micros, keeper: u8, from: u64, told: Told) -> Learnt {
         match told {
             Told::Items { from: at, items, tip } => {
                 let fits = at == from && !items.is_empty();
-                // Asked on at once, also where there is no more: so the keeper tells of the next as soon as it is decided.
+                // The next request is sent at once, even if there is nothing more, so that the replica
+                // reports the next decision as soon as it is made.
                 self.record_status(now, keeper, tip, fits);
                 if !fits {
                     return if from >= tip.decided { Learnt::All } else { Learnt::Nothing };
@@ -165,7 +168,7 @@
     }
 }
 
-/// The answering side: what a keeper answers to a question.
+/// Returns a replica's answer to a learner's request.
 pub fn serve(state: &State, from: u64, part: Option<(u64, u64)>, tip: Tip) -> Told {
     let decided = state.decided.min(state.end());
     if from < state.compacted {
--- a/crates/fleet/src/replicas/log.rs
+++ b/crates/fleet/src/replicas/log.rs
@@ -1,8 +1,8 @@
-//! A keeper's file: what it has promised and taken, durable before anybody hears of it.
+//! A replica's file. Promises and accepted items are durable in it before any other member learns of them.
 //!
-//! One file, `agreed`, that is appended to; when it has grown far beyond what it stands for it is written anew under
-//! another name and renamed. After the first failure nothing more is written: what is on disk is then not known, and a
-//! keeper that went on might break a promise.
+//! The file, `agreed`, is append-only. When it has grown far beyond the size of its state, it is rewritten
+//! under another name and renamed. After the first failure nothing more is written: the content of the disk
+//! is then unknown, and a replica that continued might break a promise.
 
 use super::record::{self, FORMAT, HEAD, Record};
 use super::state::State;
@@ -11,32 +11,32 @@
 
 const FILE: &str = "agreed";
 const TEMP_FILE: &str = "agreed.new";
-/// A file below this size is never written anew.
+/// A file smaller than this isn't rewritten.
 const MIN_REWRITE_BYTES: u64 = 256 * 1024;
 
-/// Why a keeper's file can't be used.
+/// The reason why a replica's file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The storage failed.
     #[error("the keepers' log: the storage failed: {0}")]
     Storage(#[from] io::Error),
-    /// A place that was durable can't be read.
+    /// A durable part of the file can't be read.
     #[error(
         "the keepers' log is broken at octet {0}, before places that were durable; a copy of the folder is needed before anything is tried"
     )]
     Broken(usize),
-    /// The file is of another version of the program.
+    /// The file was written by another version of the program.
     #[error(
         "the keepers' log has format {0}, and this program has format {FORMAT}: start the program that wrote it, or, while the \
          other keepers run this one, delete `agreed` from the folder, and this keeper learns from them"
     )]
     Format(u8),
-    /// The file belongs to another keeper, or the keepers named in the settings are others.
+    /// The file belongs to another replica, or the settings list other replicas than when it was written.
     #[error("the keepers' log was written by another keeper, or the settings named other keepers")]
     Other,
 }
 
-/// The file and what it says.
+/// The file and its state.
 #[derive(Debug)]
 pub struct Log<S> {
     storage: S,
@@ -45,21 +45,22 @@
     pid: u8,
     pending: Vec<u8>,
     size: u64,
-    /// Size of the file when it was last written anew.
+    /// The size of the file when it was last rewritten.
     rewritten_size: u64,
     failed: Option<String>,
-    /// The file is a copy of the one that was written.
+    /// Whether the file is a copy of the one that was written.
     copied: bool,
 }
 
 impl<S: Storage> Log<S> {
-    /// Opens the file, or begins with an empty state where there is none.
+    /// Opens the file, or begins with an empty state if there is none.
     ///
     /// # Errors
-    /// Where the storage fails, a durable place is broken or the file is another's.
+    /// Fails when the storage fails, a durable part of the file is broken, or the file belongs to another
+    /// replica.
     pub fn open(mut storage: S, group: u32, pid: u8, keepers: usize) -> Result<Self, LogError> {
         let names = storage.list()?;
-        // A file that was being written anew and never got its name says nothing that the old one does not.
+        // A rewritten file that wasn't renamed holds nothing that the old file doesn't.
         if names.iter().any(|n| n == TEMP_FILE) {
             storage.remove(TEMP_FILE)?;
         }
@@ -102,7 +103,7 @@
                 storage.sync(FILE)?;
             }
             if end == 0 {
-                // The very first commit was torn: nobody has heard of it.
+                // The very first commit was torn, so no other member knows of it.
                 storage.remove(FILE)?;
             }
             size = end as u64;
@@ -113,27 +114,28 @@
         Ok(Log { storage, state, group, pid, pending, size, rewritten_size: size, failed, copied })
     }
 
-    /// What it holds, changes that wait for their commit included.
+    /// Returns the state, including changes that aren't committed yet.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// To fold up to a slot; nothing durable changes by it.
+    /// Records that all slots before this one are applied. Nothing durable changes.
     pub fn fold_to(&mut self, slot: u64) {
         self.state.fold_to(slot);
     }
 
-    /// Whether the file was put back from a copy, or brought here from elsewhere: it may be older than what was said from it.
+    /// Returns whether the file was restored from a copy or moved here from elsewhere: it may be older than
+    /// what was sent from it.
     pub fn copied(&self) -> bool {
         self.copied
     }
 
-    /// It is known not to be older. The next commit writes it anew, as this storage's own.
+    /// Accepts the file as up to date. The next commit rewrites it as this storage's own.
     pub fn settle(&mut self) {
         self.rewritten_size = if std::mem::take(&mut self.copied) { 0 } else { self.rewritten_size };
     }
 
-    /// Forgets all that it holds, but how often it was written. The next commit writes it anew.
+    /// Discards the state except the number of commits. The next commit rewrites the file.
     pub fn discard_log(&mut self) {
         if self.failed.is_some() {
             return;
@@ -146,12 +148,12 @@
         self.write(Record::Lost);
     }
 
-    /// Why it failed, if it did.
+    /// Returns the failure, if there was one.
     pub fn failed(&self) -> Option<&str> {
         self.failed.as_deref()
     }
 
-    /// Takes a change; it is durable with the next commit.
+    /// Applies a change; it is durable after the next commit.
     pub fn write(&mut self, record: Record) {
         if self.failed.is_some() {
             return;
@@ -165,18 +167,19 @@
         }
     }
 
-    /// Stops for good.
+    /// Fails the log for good.
     pub fn fail(&mut self, why: String) {
         self.pending.clear();
         self.failed.get_or_insert(why);
     }
 
-    /// Whether changes wait.
+    /// Returns whether there are uncommitted changes.
     pub fn waits(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Makes all changes durable. False where it failed, now or before: nothing of them may be told.
+    /// Makes all changes durable. Returns false if this or an earlier commit failed: then no other member may
+    /// learn of them.
     pub fn commit(&mut self) -> bool {
         if self.failed.is_none()
             && self.waits()
@@ -201,7 +204,7 @@
         Ok(())
     }
 
-    /// The whole state as a new file, in place of the old one and of what waits.
+    /// Writes the whole state to a new file, which replaces the old file and the uncommitted changes.
     fn rewrite(&mut self) -> io::Result<()> {
         self.storage.create(TEMP_FILE)?;
         let mut payload = Vec::new();
@@ -229,7 +232,7 @@
         self.state.writes += 1;
     }
 
-    /// Octets of the file.
+    /// Returns the size of the file in bytes.
     pub fn size(&self) -> u64 {
         self.size
     }
--- a/crates/fleet/src/replicas/member.rs
+++ b/crates/fleet/src/replicas/member.rs
@@ -1,4 +1,5 @@
-//! A member as a whole: keeper or not, it has the decided log, asks for entries and answers for what it knows.
+//! A member's part in the replicated log: with or without a replica, it holds the decided log, makes
+//! requests, and answers others.
 
 use super::asks::{Answer, Asks};
 use super::chain::Chain;
@@ -21,29 +22,31 @@
 pub(super) struct Snapshot {
     pub(super) fold: Fold,
     pub(super) machine: Vec<u8>,
-    /// The chain's head up to there.
+    /// The hash chain's head up to there.
     pub(super) head: Chain,
 }
 
-/// This member's part in the ordered log. `S` keeps a keeper's promises; other members have none.
+/// This member's part in the replicated log. `S` stores the promises of its replica; members without a
+/// replica have no storage.
 pub struct Keepers<S: Storage> {
     pub(super) life: Life,
     pub(super) nonce: u64,
     pub(super) tuning: Tuning,
     pub(super) group: Group,
-    /// The keepers, by number.
+    /// The names of the replicas, by number.
     pub(super) keepers: Vec<Name>,
     pub(super) own: Option<u8>,
     pub(super) replica: Option<Replica<S>>,
     pub(super) fold: Fold,
     pub(super) learn: Learn,
     pub(super) asks: Asks,
-    /// Members that have all that is decided, until when they are told of more, and their clock when they asked.
+    /// Members that have everything decided: the slot they have, the time until which they are sent news, and
+    /// their clock when they asked.
     pub(super) watchers: BTreeMap<Name, Option<(u64, Micros, Micros)>>,
     pub(super) log_outbox: Vec<(Name, Told)>,
     pub(super) outputs: VecDeque<Output>,
     pub(super) next_tick: Micros,
-    /// The time that came with the last input.
+    /// The time of the last input.
     pub(super) now: Micros,
     pub(super) snapshot_requested: bool,
     pub(super) standing: Standing,
@@ -51,12 +54,13 @@
 }
 
 impl<S: Storage> Keepers<S> {
-    /// A member that starts now. `peers` are all members as the settings name them, this one included; `installation` is the
-    /// installation's name; `seed` is new at each start, as this life is told from others of its name by it. Entries
-    /// that the disk knows to be decided come with the first [`Keepers::flush`].
+    /// Returns the state of a member that starts now. `peers` lists all members of the settings, including
+    /// this one; `installation` is the installation's name; `seed` must differ at each start, as it
+    /// distinguishes this life from others under its name. Entries that the disk knows as decided are
+    /// delivered after the first [`Keepers::flush`].
     ///
     /// # Errors
-    /// Where the settings don't fit, or the keeper's file can't be used.
+    /// Fails when the settings are invalid, or the replica's file can't be used.
     pub fn new(
         now: Micros,
         own: Life,
@@ -89,7 +93,8 @@
                 if !log.state().base.is_empty() {
                     let base: Snapshot =
                         postcard::from_bytes(&log.state().base).map_err(|_| StartError::Base)?;
-                    // Guards against slots altered behind a snapshot that were there when it was made.
+                    // Slots before a snapshot that were altered after the snapshot was made don't match its
+                    // head.
                     mismatch = log.state().head(base.fold.slot).is_some_and(|head| head != base.head);
                     if mismatch && group.count == 1 {
                         return Err(StartError::Altered);
@@ -120,7 +125,7 @@
             watchers,
             log_outbox: Vec::new(),
             outputs,
-            // Members started at one moment do not all speak at one moment.
+            // Members that start at the same moment don't all send at the same moment.
             next_tick: now + (nonce % tuning.tick.max(1) as u64) as Micros,
             now,
             snapshot_requested: false,
@@ -129,12 +134,12 @@
         })
     }
 
-    /// When [`Keepers::tick`] is due.
+    /// Returns the time at which [`Keepers::tick`] is due.
     pub fn next_wake(&self) -> Micros {
         self.next_tick
     }
 
-    /// Takes octets that a member has sent; the link has shown that it is that member.
+    /// Handles bytes from a member; the link has authenticated it.
     pub fn handle(&mut self, now: Micros, from: &Name, lane: Lane, octets: &[u8]) {
         self.now = now;
         let pid = self.pid(from);
@@ -153,14 +158,14 @@
         }
     }
 
-    /// A link to a member stands (again).
+    /// Handles that the link to a member is up (again).
     pub fn reconnected(&mut self, _now: Micros, peer: &Name) {
         if let (Some(pid), Some(replica)) = (self.pid(peer), &mut self.replica) {
             replica.reconnected(pid);
         }
     }
 
-    /// The link to a member is gone.
+    /// Handles that the link to a member is down.
     pub fn lost(&mut self, _now: Micros, peer: &Name) {
         let Some(pid) = self.pid(peer) else { return };
         self.learn.lost(pid);
@@ -169,8 +174,8 @@
         }
     }
 
-    /// Asks for an entry; the answer comes as [`Output::Answer`], at once where it is known at once. Asked again with the same
-    /// request, it is the same entry. `wall` is the time of day.
+    /// Requests an entry. The answer is an [`Output::Answer`], at once if it is known at once. A repetition
+    /// with the same request is the same entry. `wall` is the time of day.
     pub fn propose(&mut self, now: Micros, request: Request, wall: Micros, body: Vec<u8>) {
         self.now = now;
         let answer = match self.fold.known(&request) {
@@ -189,8 +194,8 @@
         self.outputs.push_back(Output::Answer { request, answer });
     }
 
-    /// To be called at [`Keepers::next_wake`] or after. However late, it is one tick: a process that was paused does not
-    /// make up for what it missed.
+    /// Handles a tick. Call it at [`Keepers::next_wake`] or later. A late call counts as one tick: a process
+    /// that was paused doesn't catch up on the ticks that it missed.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
         if now < self.next_tick {
@@ -204,7 +209,7 @@
                 self.learn.switch_to(pid);
             }
             if std::mem::take(&mut replica.log_discarded) {
-                // What was told from the log that is given up may be wrong: all of it is taken back.
+                // What was delivered from the discarded log may be wrong, so all of it is revoked.
                 self.fold = Fold::default();
                 self.learn = Learn::new(self.keepers.len(), mix(self.nonce));
                 self.outputs.push_back(Output::Restore { index: 0, machine: Vec::new() });
@@ -220,7 +225,8 @@
         self.forward_requests(now);
     }
 
-    /// Makes durable what the inputs since the last flush did, and lets out what may be said then.
+    /// Makes the effects of the inputs since the last flush durable, and releases the messages that depend on
+    /// them.
     pub fn flush(&mut self, now: Micros) {
         let mut sends = Vec::new();
         if let Some(replica) = &mut self.replica {
@@ -243,20 +249,21 @@
         self.update_standing(now);
     }
 
-    /// The next thing to do.
+    /// Returns the next output.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The caller's state with all entries up to `index` applied, as [`Output::WantSnapshot`] asked for it. False where it is not
-    /// taken: there are newer entries, or it is longer than [`MOST_SNAPSHOT`].
+    /// Takes a snapshot: the caller's state with all entries up to `index` applied, as
+    /// [`Output::WantSnapshot`] requested it. Returns false if it isn't accepted, because there are newer
+    /// entries or it is longer than [`MOST_SNAPSHOT`].
     pub fn snapshot(&mut self, index: u64, machine: Vec<u8>) -> bool {
         let unapplied = self.outputs.iter().any(|o| matches!(o, Output::Decided(_) | Output::Restore { .. }));
         self.snapshot_requested = false;
         if index != self.fold.index || unapplied {
             return false;
         }
-        // A keeper out of its leader's reach has folded more than its own log may be cut at.
+        // A replica that its leader can't reach may have applied more than its own log can be trimmed to.
         let slot = self.fold.slot;
         let Some(replica) = self.replica.as_mut().filter(|replica| slot <= replica.decided()) else {
             return false;
@@ -297,7 +304,7 @@
         }
     }
 
-    /// What the log learnt serves, for [`learn::serve`].
+    /// Returns the answer to a learner's request, from [`learn::serve`].
     pub(super) fn serve(
         &self,
         now: Micros,
@@ -305,7 +312,7 @@
         part: Option<(u64, u64)>,
         echo: Micros,
     ) -> Option<Told> {
-        // Nothing is told on of a log that is not known to be the others'.
+        // A log that may differ from the others' isn't served.
         let replica = self.replica.as_ref().filter(|replica| replica.log_verified)?;
         let majority = replica.majority(now);
         let log = replica.shared.log();
@@ -321,7 +328,7 @@
     }
 }
 
-/// SplitMix64's finish: numbers that lie close together come apart.
+/// The finalizer of SplitMix64: similar numbers give very different results.
 fn mix(seed: u64) -> u64 {
     let mut z = seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/fleet/src/replicas/mod.rs
+++ b/crates/fleet/src/replicas/mod.rs
@@ -1,23 +1,28 @@
-//! The ordered log of decisions: agreed on by a majority of 1, 3 or 5 keepers, learnt by every other member.
+//! The replicated log of decisions: a majority of 1, 3 or 5 replicas decides its entries, and every other
+//! member learns them.
 //!
-//! **Why `omnipaxos`.** Candidates were `raft` 0.7 and `omnipaxos` 0.2. What decided is the chain: A sees B, B sees C, A does
-//! not see C, and C leads. Under Raft, A misses C's heartbeats, counts up its term and gets B's vote; C, which can't hear
-//! A, does the same in turn, and leadership goes to and fro for as long as the cut lasts. Pre-vote and sticky leaders
-//! stop that, as B won't vote while it hears C; but Raft elects only who has the newest log, and where the one member
-//! that still reaches a majority lacks an entry, nobody can be elected (the constrained election of the OmniPaxos
-//! paper, EuroSys 2023). `omnipaxos` elects whoever reaches a majority, whatever its log (it fetches what it lacks before it leads), and
-//! a heartbeat says whether its sender is content with its leader: A sees that B is, and stays. Nor does `omnipaxos` bring
-//! `protobuf` 2, which has a known advisory. In the test of the chain (`tests/keepers/cases.rs`) all three go on deciding, in
-//! one change of term at most; the end that does not see the leader learns from the middle ([`learn`]).
+//! **Why `omnipaxos`.** The candidates were `raft` 0.7 and `omnipaxos` 0.2. The deciding case is a chain: A
+//! reaches B, B reaches C, A doesn't reach C, and C leads. Under Raft, A misses C's heartbeats, increments
+//! its term and gets B's vote; C, which doesn't hear from A, then does the same, and the leadership
+//! alternates for as long as the partition lasts. Pre-vote and sticky leaders prevent that, as B doesn't vote
+//! while it hears from C; but Raft elects only a replica with the newest log, and where the one member that
+//! still reaches a majority lacks an entry, nobody can be elected (the constrained election of the OmniPaxos
+//! paper, EuroSys 2023). `omnipaxos` elects a replica that reaches a majority, whatever its log (it fetches
+//! what it lacks before it leads). Its heartbeats say whether the sender is satisfied with its leader: A sees
+//! that B is, and doesn't stand for election. It also avoids `protobuf` 2, which has a known advisory. In the
+//! test of the chain (`tests/keepers/cases.rs`) all three replicas go on deciding, with at most one change of
+//! term; the replica that doesn't reach the leader learns from the middle one ([`learn`]).
 //!
-//! What `omnipaxos` leaves to its user, and is done here: storage that is durable before a promise is heard ([`log`],
-//! [`store`]); messages in order and each once, gaps found and mended ([`peers`]); messages that would make it panic
-//! ([`check`]); messages of bounded size to those that lag ([`learn`]); disks that were lost or put back ([`office`]); a
-//! keeper alone, which it does not allow; two ways in which one keeper stays out for good after messages or a process
-//! were lost (`hear.rs`); requests that are asked twice ([`fold`]); leases ([`crate::lease`]).
+//! `omnipaxos` leaves these things to its user, and they are done here: storage that is durable before a
+//! promise is sent ([`log`], [`store`]); ordered delivery without repeats, with detection and repair of gaps
+//! ([`peers`]); rejecting messages that would make it panic ([`check`]); catching up with messages of bounded
+//! size ([`learn`]); lost and restored disks (`voting.rs`); a single replica, which it doesn't support; two
+//! cases in which a replica stays excluded for good after messages or a process were lost (`receive.rs`);
+//! repeated requests (`applied_state.rs`); and leases ([`crate::lease`]).
 //!
-//! **Use.** Inputs change memory only; [`Keepers::flush`] makes what they did durable with one sync and lets out what may be
-//! said then, so a round of inputs costs one sync. After each flush the caller takes every [`Output`], in order.
+//! **Use.** Inputs change memory only. [`Keepers::flush`] makes their effects durable with one sync and then
+//! releases the messages that depend on them, so a batch of inputs costs one sync. After each flush the
+//! caller takes every [`Output`], in order.
 
 #[path = "pending_requests.rs"]
 pub mod asks;
@@ -52,121 +57,124 @@
 use crate::name::{Life, Name};
 use crate::{Micros, entry};
 
-/// What the caller does next.
+/// An action for the caller, or an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send octets to a member.
+    /// Send bytes to a member.
     Send {
-        /// To whom.
+        /// The receiver.
         to: Name,
-        /// Which way.
+        /// The lane to send them on.
         lane: Lane,
-        /// What.
+        /// The bytes.
         octets: Vec<u8>,
     },
-    /// The next entry.
+    /// The next entry was decided.
     Decided(Decided),
-    /// What was applied is replaced by the state after entry `index`; entries go on from the next. At 0 there is no state and
-    /// `machine` is empty: all that was told before is taken back.
+    /// The state after entry `index` replaces everything applied so far; entries continue with the next one.
+    /// With index 0 there is no state, `machine` is empty, and everything delivered before is revoked.
     Restore {
-        /// The last entry in it.
+        /// The last entry that the state includes.
         index: u64,
-        /// As [`Keepers::snapshot`] was given it.
+        /// The state as it was passed to [`Keepers::snapshot`].
         machine: Vec<u8>,
     },
-    /// The log has grown: [`Keepers::snapshot`] is wanted when all up to here is applied.
+    /// The log has grown: call [`Keepers::snapshot`] once everything up to this entry is applied.
     WantSnapshot {
         /// The last entry delivered.
         index: u64,
     },
-    /// What became of a request of this member.
+    /// A request of this member was answered.
     Answer {
-        /// Which.
+        /// The request.
         request: Request,
-        /// What.
+        /// The answer.
         answer: Answer,
     },
-    /// How this member takes part has changed.
+    /// This member's participation has changed.
     Standing(Standing),
 }
 
-/// How this member takes part in agreement.
+/// A member's participation in consensus.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It is no keeper.
+    /// It holds no replica and only learns decisions.
     Learner,
-    /// It has only just started, and hears from the others whether its disk is the newest.
+    /// The replica has just started, and waits to learn from the others whether its disk is up to date.
     Starting,
-    /// It votes.
+    /// The replica votes.
     Voting,
-    /// It votes, and lacks so much of the log that it learns it first.
+    /// The replica may vote, but lacks so much of the log that it learns that part first.
     CatchingUp,
-    /// Its log was not the others', and was given up: as [`Standing::Amnesiac`].
+    /// The replica's log differed from the others' and was discarded; from there on as
+    /// [`Standing::Amnesiac`].
     Altered,
-    /// Its disk is empty, or older than what it said once: it learns and does not vote until it is let in again.
+    /// The replica's disk is empty, or older than what the replica once sent. It learns, and doesn't vote
+    /// until it is readmitted.
     Amnesiac,
-    /// Its disk failed: it takes no part until it is started again.
+    /// The replica's disk failed. It takes no part until it is restarted.
     Halted(String),
 }
 
-/// Who is in charge.
+/// The leadership of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Charge {
     /// The term.
     pub term: Term,
-    /// The life.
+    /// The leading life.
     pub life: Life,
-    /// On its own clock, the time after which it must not act.
+    /// The time, on its own clock, after which it must not act as leader.
     pub until: Micros,
 }
 
-/// What was dropped or mended, since the start.
+/// Counters of dropped messages and repaired gaps since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Octets that are no message.
+    /// Messages that couldn't be decoded.
     pub undecodable: u64,
-    /// Messages among other keepers than ours.
+    /// Messages of a group with other replicas.
     pub foreign: u64,
-    /// Messages that no correct peer sends, or sends in that state.
+    /// Messages that no correct peer sends, or not in that state.
     pub refused: u64,
-    /// Messages that came twice, too late, or from a life that is over.
+    /// Messages that were repeated, late, or from a life that has ended.
     pub late: u64,
-    /// Messages from a disk that has forgotten what it promised.
+    /// Messages from a replica whose disk has lost its promises.
     pub stale: u64,
-    /// Times that messages were found missing.
+    /// How often messages were found missing.
     pub gaps: u64,
-    /// Times that another keeper's log was found not to be this one's.
+    /// How often another replica's log was found to differ from this one's.
     pub differ: u64,
 }
 
-/// Why this member can't begin.
+/// The reason why this member can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The keepers' log can't be used.
+    /// The replica's file can't be used.
     #[error(transparent)]
     Log(#[from] LogError),
-    /// There are not 1, 3 or 5 keepers.
+    /// The number of replicas isn't 1, 3 or 5.
     #[error("{0} members are keepers; 1, 3 or 5 may be")]
     Keepers(usize),
-    /// A keeper without storage, or storage at a member that is none.
+    /// A replica has no storage, or a member without a replica has some.
     #[error("a keeper needs storage, and only a keeper")]
     Storage,
-    /// The base on disk can't be read.
+    /// The snapshot on disk can't be decoded.
     #[error("the snapshot in the keepers' log can't be read")]
     Base,
-    /// What is before the snapshot is not what it was made of, and there is no other keeper to learn it from.
+    /// The entries before the snapshot don't match it, and there is no other replica to learn them from.
     #[error(
         "the keepers' log was altered: its snapshot was made of other entries, and no other keeper has them"
     )]
     Altered,
 }
 
-/// The keepers of an installation.
+/// The replicas of an installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
-    /// Installation and keepers, as a checksum: with others than these nothing is agreed.
+    /// A checksum of the installation's name and the replicas' names. Replicas with another digest are
+    /// ignored.
     pub digest: u32,
-    /// How many keepers.
+    /// The number of replicas.
     pub count: usize,
 }
 
--- a/crates/fleet/src/replicas/peers.rs
+++ b/crates/fleet/src/replicas/peers.rs
@@ -1,90 +1,92 @@
-//! What a keeper knows of the others: which life each is in, what it said last, and whether its disk is an old one.
+//! What a replica knows about the others: their current lives, their last messages, and whether their disks
+//! are old ones.
 //!
-//! Each keeper counts its commits and says the count with each message. All keep the greatest count heard of each, write it
-//! with their own commits and tell it on. A keeper that starts from a disk with a lesser count has forgotten what it
-//! promised: its messages are refused, and as every message bears what its sender has seen of its receiver, it hears
-//! so. What a decision rests on is always among what was seen: whoever counts a promise or an acceptance commits
-//! after it has heard it.
+//! Each replica counts its commits and sends the count with each message. All replicas keep the greatest
+//! count received of each, store it with their own commits, and pass it on. A replica that starts from a disk
+//! with a lesser count has lost promises: its messages are refused, and it learns why, as every message
+//! carries what its sender has seen of the receiver. Everything that a decision relies on has been seen,
+//! because whoever counts a promise or an acceptance commits after receiving it.
 
 use super::record::{Mark, Seen};
 use super::wire::Head;
 use crate::Micros;
 use crate::name::Start;
 
-/// Another keeper, as this one knows it.
+/// Another replica, as this one knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// Its life; 0: none was heard of.
+    /// The life, or 0 if none is known.
     pub nonce: u64,
-    /// Its start.
+    /// The start number.
     pub start: Start,
-    /// It takes part.
+    /// Whether it takes part in consensus.
     pub voting: bool,
-    /// Its clock, as it last said.
+    /// Its clock in its last message.
     pub sent: Micros,
-    /// When we sent the latest message that it has answered; on our clock.
+    /// The time, on our clock, at which we sent the latest message that it has answered.
     pub answered_at: Option<Micros>,
-    /// The greatest mark of ours that it knows of.
+    /// The greatest mark of ours that it knows.
     pub seen_of_us: Mark,
-    /// Numbers of the last message each way.
+    /// The sequence numbers of the last message in each direction.
     pub number_in: u64,
     /// See [`Peer::number_in`].
     pub number_out: u64,
-    /// When the last gap was told.
+    /// The time at which a gap was last reported to it.
     pub last_gap_report: Option<Micros>,
-    /// When a readmission of this life was last asked of the log.
+    /// The time at which a readmission of this life was last proposed.
     pub readmit_at: Option<Micros>,
-    /// Since when it asks to be prepared above the ballot that is led here.
+    /// The time since which it asks to be prepared above the ballot that leads here.
     pub above_since: Option<Micros>,
-    /// Slots decided there, as it last said; none where it has not said yet.
+    /// The number of decided slots in its last message; `None` before the first.
     pub decided: Option<u64>,
-    /// Slots in all there, as it last said.
+    /// The number of slots in its last message.
     pub log_end: u64,
-    /// How its log stands to ours.
+    /// The result of comparing its log with ours.
     pub comparison: Option<LogComparison>,
-    /// When this life was first heard.
+    /// The time of the first message of this life.
     pub first_seen: Micros,
 }
 
-/// How another keeper's decided log stands to ours.
+/// The result of comparing another replica's decided log with ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogComparison {
-    /// The same, as far as both go.
+    /// They are equal, as far as both go.
     Same,
-    /// Another.
+    /// They differ.
     Differs,
-    /// One begins behind the end of the other.
+    /// One begins after the end of the other.
     Apart,
 }
 
-/// How a message stands to what was heard before.
+/// The position of a message relative to those received before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageOrder {
     /// The next in order.
     Next,
-    /// One before it is missing.
+    /// A previous message is missing.
     Gap,
-    /// The first of a life.
+    /// The first message of a life.
     NewLife,
-    /// Of a life that is over, or come twice, or late: dropped.
+    /// A message of an ended life, repeated or late: dropped.
     Late,
-    /// From a disk that has forgotten what it promised: dropped.
+    /// A message from a replica whose disk has lost its promises: dropped.
     Stale,
 }
 
 impl Peer {
-    /// Takes the head of a message. `known` is the greatest mark heard of the sender from anybody.
+    /// Handles the header of a message. `known` is the greatest mark of the sender received from any replica.
     pub fn hear(&mut self, now: Micros, own: u64, head: &Head, known: &Seen, window: Micros) -> MessageOrder {
         let order = if head.nonce != self.nonce {
             if head.voting && head.opened < known.mark && head.nonce != known.nonce {
                 return MessageOrder::Stale;
             }
-            // A lesser start is of a life that is over, unless the one known has fallen silent: a folder that was put
-            // back counts its starts again from where it was.
+            // A lesser start belongs to a life that has ended, unless the known life has become silent: a
+            // restored folder counts its starts again from an earlier number.
             if self.nonce != 0 && head.start < self.start && self.fresh(now, window) {
                 return MessageOrder::Late;
             }
-            // Our own numbers go on: the new life may have heard some of them before we heard of it.
+            // Our own sequence numbers continue: the new life may have received some of them before we learnt
+            // of it.
             let number_out = self.number_out;
             *self =
                 Peer { nonce: head.nonce, start: head.start, first_seen: now, number_out, ..Peer::default() };
@@ -105,7 +107,7 @@
         order
     }
 
-    /// Whether it has answered lately.
+    /// Returns whether it has answered lately.
     pub fn fresh(&self, now: Micros, window: Micros) -> bool {
         self.answered_at.is_some_and(|at| at.saturating_add(window) >= now)
     }
@@ -133,7 +135,7 @@
         }
     }
 
-    /// An acceptance or a log that overtakes a later one would take back what was said since.
+    /// An older acceptance or log that is handled after a newer one would revoke what was sent since.
     #[test]
     fn each_message_counts_once_and_in_order_and_a_forgetful_life_not_at_all() {
         let mut peer = Peer::default();
--- a/crates/fleet/src/replicas/pending_requests.rs
+++ b/crates/fleet/src/replicas/pending_requests.rs
@@ -1,24 +1,24 @@
-//! Requests of this member that wait for their answer.
+//! Requests of this member that wait for an answer.
 
 use super::tuning::MOST_PENDING;
 use crate::Micros;
 use crate::entry::{Entry, Request};
 use std::collections::BTreeMap;
 
-/// What becomes of a request.
+/// The answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Decided, at this place.
+    /// Decided, at this index.
     Decided(u64),
-    /// There is no majority, or none could be got to decide it in time. It may be decided yet; asked again, it is
-    /// the same request.
+    /// There is no majority, or none could be reached in time to decide it. It may still be decided later; a
+    /// repetition is the same request.
     NoMajority,
-    /// Too much waits. Nothing was done; it may be asked again.
+    /// Too many requests are pending. Nothing was done; the request may be repeated.
     Busy,
-    /// Its body is longer than an entry's may be.
+    /// The body is too long for an entry.
     Long,
-    /// Of an older life, or so far behind this life's highest number that it is not known any more whether it was
-    /// decided. It will not be decided (again).
+    /// The request is of an older life, or so far below this life's highest number that it is no longer known
+    /// whether it was decided. It won't be decided (again).
     Superseded,
 }
 
@@ -29,14 +29,14 @@
     next_send: Micros,
 }
 
-/// The requests; [`MOST_PENDING`] at most.
+/// The pending requests, at most [`MOST_PENDING`].
 #[derive(Clone, Debug, Default)]
 pub struct Asks {
     pending: BTreeMap<Request, PendingRequest>,
 }
 
 impl Asks {
-    /// Takes a request. False where too many wait.
+    /// Adds a request. Returns false when too many are pending.
     pub fn take(&mut self, entry: Entry, until: Micros) -> bool {
         let full = self.pending.len() >= MOST_PENDING && !self.pending.contains_key(&entry.request);
         if !full {
@@ -49,17 +49,17 @@
         !full
     }
 
-    /// It is answered.
+    /// Removes an answered request. Returns whether it was pending.
     pub fn done(&mut self, request: &Request) -> bool {
         self.pending.remove(request).is_some()
     }
 
-    /// All of them.
+    /// Returns all pending requests.
     pub fn requests(&self) -> Vec<Request> {
         self.pending.keys().cloned().collect()
     }
 
-    /// Those to be sent on now; each again after `every`.
+    /// Returns the entries to be sent now; each is sent again after `every`.
     pub fn due(&mut self, now: Micros, every: Micros) -> Vec<Entry> {
         let due = self.pending.values_mut().filter(|p| p.next_send <= now);
         due.map(|p| {
@@ -69,7 +69,7 @@
         .collect()
     }
 
-    /// Those whose time is over, or all.
+    /// Removes and returns the requests whose time is over, or all of them.
     pub fn over(&mut self, now: Micros, all: bool) -> Vec<Request> {
         let over = self.pending.extract_if(.., |_, p| all || p.until <= now);
         over.map(|(request, _)| request).collect()
--- a/crates/fleet/src/replicas/progress.rs
+++ b/crates/fleet/src/replicas/progress.rs
@@ -1,4 +1,4 @@
-//! How the log gets on at a member: what is learnt, folded, told on and asked for.
+//! A member's progress in the log: learning, applying, serving learners and forwarding requests.
 
 use super::asks::Answer;
 use super::check::CONFIGURATION;
@@ -17,23 +17,25 @@
 use omnipaxos::ballot_leader_election::Ballot;
 
 impl<S: Storage> Keepers<S> {
-    /// Whether the log is asked of others: where it comes from them alone, and at a keeper that agreement passes by.
+    /// Returns whether the log is requested from others: by members that get it only that way, and by a
+    /// replica that decisions bypass.
     pub(super) fn fetches_log(&self) -> bool {
         self.is_learning() || self.replica.as_ref().is_some_and(|replica| replica.adrift(self.now))
     }
 
-    /// Whether the log comes from others by asking: at all that don't agree on it just now, and at a keeper that is out of
-    /// its leader's reach.
+    /// Returns whether the log is received only by requesting it from others: by members that take no part in
+    /// consensus at the moment, and by a replica that can't reach its leader.
     pub(super) fn is_learning(&self) -> bool {
         let lacks = |replica: &Replica<S>| {
             replica.omni.is_none() && !replica.is_single() || replica.leader_unreachable(self.now)
         };
-        // Nothing is put behind a log that is not known to be the others'.
+        // Nothing is appended to a log that may differ from the others'.
         self.replica.as_ref().is_none_or(|replica| replica.log_verified && lacks(replica))
     }
 
-    /// The first slot that this member lacks. A keeper out of its leader's reach folds what is decided without touching
-    /// what it has promised and taken, which `omnipaxos` holds and would not see change.
+    /// Returns the first slot that this member lacks. A replica that can't reach its leader applies decisions
+    /// without changing its promised and accepted state, which `omnipaxos` holds and wouldn't notice to
+    /// change.
     pub(super) fn next_slot(&self) -> u64 {
         self.replica
             .as_ref()
@@ -110,7 +112,7 @@
         let records = match outcome {
             Learnt::Items(slot, items) => log.state().learnt(slot, items, ballot, unled_ballot),
             Learnt::Snapshot(slot, octets) => {
-                // A base that can't be read would stop this keeper at its next start.
+                // A snapshot that can't be decoded would prevent this replica's next start.
                 let base = postcard::from_bytes::<Snapshot>(&octets).ok().filter(|b| b.fold.slot == slot);
                 let sound = base.is_some();
                 let mut records = log.state().follow(ballot);
@@ -125,7 +127,7 @@
             Learnt::All | Learnt::Nothing => Vec::new(),
         };
         records.into_iter().for_each(|record| log.write(record));
-        // Another that lacks as much has nothing to teach, and would send this one back to be turned away again.
+        // A source that lacks just as much can't help, and would send this replica back to be refused again.
         let decided = log.state().decided;
         replica.catch_up = replica.catch_up.filter(|c| decided < c.target && !(all && from == c.source));
         if let Some(catch_up) = replica.catch_up.as_mut().filter(|c| c.source == from) {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Takes over the state that a snapshot stands for. False where it can't be read or is not newer.
+    /// Adopts the state of a snapshot. Returns false if it can't be decoded or isn't newer.
     fn restore(&mut self, octets: &[u8]) -> bool {
         let Ok(base) = postcard::from_bytes::<Snapshot>(octets) else { return false };
         if base.fold.slot <= self.fold.slot {
@@ -141,7 +143,7 @@
         }
         self.fold = base.fold;
         self.outputs.push_back(Output::Restore { index: self.fold.index, machine: base.machine });
-        // Requests that the snapshot covers would hear nothing from the entries that it stands for.
+        // Requests that the snapshot covers get no answer from entries, so they are answered here.
         for request in self.asks.requests() {
             let answer = match self.fold.known(&request) {
                 Known::New => continue,
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Sends on what is asked for and not decided.
+    /// Forwards pending requests.
     pub(super) fn forward_requests(&mut self, now: Micros) {
         for entry in self.asks.due(now, self.tuning.again) {
             if self.fetches_log() {
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Says so where its standing has changed.
+    /// Reports a changed participation.
     pub(super) fn update_standing(&mut self, now: Micros) {
         let Some(replica) = &self.replica else { return };
         let (failed, voting) = {
--- a/crates/fleet/src/replicas/receive.rs
+++ b/crates/fleet/src/replicas/receive.rs
@@ -1,4 +1,5 @@
-//! What a keeper does with a message of another one: who says it, whether it may count, and only then what it says.
+//! Handles messages from other replicas: identifies the sender, decides whether the message counts, and only
+//! then acts on its content.
 
 use super::Counts;
 use super::check::{self, CONFIGURATION, Verdict};
@@ -13,7 +14,7 @@
 use omnipaxos::messages::sequence_paxos::{PaxosMessage, PaxosMsg};
 
 impl<S: Storage> Replica<S> {
-    /// Takes a message of another keeper.
+    /// Handles a message from another replica.
     pub(super) fn receive(&mut self, now: Micros, from: u8, bytes: &[u8], counts: &mut Counts) {
         let Some((head, said)) = unpack::<(Head, Said)>(bytes) else {
             counts.undecodable += 1;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Marks and readmissions that the sender knows of.
+    /// Merges the marks and readmissions that the sender knows.
     fn merge_marks(&mut self, from: usize, head: &Head) {
         let own = usize::from(self.own).wrapping_sub(1);
         for (i, (mine, theirs)) in self.seen.iter_mut().zip(&head.seen).enumerate() {
@@ -104,7 +105,7 @@
         }
         let mut log = self.shared.log();
         if log.state().voting && of_me > log.state().mark() {
-            // This disk is older than what was said from it: its promises are lost.
+            // This disk is older than what was sent from it, so its promises are lost.
             log.write(Record::Lost);
             drop(log);
             self.omni = None;
@@ -120,7 +121,7 @@
         }
         let led = self.omni.as_ref().is_some_and(|o| o.get_promise().pid == u64::from(self.own));
         if newer && led {
-            // A promise that is counted here may be of a life whose disk is lost and that was let in since.
+            // A promise counted here may come from a life whose disk was lost and that was readmitted since.
             self.rebuild();
         }
     }
@@ -139,8 +140,8 @@
                     && prepare.n == omni.get_promise()
                     && omni.get_current_leader() == Some((u64::from(from), true))
                 {
-                    // The leader has lost count of a promise that this keeper believes to be at work: it would
-                    // ask for ever, and `omnipaxos` takes it for a repeat.
+                    // The leader doesn't know of a promise that this replica assumes it has received. It
+                    // would ask for ever, because `omnipaxos` treats the message as a repetition.
                     omni.reconnected(u64::from(from));
                 }
                 let above = matches!(&message,
@@ -158,9 +159,10 @@
         }
     }
 
-    /// A keeper asks to be prepared and has promised more than this leader's ballot: it was a candidate, and started again.
-    /// `omnipaxos` has the leader ignore it and the others content, so it would stay out for as long as this leader
-    /// leads. Where a majority follows this leader all the while, it leads on in a ballot that the other can follow.
+    /// Handles a replica that asks for a prepare but has promised a greater ballot than this leader's: it was
+    /// a candidate and restarted. `omnipaxos` makes the leader ignore it and keeps the others satisfied, so
+    /// it would be excluded for as long as this leader leads. If a majority follows this leader throughout,
+    /// the leader continues in a new ballot that the other replica can follow.
     fn raise_ballot(&mut self, now: Micros, from: u8) {
         let followed =
             self.leading_term().is_some() && self.lease.until(&self.tuning).is_some_and(|at| now < at);
--- a/crates/fleet/src/replicas/record.rs
+++ b/crates/fleet/src/replicas/record.rs
@@ -1,81 +1,82 @@
-//! Frames of the keepers' file: one for each commit, whole or nothing.
+//! The frames of a replica's file. Each commit is one frame and is applied whole or not at all.
 //!
 //! ```text
-//! magic    4 octets
+//! magic    4 bytes
 //! length   u32 little-endian, of the payload
 //! crc      u32 little-endian, over length, number and payload
-//! number   u64 little-endian; one more than the frame before
-//! payload  postcard of Record, one after another
+//! number   u64 little-endian; one more than that of the previous frame
+//! payload  a sequence of postcard-encoded Records
 //! ```
 //!
-//! Each frame is synced before the next is begun, so only the last can be torn. A place that can't be read with a whole
-//! frame behind it was durable once: it is broken, and a keeper must not go on with what is before it.
+//! A frame is synced before the next one is begun, so only the last one can be torn. Where an unreadable
+//! place is followed by a whole frame, it was durable once: the file is corrupt, and the replica must not
+//! continue with what precedes it.
 
 use super::chain::Chain;
 use super::item::Item;
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
-/// How much a keeper has made durable: its readmissions count first, then its commits.
+/// How much a replica has made durable, ordered by its readmissions and then by its commits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Mark {
-    /// One more than the slot of its last readmission; 0 where it never lost a disk.
+    /// One more than the slot of its last readmission; 0 if it never lost a disk.
     pub epoch: u64,
-    /// Commits.
+    /// The number of commits.
     pub writes: u64,
 }
 
-/// The greatest mark heard of a keeper, and of which life of it.
+/// The greatest mark that was received of a replica, and the life it came from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
     /// The mark.
     pub mark: Mark,
-    /// The life, by the number it drew.
+    /// The life, by the random number it drew.
     pub nonce: u64,
 }
 
-/// What a commit says.
+/// A change in a commit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// Whose file it is; begins each.
+    /// The owner of the file; the first record in each.
     Owner {
-        /// The installation and its keepers, as a checksum.
+        /// The checksum of the installation and its replicas.
         group: u32,
-        /// The keeper.
+        /// The replica's number.
         pid: u8,
     },
-    /// Nothing below this ballot is followed any more.
+    /// Nothing below this ballot is accepted any more.
     Promise(Ballot),
-    /// The ballot of the last entry taken.
+    /// The ballot of the last accepted entry.
     Accepted(Ballot),
-    /// Slots decided.
+    /// The number of decided slots.
     Decided(u64),
-    /// The log from this slot on is this.
+    /// The items of the log from this slot on.
     Put(u64, Vec<Item>),
-    /// The log before this slot is not kept.
+    /// The log before this slot was removed.
     Trim(u64),
-    /// The state at this slot, by which the log before it can be left out.
+    /// A snapshot of the state at this slot; the log before it can be removed.
     Base(u64, Vec<u8>),
-    /// The same, and nothing of the log is kept; it was learnt from others.
+    /// The same for a snapshot that was learnt from others; it replaces the log.
     Install(u64, Vec<u8>),
-    /// Marks of all keepers.
+    /// The marks of all replicas.
     Seen(Vec<Seen>),
-    /// Readmissions known, for each keeper.
+    /// The known readmissions of each replica.
     Epochs(Vec<u64>),
-    /// It takes part.
+    /// The replica takes part in consensus, with this epoch.
     Voting(u64),
-    /// Its promises are lost: it does not take part.
+    /// The replica's promises are lost: it takes no part in consensus.
     Lost,
-    /// Which file this was when it was written.
+    /// The file system's identity of the file at the time of writing.
     Place(u64),
-    /// The chain's head before the first slot that the log still has.
+    /// The hash chain's head before the first slot that is still in the log.
     Root(Chain),
 }
 
-/// The number of the file's format: frames, records, items, and the snapshots and bodies of entries that the installation
-/// packs. To be raised by one, up to 9, whenever the octets of any of these change, or what they mean: a file of another
-/// number is refused. Where a frame's head changes too, [`other_format`] has to know the old one. `tests/golden.rs` fails
-/// where octets change.
+/// The version of the file format: frames, records, items, and the snapshots and entry bodies that the
+/// installation encodes. Raise it by one, up to 9, whenever the bytes of any of these change, or what they
+/// mean: a file of another version is refused. If the frame header changes as well, [`other_format`] has to
+/// know the old one. `tests/golden.rs` fails when the bytes change.
 pub const FORMAT: u8 = 2;
 const MAGIC: [u8; 4] = magic(FORMAT);
 
@@ -83,9 +84,9 @@
     [b'h', b'k', b'l', b'0' + format]
 }
 
-/// Octets before the payload.
+/// The number of bytes before the payload.
 pub const HEAD: usize = 20;
-/// Octets of a payload at most.
+/// The maximum number of bytes in a payload.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
 
 /// Appends a frame.
@@ -106,12 +107,13 @@
     h.finalize()
 }
 
-/// The frame that begins here: its number, its payload, and what follows. Nothing where none is whole.
+/// Decodes the frame at the start of `bytes`: returns its number, its payload and the remaining bytes, or
+/// `None` if there is no whole frame.
 pub fn read(bytes: &[u8]) -> Option<(u64, &[u8], &[u8])> {
     read_with_magic(MAGIC, bytes)
 }
 
-/// The format of the frame that begins here, where it is a whole one of another format.
+/// Returns the format of the frame at the start of `bytes` if it is a whole frame of another format.
 pub fn other_format(bytes: &[u8]) -> Option<u8> {
     (0..=9).filter(|format| *format != FORMAT).find(|format| read_with_magic(magic(*format), bytes).is_some())
 }
@@ -130,13 +132,13 @@
         .then(|| (u64::from_le_bytes(*number), payload, rest))
 }
 
-/// Whether a whole frame begins anywhere here. Looked for only once something is wrong, so it may cost.
+/// Returns whether a whole frame begins anywhere in `bytes`. It is slow, but only called for a damaged file.
 pub fn contains_frame(bytes: &[u8]) -> bool {
     let starts = bytes.windows(4).enumerate().filter(|(_, w)| *w == MAGIC).map(|(i, _)| i);
     starts.filter_map(|i| bytes.get(i..)).any(|rest| read(rest).is_some())
 }
 
-/// The records of a payload.
+/// Decodes the records of a payload.
 pub fn records(mut payload: &[u8]) -> Option<Vec<Record>> {
     let mut all = Vec::new();
     while !payload.is_empty() {
--- a/crates/fleet/src/replicas/replica.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -1,5 +1,5 @@
-//! A keeper's part in agreement: `omnipaxos` on the keeper's file, fed only with what a correct peer may send, heard only
-//! once what it rests on is durable.
+//! A voting replica: `omnipaxos` on top of the replica's file. It receives only messages that a correct peer
+//! may send, and its own messages leave only after the state they depend on is durable.
 
 use super::Group;
 use super::check::CONFIGURATION;
@@ -19,36 +19,37 @@
 use omnipaxos::messages::sequence_paxos::{Compaction, PaxosMessage, PaxosMsg};
 use omnipaxos::{ClusterConfig, OmniPaxos, ServerConfig};
 
-/// What became of an item that was offered.
+/// The result of proposing an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeOutcome {
-    /// It stands in the log, not decided yet.
+    /// It is in the log, not decided yet.
     InLog,
-    /// This keeper leads.
+    /// Another replica, with this number, leads.
     Leader(u8),
-    /// Nobody leads, or this keeper does not take part.
+    /// Nobody leads, or this replica takes no part.
     NoLeader,
-    /// No room.
+    /// There is no room.
     Busy,
 }
 
-/// The term of a ballot: greater for a greater one, and of one keeper only.
+/// Returns the term of a ballot. A greater ballot has a greater term, and a term belongs to one replica only.
 pub fn term_of(ballot: &Ballot) -> Term {
     Term(u64::from(ballot.n) << 8 | ballot.pid)
 }
 
-/// What a keeper waits for before it agrees again.
+/// The state of a replica that catches up before it takes part in consensus again.
 #[derive(Clone, Copy, Debug)]
 pub struct CatchUp {
-    /// Who said that it lacks too much.
+    /// The replica that reported that this one lacks too much.
     pub source: u8,
-    /// Slots that the teller has.
+    /// The number of decided slots at the source.
     pub target: u64,
-    /// Nothing was heard from the teller up to then: the others may need this keeper to go on without.
+    /// Catching up ends at this time if the source sends nothing: the others may need this replica to
+    /// continue without the source.
     pub until: Micros,
 }
 
-/// A keeper.
+/// A voting replica.
 pub struct Replica<S: Storage> {
     pub(super) own: u8,
     pub(super) life: Life,
@@ -62,22 +63,25 @@
     pub(super) epochs: Vec<u64>,
     pub(super) opened: Mark,
     pub(super) started_at: Micros,
-    /// When it last heard that a majority has the leader that it follows in charge, or found so of itself.
+    /// The last time at which this replica learnt that the leader it follows is confirmed by a majority, or
+    /// confirmed so itself as leader.
     pub(super) leader_confirmed_at: Micros,
-    /// Others have told what they saw of this keeper's disk, or have had their time to.
+    /// Whether the others have reported what they know of this replica's disk, or have had the time to.
     pub(super) ready: bool,
-    /// Its file was put back from a copy: it says that it does not vote until all others have told what they saw of it, however
-    /// long that takes, or have let it in again.
+    /// Whether its file was restored from a copy and not verified yet. The replica then declares itself as
+    /// not voting until all others have reported what they know of it, however long that takes, or have
+    /// readmitted it.
     pub(super) copy_unverified: bool,
-    /// Enough others were found to have the log that it came with, as far as they go; nothing is shown, told on or agreed before.
+    /// Whether enough others have the log that this replica started with, as far as theirs go. Before that,
+    /// nothing of it is delivered, served or agreed on.
     pub(super) log_verified: bool,
-    /// Its log was not the others', or not one with its snapshot.
+    /// Whether its log differed from the others', or didn't match its snapshot.
     pub(super) log_altered: bool,
-    /// It was given up just now.
+    /// Whether its log was discarded since the last tick.
     pub(super) log_discarded: bool,
-    /// The slots that somebody who learns the log has.
+    /// The highest slot up to which any learner has the log.
     pub(super) max_requested_slot: u64,
-    /// It lacks more of the log than agreement may bring, and learns it first.
+    /// Set while it lacks more of the log than consensus may carry, and learns that part first.
     pub(super) catch_up: Option<CatchUp>,
     pub(super) admission: Option<(u64, Ballot)>,
     pub(super) grants: Grants,
@@ -86,7 +90,7 @@
     pub(super) next_renewal: Micros,
     pub(super) next_hello: Micros,
     pub(super) outbox: Vec<(u8, Said)>,
-    /// A keeper that has what this one lacks.
+    /// A replica that has what this one lacks.
     pub(super) newer_replica: Option<u8>,
 }
 
@@ -153,7 +157,8 @@
         (1..=self.group.count as u8).filter(move |pid| *pid != own)
     }
 
-    /// Agreement from what is on disk, as after a crash: nothing is followed or led that was before.
+    /// Restarts consensus from the state on disk, as after a crash: nothing that was followed or led before
+    /// continues.
     pub(super) fn rebuild(&mut self) {
         self.omni = None;
         if self.is_single() {
@@ -177,7 +182,8 @@
         }
     }
 
-    /// The term that this keeper leads in; the others may not know yet, or follow another.
+    /// Returns the term in which this replica leads. The others may not know it yet, or may follow another
+    /// one.
     pub(super) fn leading_term(&self) -> Option<Term> {
         if self.is_single() {
             let log = self.shared.log();
@@ -188,7 +194,7 @@
         leads.then(|| term_of(&omni.get_promise()))
     }
 
-    /// Whether a majority has answered lately.
+    /// Returns whether a majority has answered lately.
     pub(super) fn majority(&self, now: Micros) -> bool {
         if self.is_single() {
             return self.leading_term().is_some();
@@ -197,25 +203,28 @@
         self.omni.is_some() && self.peers.iter().filter(fresh).count() + 1 > self.group.count / 2
     }
 
-    /// A ballot of this keeper that nobody leads in, below all that are led; see [`super::state::State::learnt`].
+    /// Returns a ballot of this replica in which nobody leads, below all ballots that are led; see
+    /// [`super::state::State::learnt`].
     pub(super) fn unled_ballot(&self) -> Ballot {
         Ballot::with(CONFIGURATION, 0, 0, u64::from(self.own))
     }
 
-    /// Slots decided that its log has.
+    /// Returns the number of decided slots that its log has.
     pub(super) fn decided(&self) -> u64 {
         self.shared.log().state().known()
     }
 
-    /// Whether it follows a leader that does not answer it, though others may follow that leader still (the chain).
+    /// Returns whether it follows a leader that doesn't answer it, though others may still follow that leader
+    /// (the chain).
     pub(super) fn leader_unreachable(&self, now: Micros) -> bool {
         let leader = self.omni.as_ref().map_or(0, |o| o.get_promise().pid);
         let at = usize::try_from(leader).unwrap_or(0).wrapping_sub(1);
         leader != u64::from(self.own) && self.peers.get(at).is_some_and(|p| !p.fresh(now, self.tuning.fresh))
     }
 
-    /// Whether what is decided passes it by. Guards against one that leads, or follows another, though a majority has put a
-    /// leader in charge that neither hears: links stand, nobody tells it, and it would wait for ever.
+    /// Returns whether decisions bypass this replica. It may lead, or follow a leader, while a majority has
+    /// confirmed another leader and neither is reachable from here: its links are up, but nobody informs it,
+    /// and it would wait for ever.
     pub(super) fn adrift(&self, now: Micros) -> bool {
         !self.is_single() && now >= self.leader_confirmed_at.saturating_add(self.tuning.lease)
     }
@@ -255,12 +264,12 @@
         }
     }
 
-    /// Leaves out the log before this slot.
+    /// Removes the log before this slot.
     pub(super) fn trim(&mut self, slot: u64) {
         let Some(omni) = &mut self.omni else { return self.shared.log().write(Record::Trim(slot)) };
         let prepares = omni.get_current_leader() == Some((u64::from(self.own), false));
         if prepares {
-            // What it has been promised may still need the log from before.
+            // The promises that it receives may still need the earlier log.
             return;
         }
         let own = u64::from(self.own);
@@ -268,7 +277,7 @@
         omni.handle_incoming(Message::SequencePaxos(PaxosMessage { from: own, to: own, msg }));
     }
 
-    /// A link to a keeper stands again: what was under way on the old one may be lost.
+    /// Handles a new link to a replica: messages on the old one may be lost.
     pub(super) fn reconnected(&mut self, pid: u8) {
         if let Some(omni) = &mut self.omni {
             omni.reconnected(u64::from(pid));
@@ -276,7 +285,8 @@
         self.send_hello(pid, false);
     }
 
-    /// Makes all durable and packs what may be said then. Nothing is said where the disk failed.
+    /// Makes all changes durable and encodes the messages that may be sent then. Sends nothing and returns
+    /// false if the disk has failed.
     pub(super) fn flush(&mut self, now: Micros, sends: &mut Vec<(u8, Vec<u8>)>) -> bool {
         if let Some(omni) = &mut self.omni {
             let mut messages = Vec::new();
--- a/crates/fleet/src/replicas/state.rs
+++ b/crates/fleet/src/replicas/state.rs
@@ -1,4 +1,4 @@
-//! What a keeper holds durably, in memory as well: promise, log, base, marks.
+//! A replica's durable state, held in memory: promise, log, snapshot and marks.
 
 use super::chain::{self, Chain, ROOT};
 use super::item::Item;
@@ -11,38 +11,40 @@
 #[derive(Clone, Debug)]
 struct LogSlot {
     item: Item,
-    /// Octets of all items up to this one, since the state was made.
+    /// The number of bytes of all items up to this one, since the state was created.
     bytes_through: u64,
-    /// The chain's head after it.
+    /// The hash chain's head after it.
     head: Chain,
 }
 
-/// A keeper's state. Changes come as [`Record`]s, the same when they are made and when they are read again.
+/// A replica's state. It changes only by [`Record`]s, in the same way when a record is made and when it is
+/// read back.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// Nothing below it is followed.
+    /// The ballot below which nothing is accepted.
     pub promise: Option<Ballot>,
-    /// The ballot in which the log was taken.
+    /// The ballot in which the log was accepted.
     pub accepted: Option<Ballot>,
-    /// Slots decided. May be beyond the log where a peer errs; never trusted as a place in it.
+    /// The number of decided slots. A faulty peer can make it greater than the log, so it must not be used as
+    /// an index unchecked.
     pub decided: u64,
-    /// First slot that the log still has.
+    /// The first slot that the log still holds.
     pub compacted: u64,
-    /// Slot that the base stands for.
+    /// The slot of the snapshot.
     pub base_slot: u64,
-    /// The base.
+    /// The snapshot.
     pub base: Arc<[u8]>,
-    /// It takes part in agreement.
+    /// Whether the replica takes part in consensus.
     pub voting: bool,
     /// See [`Mark::epoch`].
     pub epoch: u64,
-    /// Commits.
+    /// The number of commits.
     pub writes: u64,
-    /// Greatest marks heard, for each keeper.
+    /// The greatest marks received, for each replica.
     pub seen: Vec<Seen>,
-    /// One more than the slot of the last readmission that this log ever had, for each keeper.
+    /// One more than the slot of the last readmission in this log, for each replica.
     pub epochs: Vec<u64>,
-    /// The chain's head before the first slot that the log still has.
+    /// The hash chain's head before the first slot that the log still holds.
     root: Chain,
     items: VecDeque<LogSlot>,
     open_requests: HashMap<Request, u32>,
@@ -50,27 +52,27 @@
 }
 
 impl State {
-    /// An empty state among so many keepers.
+    /// Returns an empty state among the given number of replicas.
     pub fn new(keepers: usize) -> Self {
         State { seen: vec![Seen::default(); keepers], epochs: vec![0; keepers], ..State::default() }
     }
 
-    /// Slots in all.
+    /// Returns the number of slots.
     pub fn end(&self) -> u64 {
         self.compacted + self.items.len() as u64
     }
 
-    /// Its mark; none where it does not take part, as nothing of what it keeps binds anybody.
+    /// Returns the replica's mark, which is empty while it doesn't take part: its state then binds nobody.
     pub fn mark(&self) -> Mark {
         if self.voting { Mark { epoch: self.epoch, writes: self.writes } } else { Mark::default() }
     }
 
-    /// The item of a slot.
+    /// Returns the item of a slot.
     pub fn item(&self, slot: u64) -> Option<&Item> {
         self.items.get(usize::try_from(slot.checked_sub(self.compacted)?).ok()?).map(|h| &h.item)
     }
 
-    /// The chain's head before this slot. Nothing where the log does not reach it, or does not any more.
+    /// Returns the hash chain's head before this slot, or `None` if the log doesn't cover it.
     pub fn head(&self, slot: u64) -> Option<Chain> {
         match slot.checked_sub(self.compacted)? {
             0 => Some(self.root),
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Slots decided that the log has.
+    /// Returns the number of decided slots that the log has reached.
     pub fn known(&self) -> u64 {
         self.decided.min(self.end())
     }
 
-    /// Octets of the log from this slot on.
+    /// Returns the number of bytes of the log from this slot on.
     pub fn octets_from(&self, slot: u64) -> u64 {
         let all = self.items.back().map_or(0, |h| h.bytes_through);
         let first = self.items.front().map_or(0, |h| h.bytes_through - h.item.octets());
@@ -96,12 +98,12 @@
         }
     }
 
-    /// Octets between two slots.
+    /// Returns the number of bytes between two slots.
     pub fn bytes_between(&self, from: u64, to: u64) -> u64 {
         self.octets_from(from).saturating_sub(self.octets_from(to))
     }
 
-    /// Items of a range; nothing where not all are there.
+    /// Returns the items of a range, or none if the log doesn't cover all of it.
     pub fn range(&self, from: u64, to: u64) -> Vec<Item> {
         if from < self.compacted || to > self.end() || from > to {
             return Vec::new();
@@ -110,12 +112,12 @@
         self.items.iter().skip(skip).take((to - from) as usize).map(|h| h.item.clone()).collect()
     }
 
-    /// Whether this request stands in the log and is not folded yet.
+    /// Returns whether the request is in the log and not applied yet.
     pub fn is_open(&self, request: &Request) -> bool {
         self.open_requests.contains_key(request)
     }
 
-    /// The caller has folded all before this slot.
+    /// Records that the caller has applied everything before this slot.
     pub fn fold_to(&mut self, slot: u64) {
         while self.applied < slot {
             if let Some(Item::Asked(entry)) = self.item(self.applied) {
@@ -156,12 +158,14 @@
         }
     }
 
-    /// What is to be written to hold decided items from a slot on, which must be the first that is not decided here. What was taken behind
-    /// them stays unless it contradicts them: it may be part of what a majority has taken.
+    /// Returns the records that store decided items from a slot on; the slot must be the first one that isn't
+    /// decided here. Accepted items after them are kept unless they contradict them: they may be part of what
+    /// a majority has accepted.
     ///
-    /// Otherwise the log is no longer that of the ballot it was taken in, and nothing beyond what is decided rests on it;
-    /// `own` is then what it is said to be taken in: a ballot of this keeper that nobody ever leads in. `omnipaxos` takes
-    /// two logs of one ballot for beginnings of one, which this one need not be.
+    /// If they contradict them, the log is no longer that of the ballot in which it was accepted, and nothing
+    /// after the decided part may rely on it. It is then recorded as accepted in `own`, a ballot of this
+    /// replica in which nobody ever leads. `omnipaxos` assumes that of two logs with the same ballot one is a
+    /// prefix of the other, which need not hold for this one.
     pub fn learnt(&self, from: u64, items: Vec<Item>, ballot: Option<Ballot>, own: Ballot) -> Vec<Record> {
         let end = from + items.len() as u64;
         let same = |(i, item): (usize, &Item)| self.item(from + i as u64).is_none_or(|held| held == item);
@@ -175,13 +179,15 @@
         records
     }
 
-    /// Nothing is followed below the ballot that a teller of decided slots follows: the slots were decided in none
-    /// greater, and a leader of a lesser one would take them for decided in a log of its own.
+    /// Returns the records that raise the promise to the ballot of the replica that reported decided slots.
+    /// The slots were decided in no greater ballot, and a leader with a lesser one would assume that they are
+    /// decided with the items of its own log.
     pub fn follow(&self, ballot: Option<Ballot>) -> Vec<Record> {
         ballot.filter(|b| self.promise.is_none_or(|p| p < *b)).map(Record::Promise).into_iter().collect()
     }
 
-    /// Takes a change. False where it does not fit this state, as only a broken file or an erring peer makes it.
+    /// Applies a record. Returns false if it doesn't fit this state, which only happens with a broken file or
+    /// a faulty peer.
     #[must_use]
     pub fn apply(&mut self, record: Record) -> bool {
         match record {
@@ -208,11 +214,12 @@
             }
             Record::Base(slot, octets) => (self.base_slot, self.base) = (slot, octets.into()),
             Record::Install(slot, octets) => {
-                // What was taken behind it may be part of what a majority has taken, and stays.
+                // Accepted items after the snapshot are kept: they may be part of what a majority has
+                // accepted.
                 while self.compacted < slot {
                     self.fold_to(self.compacted + 1);
                     let Some(held) = self.items.pop_front() else {
-                        // What it is before this slot is said by the record that follows.
+                        // The head before this slot is set by the record that follows.
                         (self.compacted, self.applied, self.root) = (slot, slot, ROOT);
                         break;
                     };
@@ -236,7 +243,7 @@
             Record::Seen(_) | Record::Epochs(_) => return false,
             Record::Voting(epoch) => (self.voting, self.epoch) = (true, epoch),
             Record::Lost => {
-                // The promise stays: what is decided here was decided in no greater ballot.
+                // The promise is kept: what is decided here was decided in no greater ballot.
                 (self.voting, self.accepted) = (false, None);
                 self.truncate(self.decided.max(self.compacted));
             }
@@ -244,7 +251,7 @@
         true
     }
 
-    /// Records that make this state anew.
+    /// Returns the records that recreate this state.
     pub fn whole(&self, group: u32, pid: u8) -> Vec<Record> {
         let mut all = vec![
             Record::Owner { group, pid },
@@ -294,8 +301,8 @@
         assert!(records.into_iter().all(|record| state.apply(record)));
     }
 
-    /// A keeper that knows slots to be decided and then promised a leader below the ballot they were decided in would
-    /// have that leader take other contents for decided.
+    /// A replica that learnt decided slots, and then promised a leader below the ballot they were decided in,
+    /// would let that leader take other items as decided.
     #[test]
     fn what_is_learnt_is_followed_by_the_ballot_it_was_decided_under() {
         let mut state = with(0..0);
--- a/crates/fleet/src/replicas/store.rs
+++ b/crates/fleet/src/replicas/store.rs
@@ -1,7 +1,8 @@
-//! The keeper's file as the storage of `omnipaxos`.
+//! The replica's file as the storage of `omnipaxos`.
 //!
-//! Nothing here returns an error: `omnipaxos` panics on one. A failure is kept in the log instead; [`super::seat`] looks
-//! for it before any message leaves, and none leaves once there is one. What is read comes from memory.
+//! No method returns an error, because `omnipaxos` panics on one. The log records the failure, and
+//! [`super::replica`] checks for it before any message is sent; none is sent after a failure. Reads are
+//! served from memory.
 
 use super::item::Item;
 use super::log::Log;
@@ -11,7 +12,7 @@
 use omnipaxos::storage::{NoSnapshot, StopSign, StorageOp, StorageResult};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A log that agreement and the rest of the keeper share.
+/// A log shared by the consensus protocol and the rest of the replica.
 #[derive(Debug)]
 pub struct Shared<S>(Arc<Mutex<Log<S>>>);
 
@@ -22,12 +23,12 @@
 }
 
 impl<S: Storage> Shared<S> {
-    /// Shares a log.
+    /// Returns a shared log.
     pub fn new(log: Log<S>) -> Self {
         Shared(Arc::new(Mutex::new(log)))
     }
 
-    /// The log.
+    /// Locks the log.
     pub fn log(&self) -> MutexGuard<'_, Log<S>> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -40,11 +41,11 @@
             StorageOp::AppendEntries(items) if items.is_empty() => return,
             StorageOp::AppendEntries(items) => Record::Put(end, items),
             StorageOp::AppendOnPrefix(from, items) => Record::Put(from as u64, items),
-            // `omnipaxos` writes the promise that it has just read again; the first one is of nobody.
+            // `omnipaxos` writes back the promise that it has just read; the initial one belongs to nobody.
             StorageOp::SetPromise(b) if b.n == 0 || log.state().promise == Some(b) => return,
             StorageOp::SetPromise(b) => Record::Promise(b),
-            // What is decided stays decided, whoever counts it anew: guards against a place below it, written after the log
-            // was learnt from others, that would have the slots above it written over.
+            // The decided index never decreases. After the log was learnt from others, `omnipaxos` may write
+            // a lower one, and the slots above it could then be overwritten.
             StorageOp::SetDecidedIndex(slot) if log.state().decided >= slot as u64 => return,
             StorageOp::SetDecidedIndex(slot) => Record::Decided(slot as u64),
             StorageOp::SetAcceptedRound(b) => Record::Accepted(b),
@@ -57,7 +58,7 @@
 
 impl<S: Storage> omnipaxos::storage::Storage<Item> for Shared<S> {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Item>>) -> StorageResult<()> {
-        // All of them, and all else until the next commit, stand in one frame.
+        // These operations and all others until the next commit are written in one frame.
         ops.into_iter().for_each(|apply_op| self.apply_op(apply_op));
         Ok(())
     }
--- a/crates/fleet/src/replicas/tuning.rs
+++ b/crates/fleet/src/replicas/tuning.rs
@@ -1,52 +1,55 @@
-//! Figures of the keepers.
+//! The limits and parameters of the replicated log.
 
 use crate::Micros;
 
-/// Octets of a message between keepers at most; longer ones are dropped unread.
+/// The maximum number of bytes in a message between replicas; longer ones are dropped undecoded.
 pub const MOST_MESSAGE: usize = 4 * 1024 * 1024;
-/// Octets of undecided entries at most; beyond them an asker hears that the keepers are busy.
+/// The maximum number of bytes of undecided entries; above it, requests are answered as busy.
 pub const MOST_UNDECIDED: u64 = 512 * 1024;
-/// Octets of log that one keeper sends another within agreement; one that lacks more learns the decided prefix first.
+/// The maximum number of bytes of log that one replica sends another within the consensus protocol. A replica
+/// that lacks more learns the decided prefix first.
 pub const MOST_SYNC: u64 = 1024 * 1024;
-/// Octets of log in memory at which nothing more is taken on until the caller has given a snapshot.
+/// The number of bytes of log in memory above which requests are refused until the caller has provided a
+/// snapshot.
 pub const MAX_LOG_BYTES: u64 = 16 * 1024 * 1024;
-/// Octets of a snapshot at most.
+/// The maximum number of bytes in a snapshot.
 pub const MOST_SNAPSHOT: usize = 16 * 1024 * 1024;
-/// Octets of a piece of log or snapshot for those who learn.
+/// The number of bytes in a piece of log or snapshot for learners.
 pub const PIECE: usize = 192 * 1024;
-/// Requests of this member that wait for their answer, at most.
+/// The maximum number of this member's requests that wait for an answer.
 pub const MOST_PENDING: usize = 64;
 
-/// Figures that a caller may choose. Times are in microseconds.
+/// Parameters that a caller may choose. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Between two ticks.
+    /// The interval between ticks.
     pub tick: Micros,
-    /// Ticks in a round of heartbeats; an answer must be back within it.
+    /// The number of ticks in a round of heartbeats; an answer must arrive within it.
     pub election: u64,
-    /// Ticks until what agreement has sent is sent again.
+    /// The number of ticks after which consensus messages are sent again.
     pub resend: u64,
-    /// A member that has not answered for so long is not counted into a majority.
+    /// A member that hasn't answered for this long doesn't count towards a majority.
     pub fresh: Micros,
-    /// A request that is not decided within it is answered: no majority.
+    /// A request that isn't decided within this time is answered with "no majority".
     pub patience: Micros,
-    /// Until a request is sent on again.
+    /// The time after which a pending request is forwarded again.
     pub again: Micros,
-    /// Between two questions of one that learns, when there is no news.
+    /// The interval between a learner's requests when there is nothing new.
     pub pull: Micros,
-    /// How long a lease lasts, from when its renewal was asked for, on the clock of whoever is in charge.
+    /// The duration of a lease from when its renewal was requested, on the leader's clock.
     pub lease: Micros,
-    /// How far two members' clocks may differ in rate, in thousandths; a lease is honoured by so much longer.
+    /// The maximum difference between the rates of two members' clocks, in thousandths; a granting replica
+    /// honours a lease for that much longer.
     pub drift: Micros,
-    /// How long a keeper that starts waits to hear from all others whether its disk is an old one.
+    /// How long a starting replica waits for all others to tell whether its disk is an old one.
     pub hear_all: Micros,
-    /// The operator says that keepers with empty disks may begin without having heard from all others.
+    /// Whether the operator allows replicas with empty disks to begin without an answer from all others.
     pub found: bool,
-    /// A keeper that lost its disk is let in again by decision of a majority of the others.
+    /// Whether a replica that lost its disk is readmitted by decision of a majority of the others.
     pub readmit: bool,
-    /// Octets of decided log after which a snapshot is asked for.
+    /// The number of bytes of decided log after which a snapshot is requested.
     pub compact: u64,
-    /// Decided slots kept behind a snapshot for keepers that lag a little.
+    /// The number of decided slots kept before a snapshot for replicas that lag a little.
     pub keep: u64,
 }
 
--- a/crates/fleet/src/replicas/view.rs
+++ b/crates/fleet/src/replicas/view.rs
@@ -1,4 +1,4 @@
-//! What a member knows of the keepers at a time.
+//! What a member currently knows about the replicas.
 
 use super::member::Keepers;
 use super::{Charge, Counts, Standing};
@@ -8,8 +8,8 @@
 use heronroute_journal::Storage;
 
 impl<S: Storage> Keepers<S> {
-    /// Whether a majority of keepers has been heard lately: by this keeper, or by one that this member has asked. What is not
-    /// known is no majority.
+    /// Returns whether a majority of the replicas was reachable lately, from this replica or from one that
+    /// this member has asked. Without such knowledge it returns false.
     pub fn majority(&self, now: Micros) -> bool {
         match &self.replica {
             Some(replica) if !self.is_learning() => replica.majority(now),
@@ -17,17 +17,18 @@
         }
     }
 
-    /// The greatest term that the log has told of. Orders of a lesser one are to be refused.
+    /// Returns the greatest term in the log. Orders with a lesser term are to be refused.
     pub fn term(&self) -> Term {
         self.fold.charge.as_ref().map_or(Term(0), |(term, _)| *term)
     }
 
-    /// Who led last, by the log; whether it still does is for it alone to know.
+    /// Returns the last leader according to the log. Only that leader itself knows whether it still leads.
     pub fn leader(&self) -> Option<&(Term, Life)> {
         self.fold.charge.as_ref()
     }
 
-    /// Whether this member is in charge now. To be asked before each act; see [`crate::lease`] for what it promises.
+    /// Returns this member's leadership if it leads now. Call it before each act as leader; see
+    /// [`crate::lease`] for what it guarantees.
     pub fn in_charge(&self, now: Micros) -> Option<Charge> {
         let replica = self.replica.as_ref()?;
         let term = replica.leading_term()?;
@@ -37,27 +38,27 @@
         (charged && now < until && !halted).then(|| Charge { term, life: self.life.clone(), until })
     }
 
-    /// How it takes part.
+    /// Returns this member's participation.
     pub fn standing(&self) -> &Standing {
         &self.standing
     }
 
-    /// The number by which this life is told from others of its name.
+    /// Returns the random number that distinguishes this life from others under its name.
     pub fn nonce(&self) -> u64 {
         self.nonce
     }
 
-    /// Place of the last entry delivered.
+    /// Returns the index of the last entry delivered.
     pub fn index(&self) -> u64 {
         self.fold.index
     }
 
-    /// What was dropped or mended.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Octets of decided and undecided log in memory, and of the file.
+    /// Returns the number of bytes of decided and undecided log in memory, and of the file.
     pub fn sizes(&self) -> (u64, u64) {
         self.replica.as_ref().map_or((0, 0), |replica| {
             let log = replica.shared.log();
--- a/crates/fleet/src/replicas/voting.rs
+++ b/crates/fleet/src/replicas/voting.rs
@@ -1,35 +1,44 @@
-//! What a keeper does as time goes on: whether it may take part, whether it is in charge, whom it lets in again.
+//! The periodic work of a replica: it decides whether it may vote, renews its lease if it leads, and readmits
+//! others.
 //!
-//! **A lost or old disk.** A keeper that does not know what it promised must not vote. It begins in one of these ways only:
-//! - *Founding*: it never voted. All other keepers answered it in this life, and none has ever seen a mark of it. (Or the
-//!   operator says so: [`Tuning::found`].) Whatever it may have said in an earlier life was then never counted.
-//! - *Readmission*: the log decides [`Item::Readmit`] for this very life of it, by a majority of all keepers that this one
-//!   is no part of; it holds the decided log up to there, learnt from the others; it follows nothing below the ballot of
-//!   the leader that tells it so, and claims to have accepted nothing that anybody led.
+//! **A lost or old disk.** A replica that doesn't know its promises must not vote. It starts to vote in one
+//! of these ways only:
 //!
-//! Why that is safe. Let Q be the majority that accepted the readmission in ballot b; the lost keeper X is not in it. Any
-//! other majority of which X is one has a member in common with Q besides X, since (q − 1) + q = n > n − 1.
-//! (1) What was decided before with X's acceptance: its ballot's majority of promises was complete before X was lost, so
-//! if that ballot were above b, a member of Q would have promised it before it accepted in b, which it can't; if
-//! below, b's leader heard of it from the promises it gathered. Thus all of it is in the log of Q before the readmission,
-//! and every later majority has one of Q. (2) A promise of the old X for a ballot above b that its candidate has not
-//! counted out yet: to complete, it needs a member of Q that promised after it accepted the readmission, and that
-//! message says that it knows of the readmission ([`super::wire::Head::epochs`]); the candidate drops all it has gathered
-//! (`Seat::marks`) before it counts. (3) A promise of the old X below b: X now follows nothing below the leader's
-//! ballot, which is b or above, so no such ballot gets X's acceptance.
+//! - *Founding*: it never voted. All other replicas have answered this life, and none has ever seen a mark of
+//!   it. (Or the operator allows it: [`Tuning::found`].) Whatever it sent in an earlier life was then never
+//!   counted.
+//! - *Readmission*: the log decides [`Item::Readmit`] for this very life, by a majority of all replicas that
+//!   doesn't include this one. This replica holds the decided log up to there, learnt from the others; it
+//!   accepts nothing below the ballot of the leader that informs it; and it reports nothing as accepted that
+//!   anybody led.
 //!
-//! **An old disk while others are out of reach.** An old disk is found out by those that saw more of it. A keeper that hears
-//! from all others votes; one that does not hear from some waits [`Tuning::hear_all`], and then votes all the same, as
-//! else one keeper that is out would keep another from starting. Where its file is a copy ([`Log::copied`]: it is not the
-//! file that was written, by its number in the file system) it does not: it waits for all, or to be let in again.
+//! Why that is safe. Let Q be the majority that accepted the readmission in ballot b; the lost replica X
+//! isn't in it. Any other majority that includes X shares a member other than X with Q, since (q − 1) + q = n
+//! > n − 1. (1) Consider what was decided before with X's acceptance. Its ballot's majority of promises was
+//! complete before X was lost. If that ballot were above b, a member of Q would have promised it before it
+//! accepted in b, which is impossible; if it is below, b's leader learnt of it from the promises that it
+//! gathered. So all of it is in the log of Q before the readmission, and every later majority includes a
+//! member of Q. (2) Consider a promise of the old X for a ballot above b that its candidate hasn't counted
+//! yet. To complete, the candidate needs a member of Q that promised after it accepted the readmission, and
+//! the message of that member carries the readmission ([`super::wire::Head::epochs`]); the candidate drops
+//! all that it has gathered (`Replica::merge_marks`) before it counts. (3) Consider a promise of the old X
+//! below b. X now accepts nothing below the leader's ballot, which is b or above, so no such ballot gets X's
+//! acceptance.
 //!
-//! What is not covered: a disk put back *under* the file system, as a snapshot of a volume or of a machine does, looks as it did
-//! when it was written. Then X votes from the old state if whoever knows more of it stays out of reach of X and of all
-//! that X reaches for longer than [`Tuning::hear_all`]. Among three keepers A, B and X what can be lost by that is what B
-//! and X alone decided: after the copy was taken, and while A heard neither of them. As soon as A has heard one message of
-//! either, A knows X's mark, and X is found out. Both are tests in `tests/keepers/copies.rs`.
+//! **An old disk while others are out of reach.** An old disk is detected by the replicas that have seen a
+//! later state of it. A replica that receives answers from all others votes; one that doesn't waits for
+//! [`Tuning::hear_all`] and then votes all the same, as otherwise one unavailable replica would prevent
+//! another from starting. Where its file is a copy ([`Log::copied`]: it isn't the file that was written, by
+//! its number in the file system), it doesn't: it waits for all others, or to be readmitted.
 //!
-//! Nor can it be told, where *all* disks are empty, whether the installation is new.
+//! Not covered: a disk that was restored *below* the file system, such as a snapshot of a volume or of a
+//! machine, looks as it did when it was written. X then votes from the old state if the replicas that know
+//! more of it are unreachable, for X and for all that X reaches, for longer than [`Tuning::hear_all`]. Among
+//! three replicas A, B and X this can lose what B and X alone decided after the copy was taken, while A
+//! received messages from neither. As soon as A has received one message from either, A knows X's mark, and X
+//! is detected. Both cases are tests in `tests/keepers/copies.rs`.
+//!
+//! Also, where *all* disks are empty, it can't be determined whether the installation is new.
 //!
 //! [`Log::copied`]: super::log::Log::copied
 
@@ -42,7 +51,7 @@
 use omnipaxos::ballot_leader_election::Ballot;
 
 impl<S: Storage> Replica<S> {
-    /// One tick. `readmitted`: slot and life of this keeper's last readmission by the log; `readmits`: of any.
+    /// Handles a tick. `readmissions` returns the slot and life of a replica's last readmission in the log.
     pub(super) fn tick(&mut self, now: Micros, readmissions: &dyn Fn(u8) -> Option<(u64, u64)>) {
         self.start_voting(now, readmissions(self.own));
         if let Some(omni) = &mut self.omni {
@@ -90,23 +99,25 @@
         self.rebuild();
     }
 
-    /// Whether a file that was put back still has to be doubted.
+    /// Updates whether a restored file is still unverified.
     fn resolve_copy(&mut self, all_answered: bool) {
         if !self.copy_unverified {
             return;
         }
         let mut log = self.shared.log();
         if all_answered {
-            // Whatever was said from it, one of them has seen, and `Seat::marks` has held it against the disk.
+            // Whatever was sent from this disk, one of the others has seen, and `Replica::merge_marks` has
+            // compared it with the disk.
             log.settle();
         } else if self.admission.is_some() {
-            // A majority goes on without this keeper and lets it in: what was promised from this disk is given up.
+            // A majority continues without this replica and readmits it, so the promises made from this disk
+            // are given up.
             log.write(Record::Lost);
         }
         self.copy_unverified = !all_answered && log.state().voting;
     }
 
-    /// A keeper that is the only one leads from its start, in a term of its own.
+    /// Makes a single replica the leader, in a new term of its own.
     fn lead_alone(&mut self) {
         let mut log = self.shared.log();
         let n = log.state().promise.map_or(0, |b| b.n).saturating_add(1);
@@ -134,7 +145,7 @@
         if nonce != self.nonce || decided != slot || log.state().decided <= slot {
             return false;
         }
-        // What was learnt from the others and nothing else.
+        // Only what was learnt from the others is kept.
         log.write(Record::Lost);
         log.write(Record::Accepted(unled_ballot));
         for record in log.state().follow(Some(ballot)) {
@@ -151,8 +162,8 @@
     fn run_leader(&mut self, now: Micros, readmissions: &dyn Fn(u8) -> Option<(u64, u64)>) {
         let Some(term) = self.leading_term() else { return };
         if self.announced_term != term {
-            // Its own entry at the end of a log that holds all decided before: once it is decided and folded, so is
-            // all that any leader before it had decided.
+            // The leader's own entry at the end of a log that holds everything decided before: once it is
+            // decided and applied, so is everything that earlier leaders had decided.
             self.announced_term = term;
             self.append(Item::Charge { term, life: self.life.clone() });
         }
@@ -180,7 +191,7 @@
         for pid in self.others() {
             let Some(peer) = self.peers.get_mut(usize::from(pid) - 1) else { continue };
             let waits = !peer.voting && peer.nonce != 0 && peer.fresh(now, fresh);
-            // One that never voted is given time to begin by itself.
+            // A replica that never voted gets time to start by itself.
             if !waits || now < peer.first_seen.saturating_add(2 * fresh) {
                 continue;
             }
--- a/crates/fleet/src/replicas/wire.rs
+++ b/crates/fleet/src/replicas/wire.rs
@@ -1,4 +1,4 @@
-//! What members say to each other about the log, as octets: postcard, [`MOST_MESSAGE`] at most.
+//! The messages about the replicated log: encoded with postcard, at most [`MOST_MESSAGE`] bytes.
 
 use super::chain::Chain;
 use super::item::Item;
@@ -11,168 +11,170 @@
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 
-/// Which of two ways a message goes; each keeps its order.
+/// The lane of a message. Each lane keeps its order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Lane {
-    /// Between keepers.
+    /// Messages between replicas.
     Agreement,
-    /// Of the decided log, and requests: between any member and a keeper.
+    /// Decided log and requests, between any member and a replica.
     Log,
 }
 
-/// Said with each message between keepers.
+/// The header of each message between replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// The installation and its keepers, as a checksum.
+    /// The checksum of the installation and its replicas.
     pub group: u32,
-    /// The sender's start.
+    /// The sender's start number.
     pub start: Start,
-    /// The sender's life, by the number it drew.
+    /// The sender's life, by the random number it drew.
     pub nonce: u64,
-    /// The receiver's life that the sender knows; 0: none.
+    /// The receiver's life as the sender knows it, or 0.
     pub to: u64,
-    /// Its number on this way, from 1, for each pair of lives.
+    /// The sequence number of the message in this direction, from 1, for each pair of lives.
     pub number: u64,
-    /// The sender takes part in agreement.
+    /// Whether the sender takes part in consensus.
     pub voting: bool,
     /// The sender's mark when it started, and now.
     pub opened: Mark,
     /// See [`Head::opened`].
     pub mark: Mark,
-    /// Greatest marks that the sender heard of, for each keeper.
+    /// The greatest marks that the sender has received, for each replica.
     pub seen: Vec<Seen>,
     /// See [`super::state::State::epochs`].
     pub epochs: Vec<u64>,
     /// The sender's clock.
     pub sent: Micros,
-    /// The receiver's clock, as the sender last heard it.
+    /// The receiver's clock in the last message that the sender received from it.
     pub echo: Micros,
 }
 
-/// How a keeper's log stands, for another that holds its own against it.
+/// The position and hash chain head of a replica's log, for comparison with another replica's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spot {
-    /// Slots decided.
+    /// The number of decided slots.
     pub decided: u64,
-    /// Slots in all.
+    /// The number of slots.
     pub end: u64,
-    /// As many slots as sender and receiver have decided, as far as the sender knows.
+    /// The number of slots that both sender and receiver have decided, as far as the sender knows.
     pub at: u64,
-    /// The chain's head up to there; none where the sender's log begins later.
+    /// The hash chain's head up to there, or `None` if the sender's log begins later.
     pub head: Option<Chain>,
-    /// The receiver is asked for the same.
+    /// Whether the receiver is asked to reply with its own.
     pub ask: bool,
 }
 
-/// What is said between keepers.
+/// A message between replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Said {
-    /// That the sender is there, and how its log stands.
+    /// Announces the sender and its log position.
     Hello(Spot),
-    /// A message of yours is missing.
+    /// A message of the receiver is missing.
     Gap,
-    /// You lack more than agreement can bring: so many slots are decided.
+    /// The receiver lacks more of the log than the consensus protocol can carry: this many slots are decided.
     Behind(u64),
-    /// Agreement.
+    /// A message of the consensus protocol.
     Paxos(Message<Item>),
-    /// Whoever leads asks to stay in charge.
+    /// The leader asks to renew its lease.
     Renew {
         /// The term.
         term: Term,
-        /// When it asked, on its own clock.
+        /// The time of the request, on the leader's clock.
         sent: Micros,
-        /// A majority has it in charge already. One that was replaced out of its hearing goes on asking, and is told nothing.
+        /// Whether the leader already holds the lease from a majority. A leader that was replaced without
+        /// receiving the news keeps asking, and gets no grant.
         held: bool,
     },
-    /// The sender gives no other member a term before the lease has run out.
+    /// The sender gives no other member a term until the lease has expired.
     Grant {
         /// The term.
         term: Term,
-        /// As it was asked.
+        /// The time from the request.
         sent: Micros,
     },
-    /// You may take part from here on.
+    /// The receiver may take part from here on.
     Admit {
-        /// Which life may.
+        /// The readmitted life.
         nonce: u64,
-        /// The slot that says so.
+        /// The slot of the readmission.
         slot: u64,
-        /// The leader's ballot; nothing below it may be followed.
+        /// The leader's ballot; the receiver may accept nothing below it.
         ballot: Ballot,
     },
 }
 
-/// What is said of the decided log.
+/// A message about the decided log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Told {
-    /// What comes from this slot on? A part of a snapshot where one is being fetched: its slot, and octets there are.
+    /// Asks for the log from this slot on. While a snapshot is being fetched, `part` holds its slot and the
+    /// number of bytes received.
     Pull {
         /// The next slot wanted.
         from: u64,
-        /// Snapshot in the making.
+        /// The incomplete snapshot.
         part: Option<(u64, u64)>,
-        /// The asker's clock.
+        /// The learner's clock.
         sent: Micros,
     },
-    /// Decided items from a slot on; perhaps none.
+    /// Decided items from a slot on; may be empty.
     Items {
-        /// The slot of the first.
+        /// The slot of the first item.
         from: u64,
         /// The items.
         items: Vec<Item>,
-        /// How it stands.
+        /// The state of the sender's log.
         tip: Tip,
     },
     /// A part of a snapshot.
     Part {
-        /// The slot that it stands for.
+        /// The slot of the snapshot.
         slot: u64,
-        /// Octets of all.
+        /// The total number of bytes.
         total: u64,
-        /// Where this part begins.
+        /// The offset of this part.
         at: u64,
-        /// The part.
+        /// The bytes of this part.
         octets: Vec<u8>,
-        /// How it stands.
+        /// The state of the sender's log.
         tip: Tip,
     },
-    /// Somebody asks for an entry.
+    /// Requests an entry.
     Ask {
-        /// It.
+        /// The entry.
         entry: Entry,
-        /// How often it was sent on.
+        /// How often the request was forwarded.
         hops: u8,
     },
-    /// It can't be decided now.
+    /// The request can't be decided now.
     Refuse {
-        /// Which.
+        /// The request.
         request: Request,
-        /// There is a majority, but no room.
+        /// Whether a majority exists but there is no room.
         busy: bool,
     },
 }
 
-/// How the log stands at a keeper.
+/// The state of a replica's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tip {
-    /// Slots decided.
+    /// The number of decided slots.
     pub decided: u64,
-    /// It has a majority.
+    /// Whether the replica reaches a majority.
     pub majority: bool,
-    /// Agreement passes it by, and it has news for nobody: whoever learns from it is to ask another one.
+    /// Whether decisions bypass the replica, so that it has nothing new: a learner should ask another one.
     pub adrift: bool,
-    /// It follows nothing below this ballot.
+    /// The ballot below which the replica accepts nothing.
     pub ballot: Option<Ballot>,
-    /// The asker's clock when it asked.
+    /// The learner's clock when it asked.
     pub echo: Micros,
 }
 
-/// Packs. Nothing comes back where it would be longer than may be sent.
+/// Encodes a message. Returns `None` if it is too long to be sent.
 pub fn pack<T: Serialize>(said: &T) -> Option<Vec<u8>> {
     postcard::to_stdvec(said).ok().filter(|octets| octets.len() <= MOST_MESSAGE)
 }
 
-/// Unpacks; nothing where the octets are no such message, are too long or have something behind it.
+/// Decodes a message. Returns `None` unless all of the bytes are one message of allowed length.
 pub fn unpack<T: for<'a> Deserialize<'a>>(octets: &[u8]) -> Option<T> {
     if octets.len() > MOST_MESSAGE {
         return None;
