--- a/crates/fleet/src/link/mod.rs
+++ b/crates/fleet/src/link/mod.rs
@@ -23,5 +23,5 @@
 pub use output::{Conn, Output, Settings, Stats, TOLD_EVERY};
 pub use reason::Reason;
 pub use roster::{Roster, RosterError};
-pub use session::{ALIVE_EVERY, HANDSHAKE, Link, LinkEvent, SEALED, SILENCE};
-pub use switch::{MOST_UNPROVED, Switch};
+pub use session::{ALIVE_EVERY, HANDSHAKE, Link, LinkEvent, MAX_SEALED_BYTES, SILENCE};
+pub use switch::{MAX_UNAUTHENTICATED, Switch};
--- a/crates/fleet/src/link/output.rs
+++ b/crates/fleet/src/link/output.rs
@@ -33,14 +33,15 @@
 /// An action for the caller, or an event, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Open a connection, then call [`Switch::connected`] or [`Switch::closed`].
+    /// Open a connection, then call [`connected`](super::Switch::connected) or
+    /// [`closed`](super::Switch::closed).
     Connect {
         /// The connection's number.
         conn: Conn,
         /// The address to connect to.
         address: SocketAddr,
     },
-    /// Bytes are ready to be written; see [`Switch::pending`].
+    /// Bytes are ready to be written; see [`pending`](super::Switch::pending).
     Write(Conn),
     /// Close the connection at once. It needs no further call.
     Drop(Conn),
--- a/crates/fleet/src/link/session.rs
+++ b/crates/fleet/src/link/session.rs
@@ -19,7 +19,7 @@
 pub const SILENCE: Micros = 4_000_000;
 /// The number of sealed but unwritten bytes above which no further piece is sealed. Sealed bytes can't be
 /// replaced by newer messages, so the limit is low.
-pub const SEALED: usize = 16 * 1024;
+pub const MAX_SEALED_BYTES: usize = 16 * 1024;
 
 /// The result of received bytes or of passed time.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -301,15 +301,15 @@
         }
     }
 
-    /// Seals queued messages up to [`SEALED`] bytes.
+    /// Seals queued messages up to [`MAX_SEALED_BYTES`].
     fn seal_queued(&mut self, now: Micros) {
-        if self.wrote == self.sealed.len() || self.wrote > SEALED {
+        if self.wrote == self.sealed.len() || self.wrote > MAX_SEALED_BYTES {
             self.sealed.drain(..self.wrote);
-            self.sealed.shrink_to(SEALED);
+            self.sealed.shrink_to(MAX_SEALED_BYTES);
             self.wrote = 0;
         }
         let State::Up { keys } = &self.state else { return };
-        while self.sealed.len() - self.wrote < SEALED {
+        while self.sealed.len() - self.wrote < MAX_SEALED_BYTES {
             let number = self.next_out;
             let (sealed, key) = (&mut self.sealed, &keys.outgoing);
             if !self.queue.next(|what, piece| _ = seal(sealed, key, &[], Head { what, number }, piece)) {
--- a/crates/fleet/src/link/switch.rs
+++ b/crates/fleet/src/link/switch.rs
@@ -15,7 +15,7 @@
 
 /// The maximum number of unauthenticated incoming connections, unless there are more members than that; the
 /// oldest is closed first.
-pub const MOST_UNPROVED: usize = 16;
+pub const MAX_UNAUTHENTICATED: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKey {
@@ -104,7 +104,7 @@
 
     /// Handles an incoming connection. Closes the oldest unauthenticated one if there are too many.
     pub fn accepted(&mut self, now: Micros) -> Conn {
-        if self.parse_unverified.len() >= MOST_UNPROVED.max(self.peer_links.len())
+        if self.parse_unverified.len() >= MAX_UNAUTHENTICATED.max(self.peer_links.len())
             && let Some(oldest) = self.parse_unverified.first().copied()
         {
             self.close_connection(now, oldest, Reason::Crowded, true);
--- a/crates/fleet/src/members/change.rs
+++ b/crates/fleet/src/members/change.rs
@@ -16,7 +16,7 @@
     #[error("too many members")]
     TooMany,
     /// [`Members::rise`](super::Members::rise) was called with a start that isn't greater than all others.
-    #[error("start {0:?} is not above every start that was seen of the own name")]
+    #[error("start {0:?} is not greater than every start seen under this member's name")]
     NotAbove(Start),
 }
 
--- a/crates/fleet/src/members/name_claim.rs
+++ b/crates/fleet/src/members/name_claim.rs
@@ -9,6 +9,6 @@
     pub since: Micros,
     /// The time at which it was last reported alive.
     pub alive: Micros,
-    pub twin: bool,
+    pub conflict_reported: bool,
     pub behind: bool,
 }
--- a/crates/fleet/src/members/name_conflicts.rs
+++ b/crates/fleet/src/members/name_conflicts.rs
@@ -26,7 +26,8 @@
     pub(super) fn name_claimed(&mut self, now: Micros, other: &Member<MemberId>) {
         let who = *other.id();
         if self.claim.as_ref().is_none_or(|c| c.who.process() < who.process()) {
-            self.claim = Some(NameClaim { who, since: now, alive: now, twin: false, behind: false });
+            self.claim =
+                Some(NameClaim { who, since: now, alive: now, conflict_reported: false, behind: false });
             (self.timers, self.probe_retry) = (Timers::default(), None);
             self.become_stale(now);
         }
@@ -40,8 +41,8 @@
         }
         claim.alive = now;
         claim.behind = false;
-        if !claim.twin && now - claim.since >= self.tuning.twin {
-            claim.twin = true;
+        if !claim.conflict_reported && now - claim.since >= self.tuning.conflict_after {
+            claim.conflict_reported = true;
             let name = self.life.name.clone();
             self.out.change(Change::Twin(Life { name, start: who.start }));
         }
@@ -50,7 +51,7 @@
     /// Handles an answer whose sender knows of no other process under the own name.
     pub(super) fn name_not_claimed(&mut self, now: Micros) {
         // The sender may not have learnt of the other process yet, and those that had may all be gone.
-        let long = 2 * self.tuning.twin;
+        let long = 2 * self.tuning.conflict_after;
         if let Some(claim) = self.claim.as_mut().filter(|c| !c.behind && now - c.alive > long) {
             claim.behind = true;
             self.out.change(Change::Behind(claim.who.start));
@@ -76,7 +77,7 @@
             rival.last_notified = now;
             notes.push(Extension::NameTaken { from, other: known });
         }
-        if !rival.reported && now - rival.since >= self.tuning.twin {
+        if !rival.reported && now - rival.since >= self.tuning.conflict_after {
             rival.reported = true;
             self.out.change(Change::Twin(Life { name: row.name.clone(), start: who.start }));
             notes.push(Extension::NameTaken { from, other: Member::alive(who) });
--- a/crates/fleet/src/members/probe_retry.rs
+++ b/crates/fleet/src/members/probe_retry.rs
@@ -40,7 +40,7 @@
             return;
         };
         let next = now.saturating_add(self.tuning.rtt);
-        self.probe_retry = Some(ProbeRetry { to, key, number, bytes, next, left: self.tuning.again });
+        self.probe_retry = Some(ProbeRetry { to, key, number, bytes, next, left: self.tuning.probe_retries });
     }
 
     /// Ends the retries if a message answers the probe, directly or through another member.
@@ -66,7 +66,7 @@
     /// Sends the probe again if that is due. Retries are spread evenly over the rest of the probe period.
     pub(super) fn retry_probe(&mut self, now: Micros) {
         let tuning = &self.tuning;
-        let every = (tuning.period - tuning.rtt) / (tuning.again as Micros + 1);
+        let every = (tuning.period - tuning.rtt) / (tuning.probe_retries as Micros + 1);
         let Some(retry) = self.probe_retry.as_mut().filter(|retry| retry.next <= now) else { return };
         retry.next = now.saturating_add(every.max(1));
         let (to, bytes) = (retry.to, retry.bytes.clone());
--- a/crates/fleet/src/members/schedule.rs
+++ b/crates/fleet/src/members/schedule.rs
@@ -89,11 +89,11 @@
         }
         self.retry_probe(now);
         if self.left {
-            self.next_greeting = now.saturating_add(self.tuning.knock);
+            self.next_greeting = now.saturating_add(self.tuning.greet_interval);
             return;
         }
         if self.next_greeting <= now {
-            self.next_greeting = now.saturating_add(self.tuning.knock);
+            self.next_greeting = now.saturating_add(self.tuning.greet_interval);
             self.greet_dead(now);
         }
         self.request_views(now);
@@ -155,7 +155,7 @@
         if self.claim.is_some() {
             return;
         }
-        for index in self.pick_linked(self.tuning.knocks, |row| row.standing == Standing::Dead) {
+        for index in self.pick_linked(self.tuning.greet_count, |row| row.standing == Standing::Dead) {
             let Some(row) = self.rows.all.get(index) else { continue };
             let to = match (&row.known, self.rows.key(index)) {
                 (Some(known), _) => *known.id(),
--- a/crates/fleet/src/members/state.rs
+++ b/crates/fleet/src/members/state.rs
@@ -75,7 +75,7 @@
             left: false,
             last_received: now,
             last: now,
-            next_greeting: now.saturating_add(tuning.knock),
+            next_greeting: now.saturating_add(tuning.greet_interval),
             tuning,
         })
     }
@@ -159,7 +159,7 @@
         None
     }
 
-    /// Returns the time at which [`Members::tick`] is due. It is never later than [`Tuning::knock`] after the
+    /// Returns the time at which [`Members::tick`] is due. It is never later than [`Tuning::greet_interval`] after the
     /// last call, so that a longer gap is a pause.
     pub fn wake(&self) -> Micros {
         let due = self.timers.next().unwrap_or(Micros::MAX).min(self.next_greeting);
--- a/crates/fleet/src/members/tuning.rs
+++ b/crates/fleet/src/members/tuning.rs
@@ -19,9 +19,9 @@
     /// The number of members asked to probe. Each adds four messages to a probe that failed directly, and
     /// none to one that succeeded; at 10% loss, eight of them make a false suspicion 200 times rarer than
     /// three.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// How often the target itself is probed again meanwhile.
-    pub again: usize,
+    pub probe_retries: usize,
     /// The time after which a suspect is declared dead.
     pub suspicion: Micros,
     /// The gossip interval.
@@ -29,20 +29,20 @@
     /// The number of members in a round of gossip.
     pub fanout: usize,
     /// How often each update is sent in all. With r repetitions a member misses it with probability e^-r.
-    pub repeats: u8,
+    pub update_repeats: u8,
     /// The interval at which one random member is asked for the list of living members.
     pub announce: Micros,
     /// The interval at which members that are thought dead, and whose link is up, are greeted.
-    pub knock: Micros,
+    pub greet_interval: Micros,
     /// The number of members greeted at a time.
-    pub knocks: usize,
-    /// A gap of the own clock longer than this makes the view stale. It must be greater than `knock`.
+    pub greet_count: usize,
+    /// A gap of the own clock longer than this makes the view stale. It must be greater than `greet_interval`.
     pub lease: Micros,
     /// How long a stale member waits for the view of a member that isn't stale before it accepts any view.
-    pub settle: Micros,
+    pub view_wait: Micros,
     /// Two processes that claim one name for this long are reported as a conflict; before that, the earlier
     /// one may just have died.
-    pub twin: Micros,
+    pub conflict_after: Micros,
 }
 
 const MS: Micros = 1000;
@@ -59,20 +59,20 @@
             // periods.
             period: 400 * MS,
             rtt: 150 * MS,
-            helpers: INDIRECT_PROBES,
+            indirect_probes: INDIRECT_PROBES,
             // In a small installation, retries make up for missing helpers. A helper's probe takes four
             // messages of which two may be lost, a retry two of which one may be lost.
-            again: (INDIRECT_PROBES + 2).saturating_sub(members).max(2),
+            probe_retries: (INDIRECT_PROBES + 2).saturating_sub(members).max(2),
             suspicion: 2000 * MS,
             gossip: 200 * MS,
             fanout: 3,
-            repeats: (10.0 + 3.0 * log) as u8,
+            update_repeats: (10.0 + 3.0 * log) as u8,
             announce: 30_000 * MS,
-            knock: 1000 * MS,
-            knocks: 3 + members / 50,
+            greet_interval: 1000 * MS,
+            greet_count: 3 + members / 50,
             lease: 3000 * MS,
-            settle: 1000 * MS,
-            twin: 6000 * MS,
+            view_wait: 1000 * MS,
+            conflict_after: 6000 * MS,
         }
     }
 
@@ -85,8 +85,8 @@
         Config {
             probe_period: time(self.period.max(2)),
             probe_rtt: time(self.rtt.min(self.period - 1)),
-            num_indirect_probes: count(self.helpers),
-            max_transmissions: NonZeroU8::new(self.repeats).unwrap_or(NonZeroU8::MIN),
+            num_indirect_probes: count(self.indirect_probes),
+            max_transmissions: NonZeroU8::new(self.update_repeats).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: time(self.suspicion),
             // The timers for this aren't kept: a dead member stays dead until a later start or a renewal, and
             // the settings bound the number of members.
--- a/crates/fleet/src/members/view_request.rs
+++ b/crates/fleet/src/members/view_request.rs
@@ -17,7 +17,7 @@
         // When another process uses the same name and a link belongs to whichever process connected last,
         // each request takes links from the process that holds the name, so there are fewer.
         let (wait, most) = if self.claim.is_some() {
-            (self.tuning.twin / 2, 1)
+            (self.tuning.conflict_after / 2, 1)
         } else {
             (self.tuning.period / 2, VIEW_REQUESTS)
         };
@@ -45,7 +45,7 @@
         }
         let here = Member::alive(from);
         // When all members start together, none has a fresh view; after a while any answer is accepted.
-        if !fresh && now - self.fresh.since < self.tuning.settle {
+        if !fresh && now - self.fresh.since < self.tuning.view_wait {
             self.with_swim(now, |swim, port| swim.apply_many(std::iter::once(here), true, port));
             return;
         }
--- a/crates/fleet/src/replicas/compare.rs
+++ b/crates/fleet/src/replicas/compare.rs
@@ -54,7 +54,11 @@
             };
             if comparison == LogComparison::Differs && peer.comparison != Some(comparison) {
                 counts.differ += 1;
-                tracing::warn!(keeper = from, slots = spot.at, "another keeper's log is not this one's");
+                tracing::warn!(
+                    keeper = from,
+                    slots = spot.at,
+                    "another keeper's log differs from this one's"
+                );
             }
             peer.comparison = Some(comparison);
         }
--- a/crates/fleet/src/replicas/mod.rs
+++ b/crates/fleet/src/replicas/mod.rs
@@ -156,7 +156,7 @@
     #[error("{0} members are keepers; 1, 3 or 5 may be")]
     Keepers(usize),
     /// A replica has no storage, or a member without a replica has some.
-    #[error("a keeper needs storage, and only a keeper")]
+    #[error("a keeper needs storage, and other members must have none")]
     Storage,
     /// The snapshot on disk can't be decoded.
     #[error("the snapshot in the keepers' log can't be read")]
--- a/crates/fleet/src/replicas/store.rs
+++ b/crates/fleet/src/replicas/store.rs
@@ -1,7 +1,7 @@
 //! The replica's file as the storage of `omnipaxos`.
 //!
 //! No method returns an error, because `omnipaxos` panics on one. The log records the failure, and
-//! [`super::replica`] checks for it before any message is sent; none is sent after a failure. Reads are
+//! `replica.rs` checks for it before any message is sent; none is sent after a failure. Reads are
 //! served from memory.
 
 use super::item::Item;
--- a/crates/fleet/src/replicas/voting.rs
+++ b/crates/fleet/src/replicas/voting.rs
@@ -5,38 +5,40 @@
 //! of these ways only:
 //!
 //! - *Founding*: it never voted. All other replicas have answered this life, and none has ever seen a mark of
-//!   it. (Or the operator allows it: [`Tuning::found`].) Whatever it sent in an earlier life was then never
-//!   counted.
+//!   it. (Or the operator allows it: [`Tuning::found`](super::Tuning::found).) Whatever it sent in an earlier
+//!   life was then never counted.
 //! - *Readmission*: the log decides [`Item::Readmit`] for this very life, by a majority of all replicas that
 //!   doesn't include this one. This replica holds the decided log up to there, learnt from the others; it
 //!   accepts nothing below the ballot of the leader that informs it; and it reports nothing as accepted that
 //!   anybody led.
 //!
 //! Why that is safe. Let Q be the majority that accepted the readmission in ballot b; the lost replica X
-//! isn't in it. Any other majority that includes X shares a member other than X with Q, since (q − 1) + q = n
-//! > n − 1. (1) Consider what was decided before with X's acceptance. Its ballot's majority of promises was
-//! complete before X was lost. If that ballot were above b, a member of Q would have promised it before it
-//! accepted in b, which is impossible; if it is below, b's leader learnt of it from the promises that it
-//! gathered. So all of it is in the log of Q before the readmission, and every later majority includes a
-//! member of Q. (2) Consider a promise of the old X for a ballot above b that its candidate hasn't counted
-//! yet. To complete, the candidate needs a member of Q that promised after it accepted the readmission, and
-//! the message of that member carries the readmission ([`super::wire::Head::epochs`]); the candidate drops
-//! all that it has gathered (`Replica::merge_marks`) before it counts. (3) Consider a promise of the old X
-//! below b. X now accepts nothing below the leader's ballot, which is b or above, so no such ballot gets X's
-//! acceptance.
+//! isn't in it. Any other majority that includes X shares a member other than X with Q, since
+//! (q − 1) + q = n > n − 1. (1) Consider what was decided before with X's acceptance. Its ballot's majority
+//! of promises was complete before X was lost. If that ballot were above b, a member of Q would have promised
+//! it before it accepted in b, which is impossible; if it is below, b's leader learnt of it from the promises
+//! that it gathered. So all of it is in the log of Q before the readmission, and every later majority
+//! includes a member of Q. (2) Consider a promise of the old X for a ballot above b that its candidate hasn't
+//! counted yet. To complete, the candidate needs a member of Q that promised after it accepted the
+//! readmission, and the message of that member carries the readmission ([`super::wire::Head::epochs`]); the
+//! candidate drops all that it has gathered (`Replica::merge_marks`) before it counts. (3) Consider a promise
+//! of the old X below b. X now accepts nothing below the leader's ballot, which is b or above, so no such
+//! ballot gets X's acceptance.
 //!
 //! **An old disk while others are out of reach.** An old disk is detected by the replicas that have seen a
 //! later state of it. A replica that receives answers from all others votes; one that doesn't waits for
-//! [`Tuning::hear_all`] and then votes all the same, as otherwise one unavailable replica would prevent
-//! another from starting. Where its file is a copy ([`Log::copied`]: it isn't the file that was written, by
-//! its number in the file system), it doesn't: it waits for all others, or to be readmitted.
+//! [`Tuning::hear_all`](super::Tuning::hear_all) and then votes all the same, as otherwise one unavailable
+//! replica would prevent another from starting. Where its file is a copy ([`Log::copied`]: it isn't the file
+//! that was written, by its number in the file system), it doesn't: it waits for all others, or to be
+//! readmitted.
 //!
 //! Not covered: a disk that was restored *below* the file system, such as a snapshot of a volume or of a
 //! machine, looks as it did when it was written. X then votes from the old state if the replicas that know
-//! more of it are unreachable, for X and for all that X reaches, for longer than [`Tuning::hear_all`]. Among
-//! three replicas A, B and X this can lose what B and X alone decided after the copy was taken, while A
-//! received messages from neither. As soon as A has received one message from either, A knows X's mark, and X
-//! is detected. Both cases are tests in `tests/keepers/copies.rs`.
+//! more of it are unreachable, for X and for all that X reaches, for longer than
+//! [`Tuning::hear_all`](super::Tuning::hear_all). Among three replicas A, B and X this can lose what B and X
+//! alone decided after the copy was taken, while A received messages from neither. As soon as A has received
+//! one message from either, A knows X's mark, and X is detected. Both cases are tests in
+//! `tests/keepers/copies.rs`.
 //!
 //! Also, where *all* disks are empty, it can't be determined whether the installation is new.
 //!
