--- a/crates/fleet/src/members/member_id.rs
+++ b/crates/fleet/src/members/member_id.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the key by which processes under one name are ordered; the greatest holds the name.
-    pub fn process(&self) -> (Start, u32) {
+    pub fn precedence(&self) -> (Start, u32) {
         (self.start, self.nonce)
     }
 }
@@ -59,6 +59,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.process(), self.renewals) > (other.process(), other.renewals)
+        (self.precedence(), self.renewals) > (other.precedence(), other.renewals)
     }
 }
--- a/crates/fleet/src/members/name_conflicts.rs
+++ b/crates/fleet/src/members/name_conflicts.rs
@@ -19,19 +19,21 @@
 impl Members {
     /// Returns whether an identity under the own name is another process, and takes precedence.
     pub(super) fn loses_name_to(&self, who: &MemberId) -> bool {
-        who.process() > self.swim.identity().process()
+        who.precedence() > self.swim.identity().precedence()
     }
 
     /// Handles the news of a process that takes precedence under the own name.
     pub(super) fn name_claimed(&mut self, now: Micros, other: &Member<MemberId>) {
         let who = *other.id();
-        if self.claim.as_ref().is_none_or(|c| c.who.process() < who.process()) {
+        if self.claim.as_ref().is_none_or(|c| c.who.precedence() < who.precedence()) {
             self.claim =
                 Some(NameClaim { who, since: now, alive: now, conflict_reported: false, behind: false });
             (self.timers, self.probe_retry) = (Timers::default(), None);
             self.become_stale(now);
         }
-        let Some(claim) = self.claim.as_mut().filter(|c| c.who.process() == who.process()) else { return };
+        let Some(claim) = self.claim.as_mut().filter(|c| c.who.precedence() == who.precedence()) else {
+            return;
+        };
         if other.state() == State::Down {
             if !claim.behind {
                 claim.behind = true;
@@ -65,7 +67,7 @@
         let from = *self.swim.identity();
         let Some(row) = self.rows.all.get_mut(index) else { return };
         let Some(known) = row.known.clone() else { return };
-        if row.rival.as_ref().is_none_or(|r| r.who.process() != who.process()) {
+        if row.rival.as_ref().is_none_or(|r| r.who.precedence() != who.precedence()) {
             row.rival = Some(Rival { who, since: now, last_notified: Micros::MIN, reported: false });
         }
         let Some(rival) = row.rival.as_mut() else { return };
--- a/crates/fleet/src/members/receive.rs
+++ b/crates/fleet/src/members/receive.rs
@@ -11,7 +11,7 @@
 
 impl Members {
     /// Handles a message from the peer at `index`.
-    pub(super) fn handle_message(&mut self, now: Micros, index: usize, bytes: &[u8]) {
+    pub(super) fn handle_packet(&mut self, now: Micros, index: usize, bytes: &[u8]) {
         let Some(packet) = wire::read(bytes) else {
             self.out.counts.undecoded += 1;
             return;
@@ -25,7 +25,7 @@
             return;
         }
         let known = self.rows.all.get(index).and_then(|row| row.known.as_ref());
-        let replaced = known.is_some_and(|known| from.process() < known.id().process());
+        let replaced = known.is_some_and(|known| from.precedence() < known.id().precedence());
         if replaced {
             self.note_rival(now, index, from);
         } else {
@@ -75,17 +75,17 @@
         let unknown = u64::from(!swim.updates.iter().all(|(m, _)| listed(m)));
         // Gossip repeats each update about ten times, and `foca` goes through all members for each update, so
         // known updates are removed.
-        let bytes = swim.with_updates(|m| self.wanted(m) && self.news(m));
-        let news = sender || bytes.len() > swim.len_without_updates();
+        let bytes = swim.with_updates(|m| self.is_allowed(m) && self.is_news(m));
+        let changed = sender || bytes.len() > swim.len_without_updates();
         self.out.counts.unknown += unknown;
         self.with_swim(now, |foca, port| foca.handle_data(&bytes, port));
-        if news {
+        if changed {
             self.sync_rows(now);
         }
     }
 
     /// Returns whether an update could change `foca`'s state, which the rows mirror.
-    fn news(&self, update: &Member<MemberId>) -> bool {
+    fn is_news(&self, update: &Member<MemberId>) -> bool {
         let row = self.rows.index(update.id().key).and_then(|index| self.rows.all.get(index));
         let Some(known) = row.and_then(|row| row.known.as_ref()) else { return true };
         let newer = update.incarnation() > known.incarnation();
@@ -102,9 +102,9 @@
 
     /// Returns whether `foca` may see an entry. `foca` keeps every identity that it learns of, and declares
     /// any other identity under its own name dead.
-    fn wanted(&self, member: &Member<MemberId>) -> bool {
+    fn is_allowed(&self, member: &Member<MemberId>) -> bool {
         let (own, who) = (self.swim.identity(), member.id());
-        let later = (who.process(), who.renewals) > (own.process(), own.renewals);
+        let later = (who.precedence(), who.renewals) > (own.precedence(), own.renewals);
         self.rows.index(who.key).is_some() && !(who.key == own.key && later)
     }
 
@@ -138,7 +138,7 @@
                 if self.claim.is_some() {
                     return;
                 }
-                let (members, rest): (Vec<_>, Vec<_>) = members.into_iter().partition(|m| self.wanted(m));
+                let (members, rest): (Vec<_>, Vec<_>) = members.into_iter().partition(|m| self.is_allowed(m));
                 self.out.counts.unknown += u64::from(!rest.is_empty());
                 self.handle_view(now, nonce, from, fresh, members);
             }
@@ -166,7 +166,7 @@
                     self.out.counts.misrouted += 1;
                 } else if self.loses_name_to(other.id()) {
                     self.name_claimed(now, &other);
-                } else if other.id().process() < own.process() {
+                } else if other.id().precedence() < own.precedence() {
                     let name = self.life.name.clone();
                     self.out.change(Change::Twin(Life { name, start: other.id().start }));
                 }
--- a/crates/fleet/src/members/rows.rs
+++ b/crates/fleet/src/members/rows.rs
@@ -78,7 +78,7 @@
         self.by_key.get(at).map(|(_, index)| usize::from(*index))
     }
 
-    pub fn named(&self, name: &Name) -> Option<usize> {
+    pub fn index_of_name(&self, name: &Name) -> Option<usize> {
         let order = |i: &u16| self.all.get(usize::from(*i)).map(|row| &row.name).cmp(&Some(name));
         let at = self.by_name.binary_search_by(order).ok()?;
         self.by_name.get(at).map(|i| usize::from(*i))
@@ -117,7 +117,7 @@
                 self.changed.extend(u16::try_from(index));
             }
         }
-        if row.known.as_ref().is_some_and(|old| old.id().process() != member.id().process()) {
+        if row.known.as_ref().is_some_and(|old| old.id().precedence() != member.id().precedence()) {
             row.rival = None;
         }
         row.known = Some(member.clone());
--- a/crates/fleet/src/members/schedule.rs
+++ b/crates/fleet/src/members/schedule.rs
@@ -88,7 +88,7 @@
             }
         }
         self.retry_probe(now);
-        if self.left {
+        if self.has_left {
             self.next_greeting = now.saturating_add(self.tuning.greet_interval);
             return;
         }
--- a/crates/fleet/src/members/state.rs
+++ b/crates/fleet/src/members/state.rs
@@ -34,7 +34,7 @@
     pub(super) rng: SmallRng,
     pub(super) fresh: Freshness,
     pub(super) claim: Option<NameClaim>,
-    pub(super) left: bool,
+    pub(super) has_left: bool,
     /// The time of the last message from any member.
     pub(super) last_received: Micros,
     pub(super) last: Micros,
@@ -56,7 +56,7 @@
         tuning: Tuning,
     ) -> Result<Self, MembersError> {
         let rows = Rows::new(now, peers)?;
-        let index = rows.named(&own.name).ok_or_else(|| MembersError::NotListed(own.name.clone()))?;
+        let index = rows.index_of_name(&own.name).ok_or_else(|| MembersError::NotListed(own.name.clone()))?;
         let mut rng = SmallRng::seed_from_u64(seed);
         let who = MemberId::new(&own, rng.random());
         let swim = Foca::new(who, tuning.config(), SmallRng::from_rng(&mut rng), PostcardCodec);
@@ -72,7 +72,7 @@
             rng,
             fresh,
             claim: None,
-            left: false,
+            has_left: false,
             last_received: now,
             last: now,
             next_greeting: now.saturating_add(tuning.greet_interval),
@@ -83,9 +83,9 @@
     /// Handles a message from a peer.
     pub fn receive(&mut self, now: Micros, from: usize, bytes: &[u8]) {
         let now = self.advance_clock(now);
-        if !self.left {
+        if !self.has_left {
             self.out.counts.received += 1;
-            self.handle_message(now, from, bytes);
+            self.handle_packet(now, from, bytes);
         }
         self.run_timers(now);
     }
@@ -97,10 +97,10 @@
     }
 
     /// Records whether the link to a peer is up.
-    pub fn link(&mut self, now: Micros, peer: usize, stands: bool) {
+    pub fn link(&mut self, now: Micros, peer: usize, is_up: bool) {
         let now = self.advance_clock(now);
         if let Some(row) = self.rows.all.get_mut(peer) {
-            row.linked = stands && peer != self.own;
+            row.linked = is_up && peer != self.own;
             if row.linked && self.fresh.stale() {
                 self.fresh.advance(now.saturating_add(LINK_UP_DELAY));
             } else if row.linked && row.standing == Standing::Dead {
@@ -114,10 +114,10 @@
     /// Leaves the installation; the other members are informed and need not detect it.
     pub fn leave(&mut self, now: Micros) {
         let now = self.advance_clock(now);
-        if !self.left && self.claim.is_none() {
+        if !self.has_left && self.claim.is_none() {
             self.with_swim(now, |swim, port| swim.leave_cluster(port));
         }
-        self.left = true;
+        self.has_left = true;
         (self.timers, self.probe_retry) = (Timers::default(), None);
     }
 
@@ -180,7 +180,7 @@
     /// Returns the believed state of a member, or `None` if the settings don't list it. The row of this
     /// member itself holds only what other members have to know.
     pub fn standing(&self, name: &Name) -> Option<&Row> {
-        self.rows.named(name).and_then(|index| self.rows.all.get(index))
+        self.rows.index_of_name(name).and_then(|index| self.rows.all.get(index))
     }
 
     /// Returns all members of the settings in their order, including this one.
--- a/crates/fleet/src/members/timers.rs
+++ b/crates/fleet/src/members/timers.rs
@@ -17,7 +17,7 @@
     gossip: Option<Entry>,
     /// The ends of suspicions raised by this member. Each probe period raises at most one, so there are about
     /// suspicion / period of them.
-    ends: Vec<Entry>,
+    suspicion_ends: Vec<Entry>,
 }
 
 impl Timers {
@@ -31,10 +31,10 @@
                 // A suspicion that is raised again keeps its first end. Another suspicion of the same member
                 // replaces it.
                 let same = |old: &&mut Entry| matches!(&old.1, Timer::ChangeSuspectToDown { member_id: m, .. } if m.key == member_id.key);
-                match self.ends.iter_mut().find(same) {
+                match self.suspicion_ends.iter_mut().find(same) {
                     Some(old) if old.1 == timer => {}
                     Some(old) => *old = (due, timer),
-                    None => self.ends.push((due, timer)),
+                    None => self.suspicion_ends.push((due, timer)),
                 }
                 return;
             }
@@ -51,7 +51,7 @@
     /// Returns the time of the next timer.
     pub fn next(&self) -> Option<Micros> {
         let slots = [&self.indirect, &self.probe, &self.announce, &self.gossip];
-        slots.into_iter().flatten().chain(&self.ends).map(|(due, _)| *due).min()
+        slots.into_iter().flatten().chain(&self.suspicion_ends).map(|(due, _)| *due).min()
     }
 
     /// Takes the first timer that is due.
@@ -62,8 +62,8 @@
                 return Some(timer);
             }
         }
-        let at = self.ends.iter().position(|(at, _)| *at == due)?;
-        Some(self.ends.swap_remove(at).1)
+        let at = self.suspicion_ends.iter().position(|(at, _)| *at == due)?;
+        Some(self.suspicion_ends.swap_remove(at).1)
     }
 
     /// Moves the next round of gossip forward to this time.
@@ -77,11 +77,11 @@
     pub fn shift(&mut self, by: Micros) {
         let slots = self.slots();
         slots.into_iter().flatten().for_each(|(due, _)| *due = due.saturating_add(by));
-        self.ends.iter_mut().for_each(|(due, _)| *due = due.saturating_add(by));
+        self.suspicion_ends.iter_mut().for_each(|(due, _)| *due = due.saturating_add(by));
     }
 
     /// Postpones the ends of all suspicions to this time or later.
     pub fn postpone_suspicions(&mut self, until: Micros) {
-        self.ends.iter_mut().for_each(|(due, _)| *due = until.max(*due));
+        self.suspicion_ends.iter_mut().for_each(|(due, _)| *due = until.max(*due));
     }
 }
--- a/crates/fleet/src/replicas/applied_state.rs
+++ b/crates/fleet/src/replicas/applied_state.rs
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct RequestWindow {
-    high: u64,
+    highest: u64,
     indexes: BTreeMap<u64, u64>,
 }
 
@@ -77,8 +77,8 @@
         }
         let Some(numbers) = lives.lives.get(&request.from.start) else { return Known::New };
         match numbers.indexes.get(&request.number) {
-            Some(place) => Known::At(*place),
-            None if request.number.saturating_add(REQUEST_WINDOW) <= numbers.high => Known::Superseded,
+            Some(index) => Known::At(*index),
+            None if request.number.saturating_add(REQUEST_WINDOW) <= numbers.highest => Known::Superseded,
             None => Known::New,
         }
     }
@@ -112,10 +112,10 @@
     fn remember(&mut self, request: &Request) {
         let lives = self.names.entry(request.from.name.clone()).or_default();
         let numbers = lives.lives.entry(request.from.start).or_default();
-        numbers.high = numbers.high.max(request.number);
+        numbers.highest = numbers.highest.max(request.number);
         numbers.indexes.insert(request.number, self.index);
-        let low = numbers.high.saturating_sub(REQUEST_WINDOW - 1);
-        while numbers.indexes.first_key_value().is_some_and(|(n, _)| *n < low) {
+        let lowest = numbers.highest.saturating_sub(REQUEST_WINDOW - 1);
+        while numbers.indexes.first_key_value().is_some_and(|(n, _)| *n < lowest) {
             numbers.indexes.pop_first();
         }
         while lives.lives.len() > MAX_LIVES {
@@ -130,41 +130,45 @@
     use super::*;
     use crate::entry::Entry;
 
-    fn asked(name: &str, start: u64, number: u64) -> Item {
+    fn entry_item(name: &str, start: u64, number: u64) -> Item {
         let from = Life { name: Name::new(name).unwrap(), start: Start(start) };
         Item::Asked(Entry { request: Request { from, number }, wall: 0, body: vec![] })
     }
-    fn place(step: ApplyOutcome) -> Option<u64> {
+    fn index_of(step: ApplyOutcome) -> Option<u64> {
         if let ApplyOutcome::Deliver(d) = step { Some(d.index) } else { None }
     }
 
     #[test]
-    fn a_request_decided_twice_is_delivered_once_and_its_place_is_known() {
+    fn a_request_decided_twice_is_delivered_once_and_keeps_its_index() {
         let mut fold = Fold::default();
-        assert_eq!(place(fold.apply(&asked("a", 1, 7))), Some(1));
-        assert_eq!(place(fold.apply(&asked("a", 2, 7))), Some(2));
-        let Item::Asked(entry) = asked("a", 1, 7) else { panic!() };
-        assert_eq!(fold.apply(&asked("a", 1, 7)), ApplyOutcome::Duplicate(entry.request, Known::At(1)));
-        assert_eq!(place(fold.apply(&asked("a", 1, 6))), Some(3), "out of order within the window");
+        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 7))), Some(1));
+        assert_eq!(index_of(fold.apply(&entry_item("a", 2, 7))), Some(2));
+        let Item::Asked(entry) = entry_item("a", 1, 7) else { panic!() };
+        assert_eq!(fold.apply(&entry_item("a", 1, 7)), ApplyOutcome::Duplicate(entry.request, Known::At(1)));
+        assert_eq!(
+            index_of(fold.apply(&entry_item("a", 1, 6))),
+            Some(3),
+            "numbers may be out of order within the window"
+        );
         assert_eq!((fold.index, fold.slot), (3, 4));
     }
 
     #[test]
-    fn what_the_window_or_the_lives_no_longer_cover_is_never_delivered() {
+    fn requests_outside_the_window_or_the_newest_lives_are_never_delivered() {
         let mut fold = Fold::default();
-        fold.apply(&asked("a", 1, 1));
-        fold.apply(&asked("a", 1, 1 + REQUEST_WINDOW));
-        assert_eq!(place(fold.apply(&asked("a", 1, 1))), None);
-        assert_eq!(place(fold.apply(&asked("a", 1, 2))), Some(3));
+        fold.apply(&entry_item("a", 1, 1));
+        fold.apply(&entry_item("a", 1, 1 + REQUEST_WINDOW));
+        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 1))), None);
+        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 2))), Some(3));
         for start in 2..=MAX_LIVES as u64 + 1 {
-            fold.apply(&asked("a", start, 1));
+            fold.apply(&entry_item("a", start, 1));
         }
-        assert_eq!(place(fold.apply(&asked("a", 1, 200))), None, "a life before the newest four");
+        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 200))), None, "a life older than the newest four");
         let mut full = Fold::default();
         for i in 0..MAX_NAMES {
-            full.apply(&asked(&format!("n{i}"), 1, 1));
+            full.apply(&entry_item(&format!("n{i}"), 1, 1));
         }
-        assert_eq!(place(full.apply(&asked("one-more", 1, 1))), None);
-        assert_eq!(place(full.apply(&asked("n0", 1, 2))), Some(MAX_NAMES as u64 + 1));
+        assert_eq!(index_of(full.apply(&entry_item("one-more", 1, 1))), None);
+        assert_eq!(index_of(full.apply(&entry_item("n0", 1, 2))), Some(MAX_NAMES as u64 + 1));
     }
 }
--- a/crates/fleet/src/replicas/compare.rs
+++ b/crates/fleet/src/replicas/compare.rs
@@ -81,8 +81,8 @@
     pub(super) fn verify_log(&mut self) -> bool {
         let quorum = self.group.count / 2 + 1;
         let differ = self.count(|c| c == LogComparison::Differs);
-        let shut_out = differ > self.group.count - quorum || differ > 0 && self.admission.is_some();
-        if !self.log_verified && (self.log_altered || shut_out) {
+        let excluded = differ > self.group.count - quorum || differ > 0 && self.admission.is_some();
+        if !self.log_verified && (self.log_altered || excluded) {
             self.discard_log();
         }
         // What is learnt from now on comes from replicas whose logs were compared with each other.
--- a/crates/fleet/src/replicas/learn.rs
+++ b/crates/fleet/src/replicas/learn.rs
@@ -129,8 +129,8 @@
     }
 
     /// Handles an answer; `from` is the next slot wanted.
-    pub fn hear(&mut self, now: Micros, keeper: u8, from: u64, told: Told) -> Learnt {
-        match told {
+    pub fn hear(&mut self, now: Micros, keeper: u8, from: u64, answer: Told) -> Learnt {
+        match answer {
             Told::Items { from: at, items, tip } => {
                 let fits = at == from && !items.is_empty();
                 // The next request is sent at once, even if there is nothing more, so that the replica
--- a/crates/fleet/src/replicas/member.rs
+++ b/crates/fleet/src/replicas/member.rs
@@ -258,9 +258,10 @@
     /// [`Output::WantSnapshot`] requested it. Returns false if it isn't accepted, because there are newer
     /// entries or it is longer than [`MOST_SNAPSHOT`].
     pub fn snapshot(&mut self, index: u64, machine: Vec<u8>) -> bool {
-        let unapplied = self.outputs.iter().any(|o| matches!(o, Output::Decided(_) | Output::Restore { .. }));
+        let undelivered =
+            self.outputs.iter().any(|o| matches!(o, Output::Decided(_) | Output::Restore { .. }));
         self.snapshot_requested = false;
-        if index != self.fold.index || unapplied {
+        if index != self.fold.index || undelivered {
             return false;
         }
         // A replica that its leader can't reach may have applied more than its own log can be trimmed to.
--- a/crates/fleet/src/replicas/peers.rs
+++ b/crates/fleet/src/replicas/peers.rs
@@ -137,26 +137,26 @@
 
     /// An older acceptance or log that is handled after a newer one would revoke what was sent since.
     #[test]
-    fn each_message_counts_once_and_in_order_and_a_forgetful_life_not_at_all() {
+    fn each_message_counts_once_and_in_order_and_a_stale_disk_is_refused() {
         let mut peer = Peer::default();
         let known = Seen { mark: Mark { epoch: 0, writes: 10 }, nonce: 1 };
         let mut hear = |at, h: Head| peer.hear(at, 9, &h, &known, 100);
         assert_eq!(hear(10, head(1, 1, 4, 3)), MessageOrder::NewLife);
-        assert_eq!(hear(10, head(1, 1, 4, 3)), MessageOrder::Late, "twice");
+        assert_eq!(hear(10, head(1, 1, 4, 3)), MessageOrder::Late, "repeated");
         assert_eq!(hear(10, head(1, 1, 6, 3)), MessageOrder::Gap);
         assert_eq!(hear(10, head(1, 1, 5, 3)), MessageOrder::Late, "overtaken");
         assert_eq!(hear(10, head(1, 1, 7, 3)), MessageOrder::Next);
         assert_eq!(
             hear(10, head(2, 2, 1, 9)),
             MessageOrder::Stale,
-            "its disk knows less than was heard from it"
+            "its disk is older than its last messages"
         );
         assert_eq!(hear(10, head(2, 2, 1, 10)), MessageOrder::NewLife);
-        assert_eq!(hear(11, head(1, 1, 8, 10)), MessageOrder::Late, "the life before");
+        assert_eq!(hear(11, head(1, 1, 8, 10)), MessageOrder::Late, "a message of the previous life");
         assert_eq!(
             hear(500, head(3, 1, 1, 10)),
             MessageOrder::NewLife,
-            "a folder put back, and the newer life is silent"
+            "a restored folder while the newer life is silent"
         );
     }
 }
--- a/crates/fleet/src/replicas/receive.rs
+++ b/crates/fleet/src/replicas/receive.rs
@@ -16,7 +16,7 @@
 impl<S: Storage> Replica<S> {
     /// Handles a message from another replica.
     pub(super) fn receive(&mut self, now: Micros, from: u8, bytes: &[u8], counts: &mut Counts) {
-        let Some((head, said)) = unpack::<(Head, Said)>(bytes) else {
+        let Some((head, content)) = unpack::<(Head, Said)>(bytes) else {
             counts.undecodable += 1;
             return;
         };
@@ -55,7 +55,7 @@
         }
         self.merge_marks(at, &head);
         let for_us = head.to == self.nonce && head.voting;
-        match said {
+        match content {
             Said::Hello(spot) => self.compare(from, &spot, counts),
             Said::Gap => self.reconnected(from),
             Said::Behind(decided) => {
--- a/crates/fleet/src/replicas/replica.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -309,7 +309,7 @@
         let epochs = log.state().epochs.iter().zip(&self.epochs).map(|(a, b)| *a.max(b)).collect();
         drop(log);
         self.epochs = epochs;
-        for (pid, said) in std::mem::take(&mut self.outbox) {
+        for (pid, content) in std::mem::take(&mut self.outbox) {
             let Some(peer) = self.peers.get_mut(usize::from(pid).wrapping_sub(1)) else { continue };
             if pid == self.own {
                 continue;
@@ -329,7 +329,7 @@
                 sent: now,
                 echo: peer.sent,
             };
-            if let Some(bytes) = pack(&(head, said)) {
+            if let Some(bytes) = pack(&(head, content)) {
                 sends.push((pid, bytes));
             }
         }
--- a/crates/fleet/src/replicas/state.rs
+++ b/crates/fleet/src/replicas/state.rs
@@ -169,9 +169,9 @@
     pub fn learnt(&self, from: u64, items: Vec<Item>, ballot: Option<Ballot>, own: Ballot) -> Vec<Record> {
         let end = from + items.len() as u64;
         let same = |(i, item): (usize, &Item)| self.item(from + i as u64).is_none_or(|held| held == item);
-        let stands = end <= self.end() && items.iter().enumerate().all(same);
+        let consistent = end <= self.end() && items.iter().enumerate().all(same);
         let mut records = self.follow(ballot);
-        if !stands {
+        if !consistent {
             records.push(Record::Put(from, items));
             records.push(Record::Accepted(own));
         }
@@ -289,14 +289,14 @@
         Item::Charge { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
     }
 
-    fn with(items: std::ops::Range<u64>) -> State {
+    fn with_log(items: std::ops::Range<u64>) -> State {
         let mut state = State::new(3);
         assert!(state.apply(Record::Promise(Ballot::with(1, 4, 0, 2))));
         assert!(state.apply(Record::Put(0, items.map(item).collect())));
         state
     }
 
-    fn learn(state: &mut State, items: Vec<Item>) {
+    fn apply_learnt(state: &mut State, items: Vec<Item>) {
         let records = state.learnt(0, items, Some(Ballot::with(1, 9, 0, 1)), Ballot::with(1, 0, 0, 3));
         assert!(records.into_iter().all(|record| state.apply(record)));
     }
@@ -304,19 +304,19 @@
     /// A replica that learnt decided slots, and then promised a leader below the ballot they were decided in,
     /// would let that leader take other items as decided.
     #[test]
-    fn what_is_learnt_is_followed_by_the_ballot_it_was_decided_under() {
-        let mut state = with(0..0);
-        learn(&mut state, vec![item(0)]);
+    fn learning_decided_slots_raises_the_promise_to_their_ballot() {
+        let mut state = with_log(0..0);
+        apply_learnt(&mut state, vec![item(0)]);
         assert_eq!((state.decided, state.promise.map(|b| b.n)), (1, Some(9)));
     }
 
     #[test]
-    fn what_was_taken_behind_what_is_learnt_stays_unless_it_contradicts() {
-        let mut state = with(0..5);
-        learn(&mut state, vec![item(0), item(1)]);
+    fn accepted_items_after_learnt_ones_are_kept_unless_they_contradict() {
+        let mut state = with_log(0..5);
+        apply_learnt(&mut state, vec![item(0), item(1)]);
         assert_eq!((state.decided, state.end()), (2, 5));
-        let mut state = with(0..5);
-        learn(&mut state, vec![item(0), item(7)]);
+        let mut state = with_log(0..5);
+        apply_learnt(&mut state, vec![item(0), item(7)]);
         assert_eq!((state.decided, state.end(), state.item(1)), (2, 2, Some(&item(7))));
     }
 }
--- a/crates/fleet/src/replicas/view.rs
+++ b/crates/fleet/src/replicas/view.rs
@@ -32,10 +32,11 @@
     pub fn in_charge(&self, now: Micros) -> Option<Charge> {
         let replica = self.replica.as_ref()?;
         let term = replica.leading_term()?;
-        let charged = self.fold.charge.as_ref().is_some_and(|(t, life)| *t == term && *life == self.life);
+        let is_leader_in_log =
+            self.fold.charge.as_ref().is_some_and(|(t, life)| *t == term && *life == self.life);
         let until = if replica.is_single() { Micros::MAX } else { replica.lease.until(&self.tuning)? };
         let halted = replica.shared.log().failed().is_some();
-        (charged && now < until && !halted).then(|| Charge { term, life: self.life.clone(), until })
+        (is_leader_in_log && now < until && !halted).then(|| Charge { term, life: self.life.clone(), until })
     }
 
     /// Returns this member's participation.
--- a/crates/fleet/src/replicas/wire.rs
+++ b/crates/fleet/src/replicas/wire.rs
@@ -170,8 +170,8 @@
 }
 
 /// Encodes a message. Returns `None` if it is too long to be sent.
-pub fn pack<T: Serialize>(said: &T) -> Option<Vec<u8>> {
-    postcard::to_stdvec(said).ok().filter(|octets| octets.len() <= MOST_MESSAGE)
+pub fn pack<T: Serialize>(content: &T) -> Option<Vec<u8>> {
+    postcard::to_stdvec(content).ok().filter(|octets| octets.len() <= MOST_MESSAGE)
 }
 
 /// Decodes a message. Returns `None` unless all of the bytes are one message of allowed length.
@@ -179,6 +179,6 @@
     if octets.len() > MOST_MESSAGE {
         return None;
     }
-    let (said, rest) = postcard::take_from_bytes(octets).ok()?;
-    rest.is_empty().then_some(said)
+    let (content, rest) = postcard::take_from_bytes(octets).ok()?;
+    rest.is_empty().then_some(content)
 }
