--- a/crates/fleet/src/key.rs
+++ b/crates/fleet/src/key.rs
@@ -24,7 +24,7 @@
     #[error("the key file is empty; write {MIN_KEY_BYTES} random octets or more into it, as hex or base64")]
     Empty,
     /// The file is longer than [`MOST_KEY_TEXT`].
-    #[error("the key file has more than {MOST_KEY_TEXT} octets; that can't be a key")]
+    #[error("the key file has more than {max} octets; that can't be a key", max = MOST_KEY_TEXT)]
     Long,
     /// The content is neither hex nor base64.
     #[error("the key file is neither hex nor base64")]
