--- a/crates/cli/src/installation.rs
+++ b/crates/cli/src/installation.rs
@@ -1,10 +1,10 @@
 //! From the settings' `fleet` to a member of an installation that can run.
 
 use heronroute_config::{ClientConfig, Config, FleetConfig, MemberConfig, RolloutConfig};
-use heronroute_fleet::key::{Key, MOST_KEY_TEXT};
+use heronroute_fleet::key::{Key, MAX_KEY_FILE_BYTES};
 use heronroute_fleet::link::Settings;
-use heronroute_fleet::start::{Found, raise};
-use heronroute_fleet::{Life, Name, Peer, Start, keepers, members};
+use heronroute_fleet::start::{StoredStart, raise};
+use heronroute_fleet::{Life, Name, Peer, Start, members, replicas};
 use heronroute_installation::seam::{Input, Member, Output};
 use heronroute_installation::{self as installation, Client, Installation, Micros, Pace, Planned, Rolling};
 use heronroute_journal::dir::Dir;
@@ -78,7 +78,7 @@
         let wrong = |e: &dyn std::fmt::Display| format!("fleet.folder: {}: {e}", self.folder.display());
         let mut dir = Dir::open(&self.folder).map_err(|e| wrong(&e))?;
         let raised = raise(&mut dir, wall, above.unwrap_or_default()).map_err(|e| wrong(&e))?;
-        if raised.found == Found::Unreadable {
+        if raised.found == StoredStart::Unreadable {
             tracing::error!(
                 folder = %self.folder.display(),
                 "the start number on disk can't be read; it is taken from the time of day"
@@ -102,7 +102,7 @@
             clients: self.clients.clone(),
             senders: self.senders.clone(),
             seed: number(b"heronroute member"),
-            keepers: keepers::Tuning::default(),
+            replicas: replicas::Tuning::default(),
             members: members::Tuning::for_size(self.peers.len()),
             detector: heronroute_drift::Config::new(own.name.clone(), secret(b"heronroute detector")),
             pace: Pace::default(),
@@ -138,7 +138,7 @@
     let mut text = String::new();
     // One octet more than a key may have, so that a file named by mistake is not read whole.
     let file = std::fs::File::open(path).map_err(|e| e.to_string())?;
-    file.take(MOST_KEY_TEXT as u64 + 1).read_to_string(&mut text).map_err(|e| e.to_string())?;
+    file.take(MAX_KEY_FILE_BYTES as u64 + 1).read_to_string(&mut text).map_err(|e| e.to_string())?;
     Key::read(&text).map_err(|e| e.to_string())
 }
 
--- a/crates/cli/tests/fleet/disk.rs
+++ b/crates/cli/tests/fleet/disk.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, SOON, name};
 use crate::traffic::S;
-use heronroute_fleet::keepers::record::{read, write};
+use heronroute_fleet::replicas::record::{read, write};
 use heronroute_journal::dir::Dir;
 use heronroute_journal::entry::{Entry, What};
 use heronroute_journal::{Journal, Limits};
--- a/crates/contracts/src/ledger/mod.rs
+++ b/crates/contracts/src/ledger/mod.rs
@@ -11,7 +11,7 @@
 pub use real::Real;
 pub use wrong::{Fault, Planted};
 
-use heronroute_fleet::keepers::LogError;
+use heronroute_fleet::replicas::LogError;
 use heronroute_journal::Storage;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/contracts/src/ledger/real.rs
+++ b/crates/contracts/src/ledger/real.rs
@@ -1,11 +1,11 @@
 //! The keepers' log as it is: `omnipaxos`'s storage over the fleet's file.
 
 use super::{Held, Keeping, Ledger, Shelf};
-use heronroute_fleet::keepers::LogError;
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::log::Log;
-use heronroute_fleet::keepers::record::Record;
-use heronroute_fleet::keepers::store::Shared;
+use heronroute_fleet::replicas::LogError;
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::log::Log;
+use heronroute_fleet::replicas::record::Record;
+use heronroute_fleet::replicas::store::SharedLog;
 use heronroute_fleet::{Entry, Life, Name, Request, Start};
 use heronroute_journal::Storage;
 use omnipaxos::ballot_leader_election::Ballot;
@@ -25,7 +25,7 @@
         if !log.state().voting {
             log.write(Record::Voting(0));
         }
-        Ok(Box::new(Shared::new(log)))
+        Ok(Box::new(SharedLog::new(log)))
     }
 }
 
@@ -39,7 +39,7 @@
 }
 
 // None of its storage's methods fails: a failure is kept for the commit.
-impl Ledger for Shared<On> {
+impl Ledger for SharedLog<On> {
     fn promise(&mut self, n: u32) {
         _ = self.set_promise(ballot(n));
     }
--- a/crates/contracts/src/ledger/wrong.rs
+++ b/crates/contracts/src/ledger/wrong.rs
@@ -2,7 +2,7 @@
 
 use super::real::Real;
 use super::{Held, Keeping, Ledger, Shelf};
-use heronroute_fleet::keepers::LogError;
+use heronroute_fleet::replicas::LogError;
 use heronroute_journal::disk::Disk;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/contracts/src/member/mod.rs
+++ b/crates/contracts/src/member/mod.rs
@@ -7,7 +7,7 @@
 pub use clauses::CLAUSES;
 pub use wrong::{Fault, Planted};
 
-use heronroute_fleet::{Life, Name, Peer, Start, keepers, members};
+use heronroute_fleet::{Life, Name, Peer, Start, members, replicas};
 use heronroute_installation::seam::Member;
 use heronroute_installation::{Client, Config, Installation, Pace};
 use heronroute_journal::disk::Disk;
@@ -47,7 +47,7 @@
             clients: [(CLIENT.to_string(), client)].into(),
             senders: vec![0],
             seed: 1,
-            keepers: keepers::Tuning::default(),
+            replicas: replicas::Tuning::default(),
             members: members::Tuning::for_size(of),
             detector: heronroute_drift::Config::new(name(0), [1; 32]),
             pace: Pace::default(),
--- a/crates/contracts/src/transport/clauses.rs
+++ b/crates/contracts/src/transport/clauses.rs
@@ -7,8 +7,8 @@
 use crate::suite::Clause;
 use heronroute_fleet::Kind;
 use heronroute_fleet::key::Key;
-use heronroute_fleet::link::{Reason, SILENCE};
-use heronroute_fleet::queue::{MOST_NEWEST, MOST_ORDERED};
+use heronroute_fleet::link::{IDLE_TIMEOUT, Reason};
+use heronroute_fleet::queue::{MAX_LATEST_MESSAGES, MAX_ORDERED_BYTES};
 
 type Of<'a> = &'a dyn Transport;
 
@@ -22,7 +22,7 @@
     Clause { name: "what was altered on its way is not heard, and counted", run: altered },
     Clause { name: "what was kept from before proves nothing, and is counted", run: replayed },
     Clause { name: "what comes back to its sender is not heard, and counted", run: reflected },
-    Clause { name: "what comes twice is heard once, and counted", run: doubled },
+    Clause { name: "what comes twice is heard once, and counted", run: duplicates },
     Clause { name: "silence ends a link within four seconds", run: silence },
     Clause { name: "half a frame is no sign of life", run: half },
     Clause { name: "of states the newest reach a slow peer, none after a newer one", run: newest },
@@ -172,7 +172,7 @@
     Ok(())
 }
 
-fn doubled(t: Of) -> Result<(), String> {
+fn duplicates(t: Of) -> Result<(), String> {
     let mut w = World::linked(t, 2)?;
     let before = w.record.get(&(0, 1)).map_or(0, Vec::len);
     w.send((0, 1), Kind::Log, &text(1, 40));
@@ -183,7 +183,7 @@
     w.pump()?;
     let got = numbers(&w.said((0, 1), Kind::Log));
     ensure!(got == [1, 2], "{got:?}");
-    ensure!(w.members[1].stats().doubled == 1, "{} are counted", w.members[1].stats().doubled);
+    ensure!(w.members[1].stats().duplicates == 1, "{} are counted", w.members[1].stats().duplicates);
     Ok(())
 }
 
@@ -202,7 +202,7 @@
         ensure!(gone(&w, to, from).is_none(), "{to} gave up {from} after less than two seconds");
         w.pass(2 * SECOND)?;
         let at = gone(&w, to, from).ok_or(format!("{from} is silent, and {to} holds on to it"))?;
-        ensure!(at - since <= SILENCE, "it took {} µs", at - since);
+        ensure!(at - since <= IDLE_TIMEOUT, "it took {} µs", at - since);
         ensure!(w.stands(to, 2) && w.stands(from, 2), "another link ended too");
     }
     Ok(())
@@ -231,7 +231,7 @@
         w.pass(SECOND / 2)?;
     }
     let at = gone(&w, 1, 0).ok_or("octet by octet a link is held")?;
-    ensure!(at - since <= SILENCE + SECOND / 2, "it took {} µs", at - since);
+    ensure!(at - since <= IDLE_TIMEOUT + SECOND / 2, "it took {} µs", at - since);
     ensure!(w.heard[1].is_empty(), "something was heard");
     Ok(())
 }
@@ -250,7 +250,7 @@
         w.pump()?;
         let got = numbers(&w.said((0, 1), kind));
         ensure!(got.is_sorted(), "{kind:?}: an older one after a newer one: {got:?}");
-        let wanted: Vec<u32> = (200 - MOST_NEWEST as u32..200).collect();
+        let wanted: Vec<u32> = (200 - MAX_LATEST_MESSAGES as u32..200).collect();
         ensure!(got.ends_with(&wanted), "{kind:?}: the newest are not among {got:?}");
         ensure!(got.len() < 100, "{kind:?}: {} old ones were sent to one that was slow", got.len());
     }
@@ -276,7 +276,7 @@
 fn bounded(t: Of) -> Result<(), String> {
     let mut w = World::linked(t, 2)?;
     w.paused.insert(1);
-    let most = MOST_ORDERED + MOST_ORDERED / 2;
+    let most = MAX_ORDERED_BYTES + MAX_ORDERED_BYTES / 2;
     for n in 0..500 {
         let kind = if n % 2 == 0 { Kind::Gossip } else { Kind::Drift };
         w.send((0, 1), kind, &text(n, 40_000));
@@ -290,7 +290,7 @@
 fn full(t: Of) -> Result<(), String> {
     let mut w = World::linked(t, 2)?;
     w.paused.insert(1);
-    for n in 0..MOST_ORDERED as u32 / 60_000 + 8 {
+    for n in 0..MAX_ORDERED_BYTES as u32 / 60_000 + 8 {
         w.send((0, 1), Kind::Log, &text(n, 60_000));
     }
     w.pump()?;
--- a/crates/contracts/src/transport/wrong.rs
+++ b/crates/contracts/src/transport/wrong.rs
@@ -2,9 +2,9 @@
 
 use super::settings;
 use super::speaker::Speaker;
-use heronroute_fleet::frames::PIECE;
-use heronroute_fleet::link::{Conn, Output, Reason, SILENCE, Settings, Stats, Switch};
-use heronroute_fleet::queue::MOST_ORDERED;
+use heronroute_fleet::frames::PIECE_BYTES;
+use heronroute_fleet::link::{Conn, IDLE_TIMEOUT, Output, Reason, Settings, Stats, Switch};
+use heronroute_fleet::queue::MAX_ORDERED_BYTES;
 use heronroute_fleet::{Kind, Micros};
 use std::collections::BTreeMap;
 
@@ -98,7 +98,7 @@
     }
 
     fn quiet(&self, conn: Conn) -> bool {
-        self.conns.get(&conn).is_none_or(|at| self.now.0 - at >= SILENCE)
+        self.conns.get(&conn).is_none_or(|at| self.now.0 - at >= IDLE_TIMEOUT)
     }
 
     /// What becomes of an output.
@@ -118,7 +118,7 @@
                 return;
             }
             Output::Message { peer, kind, mut payload }
-                if self.is(Fault::Alters) && payload.len() > PIECE =>
+                if self.is(Fault::Alters) && payload.len() > PIECE_BYTES =>
             {
                 if let Some(octet) = payload.last_mut() {
                     *octet ^= 1;
@@ -163,9 +163,9 @@
             }
             self.came.insert(conn, mine);
         }
-        let before = self.inner.stats().doubled;
+        let before = self.inner.stats().duplicates;
         self.inner.received(now, conn, octets);
-        if self.is(Fault::Doubles) && self.inner.stats().doubled > before {
+        if self.is(Fault::Doubles) && self.inner.stats().duplicates > before {
             self.extra.extend(self.last.clone());
         }
     }
@@ -182,7 +182,7 @@
         let waits = self.inner.held(peer);
         self.hoard += payload.len();
         if self.is(Fault::KeepsOldest) && !kind.ordered() && waits > 12_000
-            || self.is(Fault::Skips) && waits + payload.len() > MOST_ORDERED
+            || self.is(Fault::Skips) && waits + payload.len() > MAX_ORDERED_BYTES
         {
             return;
         }
--- a/crates/fleet/src/frames.rs
+++ b/crates/fleet/src/frames.rs
@@ -15,19 +15,19 @@
 use serde::{Deserialize, Serialize};
 
 /// The maximum number of bytes in a frame after its length field.
-pub const MOST_FRAME: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// The same before the peer is authenticated, so that an unknown peer can't make this side buffer much.
-pub const MOST_HELLO: usize = 1_024;
+pub const MAX_HELLO_BYTES: usize = 1_024;
 /// The number of payload bytes in a sent frame. A longer message is split into pieces, between which messages
 /// of other kinds are sent.
-pub const PIECE: usize = 64 * 1024;
+pub const PIECE_BYTES: usize = 64 * 1024;
 
 const LENGTH_BYTES: usize = 4;
 const FRAME_LABEL: &[u8] = b"heronroute frame\0";
 
 /// The type of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum FrameType {
     /// The handshake; the first frame of each side.
     Hello,
     /// A keepalive without payload.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The type.
-    pub what: What,
+    pub what: FrameType,
     /// The sequence number on this link and direction, from 0 without gaps.
     pub number: u64,
 }
@@ -66,13 +66,13 @@
 
 /// A whole received frame, not verified yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Raw<'a> {
+pub struct RawFrame<'a> {
     /// Length, head and payload: the bytes that the tag covers.
     covered: &'a [u8],
     tag: &'a [u8],
 }
 
-impl<'a> Raw<'a> {
+impl<'a> RawFrame<'a> {
     /// Decodes the head and payload without verifying the tag.
     ///
     /// # Errors
@@ -120,13 +120,13 @@
 
 /// Splits a stream of bytes into frames.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct FrameReader {
     bytes: Vec<u8>,
     /// The offset at which the next frame begins.
     position: usize,
 }
 
-impl Reader {
+impl FrameReader {
     /// Appends received bytes. The buffer holds at most the bytes of this call and an incomplete frame from
     /// earlier calls.
     pub fn push(&mut self, bytes: &[u8]) {
@@ -134,7 +134,7 @@
             self.bytes.drain(..self.position);
             self.position = 0;
             // Releases the memory that an earlier long message needed.
-            self.bytes.shrink_to(2 * PIECE);
+            self.bytes.shrink_to(2 * PIECE_BYTES);
         }
         self.bytes.extend_from_slice(bytes);
     }
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// Fails with [`FrameError::Long`] or [`FrameError::Short`] as soon as the length field has arrived.
-    pub fn next(&mut self, most: usize) -> Result<Option<Raw<'_>>, FrameError> {
+    pub fn next(&mut self, most: usize) -> Result<Option<RawFrame<'_>>, FrameError> {
         let rest = self.bytes.get(self.position..).unwrap_or_default();
         let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
@@ -157,6 +157,6 @@
         let Some(frame) = rest.get(..LENGTH_BYTES + length) else { return Ok(None) };
         let (covered, tag) = frame.split_at(LENGTH_BYTES + covered);
         self.position += frame.len();
-        Ok(Some(Raw { covered, tag }))
+        Ok(Some(RawFrame { covered, tag }))
     }
 }
--- a/crates/fleet/src/key.rs
+++ b/crates/fleet/src/key.rs
@@ -10,7 +10,7 @@
 /// The minimum number of bytes in a key.
 pub const MIN_KEY_BYTES: usize = 32;
 /// The maximum number of bytes in a key file.
-pub const MOST_KEY_TEXT: usize = 4_096;
+pub const MAX_KEY_FILE_BYTES: usize = 4_096;
 /// The number of bytes in a tag: HMAC-SHA256 (RFC 2104, FIPS 198-1), not truncated.
 pub const TAG_BYTES: usize = 32;
 
@@ -24,7 +24,7 @@
     #[error("the key file is empty; write {MIN_KEY_BYTES} random octets or more into it, as hex or base64")]
     Empty,
     /// The file is longer than [`MOST_KEY_TEXT`].
-    #[error("the key file has more than {max} octets; that can't be a key", max = MOST_KEY_TEXT)]
+    #[error("the key file has more than {max} octets; that can't be a key", max = MAX_KEY_FILE_BYTES)]
     Long,
     /// The content is neither hex nor base64.
     #[error("the key file is neither hex nor base64")]
@@ -52,7 +52,7 @@
     /// # Errors
     /// Fails when the text isn't a valid key. The error doesn't contain the text.
     pub fn read(text: &str) -> Result<Self, KeyError> {
-        if text.len() > MOST_KEY_TEXT {
+        if text.len() > MAX_KEY_FILE_BYTES {
             return Err(KeyError::Long);
         }
         let text: Vec<u8> = text.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
@@ -128,7 +128,7 @@
         assert_eq!(tag(&hex[..64]), Err(KeyError::Unreadable), "half a byte");
         // 48 digits are 24 bytes; read as base64 they would be 36.
         assert_eq!(tag(&"0123456789ab".repeat(4)), Err(KeyError::Short(24)));
-        assert_eq!(tag(&"a".repeat(MOST_KEY_TEXT + 1)), Err(KeyError::Long));
+        assert_eq!(tag(&"a".repeat(MAX_KEY_FILE_BYTES + 1)), Err(KeyError::Long));
         assert_eq!(format!("{:?}", Key::read(hex).unwrap()), "Key");
     }
 
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -22,7 +22,7 @@
 
 use crate::Micros;
 use crate::entry::Term;
-use crate::keepers::Tuning;
+use crate::replicas::Tuning;
 
 /// The holder of a grant: a replica, and which life of it.
 pub type Holder = (u8, u64);
@@ -69,9 +69,9 @@
 
 impl Lease {
     /// Begins a term among the given number of replicas; grants of other terms are dropped.
-    pub fn begin(&mut self, term: Term, keepers: usize) {
+    pub fn begin(&mut self, term: Term, replicas: usize) {
         if self.term != term {
-            *self = Lease { term, requested: vec![None; keepers] };
+            *self = Lease { term, requested: vec![None; replicas] };
         }
     }
 
@@ -105,10 +105,10 @@
         election: 1,
         resend: 1,
         fresh: 1,
-        patience: 1,
+        request_timeout: 1,
         again: 1,
         pull: 1,
-        hear_all: 1,
+        startup_wait: 1,
         found: false,
         readmit: true,
         compact: 1,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,8 +15,6 @@
 
 pub mod entry;
 pub mod frames;
-#[path = "replicas/mod.rs"]
-pub mod keepers;
 pub mod key;
 pub mod kind;
 pub mod lease;
@@ -24,6 +22,8 @@
 pub mod members;
 pub mod name;
 pub mod queue;
+#[path = "replicas/mod.rs"]
+pub mod replicas;
 pub mod start;
 
 pub use entry::{Decided, Entry, Request, Term};
--- a/crates/fleet/src/link/hello.rs
+++ b/crates/fleet/src/link/hello.rs
@@ -14,7 +14,7 @@
 
 use super::reason::Reason;
 use super::roster::Roster;
-use crate::frames::{Head, Raw, What, seal};
+use crate::frames::{FrameType, Head, RawFrame, seal};
 use crate::key::{Key, Tag};
 use crate::name::{Life, Name, Start};
 use serde::{Deserialize, Serialize};
@@ -90,35 +90,35 @@
     };
     // Encoding plain strings and numbers into a vector can't fail.
     let payload = postcard::to_stdvec(&(VERSION, hello)).unwrap_or_default();
-    seal(out, &key(roster, side), before, Head { what: What::Hello, number: 0 }, &payload)
+    seal(out, &key(roster, side), before, Head { what: FrameType::Hello, number: 0 }, &payload)
 }
 
 /// Appends the answerer's reply to a dialler of another version. It holds only this side's version, which the
 /// dialler reads first, so that it knows as well why there is no link.
 pub(crate) fn write_refusal(out: &mut Vec<u8>, roster: &Roster) {
     let payload = postcard::to_stdvec(&VERSION).unwrap_or_default();
-    seal(out, &key(roster, Side::Answerer), &[], Head { what: What::Hello, number: 0 }, &payload);
+    seal(out, &key(roster, Side::Answerer), &[], Head { what: FrameType::Hello, number: 0 }, &payload);
 }
 
 /// Returns the version of a hello if it differs from this one. It is checked before the tag, so that an
 /// operator is informed of an upgrade, or of two installations that share a port, and not of a forgery. An
 /// unverified version has no effect except that the connection is closed.
-pub(crate) fn other_version(raw: &Raw<'_>) -> Option<u32> {
+pub(crate) fn other_version(raw: &RawFrame<'_>) -> Option<u32> {
     let (head, payload) = raw.parse_unverified().ok()?;
     let (version, _) = postcard::take_from_bytes::<u32>(payload).ok()?;
-    (head.what == What::Hello && version != VERSION).then_some(version)
+    (head.what == FrameType::Hello && version != VERSION).then_some(version)
 }
 
 /// Verifies the peer's hello. `meant` is the member that this side dialled.
 pub(crate) fn verify(
-    raw: &Raw<'_>,
+    raw: &RawFrame<'_>,
     roster: &Roster,
     from: Side,
     meant: Option<&Name>,
     before: &[u8],
 ) -> Result<PeerHello, Reason> {
     let (head, payload) = raw.parse_unverified()?;
-    if head != (Head { what: What::Hello, number: 0 }) {
+    if head != (Head { what: FrameType::Hello, number: 0 }) {
         return Err(Reason::Unreadable);
     }
     let unreadable = |_| Reason::Unreadable;
--- a/crates/fleet/src/link/mod.rs
+++ b/crates/fleet/src/link/mod.rs
@@ -20,8 +20,8 @@
 pub mod session;
 pub mod switch;
 
-pub use output::{Conn, Output, Settings, Stats, TOLD_EVERY};
+pub use output::{Conn, Output, Settings, Stats, VERSION_REPORT_INTERVAL};
 pub use reason::Reason;
 pub use roster::{Roster, RosterError};
-pub use session::{ALIVE_EVERY, HANDSHAKE, Link, LinkEvent, MAX_SEALED_BYTES, SILENCE};
+pub use session::{HANDSHAKE_TIMEOUT, IDLE_TIMEOUT, KEEPALIVE_INTERVAL, Link, LinkEvent, MAX_SEALED_BYTES};
 pub use switch::{MAX_UNAUTHENTICATED, Switch};
--- a/crates/fleet/src/link/output.rs
+++ b/crates/fleet/src/link/output.rs
@@ -10,7 +10,7 @@
 
 /// The minimum time between two reports of another protocol version. Reports are limited because anybody can
 /// send a version number.
-pub const TOLD_EVERY: Micros = 60_000_000;
+pub const VERSION_REPORT_INTERVAL: Micros = 60_000_000;
 
 /// The number of a connection. Numbers are never reused.
 pub type Conn = u64;
@@ -94,5 +94,5 @@
     /// Messages discarded because no link was up.
     pub unlinked: u64,
     /// Frames that arrived twice.
-    pub doubled: u64,
+    pub duplicates: u64,
 }
--- a/crates/fleet/src/link/pieces.rs
+++ b/crates/fleet/src/link/pieces.rs
@@ -1,9 +1,9 @@
 //! Reassembles messages that arrive in pieces.
 
 use super::reason::Reason;
-use crate::frames::What;
+use crate::frames::FrameType;
 use crate::kind::Kind;
-use crate::queue::MOST_MESSAGE;
+use crate::queue::MAX_MESSAGE_BYTES;
 
 /// The received pieces of incomplete messages, by kind.
 #[derive(Debug, Default)]
@@ -11,17 +11,17 @@
 
 impl Pieces {
     /// Handles a frame's payload; returns a message once it is complete.
-    pub fn take(&mut self, what: What, payload: &[u8]) -> Result<Option<(Kind, Vec<u8>)>, Reason> {
+    pub fn take(&mut self, what: FrameType, payload: &[u8]) -> Result<Option<(Kind, Vec<u8>)>, Reason> {
         let (kind, whole) = match what {
-            What::Alive => return Ok(None),
-            What::Hello => return Err(Reason::Unreadable),
-            What::Message(kind) => (kind, true),
-            What::Piece(kind) => (kind, false),
+            FrameType::Alive => return Ok(None),
+            FrameType::Hello => return Err(Reason::Unreadable),
+            FrameType::Message(kind) => (kind, true),
+            FrameType::Piece(kind) => (kind, false),
         };
         let held = self.0.get_mut(kind.index()).ok_or(Reason::Unreadable)?;
         // An incomplete message is bounded like a whole one, so that a faulty member can't make this side
         // buffer without limit.
-        if held.len() + payload.len() > MOST_MESSAGE {
+        if held.len() + payload.len() > MAX_MESSAGE_BYTES {
             return Err(Reason::Length);
         }
         held.extend_from_slice(payload);
@@ -42,9 +42,10 @@
     fn an_incomplete_message_is_bounded() {
         let mut pieces = Pieces::default();
         let piece = vec![0; 65_536];
-        let taken = (0..1_000).take_while(|_| pieces.take(What::Piece(Kind::Log), &piece).is_ok()).count();
-        assert_eq!(taken * piece.len(), MOST_MESSAGE);
-        assert_eq!(pieces.take(What::Message(Kind::Drift), &[1]), Ok(Some((Kind::Drift, vec![1]))));
-        assert_eq!(pieces.take(What::Hello, &[]), Err(Reason::Unreadable));
+        let taken =
+            (0..1_000).take_while(|_| pieces.take(FrameType::Piece(Kind::Log), &piece).is_ok()).count();
+        assert_eq!(taken * piece.len(), MAX_MESSAGE_BYTES);
+        assert_eq!(pieces.take(FrameType::Message(Kind::Drift), &[1]), Ok(Some((Kind::Drift, vec![1]))));
+        assert_eq!(pieces.take(FrameType::Hello, &[]), Err(Reason::Unreadable));
     }
 }
--- a/crates/fleet/src/link/redial.rs
+++ b/crates/fleet/src/link/redial.rs
@@ -7,7 +7,7 @@
 /// The maximum of the first delay; each further failure doubles it.
 pub const FIRST_DELAY: Micros = 100_000;
 /// The maximum delay.
-pub const MOST: Micros = 5_000_000;
+pub const MAX_DELAY: Micros = 5_000_000;
 /// A link that was up for this long counts as a success, and the next delay is short again. A peer that
 /// accepts and closes at once is therefore not dialled without pause.
 pub const STABLE_AFTER: Micros = 5_000_000;
@@ -45,7 +45,7 @@
         if uptime >= STABLE_AFTER {
             self.failures = 0;
         }
-        let whole = FIRST_DELAY.saturating_mul(1 << self.failures.min(16)).min(MOST);
+        let whole = FIRST_DELAY.saturating_mul(1 << self.failures.min(16)).min(MAX_DELAY);
         self.failures = self.failures.saturating_add(1);
         self.rng.random_range(whole / 2..=whole)
     }
@@ -65,7 +65,7 @@
         assert_ne!(a, b);
         assert_eq!(a, delays(1), "the same seed must give the same delays");
         for (n, delay) in a.iter().chain(&b).enumerate() {
-            let whole = (FIRST_DELAY << (n % 40).min(16)).min(MOST);
+            let whole = (FIRST_DELAY << (n % 40).min(16)).min(MAX_DELAY);
             assert!((whole / 2..=whole).contains(delay), "{n}: {delay}");
         }
         let mut redial = RedialBackoff::new(3, 0);
--- a/crates/fleet/src/link/session.rs
+++ b/crates/fleet/src/link/session.rs
@@ -5,18 +5,18 @@
 use super::reason::Reason;
 use super::roster::Roster;
 use crate::Micros;
-use crate::frames::{Head, MOST_FRAME, MOST_HELLO, Reader, What, seal};
+use crate::frames::{FrameReader, FrameType, Head, MAX_FRAME_BYTES, MAX_HELLO_BYTES, seal};
 use crate::key::Tag;
 use crate::kind::Kind;
 use crate::name::{Life, Name, Start};
 use crate::queue::{PushOutcome, Queue};
 
 /// The time from the start of a connection within which both sides must be authenticated.
-pub const HANDSHAKE: Micros = 5_000_000;
+pub const HANDSHAKE_TIMEOUT: Micros = 5_000_000;
 /// The time without other frames after which a keepalive is sent.
-pub const ALIVE_EVERY: Micros = 1_000_000;
+pub const KEEPALIVE_INTERVAL: Micros = 1_000_000;
 /// A link on which no whole frame arrived for this long is closed.
-pub const SILENCE: Micros = 4_000_000;
+pub const IDLE_TIMEOUT: Micros = 4_000_000;
 /// The number of sealed but unwritten bytes above which no further piece is sealed. Sealed bytes can't be
 /// replaced by newer messages, so the limit is low.
 pub const MAX_SEALED_BYTES: usize = 16 * 1024;
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Link {
     state: State,
-    reader: Reader,
+    reader: FrameReader,
     queue: Queue,
     /// Sealed bytes; those from `wrote` on are not written yet.
     sealed: Vec<u8>,
@@ -88,7 +88,7 @@
     last_sent: Micros,
     last_received: Micros,
     /// The number of frames that arrived twice.
-    doubled: u64,
+    duplicates: u64,
 }
 
 impl Link {
@@ -107,7 +107,7 @@
     fn new(now: Micros, state: State, sealed: Vec<u8>) -> Self {
         Link {
             state,
-            reader: Reader::default(),
+            reader: FrameReader::default(),
             queue: Queue::default(),
             sealed,
             wrote: 0,
@@ -117,7 +117,7 @@
             opened_at: now,
             last_sent: now,
             last_received: now,
-            doubled: 0,
+            duplicates: 0,
         }
     }
 
@@ -156,7 +156,7 @@
         events: &mut Vec<LinkEvent>,
     ) -> Result<bool, Reason> {
         let proved = matches!(self.state, State::AwaitingProof { .. } | State::Up { .. });
-        let Some(raw) = self.reader.next(if proved { MOST_FRAME } else { MOST_HELLO })? else {
+        let Some(raw) = self.reader.next(if proved { MAX_FRAME_BYTES } else { MAX_HELLO_BYTES })? else {
             return Ok(false);
         };
         if !proved && let Some(theirs) = hello::other_version(&raw) {
@@ -165,7 +165,7 @@
                 return Err(Reason::Version);
             }
             hello::write_refusal(&mut self.sealed, roster);
-            (self.state, self.reader) = (State::Refused, Reader::default());
+            (self.state, self.reader) = (State::Refused, FrameReader::default());
             return Ok(false);
         }
         match &self.state {
@@ -184,7 +184,7 @@
                 self.state = State::Up { keys: hello::keys(roster, Side::Dialler, &peer.tag) };
                 self.last_received = now;
                 // This frame authenticates this side to the peer.
-                self.seal(now, What::Alive, &[]);
+                self.seal(now, FrameType::Alive, &[]);
                 events.push(LinkEvent::Up { life: peer.life });
             }
             State::AwaitingProof { keys, .. } | State::Up { keys } => {
@@ -192,7 +192,7 @@
                 if head.number < self.next_in {
                     // A relay that repeats frames does no harm. A repeated frame doesn't count as a sign of
                     // life, as anyone could have kept it.
-                    self.doubled += 1;
+                    self.duplicates += 1;
                     return Ok(true);
                 }
                 if head.number > self.next_in {
@@ -257,18 +257,18 @@
     pub fn tick(&mut self, now: Micros, events: &mut Vec<LinkEvent>) {
         match self.state {
             State::Over => {}
-            State::Up { .. } if now - self.last_received >= SILENCE => self.end(Reason::Silent, events),
-            State::Up { .. } if now - self.last_sent >= ALIVE_EVERY => {
+            State::Up { .. } if now - self.last_received >= IDLE_TIMEOUT => self.end(Reason::Silent, events),
+            State::Up { .. } if now - self.last_sent >= KEEPALIVE_INTERVAL => {
                 // A peer that reads nothing gets no further keepalives: they would pile up.
                 if self.pending().is_empty() {
-                    self.seal(now, What::Alive, &[]);
+                    self.seal(now, FrameType::Alive, &[]);
                 } else {
                     self.last_sent = now;
                 }
             }
             State::Up { .. } => {}
-            State::Refused if now - self.opened_at >= HANDSHAKE => self.end(Reason::Version, events),
-            _ if now - self.opened_at >= HANDSHAKE => self.end(Reason::Unproved, events),
+            State::Refused if now - self.opened_at >= HANDSHAKE_TIMEOUT => self.end(Reason::Version, events),
+            _ if now - self.opened_at >= HANDSHAKE_TIMEOUT => self.end(Reason::Unproved, events),
             _ => {}
         }
     }
@@ -277,14 +277,14 @@
     pub fn wake(&self) -> Micros {
         match self.state {
             State::Over => Micros::MAX,
-            State::Up { .. } => (self.last_sent + ALIVE_EVERY).min(self.last_received + SILENCE),
-            _ => self.opened_at + HANDSHAKE,
+            State::Up { .. } => (self.last_sent + KEEPALIVE_INTERVAL).min(self.last_received + IDLE_TIMEOUT),
+            _ => self.opened_at + HANDSHAKE_TIMEOUT,
         }
     }
 
     /// Returns the number of frames that arrived twice and were dropped.
-    pub fn doubled(&self) -> u64 {
-        self.doubled
+    pub fn duplicates(&self) -> u64 {
+        self.duplicates
     }
 
     /// Returns the number of bytes queued for the peer, and buffered of its incomplete messages.
@@ -295,7 +295,7 @@
     fn end(&mut self, reason: Reason, events: &mut Vec<LinkEvent>) {
         if !matches!(self.state, State::Over) {
             (self.state, self.queue) = (State::Over, Queue::default());
-            (self.reader, self.sealed, self.wrote) = (Reader::default(), Vec::new(), 0);
+            (self.reader, self.sealed, self.wrote) = (FrameReader::default(), Vec::new(), 0);
             self.pieces = Pieces::default();
             events.push(LinkEvent::Over(reason));
         }
@@ -320,7 +320,7 @@
         }
     }
 
-    fn seal(&mut self, now: Micros, what: What, payload: &[u8]) {
+    fn seal(&mut self, now: Micros, what: FrameType, payload: &[u8]) {
         if let State::Up { keys } = &self.state {
             seal(&mut self.sealed, &keys.outgoing, &[], Head { what, number: self.next_out }, payload);
             self.next_out += 1;
--- a/crates/fleet/src/link/switch.rs
+++ b/crates/fleet/src/link/switch.rs
@@ -1,7 +1,7 @@
 //! The links of one member.
 
 use super::hello::Nonce;
-use super::output::{Conn, Output, Settings, Stats, TOLD_EVERY};
+use super::output::{Conn, Output, Settings, Stats, VERSION_REPORT_INTERVAL};
 use super::reason::Reason;
 use super::redial::RedialBackoff;
 use super::roster::{Roster, RosterError};
@@ -130,9 +130,9 @@
     pub fn received(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
         let mut events = std::mem::take(&mut self.events);
         if let Some(held) = self.conns.get_mut(&conn) {
-            let before = held.link.doubled();
+            let before = held.link.duplicates();
             held.link.receive(now, &self.roster, bytes, &mut events);
-            self.stats.doubled += held.link.doubled() - before;
+            self.stats.duplicates += held.link.duplicates() - before;
         }
         self.handle_events(now, conn, events);
     }
@@ -273,7 +273,7 @@
     fn other_version(&mut self, now: Micros, theirs: u32) {
         let (refused, told) = &mut self.refused;
         *refused += 1;
-        if told.is_none_or(|at| now - at >= TOLD_EVERY) {
+        if told.is_none_or(|at| now - at >= VERSION_REPORT_INTERVAL) {
             *told = Some(now);
             self.outputs.push(Output::OtherVersion { theirs, refused: *refused });
         }
--- a/crates/fleet/src/members/change.rs
+++ b/crates/fleet/src/members/change.rs
@@ -39,7 +39,7 @@
     Stale(bool),
     /// Another running process claims the name of this `life`; reported once for each. If the name is this
     /// member's own and the other life is the greater one, this member stays silent until the other is gone.
-    Twin(Life),
+    SharedName(Life),
     /// The last life under this member's own name had this start number, which isn't less than the own one,
     /// and is dead: this process was restored from an old disk. Raise the start above it on disk, then call
     /// [`Members::rise`](super::Members::rise).
--- a/crates/fleet/src/members/mod.rs
+++ b/crates/fleet/src/members/mod.rs
@@ -32,4 +32,4 @@
 pub use change::{Change, Counts, MembersError, Output};
 pub use rows::Row;
 pub use state::Members;
-pub use tuning::{MOST_MESSAGE, Tuning};
+pub use tuning::{MAX_MESSAGE_BYTES, Tuning};
--- a/crates/fleet/src/members/name_conflicts.rs
+++ b/crates/fleet/src/members/name_conflicts.rs
@@ -46,7 +46,7 @@
         if !claim.conflict_reported && now - claim.since >= self.tuning.conflict_after {
             claim.conflict_reported = true;
             let name = self.life.name.clone();
-            self.out.change(Change::Twin(Life { name, start: who.start }));
+            self.out.change(Change::SharedName(Life { name, start: who.start }));
         }
     }
 
@@ -81,7 +81,7 @@
         }
         if !rival.reported && now - rival.since >= self.tuning.conflict_after {
             rival.reported = true;
-            self.out.change(Change::Twin(Life { name: row.name.clone(), start: who.start }));
+            self.out.change(Change::SharedName(Life { name: row.name.clone(), start: who.start }));
             notes.push(Extension::NameTaken { from, other: Member::alive(who) });
         }
         for bytes in notes.iter().filter_map(Extension::encode) {
--- a/crates/fleet/src/members/receive.rs
+++ b/crates/fleet/src/members/receive.rs
@@ -168,7 +168,7 @@
                     self.name_claimed(now, &other);
                 } else if other.id().precedence() < own.precedence() {
                     let name = self.life.name.clone();
-                    self.out.change(Change::Twin(Life { name, start: other.id().start }));
+                    self.out.change(Change::SharedName(Life { name, start: other.id().start }));
                 }
             }
         }
--- a/crates/fleet/src/members/state.rs
+++ b/crates/fleet/src/members/state.rs
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     /// Fails unless the start is greater than the own one and every one that was seen.
-    pub fn rise(&mut self, now: Micros, start: Start) -> Result<(), MembersError> {
+    pub fn continue_as(&mut self, now: Micros, start: Start) -> Result<(), MembersError> {
         let now = self.advance_clock(now);
         if start <= self.life.start || self.claim.as_ref().is_some_and(|c| start <= c.who.start) {
             return Err(MembersError::NotAbove(start));
--- a/crates/fleet/src/members/tuning.rs
+++ b/crates/fleet/src/members/tuning.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The maximum number of bytes in a message: the whole state of 500 members fits.
-pub const MOST_MESSAGE: usize = 24 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 24 * 1024;
 
 /// Parameters, with times in microseconds. [`Tuning::for_size`] gives the values for production; tests and
 /// slow networks may change fields.
@@ -91,7 +91,7 @@
             // The timers for this aren't kept: a dead member stays dead until a later start or a renewal, and
             // the settings bound the number of members.
             remove_down_after: Duration::from_secs(86_400),
-            max_packet_size: count(MOST_MESSAGE - 1),
+            max_packet_size: count(MAX_MESSAGE_BYTES - 1),
             notify_down_members: true,
             periodic_announce: each(self.announce, 1),
             // `Members::greet_dead` does this, and also reaches members about which nothing was received yet.
--- a/crates/fleet/src/members/wire.rs
+++ b/crates/fleet/src/members/wire.rs
@@ -1,7 +1,7 @@
 //! Messages between members: `foca`'s packets, and extensions for what `foca` lacks.
 
 use super::member_id::MemberId;
-use super::tuning::MOST_MESSAGE;
+use super::tuning::MAX_MESSAGE_BYTES;
 use foca::{Header, Incarnation, Member};
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
@@ -41,7 +41,7 @@
     /// Encodes the message; returns `None` if it would be too long.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_extend(self, vec![EXTENSION]).ok()?;
-        (bytes.len() <= MOST_MESSAGE).then_some(bytes)
+        (bytes.len() <= MAX_MESSAGE_BYTES).then_some(bytes)
     }
 }
 
@@ -91,7 +91,7 @@
 
 /// Decodes a message. Returns `None` unless all of the bytes are one message.
 pub(super) fn read(bytes: &[u8]) -> Option<Packet<'_>> {
-    if bytes.len() > MOST_MESSAGE {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
     }
     match bytes.split_first()? {
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -6,18 +6,18 @@
 //! remaining ones are sent in order, so that a peer never receives an older state after a newer one. The
 //! kinds are served in turn, piece by piece: a message waits at most for one piece of each other kind.
 
-use crate::frames::{PIECE, What};
+use crate::frames::{FrameType, PIECE_BYTES};
 use crate::kind::Kind;
 use std::collections::VecDeque;
 
 /// The maximum number of bytes in a message.
-pub const MOST_MESSAGE: usize = 4 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// The maximum number of bytes queued for a peer in one ordered kind.
-pub const MOST_ORDERED: usize = 8 * 1024 * 1024;
+pub const MAX_ORDERED_BYTES: usize = 8 * 1024 * 1024;
 /// The maximum number of messages queued for a peer in one ordered kind.
 pub const MAX_ORDERED_MESSAGES: usize = 8_192;
 /// The maximum number of messages queued for a peer in one kind that keeps the newest.
-pub const MOST_NEWEST: usize = 8;
+pub const MAX_LATEST_MESSAGES: usize = 8;
 /// The maximum number of bytes queued in such a kind; a single message is always accepted.
 pub const MAX_LATEST_BYTES: usize = 1024 * 1024;
 
@@ -55,19 +55,21 @@
     pub fn push(&mut self, kind: Kind, payload: Vec<u8>) -> PushOutcome {
         let Some(kind_queue) = self.kinds.get_mut(kind.index()) else { return PushOutcome::TooLong };
         let size = payload.len();
-        if size > MOST_MESSAGE {
+        if size > MAX_MESSAGE_BYTES {
             return PushOutcome::TooLong;
         }
         let mut discarded = 0;
         if kind.ordered() {
-            if kind_queue.waiting.len() >= MAX_ORDERED_MESSAGES || kind_queue.bytes + size > MOST_ORDERED {
+            if kind_queue.waiting.len() >= MAX_ORDERED_MESSAGES || kind_queue.bytes + size > MAX_ORDERED_BYTES
+            {
                 return PushOutcome::Full;
             }
         } else {
             // A message that was sent in part has to be completed: the receiver holds its beginning.
             let first = usize::from(kind_queue.sent_bytes > 0);
             while kind_queue.waiting.len() > first
-                && (kind_queue.waiting.len() >= MOST_NEWEST || kind_queue.bytes + size > MAX_LATEST_BYTES)
+                && (kind_queue.waiting.len() >= MAX_LATEST_MESSAGES
+                    || kind_queue.bytes + size > MAX_LATEST_BYTES)
             {
                 let Some(old) = kind_queue.waiting.remove(first) else { break };
                 kind_queue.bytes -= old.len();
@@ -80,7 +82,7 @@
     }
 
     /// Passes the next piece to `out` and returns true, or returns false when nothing is queued.
-    pub fn next(&mut self, out: impl FnOnce(What, &[u8])) -> bool {
+    pub fn next(&mut self, out: impl FnOnce(FrameType, &[u8])) -> bool {
         for step in 0..Kind::COUNT {
             let at = (self.turn + step) % Kind::COUNT;
             let (Some(kind_queue), Some(kind)) = (self.kinds.get_mut(at), Kind::ALL.get(at)) else {
@@ -89,11 +91,13 @@
             let Some(first) = kind_queue.waiting.front() else { continue };
             self.turn = at + 1;
             let rest = first.get(kind_queue.sent_bytes..).unwrap_or_default();
-            if let Some((piece, more)) = rest.split_at_checked(PIECE).filter(|(_, more)| !more.is_empty()) {
-                out(What::Piece(*kind), piece);
+            if let Some((piece, more)) =
+                rest.split_at_checked(PIECE_BYTES).filter(|(_, more)| !more.is_empty())
+            {
+                out(FrameType::Piece(*kind), piece);
                 kind_queue.sent_bytes = first.len() - more.len();
             } else {
-                out(What::Message(*kind), rest);
+                out(FrameType::Message(*kind), rest);
                 kind_queue.bytes -= first.len();
                 kind_queue.sent_bytes = 0;
                 kind_queue.waiting.pop_front();
@@ -118,7 +122,7 @@
 mod tests {
     use super::*;
 
-    fn drain(queue: &mut Queue) -> Vec<(What, Vec<u8>)> {
+    fn drain(queue: &mut Queue) -> Vec<(FrameType, Vec<u8>)> {
         let mut all = Vec::new();
         while queue.next(|what, piece| all.push((what, piece.to_vec()))) {}
         all
@@ -139,11 +143,11 @@
     #[test]
     fn a_message_sent_in_part_is_not_discarded() {
         let mut queue = Queue::default();
-        queue.push(Kind::Drift, vec![1; PIECE + 1]);
-        assert!(queue.next(|what, _| assert_eq!(what, What::Piece(Kind::Drift))));
+        queue.push(Kind::Drift, vec![1; PIECE_BYTES + 1]);
+        assert!(queue.next(|what, _| assert_eq!(what, FrameType::Piece(Kind::Drift))));
         (2..100).for_each(|n| _ = queue.push(Kind::Drift, vec![n; 1_000]));
         let out = drain(&mut queue);
-        assert_eq!((out[0].0, out[0].1.as_slice()), (What::Message(Kind::Drift), [1].as_slice()));
+        assert_eq!((out[0].0, out[0].1.as_slice()), (FrameType::Message(Kind::Drift), [1].as_slice()));
         assert_eq!(out[1].1[0], 93);
     }
 
@@ -155,8 +159,8 @@
         };
         assert_eq!(taken(&mut queue, 1), MAX_ORDERED_MESSAGES);
         let mut queue = Queue::default();
-        assert_eq!(taken(&mut queue, 65_536), MOST_ORDERED / 65_536);
-        assert_eq!(queue.push(Kind::Agreement, vec![0; MOST_MESSAGE + 1]), PushOutcome::TooLong);
+        assert_eq!(taken(&mut queue, 65_536), MAX_ORDERED_BYTES / 65_536);
+        assert_eq!(queue.push(Kind::Agreement, vec![0; MAX_MESSAGE_BYTES + 1]), PushOutcome::TooLong);
         assert_eq!(
             queue.push(Kind::Agreement, vec![0; 9]),
             PushOutcome::Added,
@@ -167,10 +171,10 @@
     #[test]
     fn other_kinds_are_sent_between_the_pieces_of_a_long_message() {
         let mut queue = Queue::default();
-        queue.push(Kind::Log, vec![7; PIECE * 4]);
+        queue.push(Kind::Log, vec![7; PIECE_BYTES * 4]);
         queue.push(Kind::Gossip, vec![1]);
-        let out: Vec<What> = drain(&mut queue).into_iter().map(|(what, _)| what).collect();
-        let (piece, end) = (What::Piece(Kind::Log), What::Message(Kind::Log));
-        assert_eq!(out, [What::Message(Kind::Gossip), piece, piece, piece, end]);
+        let out: Vec<FrameType> = drain(&mut queue).into_iter().map(|(what, _)| what).collect();
+        let (piece, end) = (FrameType::Piece(Kind::Log), FrameType::Message(Kind::Log));
+        assert_eq!(out, [FrameType::Message(Kind::Gossip), piece, piece, piece, end]);
     }
 }
--- a/crates/fleet/src/replicas/applied_state.rs
+++ b/crates/fleet/src/replicas/applied_state.rs
@@ -54,19 +54,19 @@
 
 /// The state that follows from the log up to a slot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fold {
+pub struct AppliedState {
     /// The number of slots applied.
     pub slot: u64,
     /// The index of the last entry delivered; 0 if there was none.
     pub index: u64,
     /// The leader according to the log.
-    pub charge: Option<(Term, Life)>,
+    pub leader: Option<(Term, Life)>,
     /// Readmitted replicas, with the slot and the life.
     pub readmissions: BTreeMap<u8, (u64, u64)>,
     names: BTreeMap<Name, NameHistory>,
 }
 
-impl Fold {
+impl AppliedState {
     /// Returns what is known about a request.
     pub fn known(&self, request: &Request) -> Known {
         let Some(lives) = self.names.get(&request.from.name) else {
@@ -88,9 +88,9 @@
         let slot = self.slot;
         self.slot += 1;
         match item {
-            Item::Charge { term, life } => {
-                if self.charge.as_ref().is_none_or(|(t, _)| t < term) {
-                    self.charge = Some((*term, life.clone()));
+            Item::Leadership { term, life } => {
+                if self.leader.as_ref().is_none_or(|(t, _)| t < term) {
+                    self.leader = Some((*term, life.clone()));
                 }
                 ApplyOutcome::Internal
             }
@@ -140,31 +140,38 @@
 
     #[test]
     fn a_request_decided_twice_is_delivered_once_and_keeps_its_index() {
-        let mut fold = Fold::default();
-        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 7))), Some(1));
-        assert_eq!(index_of(fold.apply(&entry_item("a", 2, 7))), Some(2));
+        let mut applied_state = AppliedState::default();
+        assert_eq!(index_of(applied_state.apply(&entry_item("a", 1, 7))), Some(1));
+        assert_eq!(index_of(applied_state.apply(&entry_item("a", 2, 7))), Some(2));
         let Item::Asked(entry) = entry_item("a", 1, 7) else { panic!() };
-        assert_eq!(fold.apply(&entry_item("a", 1, 7)), ApplyOutcome::Duplicate(entry.request, Known::At(1)));
         assert_eq!(
-            index_of(fold.apply(&entry_item("a", 1, 6))),
+            applied_state.apply(&entry_item("a", 1, 7)),
+            ApplyOutcome::Duplicate(entry.request, Known::At(1))
+        );
+        assert_eq!(
+            index_of(applied_state.apply(&entry_item("a", 1, 6))),
             Some(3),
             "numbers may be out of order within the window"
         );
-        assert_eq!((fold.index, fold.slot), (3, 4));
+        assert_eq!((applied_state.index, applied_state.slot), (3, 4));
     }
 
     #[test]
     fn requests_outside_the_window_or_the_newest_lives_are_never_delivered() {
-        let mut fold = Fold::default();
-        fold.apply(&entry_item("a", 1, 1));
-        fold.apply(&entry_item("a", 1, 1 + REQUEST_WINDOW));
-        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 1))), None);
-        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 2))), Some(3));
+        let mut applied_state = AppliedState::default();
+        applied_state.apply(&entry_item("a", 1, 1));
+        applied_state.apply(&entry_item("a", 1, 1 + REQUEST_WINDOW));
+        assert_eq!(index_of(applied_state.apply(&entry_item("a", 1, 1))), None);
+        assert_eq!(index_of(applied_state.apply(&entry_item("a", 1, 2))), Some(3));
         for start in 2..=MAX_LIVES as u64 + 1 {
-            fold.apply(&entry_item("a", start, 1));
+            applied_state.apply(&entry_item("a", start, 1));
         }
-        assert_eq!(index_of(fold.apply(&entry_item("a", 1, 200))), None, "a life older than the newest four");
-        let mut full = Fold::default();
+        assert_eq!(
+            index_of(applied_state.apply(&entry_item("a", 1, 200))),
+            None,
+            "a life older than the newest four"
+        );
+        let mut full = AppliedState::default();
         for i in 0..MAX_NAMES {
             full.apply(&entry_item(&format!("n{i}"), 1, 1));
         }
--- a/crates/fleet/src/replicas/check.rs
+++ b/crates/fleet/src/replicas/check.rs
@@ -3,7 +3,7 @@
 
 use super::item::Item;
 use super::state::State;
-use super::tuning::MOST_SYNC;
+use super::tuning::MAX_SYNC_BYTES;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
@@ -33,19 +33,19 @@
     message: &mut Message<Item>,
     from: u64,
     own: u64,
-    keepers: u64,
+    replicas: u64,
     state: &State,
     leads: bool,
 ) -> Verdict {
     let ballot =
-        |b: &Ballot| b.n < MAX_BALLOT && b.priority == 0 && b.pid <= keepers && b.config_id <= CONFIGURATION;
+        |b: &Ballot| b.n < MAX_BALLOT && b.priority == 0 && b.pid <= replicas && b.config_id <= CONFIGURATION;
     let owned_by = |b: &Ballot, pid: u64| ballot(b) && b.pid == pid && b.config_id == CONFIGURATION;
     if message.get_sender() != from || message.get_receiver() != own {
         return Verdict::Drop;
     }
     let behind = |decided: usize| {
         let decided = decided as u64;
-        decided < state.compacted || state.octets_from(decided) > MOST_SYNC
+        decided < state.compacted || state.octets_from(decided) > MAX_SYNC_BYTES
     };
     let paxos = match message {
         Message::BLE(ble) => {
--- a/crates/fleet/src/replicas/compare.rs
+++ b/crates/fleet/src/replicas/compare.rs
@@ -18,7 +18,7 @@
 use super::peers::{LogComparison, Peer};
 use super::record::Mark;
 use super::replica::Replica;
-use super::wire::{Said, Spot};
+use super::wire::{LogPosition, ReplicaMessage};
 use crate::entry::Term;
 use heronroute_journal::Storage;
 
@@ -31,13 +31,13 @@
             let state = log.state();
             let decided = state.known();
             let at = decided.min(peer.decided.unwrap_or(decided));
-            Spot { decided, end: state.end(), at, head: state.head(at), ask }
+            LogPosition { decided, end: state.end(), at, head: state.head(at), ask }
         };
-        self.outbox.push((pid, Said::Hello(spot)));
+        self.outbox.push((pid, ReplicaMessage::Hello(spot)));
     }
 
     /// Compares another replica's log with this one.
-    pub(super) fn compare(&mut self, from: u8, spot: &Spot, counts: &mut Counts) {
+    pub(super) fn compare(&mut self, from: u8, spot: &LogPosition, counts: &mut Counts) {
         let Some(peer) = self.peers.get_mut(usize::from(from).wrapping_sub(1)) else { return };
         (peer.decided, peer.log_end) = (Some(spot.decided), spot.end);
         let (known, own) = {
--- a/crates/fleet/src/replicas/item.rs
+++ b/crates/fleet/src/replicas/item.rs
@@ -13,7 +13,7 @@
     /// A requested entry.
     Asked(Entry),
     /// A new leader and its term, from here on.
-    Charge {
+    Leadership {
         /// The term.
         term: Term,
         /// The leading life.
@@ -37,10 +37,10 @@
 impl Item {
     /// Returns the number of bytes that the item counts towards limits: its body and an allowance for the
     /// encoding.
-    pub fn octets(&self) -> u64 {
+    pub fn bytes(&self) -> u64 {
         match self {
             Item::Asked(entry) => entry.body.len() as u64 + 128,
-            Item::Charge { .. } | Item::Readmit { .. } => 128,
+            Item::Leadership { .. } | Item::Readmit { .. } => 128,
         }
     }
 }
--- a/crates/fleet/src/replicas/learn.rs
+++ b/crates/fleet/src/replicas/learn.rs
@@ -3,8 +3,8 @@
 
 use super::item::Item;
 use super::state::State;
-use super::tuning::{MOST_SNAPSHOT, PIECE};
-use super::wire::{Tip, Told};
+use super::tuning::{MAX_SNAPSHOT_BYTES, PIECE_BYTES};
+use super::wire::{LogMessage, LogStatus};
 use crate::Micros;
 
 /// The learner's side.
@@ -26,7 +26,7 @@
 
 /// The content of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Learnt {
+pub enum LearnOutcome {
     /// Everything that the asked replica has is known.
     All,
     /// Nothing new.
@@ -39,14 +39,20 @@
 
 impl Learn {
     /// Returns a learner that asks this many replicas, beginning with a random one.
-    pub fn new(keepers: usize, seed: u64) -> Self {
-        let source = (seed % keepers.max(1) as u64) as u8 + 1;
-        Learn { source, reports: vec![None; keepers], ..Learn::default() }
+    pub fn new(replicas: usize, seed: u64) -> Self {
+        let source = (seed % replicas.max(1) as u64) as u8 + 1;
+        Learn { source, reports: vec![None; replicas], ..Learn::default() }
     }
 
     /// Returns a request and its receiver if one is due. `own` is this replica's own number, which isn't
     /// asked.
-    pub fn ask(&mut self, now: Micros, from: u64, own: Option<u8>, every: Micros) -> Option<(u8, Told)> {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        from: u64,
+        own: Option<u8>,
+        every: Micros,
+    ) -> Option<(u8, LogMessage)> {
         if now < self.next_ask {
             return None;
         }
@@ -61,8 +67,8 @@
             return None;
         }
         (self.awaiting_answer, self.next_ask) = (true, now.saturating_add(every));
-        let part = self.snapshot.as_ref().map(|(slot, octets)| (*slot, octets.len() as u64));
-        Some((self.source, Told::Pull { from, part, sent: now }))
+        let part = self.snapshot.as_ref().map(|(slot, bytes)| (*slot, bytes.len() as u64));
+        Some((self.source, LogMessage::Pull { from, part, sent: now }))
     }
 
     /// Returns whether a request is due.
@@ -95,7 +101,7 @@
     /// Returns whether the replica has a majority and receives decisions.
     fn is_useful(&self, keeper: u8) -> bool {
         let report = self.reports.get(usize::from(keeper).wrapping_sub(1)).copied().flatten();
-        report.is_some_and(|(_, majority, adrift)| majority && !adrift)
+        report.is_some_and(|(_, majority, bypassed)| majority && !bypassed)
     }
 
     /// Returns a replica that lately reported that it has a majority.
@@ -108,17 +114,17 @@
             return Some(self.source);
         }
         // A replica that decisions bypass would forward requests to a leader that decides nothing.
-        let steady = |report: &Option<_>| fresh(report) && report.is_some_and(|(_, _, adrift)| !adrift);
+        let steady = |report: &Option<_>| fresh(report) && report.is_some_and(|(_, _, bypassed)| !bypassed);
         let any = || self.reports.iter().position(fresh);
         self.reports.iter().position(steady).or_else(any).map(|i| i as u8 + 1)
     }
 
-    fn record_status(&mut self, now: Micros, keeper: u8, tip: Tip, more: bool) {
+    fn record_status(&mut self, now: Micros, keeper: u8, tip: LogStatus, more: bool) {
         if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1))
             && tip.echo <= now
             && report.is_none_or(|(asked, ..)| asked <= tip.echo)
         {
-            *report = Some((tip.echo, tip.majority, tip.adrift));
+            *report = Some((tip.echo, tip.majority, tip.bypassed));
         }
         if keeper == self.source {
             self.awaiting_answer = false;
@@ -129,63 +135,63 @@
     }
 
     /// Handles an answer; `from` is the next slot wanted.
-    pub fn hear(&mut self, now: Micros, keeper: u8, from: u64, answer: Told) -> Learnt {
+    pub fn hear(&mut self, now: Micros, keeper: u8, from: u64, answer: LogMessage) -> LearnOutcome {
         match answer {
-            Told::Items { from: at, items, tip } => {
+            LogMessage::Items { from: at, items, tip } => {
                 let fits = at == from && !items.is_empty();
                 // The next request is sent at once, even if there is nothing more, so that the replica
                 // reports the next decision as soon as it is made.
                 self.record_status(now, keeper, tip, fits);
                 if !fits {
-                    return if from >= tip.decided { Learnt::All } else { Learnt::Nothing };
+                    return if from >= tip.decided { LearnOutcome::All } else { LearnOutcome::Nothing };
                 }
                 self.snapshot = None;
-                Learnt::Items(at, items)
+                LearnOutcome::Items(at, items)
             }
-            Told::Part { slot, total, at, octets, tip } => {
+            LogMessage::Part { slot, total, at, bytes, tip } => {
                 let (known, mut so_far) = self.snapshot.take().unwrap_or((slot, Vec::new()));
                 if known != slot {
                     so_far.clear();
                 }
-                let wanted = slot > from && total <= MOST_SNAPSHOT as u64 * 2 && !octets.is_empty();
+                let wanted = slot > from && total <= MAX_SNAPSHOT_BYTES as u64 * 2 && !bytes.is_empty();
                 if !wanted {
                     self.record_status(now, keeper, tip, false);
-                    return Learnt::Nothing;
+                    return LearnOutcome::Nothing;
                 }
                 let next = so_far.len() as u64 == at;
                 if next {
-                    so_far.extend_from_slice(&octets);
+                    so_far.extend_from_slice(&bytes);
                 }
                 self.record_status(now, keeper, tip, next);
                 if so_far.len() as u64 >= total {
-                    return Learnt::Snapshot(slot, so_far);
+                    return LearnOutcome::Snapshot(slot, so_far);
                 }
                 self.snapshot = Some((slot, so_far));
-                Learnt::Nothing
+                LearnOutcome::Nothing
             }
-            _ => Learnt::Nothing,
+            _ => LearnOutcome::Nothing,
         }
     }
 }
 
 /// Returns a replica's answer to a learner's request.
-pub fn serve(state: &State, from: u64, part: Option<(u64, u64)>, tip: Tip) -> Told {
+pub fn serve(state: &State, from: u64, part: Option<(u64, u64)>, tip: LogStatus) -> LogMessage {
     let decided = state.decided.min(state.end());
     if from < state.compacted {
         let total = state.base.len() as u64;
         let at = part.filter(|(slot, at)| *slot == state.base_slot && *at < total).map_or(0, |(_, at)| at);
-        let piece = state.base.iter().skip(at as usize).take(PIECE).copied().collect();
-        return Told::Part { slot: state.base_slot, total, at, octets: piece, tip };
+        let piece = state.base.iter().skip(at as usize).take(PIECE_BYTES).copied().collect();
+        return LogMessage::Part { slot: state.base_slot, total, at, bytes: piece, tip };
     }
     let mut items = Vec::new();
-    let mut octets = 0;
+    let mut bytes = 0;
     for slot in from..decided {
         let Some(item) = state.item(slot) else { break };
-        octets += item.octets();
-        if !items.is_empty() && octets > PIECE as u64 {
+        bytes += item.bytes();
+        if !items.is_empty() && bytes > PIECE_BYTES as u64 {
             break;
         }
         items.push(item.clone());
     }
-    Told::Items { from, items, tip }
+    LogMessage::Items { from, items, tip }
 }
--- a/crates/fleet/src/replicas/log.rs
+++ b/crates/fleet/src/replicas/log.rs
@@ -4,7 +4,7 @@
 //! under another name and renamed. After the first failure nothing more is written: the content of the disk
 //! is then unknown, and a replica that continued might break a promise.
 
-use super::record::{self, FORMAT, HEAD, Record};
+use super::record::{self, FORMAT, HEADER_BYTES, Record};
 use super::state::State;
 use heronroute_journal::Storage;
 use std::io;
@@ -58,13 +58,13 @@
     /// # Errors
     /// Fails when the storage fails, a durable part of the file is broken, or the file belongs to another
     /// replica.
-    pub fn open(mut storage: S, group: u32, pid: u8, keepers: usize) -> Result<Self, LogError> {
+    pub fn open(mut storage: S, group: u32, pid: u8, replicas: usize) -> Result<Self, LogError> {
         let names = storage.list()?;
         // A rewritten file that wasn't renamed holds nothing that the old file doesn't.
         if names.iter().any(|n| n == TEMP_FILE) {
             storage.remove(TEMP_FILE)?;
         }
-        let mut state = State::new(keepers);
+        let mut state = State::new(replicas);
         let (mut size, mut identity) = (0, None);
         if names.iter().any(|n| n == FILE) {
             let bytes = storage.read(FILE)?;
@@ -174,7 +174,7 @@
     }
 
     /// Returns whether there are uncommitted changes.
-    pub fn waits(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
@@ -182,7 +182,7 @@
     /// learn of them.
     pub fn commit(&mut self) -> bool {
         if self.failed.is_none()
-            && self.waits()
+            && self.has_pending()
             && let Err(e) = self.try_commit()
         {
             self.fail(e.to_string());
@@ -195,7 +195,7 @@
         if self.rewritten_size == 0 || grown > MIN_REWRITE_BYTES && grown > 3 * self.rewritten_size {
             return self.rewrite();
         }
-        let mut frame = Vec::with_capacity(HEAD + self.pending.len());
+        let mut frame = Vec::with_capacity(HEADER_BYTES + self.pending.len());
         record::write(self.state.writes + 1, &self.pending, &mut frame);
         self.storage.append(FILE, &frame)?;
         self.storage.sync(FILE)?;
@@ -209,13 +209,13 @@
         self.storage.create(TEMP_FILE)?;
         let mut payload = Vec::new();
         let identity = self.storage.identity(TEMP_FILE).map(Record::Place);
-        for record in self.state.whole(self.group, self.pid).into_iter().chain(identity) {
+        for record in self.state.full_records(self.group, self.pid).into_iter().chain(identity) {
             payload = postcard::to_extend(&record, payload).map_err(io::Error::other)?;
         }
         if payload.len() > record::MAX_PAYLOAD_BYTES {
             return Err(io::Error::other("the keepers' log is too large"));
         }
-        let mut frame = Vec::with_capacity(HEAD + payload.len());
+        let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
         record::write(self.state.writes + 1, &payload, &mut frame);
         self.storage.append(TEMP_FILE, &frame)?;
         self.storage.sync(TEMP_FILE)?;
--- a/crates/fleet/src/replicas/member.rs
+++ b/crates/fleet/src/replicas/member.rs
@@ -1,16 +1,16 @@
 //! A member's part in the replicated log: with or without a replica, it holds the decided log, makes
 //! requests, and answers others.
 
-use super::asks::{Answer, Asks};
+use super::applied_state::{AppliedState, ApplyOutcome, Known};
 use super::chain::Chain;
-use super::fold::{ApplyOutcome, Fold, Known};
 use super::learn::{self, Learn};
 use super::log::Log;
+use super::pending_requests::{Answer, PendingRequests};
 use super::replica::Replica;
-use super::store::Shared;
-use super::tuning::{MOST_SNAPSHOT, Tuning};
-use super::wire::{Lane, Told, pack, unpack};
-use super::{Counts, Group, Output, Standing, StartError, asks, record};
+use super::store::SharedLog;
+use super::tuning::{MAX_SNAPSHOT_BYTES, Tuning};
+use super::wire::{Lane, LogMessage, pack, unpack};
+use super::{Counts, Group, Output, Participation, StartError, pending_requests, record};
 use crate::Micros;
 use crate::entry::{Entry, MAX_BODY_BYTES, Request};
 use crate::name::{Life, Name, Peer};
@@ -20,7 +20,7 @@
 
 #[derive(Serialize, Deserialize)]
 pub(super) struct Snapshot {
-    pub(super) fold: Fold,
+    pub(super) applied_state: AppliedState,
     pub(super) machine: Vec<u8>,
     /// The hash chain's head up to there.
     pub(super) head: Chain,
@@ -28,32 +28,32 @@
 
 /// This member's part in the replicated log. `S` stores the promises of its replica; members without a
 /// replica have no storage.
-pub struct Keepers<S: Storage> {
+pub struct Replicas<S: Storage> {
     pub(super) life: Life,
     pub(super) nonce: u64,
     pub(super) tuning: Tuning,
     pub(super) group: Group,
     /// The names of the replicas, by number.
-    pub(super) keepers: Vec<Name>,
+    pub(super) replicas: Vec<Name>,
     pub(super) own: Option<u8>,
     pub(super) replica: Option<Replica<S>>,
-    pub(super) fold: Fold,
+    pub(super) applied_state: AppliedState,
     pub(super) learn: Learn,
-    pub(super) asks: Asks,
+    pub(super) pending_requests: PendingRequests,
     /// Members that have everything decided: the slot they have, the time until which they are sent news, and
     /// their clock when they asked.
     pub(super) watchers: BTreeMap<Name, Option<(u64, Micros, Micros)>>,
-    pub(super) log_outbox: Vec<(Name, Told)>,
+    pub(super) log_outbox: Vec<(Name, LogMessage)>,
     pub(super) outputs: VecDeque<Output>,
     pub(super) next_tick: Micros,
     /// The time of the last input.
     pub(super) now: Micros,
     pub(super) snapshot_requested: bool,
-    pub(super) standing: Standing,
+    pub(super) standing: Participation,
     pub(super) counts: Counts,
 }
 
-impl<S: Storage> Keepers<S> {
+impl<S: Storage> Replicas<S> {
     /// Returns the state of a member that starts now. `peers` lists all members of the settings, including
     /// this one; `installation` is the installation's name; `seed` must differ at each start, as it
     /// distinguishes this life from others under its name. Entries that the disk knows as decided are
@@ -70,21 +70,21 @@
         seed: u64,
         tuning: Tuning,
     ) -> Result<Self, StartError> {
-        let mut keepers: Vec<Name> = peers.iter().filter(|p| p.keeper).map(|p| p.name.clone()).collect();
-        keepers.sort();
-        keepers.dedup();
-        if ![1, 3, 5].contains(&keepers.len()) {
-            return Err(StartError::Keepers(keepers.len()));
+        let mut replicas: Vec<Name> = peers.iter().filter(|p| p.keeper).map(|p| p.name.clone()).collect();
+        replicas.sort();
+        replicas.dedup();
+        if ![1, 3, 5].contains(&replicas.len()) {
+            return Err(StartError::Replicas(replicas.len()));
         }
         let mut digest = crc32fast::Hasher::new();
-        for text in std::iter::once(installation).chain(keepers.iter().map(Name::as_str)) {
+        for text in std::iter::once(installation).chain(replicas.iter().map(Name::as_str)) {
             digest.update(&(text.len() as u32).to_le_bytes());
             digest.update(text.as_bytes());
         }
-        let group = Group { digest: digest.finalize(), count: keepers.len() };
-        let pid = keepers.iter().position(|k| *k == own.name).map(|i| i as u8 + 1);
+        let group = Group { digest: digest.finalize(), count: replicas.len() };
+        let pid = replicas.iter().position(|k| *k == own.name).map(|i| i as u8 + 1);
         let nonce = mix(seed ^ mix(own.start.0)) | 1;
-        let mut fold = Fold::default();
+        let mut applied_state = AppliedState::default();
         let mut outputs = VecDeque::new();
         let replica = match (pid, storage) {
             (Some(pid), Some(storage)) => {
@@ -95,14 +95,16 @@
                         postcard::from_bytes(&log.state().base).map_err(|_| StartError::Base)?;
                     // Slots before a snapshot that were altered after the snapshot was made don't match its
                     // head.
-                    mismatch = log.state().head(base.fold.slot).is_some_and(|head| head != base.head);
+                    mismatch =
+                        log.state().head(base.applied_state.slot).is_some_and(|head| head != base.head);
                     if mismatch && group.count == 1 {
                         return Err(StartError::Altered);
                     }
-                    fold = base.fold;
-                    outputs.push_back(Output::Restore { index: fold.index, machine: base.machine });
+                    applied_state = base.applied_state;
+                    outputs.push_back(Output::Restore { index: applied_state.index, machine: base.machine });
                 }
-                let mut replica = Replica::new(now, pid, own.clone(), nonce, group, tuning, Shared::new(log));
+                let mut replica =
+                    Replica::new(now, pid, own.clone(), nonce, group, tuning, SharedLog::new(log));
                 replica.log_altered = mismatch;
                 Some(replica)
             }
@@ -110,18 +112,18 @@
             _ => return Err(StartError::Storage),
         };
         let watchers = peers.iter().filter(|p| p.name != own.name).map(|p| (p.name.clone(), None)).collect();
-        let standing = if replica.is_some() { Standing::Starting } else { Standing::Learner };
-        Ok(Keepers {
+        let standing = if replica.is_some() { Participation::Starting } else { Participation::Learner };
+        Ok(Replicas {
             life: own,
             nonce,
             tuning,
             group,
             own: pid,
             replica,
-            fold,
-            learn: Learn::new(keepers.len(), mix(nonce)),
-            keepers,
-            asks: Asks::default(),
+            applied_state,
+            learn: Learn::new(replicas.len(), mix(nonce)),
+            replicas,
+            pending_requests: PendingRequests::default(),
             watchers,
             log_outbox: Vec::new(),
             outputs,
@@ -140,15 +142,13 @@
     }
 
     /// Handles bytes from a member; the link has authenticated it.
-    pub fn handle(&mut self, now: Micros, from: &Name, lane: Lane, octets: &[u8]) {
+    pub fn handle(&mut self, now: Micros, from: &Name, lane: Lane, bytes: &[u8]) {
         self.now = now;
         let pid = self.pid(from);
         match (lane, pid, &mut self.replica) {
-            (Lane::Agreement, Some(pid), Some(replica)) => {
-                replica.receive(now, pid, octets, &mut self.counts)
-            }
+            (Lane::Agreement, Some(pid), Some(replica)) => replica.receive(now, pid, bytes, &mut self.counts),
             (Lane::Agreement, ..) => self.counts.refused += 1,
-            (Lane::Log, ..) => match unpack::<(u32, Told)>(octets) {
+            (Lane::Log, ..) => match unpack::<(u32, LogMessage)>(bytes) {
                 Some((digest, message)) if digest == self.group.digest => {
                     self.handle_log_message(now, from, pid, message)
                 }
@@ -178,14 +178,14 @@
     /// with the same request is the same entry. `wall` is the time of day.
     pub fn propose(&mut self, now: Micros, request: Request, wall: Micros, body: Vec<u8>) {
         self.now = now;
-        let answer = match self.fold.known(&request) {
+        let answer = match self.applied_state.known(&request) {
             _ if body.len() > MAX_BODY_BYTES => Answer::Long,
             Known::At(place) => Answer::Decided(place),
             Known::Superseded => Answer::Superseded,
             Known::New if !self.majority(now) => Answer::NoMajority,
             Known::New => {
                 let entry = Entry { request: request.clone(), wall, body };
-                if self.asks.take(entry, now.saturating_add(self.tuning.patience)) {
+                if self.pending_requests.take(entry, now.saturating_add(self.tuning.request_timeout)) {
                     return self.forward_requests(now);
                 }
                 Answer::Busy
@@ -203,15 +203,15 @@
         }
         self.next_tick = now.saturating_add(self.tuning.tick);
         if let Some(replica) = &mut self.replica {
-            let fold = &self.fold;
-            replica.tick(now, &|pid| fold.readmissions.get(&pid).copied());
+            let applied_state = &self.applied_state;
+            replica.tick(now, &|pid| applied_state.readmissions.get(&pid).copied());
             if let Some(pid) = replica.newer_replica.take() {
                 self.learn.switch_to(pid);
             }
             if std::mem::take(&mut replica.log_discarded) {
                 // What was delivered from the discarded log may be wrong, so all of it is revoked.
-                self.fold = Fold::default();
-                self.learn = Learn::new(self.keepers.len(), mix(self.nonce));
+                self.applied_state = AppliedState::default();
+                self.learn = Learn::new(self.replicas.len(), mix(self.nonce));
                 self.outputs.push_back(Output::Restore { index: 0, machine: Vec::new() });
             }
         }
@@ -220,7 +220,7 @@
         {
             self.send_to_replica(pid, pull);
         }
-        let over = self.asks.over(now, !self.majority(now));
+        let over = self.pending_requests.over(now, !self.majority(now));
         self.answer_all(over, Answer::NoMajority);
         self.forward_requests(now);
     }
@@ -236,14 +236,14 @@
             }
             self.fold_decided(now);
         }
-        for (pid, octets) in sends {
-            if let Some(to) = self.keepers.get(usize::from(pid).wrapping_sub(1)) {
-                self.outputs.push_back(Output::Send { to: to.clone(), lane: Lane::Agreement, octets });
+        for (pid, bytes) in sends {
+            if let Some(to) = self.replicas.get(usize::from(pid).wrapping_sub(1)) {
+                self.outputs.push_back(Output::Send { to: to.clone(), lane: Lane::Agreement, bytes });
             }
         }
         for (to, message) in std::mem::take(&mut self.log_outbox) {
-            if let Some(octets) = pack(&(self.group.digest, message)) {
-                self.outputs.push_back(Output::Send { to, lane: Lane::Log, octets });
+            if let Some(bytes) = pack(&(self.group.digest, message)) {
+                self.outputs.push_back(Output::Send { to, lane: Lane::Log, bytes });
             }
         }
         self.update_standing(now);
@@ -261,30 +261,30 @@
         let undelivered =
             self.outputs.iter().any(|o| matches!(o, Output::Decided(_) | Output::Restore { .. }));
         self.snapshot_requested = false;
-        if index != self.fold.index || undelivered {
+        if index != self.applied_state.index || undelivered {
             return false;
         }
         // A replica that its leader can't reach may have applied more than its own log can be trimmed to.
-        let slot = self.fold.slot;
+        let slot = self.applied_state.slot;
         let Some(replica) = self.replica.as_mut().filter(|replica| slot <= replica.decided()) else {
             return false;
         };
-        if machine.len() > MOST_SNAPSHOT {
+        if machine.len() > MAX_SNAPSHOT_BYTES {
             return false;
         }
         let Some(head) = replica.shared.log().state().head(slot) else { return false };
-        let base = Snapshot { fold: self.fold.clone(), machine, head };
-        let Ok(octets) = postcard::to_stdvec(&base) else { return false };
-        replica.shared.log().write(record::Record::Base(slot, octets));
+        let base = Snapshot { applied_state: self.applied_state.clone(), machine, head };
+        let Ok(bytes) = postcard::to_stdvec(&base) else { return false };
+        replica.shared.log().write(record::Record::Base(slot, bytes));
         replica.trim(slot.saturating_sub(self.tuning.keep));
         true
     }
 
     pub(super) fn pid(&self, name: &Name) -> Option<u8> {
-        self.keepers.binary_search(name).ok().map(|i| i as u8 + 1)
+        self.replicas.binary_search(name).ok().map(|i| i as u8 + 1)
     }
 
-    pub(super) fn answer_all(&mut self, requests: Vec<Request>, answer: asks::Answer) {
+    pub(super) fn answer_all(&mut self, requests: Vec<Request>, answer: pending_requests::Answer) {
         let answers = requests.into_iter().map(|request| Output::Answer { request, answer });
         self.outputs.extend(answers);
     }
@@ -300,7 +300,7 @@
             ApplyOutcome::Duplicate(request, _) => (request, Answer::Superseded),
             ApplyOutcome::Internal => return,
         };
-        if self.asks.done(&request) {
+        if self.pending_requests.done(&request) {
             self.outputs.push_back(Output::Answer { request, answer });
         }
     }
@@ -312,16 +312,16 @@
         from: u64,
         part: Option<(u64, u64)>,
         echo: Micros,
-    ) -> Option<Told> {
+    ) -> Option<LogMessage> {
         // A log that may differ from the others' isn't served.
         let replica = self.replica.as_ref().filter(|replica| replica.log_verified)?;
         let majority = replica.majority(now);
         let log = replica.shared.log();
         let state = log.state();
-        let tip = super::wire::Tip {
+        let tip = super::wire::LogStatus {
             decided: state.known(),
             majority,
-            adrift: replica.adrift(now),
+            bypassed: replica.bypassed(now),
             ballot: state.promise,
             echo,
         };
--- a/crates/fleet/src/replicas/mod.rs
+++ b/crates/fleet/src/replicas/mod.rs
@@ -24,18 +24,18 @@
 //! releases the messages that depend on them, so a batch of inputs costs one sync. After each flush the
 //! caller takes every [`Output`], in order.
 
-#[path = "pending_requests.rs"]
-pub mod asks;
+#[path = "applied_state.rs"]
+pub mod applied_state;
 pub mod chain;
 pub mod check;
 mod compare;
-#[path = "applied_state.rs"]
-pub mod fold;
 pub mod item;
 pub mod learn;
 pub mod log;
 mod member;
 pub mod peers;
+#[path = "pending_requests.rs"]
+pub mod pending_requests;
 mod progress;
 mod receive;
 pub mod record;
@@ -47,9 +47,9 @@
 mod voting;
 pub mod wire;
 
-pub use asks::Answer;
 pub use log::LogError;
-pub use member::Keepers;
+pub use member::Replicas;
+pub use pending_requests::Answer;
 pub use tuning::Tuning;
 pub use wire::Lane;
 
@@ -67,7 +67,7 @@
         /// The lane to send them on.
         lane: Lane,
         /// The bytes.
-        octets: Vec<u8>,
+        bytes: Vec<u8>,
     },
     /// The next entry was decided.
     Decided(Decided),
@@ -92,12 +92,12 @@
         answer: Answer,
     },
     /// This member's participation has changed.
-    Standing(Standing),
+    Participation(Participation),
 }
 
 /// A member's participation in consensus.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Participation {
     /// It holds no replica and only learns decisions.
     Learner,
     /// The replica has just started, and waits to learn from the others whether its disk is up to date.
@@ -118,7 +118,7 @@
 
 /// The leadership of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Charge {
+pub struct Leadership {
     /// The term.
     pub term: Term,
     /// The leading life.
@@ -154,7 +154,7 @@
     Log(#[from] LogError),
     /// The number of replicas isn't 1, 3 or 5.
     #[error("{0} members are keepers; 1, 3 or 5 may be")]
-    Keepers(usize),
+    Replicas(usize),
     /// A replica has no storage, or a member without a replica has some.
     #[error("a keeper needs storage, and other members must have none")]
     Storage,
@@ -178,4 +178,4 @@
     pub count: usize,
 }
 
-const _: () = assert!(entry::MAX_BODY_BYTES < tuning::PIECE);
+const _: () = assert!(entry::MAX_BODY_BYTES < tuning::PIECE_BYTES);
--- a/crates/fleet/src/replicas/pending_requests.rs
+++ b/crates/fleet/src/replicas/pending_requests.rs
@@ -1,6 +1,6 @@
 //! Requests of this member that wait for an answer.
 
-use super::tuning::MOST_PENDING;
+use super::tuning::MAX_PENDING;
 use crate::Micros;
 use crate::entry::{Entry, Request};
 use std::collections::BTreeMap;
@@ -31,14 +31,14 @@
 
 /// The pending requests, at most [`MOST_PENDING`].
 #[derive(Clone, Debug, Default)]
-pub struct Asks {
+pub struct PendingRequests {
     pending: BTreeMap<Request, PendingRequest>,
 }
 
-impl Asks {
+impl PendingRequests {
     /// Adds a request. Returns false when too many are pending.
     pub fn take(&mut self, entry: Entry, until: Micros) -> bool {
-        let full = self.pending.len() >= MOST_PENDING && !self.pending.contains_key(&entry.request);
+        let full = self.pending.len() >= MAX_PENDING && !self.pending.contains_key(&entry.request);
         if !full {
             self.pending.entry(entry.request.clone()).or_insert(PendingRequest {
                 entry,
--- a/crates/fleet/src/replicas/progress.rs
+++ b/crates/fleet/src/replicas/progress.rs
@@ -1,26 +1,26 @@
 //! A member's progress in the log: learning, applying, serving learners and forwarding requests.
 
-use super::asks::Answer;
+use super::applied_state::Known;
 use super::check::CONFIGURATION;
-use super::fold::Known;
 use super::item::Item;
-use super::learn::Learnt;
-use super::member::{Keepers, Snapshot};
+use super::learn::LearnOutcome;
+use super::member::{Replicas, Snapshot};
+use super::pending_requests::Answer;
 use super::record::Record;
 use super::replica::{ProposeOutcome, Replica};
-use super::wire::Told;
-use super::{Output, Standing};
+use super::wire::LogMessage;
+use super::{Output, Participation};
 use crate::Micros;
 use crate::entry::{Entry, MAX_BODY_BYTES};
 use crate::name::Name;
 use heronroute_journal::Storage;
 use omnipaxos::ballot_leader_election::Ballot;
 
-impl<S: Storage> Keepers<S> {
+impl<S: Storage> Replicas<S> {
     /// Returns whether the log is requested from others: by members that get it only that way, and by a
     /// replica that decisions bypass.
     pub(super) fn fetches_log(&self) -> bool {
-        self.is_learning() || self.replica.as_ref().is_some_and(|replica| replica.adrift(self.now))
+        self.is_learning() || self.replica.as_ref().is_some_and(|replica| replica.bypassed(self.now))
     }
 
     /// Returns whether the log is received only by requesting it from others: by members that take no part in
@@ -40,43 +40,49 @@
         self.replica
             .as_ref()
             .filter(|replica| replica.omni.is_none())
-            .map_or(self.fold.slot, Replica::decided)
+            .map_or(self.applied_state.slot, Replica::decided)
     }
 
-    pub(super) fn send_to_replica(&mut self, pid: u8, message: Told) {
-        if let Some(name) = self.keepers.get(usize::from(pid).wrapping_sub(1)) {
+    pub(super) fn send_to_replica(&mut self, pid: u8, message: LogMessage) {
+        if let Some(name) = self.replicas.get(usize::from(pid).wrapping_sub(1)) {
             self.log_outbox.push((name.clone(), message));
         }
     }
 
-    pub(super) fn handle_log_message(&mut self, now: Micros, from: &Name, pid: Option<u8>, message: Told) {
+    pub(super) fn handle_log_message(
+        &mut self,
+        now: Micros,
+        from: &Name,
+        pid: Option<u8>,
+        message: LogMessage,
+    ) {
         match message {
-            Told::Pull { from: slot, part, sent } => {
+            LogMessage::Pull { from: slot, part, sent } => {
                 if let Some(replica) = self.replica.as_mut().filter(|_| self.watchers.contains_key(from)) {
                     replica.max_requested_slot = replica.max_requested_slot.max(slot);
                 }
                 let Some(answer) = self.serve(now, slot, part, sent) else { return };
-                let all = matches!(&answer, Told::Items { items, .. } if items.is_empty());
+                let all = matches!(&answer, LogMessage::Items { items, .. } if items.is_empty());
                 if let Some(watcher) = self.watchers.get_mut(from) {
                     let until = now.saturating_add(2 * self.tuning.pull);
                     *watcher = all.then_some((slot, until, sent));
                     self.log_outbox.push((from.clone(), answer));
                 }
             }
-            Told::Ask { entry, hops } => self.handle_request(now, from, entry, hops),
-            Told::Refuse { request, busy: true } if pid.is_some() => {
-                if self.asks.done(&request) {
+            LogMessage::Ask { entry, hops } => self.handle_request(now, from, entry, hops),
+            LogMessage::Refuse { request, busy: true } if pid.is_some() => {
+                if self.pending_requests.done(&request) {
                     self.outputs.push_back(Output::Answer { request, answer: Answer::Busy });
                 }
             }
-            Told::Refuse { request, .. } => {
+            LogMessage::Refuse { request, .. } => {
                 let Some(pid) = pid else { return };
                 self.learn.refused(now, pid);
-                if !self.majority(now) && self.asks.done(&request) {
+                if !self.majority(now) && self.pending_requests.done(&request) {
                     self.outputs.push_back(Output::Answer { request, answer: Answer::NoMajority });
                 }
             }
-            Told::Items { tip, .. } | Told::Part { tip, .. } => {
+            LogMessage::Items { tip, .. } | LogMessage::Part { tip, .. } => {
                 let fits = |b: &Ballot| b.config_id == CONFIGURATION && b.pid <= self.group.count as u64;
                 let ballot = tip.ballot.filter(|b| fits(b) && b.n < 1 << 30 && b.priority == 0);
                 let (Some(pid), true) = (pid, self.fetches_log()) else { return };
@@ -92,39 +98,40 @@
         }
     }
 
-    fn apply_learnt(&mut self, now: Micros, from: u8, outcome: Learnt, ballot: Option<Ballot>) {
+    fn apply_learnt(&mut self, now: Micros, from: u8, outcome: LearnOutcome, ballot: Option<Ballot>) {
         let Some(replica) = self.replica.as_mut().filter(|replica| replica.omni.is_none()) else {
             match outcome {
-                Learnt::Items(_, items) => {
+                LearnOutcome::Items(_, items) => {
                     for item in items {
-                        let step = self.fold.apply(&item);
+                        let step = self.applied_state.apply(&item);
                         self.handle_step(step);
                     }
                 }
-                Learnt::Snapshot(_, octets) => _ = self.restore(&octets),
-                Learnt::Nothing | Learnt::All => {}
+                LearnOutcome::Snapshot(_, bytes) => _ = self.restore(&bytes),
+                LearnOutcome::Nothing | LearnOutcome::All => {}
             }
             return;
         };
         let unled_ballot = replica.unled_ballot();
-        let all = outcome == Learnt::All;
+        let all = outcome == LearnOutcome::All;
         let mut log = replica.shared.log();
         let records = match outcome {
-            Learnt::Items(slot, items) => log.state().learnt(slot, items, ballot, unled_ballot),
-            Learnt::Snapshot(slot, octets) => {
+            LearnOutcome::Items(slot, items) => log.state().learn_records(slot, items, ballot, unled_ballot),
+            LearnOutcome::Snapshot(slot, bytes) => {
                 // A snapshot that can't be decoded would prevent this replica's next start.
-                let base = postcard::from_bytes::<Snapshot>(&octets).ok().filter(|b| b.fold.slot == slot);
+                let base =
+                    postcard::from_bytes::<Snapshot>(&bytes).ok().filter(|b| b.applied_state.slot == slot);
                 let sound = base.is_some();
                 let mut records = log.state().follow(ballot);
                 if sound && slot >= log.state().end() {
                     records.push(Record::Accepted(unled_ballot));
                 }
                 if let Some(base) = base {
-                    records.extend([Record::Install(slot, octets), Record::Root(base.head)]);
+                    records.extend([Record::Install(slot, bytes), Record::Root(base.head)]);
                 }
                 records
             }
-            Learnt::All | Learnt::Nothing => Vec::new(),
+            LearnOutcome::All | LearnOutcome::Nothing => Vec::new(),
         };
         records.into_iter().for_each(|record| log.write(record));
         // A source that lacks just as much can't help, and would send this replica back to be refused again.
@@ -136,21 +143,21 @@
     }
 
     /// Adopts the state of a snapshot. Returns false if it can't be decoded or isn't newer.
-    fn restore(&mut self, octets: &[u8]) -> bool {
-        let Ok(base) = postcard::from_bytes::<Snapshot>(octets) else { return false };
-        if base.fold.slot <= self.fold.slot {
+    fn restore(&mut self, bytes: &[u8]) -> bool {
+        let Ok(base) = postcard::from_bytes::<Snapshot>(bytes) else { return false };
+        if base.applied_state.slot <= self.applied_state.slot {
             return false;
         }
-        self.fold = base.fold;
-        self.outputs.push_back(Output::Restore { index: self.fold.index, machine: base.machine });
+        self.applied_state = base.applied_state;
+        self.outputs.push_back(Output::Restore { index: self.applied_state.index, machine: base.machine });
         // Requests that the snapshot covers get no answer from entries, so they are answered here.
-        for request in self.asks.requests() {
-            let answer = match self.fold.known(&request) {
+        for request in self.pending_requests.requests() {
+            let answer = match self.applied_state.known(&request) {
                 Known::New => continue,
                 Known::At(place) => Answer::Decided(place),
                 Known::Superseded => Answer::Superseded,
             };
-            self.asks.done(&request);
+            self.pending_requests.done(&request);
             self.outputs.push_back(Output::Answer { request, answer });
         }
         true
@@ -158,10 +165,10 @@
 
     /// Delivers what is decided and durable.
     pub(super) fn fold_decided(&mut self, now: Micros) {
-        let before = self.fold.slot;
+        let before = self.applied_state.slot;
         let Some(replica) = &self.replica else { return };
         let shared = replica.shared.clone();
-        if self.fold.slot < shared.log().state().compacted {
+        if self.applied_state.slot < shared.log().state().compacted {
             let base = std::sync::Arc::clone(&shared.log().state().base);
             if !self.restore(&base) {
                 shared.log().fail("the snapshot in the keepers' log can't be read".into());
@@ -172,26 +179,29 @@
             let item = {
                 let log = shared.log();
                 let decided = log.state().decided;
-                log.state().item(self.fold.slot).filter(|_| self.fold.slot < decided).cloned()
+                log.state()
+                    .item(self.applied_state.slot)
+                    .filter(|_| self.applied_state.slot < decided)
+                    .cloned()
             };
             let Some(item) = item else { break };
-            let step = self.fold.apply(&item);
+            let step = self.applied_state.apply(&item);
             self.handle_step(step);
         }
-        shared.log().fold_to(self.fold.slot);
-        if self.fold.slot > before {
+        shared.log().fold_to(self.applied_state.slot);
+        if self.applied_state.slot > before {
             self.notify_watchers(now);
         }
         let grown = {
             let log = shared.log();
-            log.state().bytes_between(log.state().base_slot, self.fold.slot)
+            log.state().bytes_between(log.state().base_slot, self.applied_state.slot)
         };
         if grown > self.tuning.compact
             && !self.snapshot_requested
-            && self.fold.slot <= shared.log().state().decided
+            && self.applied_state.slot <= shared.log().state().decided
         {
             self.snapshot_requested = true;
-            self.outputs.push_back(Output::WantSnapshot { index: self.fold.index });
+            self.outputs.push_back(Output::WantSnapshot { index: self.applied_state.index });
         }
     }
 
@@ -214,17 +224,17 @@
             return;
         }
         let Some(replica) = &mut self.replica else { return };
-        if self.fold.known(&entry.request) != Known::New {
+        if self.applied_state.known(&entry.request) != Known::New {
             return;
         }
-        let refuse = |busy| Told::Refuse { request: entry.request.clone(), busy };
+        let refuse = |busy| LogMessage::Refuse { request: entry.request.clone(), busy };
         if !replica.majority(now) {
             return self.log_outbox.push((from.clone(), refuse(false)));
         }
         match replica.propose(Item::Asked(entry.clone())) {
             ProposeOutcome::Busy => self.log_outbox.push((from.clone(), refuse(true))),
             ProposeOutcome::Leader(pid) if hops < 2 => {
-                self.send_to_replica(pid, Told::Ask { entry, hops: hops + 1 })
+                self.send_to_replica(pid, LogMessage::Ask { entry, hops: hops + 1 })
             }
             ProposeOutcome::InLog | ProposeOutcome::Leader(_) | ProposeOutcome::NoLeader => {}
         }
@@ -232,11 +242,11 @@
 
     /// Forwards pending requests.
     pub(super) fn forward_requests(&mut self, now: Micros) {
-        for entry in self.asks.due(now, self.tuning.again) {
+        for entry in self.pending_requests.due(now, self.tuning.again) {
             if self.fetches_log() {
                 let window = self.tuning.pull + self.tuning.fresh;
                 if let Some(pid) = self.learn.with_majority(now, window) {
-                    self.send_to_replica(pid, Told::Ask { entry: entry.clone(), hops: 0 });
+                    self.send_to_replica(pid, LogMessage::Ask { entry: entry.clone(), hops: 0 });
                 }
             }
             if self.is_learning() {
@@ -245,10 +255,10 @@
             let Some(replica) = &mut self.replica else { continue };
             match replica.propose(Item::Asked(entry.clone())) {
                 ProposeOutcome::Busy => {
-                    self.asks.done(&entry.request);
+                    self.pending_requests.done(&entry.request);
                     self.answer_all(vec![entry.request], Answer::Busy);
                 }
-                ProposeOutcome::Leader(pid) => self.send_to_replica(pid, Told::Ask { entry, hops: 1 }),
+                ProposeOutcome::Leader(pid) => self.send_to_replica(pid, LogMessage::Ask { entry, hops: 1 }),
                 ProposeOutcome::InLog | ProposeOutcome::NoLeader => {}
             }
         }
@@ -262,20 +272,20 @@
             (log.failed().map(str::to_string), log.state().voting)
         };
         let log_altered = replica.log_altered;
-        let starting = now < replica.started_at.saturating_add(self.tuning.hear_all);
+        let starting = now < replica.started_at.saturating_add(self.tuning.startup_wait);
         let standing = match failed {
-            Some(why) => Standing::Halted(why),
+            Some(why) => Participation::Halted(why),
             None if voting && (replica.omni.is_some() || replica.leading_term().is_some()) => {
-                Standing::Voting
+                Participation::Voting
             }
-            None if voting && replica.catch_up.is_some() => Standing::CatchingUp,
-            None if log_altered && !voting => Standing::Altered,
-            None if voting || starting => Standing::Starting,
-            None => Standing::Amnesiac,
+            None if voting && replica.catch_up.is_some() => Participation::CatchingUp,
+            None if log_altered && !voting => Participation::Altered,
+            None if voting || starting => Participation::Starting,
+            None => Participation::Amnesiac,
         };
         if standing != self.standing {
             self.standing = standing.clone();
-            self.outputs.push_back(Output::Standing(standing));
+            self.outputs.push_back(Output::Participation(standing));
         }
     }
 }
--- a/crates/fleet/src/replicas/receive.rs
+++ b/crates/fleet/src/replicas/receive.rs
@@ -7,7 +7,7 @@
 use super::peers::MessageOrder;
 use super::record::{Mark, Record, Seen};
 use super::replica::{CatchUp, Replica, term_of};
-use super::wire::{Head, Said, unpack};
+use super::wire::{Head, ReplicaMessage, unpack};
 use crate::Micros;
 use heronroute_journal::Storage;
 use omnipaxos::messages::Message;
@@ -16,7 +16,7 @@
 impl<S: Storage> Replica<S> {
     /// Handles a message from another replica.
     pub(super) fn receive(&mut self, now: Micros, from: u8, bytes: &[u8], counts: &mut Counts) {
-        let Some((head, content)) = unpack::<(Head, Said)>(bytes) else {
+        let Some((head, content)) = unpack::<(Head, ReplicaMessage)>(bytes) else {
             counts.undecodable += 1;
             return;
         };
@@ -46,7 +46,7 @@
                 counts.gaps += 1;
                 if peer.last_gap_report.is_none_or(|at| now >= at.saturating_add(2 * self.tuning.tick)) {
                     peer.last_gap_report = Some(now);
-                    self.outbox.push((from, Said::Gap));
+                    self.outbox.push((from, ReplicaMessage::Gap));
                 }
                 self.reconnected(from);
             }
@@ -56,9 +56,9 @@
         self.merge_marks(at, &head);
         let for_us = head.to == self.nonce && head.voting;
         match content {
-            Said::Hello(spot) => self.compare(from, &spot, counts),
-            Said::Gap => self.reconnected(from),
-            Said::Behind(decided) => {
+            ReplicaMessage::Hello(spot) => self.compare(from, &spot, counts),
+            ReplicaMessage::Gap => self.reconnected(from),
+            ReplicaMessage::Behind(decided) => {
                 let lacks = decided > self.shared.log().state().decided;
                 if lacks && self.omni.take().is_some() {
                     let until = now.saturating_add(4 * self.tuning.pull);
@@ -66,18 +66,18 @@
                     self.newer_replica = Some(from);
                 }
             }
-            Said::Paxos(message) if for_us => self.handle_paxos(now, from, message, counts),
-            Said::Renew { term, sent, held } if for_us => {
+            ReplicaMessage::Paxos(message) if for_us => self.handle_paxos(now, from, message, counts),
+            ReplicaMessage::Renew { term, sent, held } if for_us => {
                 let follows = self.omni.as_ref().is_some_and(|o| term_of(&o.get_promise()) == term);
                 if follows && held {
                     self.leader_confirmed_at = now;
                 }
                 if follows && self.grants.grant(now, (from, head.nonce), term, &self.tuning) {
-                    self.outbox.push((from, Said::Grant { term, sent }));
+                    self.outbox.push((from, ReplicaMessage::Grant { term, sent }));
                 }
             }
-            Said::Grant { term, sent } if for_us => self.lease.granted(at, term, sent, now),
-            Said::Admit { nonce, slot, ballot } if nonce == self.nonce && for_us => {
+            ReplicaMessage::Grant { term, sent } if for_us => self.lease.granted(at, term, sent, now),
+            ReplicaMessage::Admit { nonce, slot, ballot } if nonce == self.nonce && for_us => {
                 if ballot.pid == u64::from(from) && ballot.config_id == CONFIGURATION {
                     self.admission = Some((slot, ballot));
                 }
@@ -154,7 +154,7 @@
             Verdict::Drop => counts.refused += 1,
             Verdict::Behind => {
                 let decided = self.shared.log().state().decided;
-                self.outbox.push((from, Said::Behind(decided)));
+                self.outbox.push((from, ReplicaMessage::Behind(decided)));
             }
         }
     }
--- a/crates/fleet/src/replicas/record.rs
+++ b/crates/fleet/src/replicas/record.rs
@@ -85,7 +85,7 @@
 }
 
 /// The number of bytes before the payload.
-pub const HEAD: usize = 20;
+pub const HEADER_BYTES: usize = 20;
 /// The maximum number of bytes in a payload.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
 
--- a/crates/fleet/src/replicas/replica.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -6,9 +6,9 @@
 use super::item::Item;
 use super::peers::Peer;
 use super::record::{Mark, Record, Seen};
-use super::store::Shared;
-use super::tuning::{MAX_LOG_BYTES, MOST_UNDECIDED, Tuning};
-use super::wire::{Head, Said, pack};
+use super::store::SharedLog;
+use super::tuning::{MAX_LOG_BYTES, MAX_UNDECIDED_BYTES, Tuning};
+use super::wire::{Head, ReplicaMessage, pack};
 use crate::Micros;
 use crate::entry::Term;
 use crate::lease::{Grants, Lease};
@@ -56,8 +56,8 @@
     pub(super) nonce: u64,
     pub(super) group: Group,
     pub(super) tuning: Tuning,
-    pub(super) shared: Shared<S>,
-    pub(super) omni: Option<OmniPaxos<Item, Shared<S>>>,
+    pub(super) shared: SharedLog<S>,
+    pub(super) omni: Option<OmniPaxos<Item, SharedLog<S>>>,
     pub(super) peers: Vec<Peer>,
     pub(super) seen: Vec<Seen>,
     pub(super) epochs: Vec<u64>,
@@ -89,7 +89,7 @@
     pub(super) announced_term: Term,
     pub(super) next_renewal: Micros,
     pub(super) next_hello: Micros,
-    pub(super) outbox: Vec<(u8, Said)>,
+    pub(super) outbox: Vec<(u8, ReplicaMessage)>,
     /// A replica that has what this one lacks.
     pub(super) newer_replica: Option<u8>,
 }
@@ -102,7 +102,7 @@
         nonce: u64,
         group: Group,
         tuning: Tuning,
-        shared: Shared<S>,
+        shared: SharedLog<S>,
     ) -> Self {
         let log = shared.log();
         let (seen, epochs, opened) =
@@ -225,7 +225,7 @@
     /// Returns whether decisions bypass this replica. It may lead, or follow a leader, while a majority has
     /// confirmed another leader and neither is reachable from here: its links are up, but nobody informs it,
     /// and it would wait for ever.
-    pub(super) fn adrift(&self, now: Micros) -> bool {
+    pub(super) fn bypassed(&self, now: Micros) -> bool {
         !self.is_single() && now >= self.leader_confirmed_at.saturating_add(self.tuning.lease)
     }
 
@@ -250,7 +250,8 @@
             {
                 return ProposeOutcome::InLog;
             }
-            let full = state.octets_from(state.compacted) >= MAX_LOG_BYTES || undecided >= MOST_UNDECIDED;
+            let full =
+                state.octets_from(state.compacted) >= MAX_LOG_BYTES || undecided >= MAX_UNDECIDED_BYTES;
             drop(log);
             if full {
                 return ProposeOutcome::Busy;
@@ -291,11 +292,11 @@
         if let Some(omni) = &mut self.omni {
             let mut messages = Vec::new();
             omni.take_outgoing_messages(&mut messages);
-            let to = |m: Message<Item>| (m.get_receiver() as u8, Said::Paxos(m));
+            let to = |m: Message<Item>| (m.get_receiver() as u8, ReplicaMessage::Paxos(m));
             self.outbox.extend(messages.into_iter().map(to));
         }
         let mut log = self.shared.log();
-        if log.waits() && log.state().seen != self.seen {
+        if log.has_pending() && log.state().seen != self.seen {
             log.write(Record::Seen(self.seen.clone()));
         }
         if !log.commit() {
--- a/crates/fleet/src/replicas/state.rs
+++ b/crates/fleet/src/replicas/state.rs
@@ -53,8 +53,8 @@
 
 impl State {
     /// Returns an empty state among the given number of replicas.
-    pub fn new(keepers: usize) -> Self {
-        State { seen: vec![Seen::default(); keepers], epochs: vec![0; keepers], ..State::default() }
+    pub fn new(replicas: usize) -> Self {
+        State { seen: vec![Seen::default(); replicas], epochs: vec![0; replicas], ..State::default() }
     }
 
     /// Returns the number of slots.
@@ -88,7 +88,7 @@
     /// Returns the number of bytes of the log from this slot on.
     pub fn octets_from(&self, slot: u64) -> u64 {
         let all = self.items.back().map_or(0, |h| h.bytes_through);
-        let first = self.items.front().map_or(0, |h| h.bytes_through - h.item.octets());
+        let first = self.items.front().map_or(0, |h| h.bytes_through - h.item.bytes());
         match slot.checked_sub(self.compacted) {
             None | Some(0) => all - first,
             Some(n) => {
@@ -143,7 +143,7 @@
         }
         let (bytes_through, before) =
             self.items.back().map_or((0, &self.root), |h| (h.bytes_through, &h.head));
-        let (bytes_through, head) = (bytes_through + item.octets(), chain::next(before, &item));
+        let (bytes_through, head) = (bytes_through + item.bytes(), chain::next(before, &item));
         self.items.push_back(LogSlot { item, bytes_through, head });
     }
 
@@ -166,7 +166,13 @@
     /// after the decided part may rely on it. It is then recorded as accepted in `own`, a ballot of this
     /// replica in which nobody ever leads. `omnipaxos` assumes that of two logs with the same ballot one is a
     /// prefix of the other, which need not hold for this one.
-    pub fn learnt(&self, from: u64, items: Vec<Item>, ballot: Option<Ballot>, own: Ballot) -> Vec<Record> {
+    pub fn learn_records(
+        &self,
+        from: u64,
+        items: Vec<Item>,
+        ballot: Option<Ballot>,
+        own: Ballot,
+    ) -> Vec<Record> {
         let end = from + items.len() as u64;
         let same = |(i, item): (usize, &Item)| self.item(from + i as u64).is_none_or(|held| held == item);
         let consistent = end <= self.end() && items.iter().enumerate().all(same);
@@ -212,8 +218,8 @@
                     (self.compacted, self.root) = (self.compacted + 1, held.head);
                 }
             }
-            Record::Base(slot, octets) => (self.base_slot, self.base) = (slot, octets.into()),
-            Record::Install(slot, octets) => {
+            Record::Base(slot, bytes) => (self.base_slot, self.base) = (slot, bytes.into()),
+            Record::Install(slot, bytes) => {
                 // Accepted items after the snapshot are kept: they may be part of what a majority has
                 // accepted.
                 while self.compacted < slot {
@@ -225,7 +231,7 @@
                     };
                     (self.compacted, self.root) = (self.compacted + 1, held.head);
                 }
-                (self.base_slot, self.base) = (slot, octets.into());
+                (self.base_slot, self.base) = (slot, bytes.into());
                 self.applied = self.applied.max(slot);
                 self.decided = self.decided.max(slot);
             }
@@ -252,7 +258,7 @@
     }
 
     /// Returns the records that recreate this state.
-    pub fn whole(&self, group: u32, pid: u8) -> Vec<Record> {
+    pub fn full_records(&self, group: u32, pid: u8) -> Vec<Record> {
         let mut all = vec![
             Record::Owner { group, pid },
             Record::Install(self.compacted, Vec::new()),
@@ -286,7 +292,7 @@
     use crate::name::{Life, Name, Start};
 
     fn item(n: u64) -> Item {
-        Item::Charge { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
+        Item::Leadership { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
     }
 
     fn with_log(items: std::ops::Range<u64>) -> State {
@@ -297,7 +303,7 @@
     }
 
     fn apply_learnt(state: &mut State, items: Vec<Item>) {
-        let records = state.learnt(0, items, Some(Ballot::with(1, 9, 0, 1)), Ballot::with(1, 0, 0, 3));
+        let records = state.learn_records(0, items, Some(Ballot::with(1, 9, 0, 1)), Ballot::with(1, 0, 0, 3));
         assert!(records.into_iter().all(|record| state.apply(record)));
     }
 
--- a/crates/fleet/src/replicas/store.rs
+++ b/crates/fleet/src/replicas/store.rs
@@ -14,18 +14,18 @@
 
 /// A log shared by the consensus protocol and the rest of the replica.
 #[derive(Debug)]
-pub struct Shared<S>(Arc<Mutex<Log<S>>>);
+pub struct SharedLog<S>(Arc<Mutex<Log<S>>>);
 
-impl<S> Clone for Shared<S> {
+impl<S> Clone for SharedLog<S> {
     fn clone(&self) -> Self {
-        Shared(Arc::clone(&self.0))
+        SharedLog(Arc::clone(&self.0))
     }
 }
 
-impl<S: Storage> Shared<S> {
+impl<S: Storage> SharedLog<S> {
     /// Returns a shared log.
     pub fn new(log: Log<S>) -> Self {
-        Shared(Arc::new(Mutex::new(log)))
+        SharedLog(Arc::new(Mutex::new(log)))
     }
 
     /// Locks the log.
@@ -56,7 +56,7 @@
     }
 }
 
-impl<S: Storage> omnipaxos::storage::Storage<Item> for Shared<S> {
+impl<S: Storage> omnipaxos::storage::Storage<Item> for SharedLog<S> {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Item>>) -> StorageResult<()> {
         // These operations and all others until the next commit are written in one frame.
         ops.into_iter().for_each(|apply_op| self.apply_op(apply_op));
--- a/crates/fleet/src/replicas/tuning.rs
+++ b/crates/fleet/src/replicas/tuning.rs
@@ -3,21 +3,21 @@
 use crate::Micros;
 
 /// The maximum number of bytes in a message between replicas; longer ones are dropped undecoded.
-pub const MOST_MESSAGE: usize = 4 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// The maximum number of bytes of undecided entries; above it, requests are answered as busy.
-pub const MOST_UNDECIDED: u64 = 512 * 1024;
+pub const MAX_UNDECIDED_BYTES: u64 = 512 * 1024;
 /// The maximum number of bytes of log that one replica sends another within the consensus protocol. A replica
 /// that lacks more learns the decided prefix first.
-pub const MOST_SYNC: u64 = 1024 * 1024;
+pub const MAX_SYNC_BYTES: u64 = 1024 * 1024;
 /// The number of bytes of log in memory above which requests are refused until the caller has provided a
 /// snapshot.
 pub const MAX_LOG_BYTES: u64 = 16 * 1024 * 1024;
 /// The maximum number of bytes in a snapshot.
-pub const MOST_SNAPSHOT: usize = 16 * 1024 * 1024;
+pub const MAX_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 /// The number of bytes in a piece of log or snapshot for learners.
-pub const PIECE: usize = 192 * 1024;
+pub const PIECE_BYTES: usize = 192 * 1024;
 /// The maximum number of this member's requests that wait for an answer.
-pub const MOST_PENDING: usize = 64;
+pub const MAX_PENDING: usize = 64;
 
 /// Parameters that a caller may choose. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// A member that hasn't answered for this long doesn't count towards a majority.
     pub fresh: Micros,
     /// A request that isn't decided within this time is answered with "no majority".
-    pub patience: Micros,
+    pub request_timeout: Micros,
     /// The time after which a pending request is forwarded again.
     pub again: Micros,
     /// The interval between a learner's requests when there is nothing new.
@@ -42,7 +42,7 @@
     /// honours a lease for that much longer.
     pub drift: Micros,
     /// How long a starting replica waits for all others to tell whether its disk is an old one.
-    pub hear_all: Micros,
+    pub startup_wait: Micros,
     /// Whether the operator allows replicas with empty disks to begin without an answer from all others.
     pub found: bool,
     /// Whether a replica that lost its disk is readmitted by decision of a majority of the others.
@@ -60,12 +60,12 @@
             election: 4,
             resend: 6,
             fresh: 800_000,
-            patience: 1_000_000,
+            request_timeout: 1_000_000,
             again: 250_000,
             pull: 500_000,
             lease: 2_000_000,
             drift: 50,
-            hear_all: 3_000_000,
+            startup_wait: 3_000_000,
             found: false,
             readmit: true,
             compact: 1024 * 1024,
--- a/crates/fleet/src/replicas/view.rs
+++ b/crates/fleet/src/replicas/view.rs
@@ -1,13 +1,13 @@
 //! What a member currently knows about the replicas.
 
-use super::member::Keepers;
-use super::{Charge, Counts, Standing};
+use super::member::Replicas;
+use super::{Counts, Leadership, Participation};
 use crate::Micros;
 use crate::entry::Term;
 use crate::name::Life;
 use heronroute_journal::Storage;
 
-impl<S: Storage> Keepers<S> {
+impl<S: Storage> Replicas<S> {
     /// Returns whether a majority of the replicas was reachable lately, from this replica or from one that
     /// this member has asked. Without such knowledge it returns false.
     pub fn majority(&self, now: Micros) -> bool {
@@ -19,28 +19,32 @@
 
     /// Returns the greatest term in the log. Orders with a lesser term are to be refused.
     pub fn term(&self) -> Term {
-        self.fold.charge.as_ref().map_or(Term(0), |(term, _)| *term)
+        self.applied_state.leader.as_ref().map_or(Term(0), |(term, _)| *term)
     }
 
     /// Returns the last leader according to the log. Only that leader itself knows whether it still leads.
     pub fn leader(&self) -> Option<&(Term, Life)> {
-        self.fold.charge.as_ref()
+        self.applied_state.leader.as_ref()
     }
 
     /// Returns this member's leadership if it leads now. Call it before each act as leader; see
     /// [`crate::lease`] for what it guarantees.
-    pub fn in_charge(&self, now: Micros) -> Option<Charge> {
+    pub fn in_charge(&self, now: Micros) -> Option<Leadership> {
         let replica = self.replica.as_ref()?;
         let term = replica.leading_term()?;
         let is_leader_in_log =
-            self.fold.charge.as_ref().is_some_and(|(t, life)| *t == term && *life == self.life);
+            self.applied_state.leader.as_ref().is_some_and(|(t, life)| *t == term && *life == self.life);
         let until = if replica.is_single() { Micros::MAX } else { replica.lease.until(&self.tuning)? };
         let halted = replica.shared.log().failed().is_some();
-        (is_leader_in_log && now < until && !halted).then(|| Charge { term, life: self.life.clone(), until })
+        (is_leader_in_log && now < until && !halted).then(|| Leadership {
+            term,
+            life: self.life.clone(),
+            until,
+        })
     }
 
     /// Returns this member's participation.
-    pub fn standing(&self) -> &Standing {
+    pub fn standing(&self) -> &Participation {
         &self.standing
     }
 
@@ -51,7 +55,7 @@
 
     /// Returns the index of the last entry delivered.
     pub fn index(&self) -> u64 {
-        self.fold.index
+        self.applied_state.index
     }
 
     /// Returns the counters.
--- a/crates/fleet/src/replicas/voting.rs
+++ b/crates/fleet/src/replicas/voting.rs
@@ -47,7 +47,7 @@
 use super::item::Item;
 use super::record::{Mark, Record};
 use super::replica::Replica;
-use super::wire::Said;
+use super::wire::ReplicaMessage;
 use crate::Micros;
 use heronroute_journal::Storage;
 use omnipaxos::ballot_leader_election::Ballot;
@@ -83,7 +83,7 @@
         self.resolve_copy(all_answered);
         let time_over = !self.copy_unverified
             && !self.readers_are_ahead()
-            && now >= self.started_at.saturating_add(self.tuning.hear_all);
+            && now >= self.started_at.saturating_add(self.tuning.startup_wait);
         if !self.voting() {
             self.ready = self.start_empty(all_answered, time_over) || self.apply_admission(readmitted);
         }
@@ -167,7 +167,7 @@
             // The leader's own entry at the end of a log that holds everything decided before: once it is
             // decided and applied, so is everything that earlier leaders had decided.
             self.announced_term = term;
-            self.append(Item::Charge { term, life: self.life.clone() });
+            self.append(Item::Leadership { term, life: self.life.clone() });
         }
         self.lease.begin(term, self.group.count);
         if now >= self.next_renewal {
@@ -179,7 +179,7 @@
             if held {
                 self.leader_confirmed_at = now;
             }
-            let renew = self.others().map(|pid| (pid, Said::Renew { term, sent: now, held }));
+            let renew = self.others().map(|pid| (pid, ReplicaMessage::Renew { term, sent: now, held }));
             self.outbox.extend(renew);
         }
         if self.tuning.readmit && self.omni.is_some() {
@@ -200,7 +200,7 @@
             if let Some((slot, nonce)) = readmissions(pid)
                 && nonce == peer.nonce
             {
-                self.outbox.push((pid, Said::Admit { nonce, slot, ballot }));
+                self.outbox.push((pid, ReplicaMessage::Admit { nonce, slot, ballot }));
             } else if peer.readmit_at.is_none_or(|at| now >= at.saturating_add(4 * fresh)) {
                 peer.readmit_at = Some(now);
                 let nonce = peer.nonce;
--- a/crates/fleet/src/replicas/wire.rs
+++ b/crates/fleet/src/replicas/wire.rs
@@ -3,7 +3,7 @@
 use super::chain::Chain;
 use super::item::Item;
 use super::record::{Mark, Seen};
-use super::tuning::MOST_MESSAGE;
+use super::tuning::MAX_MESSAGE_BYTES;
 use crate::Micros;
 use crate::entry::{Entry, Request, Term};
 use crate::name::Start;
@@ -51,7 +51,7 @@
 
 /// The position and hash chain head of a replica's log, for comparison with another replica's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spot {
+pub struct LogPosition {
     /// The number of decided slots.
     pub decided: u64,
     /// The number of slots.
@@ -66,9 +66,9 @@
 
 /// A message between replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Said {
+pub enum ReplicaMessage {
     /// Announces the sender and its log position.
-    Hello(Spot),
+    Hello(LogPosition),
     /// A message of the receiver is missing.
     Gap,
     /// The receiver lacks more of the log than the consensus protocol can carry: this many slots are decided.
@@ -105,7 +105,7 @@
 
 /// A message about the decided log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum LogMessage {
     /// Asks for the log from this slot on. While a snapshot is being fetched, `part` holds its slot and the
     /// number of bytes received.
     Pull {
@@ -123,7 +123,7 @@
         /// The items.
         items: Vec<Item>,
         /// The state of the sender's log.
-        tip: Tip,
+        tip: LogStatus,
     },
     /// A part of a snapshot.
     Part {
@@ -134,9 +134,9 @@
         /// The offset of this part.
         at: u64,
         /// The bytes of this part.
-        octets: Vec<u8>,
+        bytes: Vec<u8>,
         /// The state of the sender's log.
-        tip: Tip,
+        tip: LogStatus,
     },
     /// Requests an entry.
     Ask {
@@ -156,13 +156,13 @@
 
 /// The state of a replica's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tip {
+pub struct LogStatus {
     /// The number of decided slots.
     pub decided: u64,
     /// Whether the replica reaches a majority.
     pub majority: bool,
     /// Whether decisions bypass the replica, so that it has nothing new: a learner should ask another one.
-    pub adrift: bool,
+    pub bypassed: bool,
     /// The ballot below which the replica accepts nothing.
     pub ballot: Option<Ballot>,
     /// The learner's clock when it asked.
@@ -171,14 +171,14 @@
 
 /// Encodes a message. Returns `None` if it is too long to be sent.
 pub fn pack<T: Serialize>(content: &T) -> Option<Vec<u8>> {
-    postcard::to_stdvec(content).ok().filter(|octets| octets.len() <= MOST_MESSAGE)
+    postcard::to_stdvec(content).ok().filter(|bytes| bytes.len() <= MAX_MESSAGE_BYTES)
 }
 
 /// Decodes a message. Returns `None` unless all of the bytes are one message of allowed length.
-pub fn unpack<T: for<'a> Deserialize<'a>>(octets: &[u8]) -> Option<T> {
-    if octets.len() > MOST_MESSAGE {
+pub fn unpack<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
     }
-    let (content, rest) = postcard::take_from_bytes(octets).ok()?;
+    let (content, rest) = postcard::take_from_bytes(bytes).ok()?;
     rest.is_empty().then_some(content)
 }
--- a/crates/fleet/src/start.rs
+++ b/crates/fleet/src/start.rs
@@ -31,7 +31,7 @@
 
 /// The content of the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum StoredStart {
     /// There is no file: this is the first start, or the disk is empty.
     Nothing,
     /// A start number.
@@ -46,7 +46,7 @@
     /// The number, which is durable.
     pub start: Start,
     /// The content of the disk before.
-    pub found: Found,
+    pub found: StoredStart,
 }
 
 /// No start number is available; the process must not communicate under its name.
@@ -66,8 +66,8 @@
 /// # Errors
 /// Fails when no number can be made durable.
 pub fn raise(disk: &mut impl Storage, wall: Micros, seen_by_others: Start) -> Result<NewStart, StartError> {
-    let found = look(disk);
-    let stored = if let Found::Number(start) = found { start } else { Start(0) };
+    let found = read_stored(disk);
+    let stored = if let StoredStart::Number(start) = found { start } else { Start(0) };
     let candidate = stored.max(seen_by_others).0.checked_add(1).ok_or(StartError::UsedUp)?;
     let start = Start(candidate.max(u64::try_from(wall).unwrap_or(0)));
     // A power loss at any step leaves either the old or the new file whole.
@@ -80,12 +80,12 @@
 }
 
 /// Reads the start number on disk.
-pub fn look(disk: &impl Storage) -> Found {
+pub fn read_stored(disk: &impl Storage) -> StoredStart {
     match disk.read(FILE) {
-        Ok(bytes) => unpack(&bytes).map_or(Found::Unreadable, Found::Number),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Found::Nothing,
+        Ok(bytes) => unpack(&bytes).map_or(StoredStart::Unreadable, StoredStart::Number),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => StoredStart::Nothing,
         // An unreadable file doesn't prevent a start: the time of day is greater than the number in it.
-        Err(_) => Found::Unreadable,
+        Err(_) => StoredStart::Unreadable,
     }
 }
 
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,13 +1,13 @@
 //! The octets of one of each message, record and item. Where one changes, raise the number that stands beside it
 //! ([`VERSION`] of what is said, [`FORMAT`] of what is kept) and write the new octets here.
 
-use heronroute_fleet::frames::{Head as FrameHead, What, seal};
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::record::{FORMAT, Mark, Record, Seen, write};
-use heronroute_fleet::keepers::wire::{Head, Said, Spot, Tip, Told};
+use heronroute_fleet::frames::{FrameType, Head as FrameHead, seal};
 use heronroute_fleet::key::Key;
 use heronroute_fleet::link::hello::VERSION;
 use heronroute_fleet::link::{Link, Roster};
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::record::{FORMAT, Mark, Record, Seen, write};
+use heronroute_fleet::replicas::wire::{Head, LogMessage, LogPosition, LogStatus, ReplicaMessage};
 use heronroute_fleet::{Entry, Kind, Life, Name, Peer, Request, Start, Term};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
@@ -18,8 +18,8 @@
 use omnipaxos::util::{LogSync, SequenceNumber};
 use serde::Serialize;
 
-fn hex(octets: &[u8]) -> String {
-    octets.iter().map(|b| format!("{b:02x}")).collect()
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
 fn line<T: Serialize>(what: &str, value: T) -> String {
@@ -37,7 +37,7 @@
 fn items() -> Vec<Item> {
     vec![
         Item::Asked(entry()),
-        Item::Charge { term: Term(258), life: life() },
+        Item::Leadership { term: Term(258), life: life() },
         Item::Readmit { pid: 2, nonce: 9 },
     ]
 }
@@ -112,31 +112,31 @@
         sent: 7,
         echo: 8,
     };
-    let ble = |msg| Said::Paxos(Message::BLE(BLEMessage { from: 1, to: 2, msg }));
+    let ble = |msg| ReplicaMessage::Paxos(Message::BLE(BLEMessage { from: 1, to: 2, msg }));
     let mut all = vec![
-        Said::Hello(Spot { decided: 1, end: 2, at: 3, head: Some([4; 32]), ask: true }),
-        Said::Gap,
-        Said::Behind(1),
+        ReplicaMessage::Hello(LogPosition { decided: 1, end: 2, at: 3, head: Some([4; 32]), ask: true }),
+        ReplicaMessage::Gap,
+        ReplicaMessage::Behind(1),
         ble(HeartbeatMsg::Request(HeartbeatRequest { round: 3 })),
         ble(HeartbeatMsg::Reply(HeartbeatReply { round: 3, ballot: BALLOT, leader: BALLOT, happy: true })),
-        Said::Renew { term: Term(1), sent: 2, held: true },
-        Said::Grant { term: Term(1), sent: 2 },
-        Said::Admit { nonce: 1, slot: 2, ballot: BALLOT },
+        ReplicaMessage::Renew { term: Term(1), sent: 2, held: true },
+        ReplicaMessage::Grant { term: Term(1), sent: 2 },
+        ReplicaMessage::Admit { nonce: 1, slot: 2, ballot: BALLOT },
     ];
     let paxos = paxos().into_iter().map(|msg| PaxosMessage { from: 1, to: 2, msg });
-    all.extend(paxos.map(|m| Said::Paxos(Message::SequencePaxos(m))));
-    let tip = Tip { decided: 1, majority: true, adrift: false, ballot: Some(BALLOT), echo: 2 };
+    all.extend(paxos.map(|m| ReplicaMessage::Paxos(Message::SequencePaxos(m))));
+    let tip = LogStatus { decided: 1, majority: true, bypassed: false, ballot: Some(BALLOT), echo: 2 };
     let told = [
-        Told::Pull { from: 1, part: Some((2, 3)), sent: 4 },
-        Told::Items { from: 1, items: items(), tip },
-        Told::Part { slot: 1, total: 2, at: 3, octets: vec![4], tip },
-        Told::Ask { entry: entry(), hops: 1 },
-        Told::Refuse { request: entry().request, busy: true },
+        LogMessage::Pull { from: 1, part: Some((2, 3)), sent: 4 },
+        LogMessage::Items { from: 1, items: items(), tip },
+        LogMessage::Part { slot: 1, total: 2, at: 3, bytes: vec![4], tip },
+        LogMessage::Ask { entry: entry(), hops: 1 },
+        LogMessage::Refuse { request: entry().request, busy: true },
     ];
     let mut frame = Vec::new();
     let key = Key::read(&"0123456789abcdef".repeat(4)).unwrap();
-    let whats = [What::Hello, What::Alive].into_iter();
-    for what in whats.chain(Kind::ALL.map(What::Message)).chain(Kind::ALL.map(What::Piece)) {
+    let whats = [FrameType::Hello, FrameType::Alive].into_iter();
+    for what in whats.chain(Kind::ALL.map(FrameType::Message)).chain(Kind::ALL.map(FrameType::Piece)) {
         seal(&mut frame, &key, &[], FrameHead { what, number: 300 }, &[1]);
     }
     let member = |name: &str| Peer {
--- a/crates/fleet/tests/keepers/bounds.rs
+++ b/crates/fleet/tests/keepers/bounds.rs
@@ -1,10 +1,10 @@
 //! Each bound of `check.rs`, one by one: a message that is right is taken, and with one figure out of its bound it is not.
 
-use heronroute_fleet::keepers::check::{Verdict, check};
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::record::Record;
-use heronroute_fleet::keepers::state::State;
-use heronroute_fleet::keepers::tuning::MOST_SYNC;
+use heronroute_fleet::replicas::check::{Verdict, check};
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::record::Record;
+use heronroute_fleet::replicas::state::State;
+use heronroute_fleet::replicas::tuning::MAX_SYNC_BYTES;
 use heronroute_fleet::{Entry, Life, Name, Request, Start, Term};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
@@ -23,7 +23,7 @@
 const HIGH: u32 = 1 << 30;
 
 fn item(n: u64) -> Item {
-    Item::Charge { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
+    Item::Leadership { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
 }
 
 /// Slots 2 to 5 are kept, those before 4 are decided.
@@ -224,7 +224,7 @@
         Item::Asked(Entry { request: Request { from, number }, wall: 0, body: vec![0; 40_000] })
     };
     let mut state = State::new(3);
-    let count = MOST_SYNC / 40_000 + 2;
+    let count = MAX_SYNC_BYTES / 40_000 + 2;
     assert!(state.apply(Record::Put(0, (0..count).map(big).collect())));
     let prepare = |decided_idx| {
         paxos(PaxosMsg::Prepare(Prepare {
--- a/crates/fleet/tests/keepers/cases.rs
+++ b/crates/fleet/tests/keepers/cases.rs
@@ -2,15 +2,15 @@
 
 use crate::world::{MS, SECOND, World, fast};
 use heronroute_fleet::Request;
-use heronroute_fleet::keepers::{Answer, Keepers, Standing, StartError, Tuning};
+use heronroute_fleet::replicas::{Answer, Participation, Replicas, StartError, Tuning};
 
-fn begun(seed: u64, keepers: usize, learners: usize) -> World {
-    let mut w = World::new(seed, keepers, learners, fast());
+fn begun(seed: u64, replicas: usize, learners: usize) -> World {
+    let mut w = World::new(seed, replicas, learners, fast());
     w.settle_down(6 * SECOND);
     w
 }
 
-fn standing(w: &World, i: usize) -> Standing {
+fn standing(w: &World, i: usize) -> Participation {
     w.nodes[i].member.as_ref().unwrap().standing().clone()
 }
 
@@ -20,12 +20,12 @@
 
 #[test]
 fn members_decide_and_learners_follow_with_1_3_and_5_keepers() {
-    for keepers in [1, 3, 5] {
-        let mut w = begun(1, keepers, 2);
-        let asked: Vec<_> = (0..keepers + 2).map(|i| w.ask_new(i, 10)).collect();
+    for replicas in [1, 3, 5] {
+        let mut w = begun(1, replicas, 2);
+        let asked: Vec<_> = (0..replicas + 2).map(|i| w.ask_new(i, 10)).collect();
         w.run(w.now + 500 * MS);
         assert!(w.calm(), "{}", w.tell());
-        assert_eq!(w.history.len(), keepers + 2);
+        assert_eq!(w.history.len(), replicas + 2);
         for request in asked {
             assert!(matches!(answer(&w, &request), Some(Answer::Decided(_))), "{request:?}");
         }
@@ -37,8 +37,8 @@
     let w = World::new(1, 3, 1, fast());
     let two: Vec<_> = w.peers.iter().filter(|p| p.name.as_str() != "m0").cloned().collect();
     let life = w.nodes[3].life();
-    let made = Keepers::<crate::node::Shelf>::new(0, life, "oduya", &two, None, 1, fast());
-    assert!(matches!(made, Err(StartError::Keepers(2))));
+    let made = Replicas::<crate::node::Shelf>::new(0, life, "oduya", &two, None, 1, fast());
+    assert!(matches!(made, Err(StartError::Replicas(2))));
 }
 
 /// A sees B and B sees C, A does not see C: whoever leads, entries go on being decided, and nobody is deposed again and again.
@@ -171,7 +171,7 @@
         w.put_back(x);
         w.start(x);
         w.run(w.now + 300 * MS);
-        assert_ne!(standing(&w, x), Standing::Voting, "seed {seed}");
+        assert_ne!(standing(&w, x), Participation::Voting, "seed {seed}");
         w.settle_down(8 * SECOND);
         assert_eq!(w.history.len(), 5);
     }
@@ -195,7 +195,7 @@
         w.cut_link(leader, x);
         w.cut_link(leader, y);
         w.run(w.now + 8 * SECOND);
-        assert_ne!(standing(&w, x), Standing::Voting, "seed {seed}: {}", w.tell());
+        assert_ne!(standing(&w, x), Participation::Voting, "seed {seed}: {}", w.tell());
         assert_eq!(w.history.len(), 1);
         w.settle_down(8 * SECOND);
     }
@@ -211,7 +211,7 @@
     w.wipe(1);
     w.start(1);
     w.run(w.now + 10 * SECOND);
-    assert_eq!(standing(&w, 1), Standing::Amnesiac);
+    assert_eq!(standing(&w, 1), Participation::Amnesiac);
     assert_eq!(w.nodes[1].applied, w.history, "it learns all the same");
 }
 
@@ -272,7 +272,7 @@
         // Until it is told, and hardly longer.
         for _ in 0..400 {
             w.run(w.now + 5 * MS);
-            if standing(&w, x) == Standing::CatchingUp {
+            if standing(&w, x) == Participation::CatchingUp {
                 break;
             }
         }
--- a/crates/fleet/tests/keepers/copies.rs
+++ b/crates/fleet/tests/keepers/copies.rs
@@ -2,9 +2,9 @@
 
 use crate::node::Shelf;
 use crate::world::{MS, SECOND, World, fast};
-use heronroute_fleet::keepers::log::Log;
-use heronroute_fleet::keepers::record::{Record, read, write};
-use heronroute_fleet::keepers::{Answer, Standing};
+use heronroute_fleet::replicas::log::Log;
+use heronroute_fleet::replicas::record::{Record, read, write};
+use heronroute_fleet::replicas::{Answer, Participation};
 use heronroute_journal::Storage;
 use heronroute_journal::dir::Dir;
 use heronroute_journal::disk::Disk;
@@ -36,7 +36,7 @@
     (w, x, left)
 }
 
-fn standing(w: &World, i: usize) -> Standing {
+fn standing(w: &World, i: usize) -> Participation {
     w.nodes[i].member.as_ref().unwrap().standing().clone()
 }
 
@@ -65,7 +65,7 @@
 fn a_snapshot_put_back_beside_one_that_saw_more_of_it_is_found_out() {
     for seed in 0..3 {
         let (w, x, _) = old_disk_beside_one_other(seed, false, false);
-        assert_eq!(standing(&w, x), Standing::Amnesiac, "seed {seed}: {}", w.tell());
+        assert_eq!(standing(&w, x), Participation::Amnesiac, "seed {seed}: {}", w.tell());
         all_is_there_once_all_are(w);
     }
 }
@@ -75,7 +75,7 @@
 fn a_copy_put_back_does_not_vote_beside_one_that_was_cut_off() {
     for seed in 0..3 {
         let (w, x, _) = old_disk_beside_one_other(seed, true, true);
-        assert_eq!(standing(&w, x), Standing::Starting, "seed {seed}: {}", w.tell());
+        assert_eq!(standing(&w, x), Participation::Starting, "seed {seed}: {}", w.tell());
         all_is_there_once_all_are(w);
     }
 }
@@ -185,8 +185,8 @@
 fn alter(w: &mut World, i: usize) {
     w.kill(i);
     let shelf = w.nodes[i].shelf.clone();
-    let (octets, mut out, mut times) = (shelf.read("agreed").unwrap(), Vec::new(), 0);
-    let mut rest = &octets[..];
+    let (bytes, mut out, mut times) = (shelf.read("agreed").unwrap(), Vec::new(), 0);
+    let mut rest = &bytes[..];
     while let Some((number, payload, after)) = read(rest) {
         let mut payload = payload.to_vec();
         // Bodies of entries, as `World::ask_new` makes them.
@@ -242,7 +242,7 @@
         let mut given_up = false;
         for _ in 0..100 {
             w.run(w.now + 10 * MS);
-            given_up |= standing(&w, x) == Standing::Altered;
+            given_up |= standing(&w, x) == Participation::Altered;
             let says_so = w.nodes[x].applied != w.history && w.nodes[x].voting();
             assert!(!says_so && (given_up || !member(&w)), "seed {seed}: {}", w.tell());
         }
--- a/crates/fleet/tests/keepers/disks.rs
+++ b/crates/fleet/tests/keepers/disks.rs
@@ -2,9 +2,9 @@
 
 use crate::node::Shelf;
 use crate::world::{MS, SECOND, World, fast};
-use heronroute_fleet::keepers::Standing;
-use heronroute_fleet::keepers::log::{Log, LogError};
-use heronroute_fleet::keepers::record::{FORMAT, Record};
+use heronroute_fleet::replicas::Participation;
+use heronroute_fleet::replicas::log::{Log, LogError};
+use heronroute_fleet::replicas::record::{FORMAT, Record};
 use heronroute_journal::Storage;
 use heronroute_journal::disk::{Disk, Faults};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -77,10 +77,10 @@
         })
         .collect();
     let whole = shelf.read("agreed").unwrap();
-    let with = |octets: &[u8]| {
+    let with = |bytes: &[u8]| {
         let mut disk = Disk::default();
         disk.create("agreed").unwrap();
-        disk.append("agreed", octets).unwrap();
+        disk.append("agreed", bytes).unwrap();
         disk
     };
     for cut in ends[2]..whole.len() {
@@ -114,7 +114,7 @@
         w.ask_new(x, 10);
         w.run(w.now + 3 * SECOND);
         let m = w.nodes[x].member.as_ref().unwrap();
-        assert!(matches!(m.standing(), Standing::Halted(_)), "{}", w.tell());
+        assert!(matches!(m.standing(), Participation::Halted(_)), "{}", w.tell());
         let steps = w.nodes[x].shelf.disk().steps;
         w.ask_new((x + 1) % 3, 10);
         w.run(w.now + 2 * SECOND);
@@ -153,21 +153,21 @@
     let shelf = Shelf::default();
     let mut log = Log::open(shelf.clone(), 7, 1, 3).unwrap();
     assert!(promise(&mut log, 1) && promise(&mut log, 2));
-    let mut octets = shelf.read("agreed").unwrap();
-    let magic = octets[..4].to_vec();
-    for at in 0..octets.len() - 4 {
-        if octets[at..at + 4] == magic[..] {
-            octets[at + 3] = b'1';
+    let mut bytes = shelf.read("agreed").unwrap();
+    let magic = bytes[..4].to_vec();
+    for at in 0..bytes.len() - 4 {
+        if bytes[at..at + 4] == magic[..] {
+            bytes[at + 3] = b'1';
         }
     }
-    octets.pop();
+    bytes.pop();
     let mut disk = Disk::default();
     disk.create("agreed").unwrap();
-    disk.append("agreed", &octets).unwrap();
+    disk.append("agreed", &bytes).unwrap();
     let shelf = Shelf::of(disk, 0);
     let told = Log::open(shelf.clone(), 7, 1, 3).err().unwrap();
     assert!(matches!(told, LogError::Format(1)), "{told}");
     let named = format!("has format 1, and this program has format {FORMAT}");
     assert!(told.to_string().contains(&named), "{told}");
-    assert_eq!(shelf.read("agreed").unwrap(), octets);
+    assert_eq!(shelf.read("agreed").unwrap(), bytes);
 }
--- a/crates/fleet/tests/keepers/figures.rs
+++ b/crates/fleet/tests/keepers/figures.rs
@@ -10,9 +10,9 @@
     w.settle_down(6 * SECOND);
     w.ask_new(0, 10);
     w.run(w.now + SECOND);
-    let before = w.octets;
+    let before = w.bytes;
     w.run(w.now + 20 * SECOND);
-    println!("3 keepers, 2 others at rest: {} octets a second, all together", (w.octets - before) / 20);
+    println!("3 keepers, 2 others at rest: {} octets a second, all together", (w.bytes - before) / 20);
     let begun = Instant::now();
     for n in 0..count {
         w.ask_new(n % 3, 1_000);
--- a/crates/fleet/tests/keepers/guards.rs
+++ b/crates/fleet/tests/keepers/guards.rs
@@ -2,25 +2,27 @@
 
 use crate::node::Shelf;
 use crate::world::{MS, SECOND, World, fast};
-use heronroute_fleet::keepers::asks::Asks;
-use heronroute_fleet::keepers::fold::Fold;
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::learn::{Learn, Learnt, serve};
-use heronroute_fleet::keepers::log::{Log, LogError};
-use heronroute_fleet::keepers::record::{HEAD, Mark, Record};
-use heronroute_fleet::keepers::state::State;
-use heronroute_fleet::keepers::store::Shared;
-use heronroute_fleet::keepers::tuning::{MOST_MESSAGE, MOST_PENDING, MOST_SNAPSHOT, MOST_UNDECIDED, PIECE};
-use heronroute_fleet::keepers::wire::{Tip, Told, pack, unpack};
-use heronroute_fleet::keepers::{Answer, Lane, Tuning};
+use heronroute_fleet::replicas::applied_state::AppliedState;
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::learn::{Learn, LearnOutcome, serve};
+use heronroute_fleet::replicas::log::{Log, LogError};
+use heronroute_fleet::replicas::pending_requests::PendingRequests;
+use heronroute_fleet::replicas::record::{HEADER_BYTES, Mark, Record};
+use heronroute_fleet::replicas::state::State;
+use heronroute_fleet::replicas::store::SharedLog;
+use heronroute_fleet::replicas::tuning::{
+    MAX_MESSAGE_BYTES, MAX_PENDING, MAX_SNAPSHOT_BYTES, MAX_UNDECIDED_BYTES, PIECE_BYTES,
+};
+use heronroute_fleet::replicas::wire::{LogMessage, LogStatus, pack, unpack};
+use heronroute_fleet::replicas::{Answer, Lane, Tuning};
 use heronroute_fleet::{Entry, Life, Name, Request, Start, Term};
 use heronroute_journal::Storage as _;
 use heronroute_journal::disk::Faults;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::Storage as _;
 
-fn charge(n: u64) -> Item {
-    Item::Charge { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
+fn leader(n: u64) -> Item {
+    Item::Leadership { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
 }
 
 fn entry(number: u64, size: usize) -> Entry {
@@ -36,7 +38,7 @@
 fn state() -> State {
     let mut state = State::new(3);
     let records = [
-        Record::Put(0, (0..6).map(charge).collect()),
+        Record::Put(0, (0..6).map(leader).collect()),
         Record::Decided(4),
         Record::Trim(2),
         Record::Promise(ballot(9)),
@@ -47,8 +49,8 @@
 
 #[test]
 fn a_state_takes_no_place_that_it_does_not_have() {
-    assert!(!state().apply(Record::Put(1, vec![charge(1)])), "below what is kept");
-    assert!(!state().apply(Record::Put(7, vec![charge(1)])), "a hole");
+    assert!(!state().apply(Record::Put(1, vec![leader(1)])), "below what is kept");
+    assert!(!state().apply(Record::Put(7, vec![leader(1)])), "a hole");
     assert!(!state().apply(Record::Trim(7)));
     assert!(state().range(1, 3).is_empty() && state().range(4, 7).is_empty());
     let mut state = state();
@@ -71,22 +73,22 @@
     assert!(state.follow(Some(ballot(8))).is_empty() && state.follow(None).is_empty());
     assert_eq!(state.follow(Some(ballot(10))), [Record::Promise(ballot(10))]);
     let own = Ballot::with(1, 0, 0, 1);
-    let known = state.learnt(2, vec![charge(2)], None, own);
+    let known = state.learn_records(2, vec![leader(2)], None, own);
     assert_eq!(known, [Record::Decided(4)], "nothing decided is taken back by one that knows less");
-    let other = state.learnt(4, vec![charge(77)], None, own);
+    let other = state.learn_records(4, vec![leader(77)], None, own);
     assert!(other.contains(&Record::Accepted(own)), "no longer the log of the ballot that it was taken in");
-    let mut fold = Fold::default();
-    fold.apply(&charge(5));
-    fold.apply(&charge(3));
-    assert_eq!(fold.charge.map(|(term, _)| term), Some(Term(5)));
+    let mut applied_state = AppliedState::default();
+    applied_state.apply(&leader(5));
+    applied_state.apply(&leader(3));
+    assert_eq!(applied_state.leader.map(|(term, _)| term), Some(Term(5)));
 }
 
 #[test]
 fn agreement_takes_nothing_decided_back_and_promises_nobody() {
     let mut log = Log::open(Shelf::default(), 7, 1, 3).unwrap();
-    log.write(Record::Put(0, (0..6).map(charge).collect()));
+    log.write(Record::Put(0, (0..6).map(leader).collect()));
     log.write(Record::Decided(4));
-    let mut shared = Shared::new(log);
+    let mut shared = SharedLog::new(log);
     shared.set_decided_idx(2).unwrap();
     shared.set_promise(Ballot::default()).unwrap();
     assert_eq!((shared.get_decided_idx().unwrap(), shared.get_promise().unwrap()), (4, None));
@@ -105,10 +107,10 @@
         ends.push(shelf.read("agreed").unwrap().len());
     }
     let whole = shelf.read("agreed").unwrap();
-    let with = |octets: &[u8]| {
+    let with = |bytes: &[u8]| {
         let mut shelf = Shelf::default();
         shelf.create("agreed").unwrap();
-        shelf.append("agreed", octets).unwrap();
+        shelf.append("agreed", bytes).unwrap();
         Log::open(shelf, 7, 1, 3).map(|log| log.state().promise)
     };
     assert!(matches!(with(&whole), Ok(Some(b)) if b.n == 3));
@@ -116,8 +118,8 @@
     // A frame that is whole, and says what can't be.
     let mut frame = Vec::new();
     let payload = postcard::to_stdvec(&Record::Trim(99)).unwrap();
-    heronroute_fleet::keepers::record::write(4, &payload, &mut frame);
-    assert_eq!(frame.len(), HEAD + payload.len());
+    heronroute_fleet::replicas::record::write(4, &payload, &mut frame);
+    assert_eq!(frame.len(), HEADER_BYTES + payload.len());
     assert!(matches!(with(&[&whole[..], &frame].concat()), Err(LogError::Broken(_))));
     // The disk is well again; what it holds is not known any more.
     let steps = shelf.disk().steps;
@@ -127,41 +129,41 @@
     shelf.disk.lock().unwrap().faults = Faults::default();
     let steps = shelf.disk().steps;
     log.write(Record::Promise(ballot(5)));
-    assert!(!log.waits() && !log.commit());
+    assert!(!log.has_pending() && !log.commit());
     assert_eq!((shelf.disk().steps, log.state().promise.map(|b| b.n)), (steps, Some(4)));
     shelf.sync("agreed").unwrap();
 }
 
-fn tip(decided: u64, majority: bool, echo: i64) -> Tip {
-    Tip { decided, majority, adrift: false, ballot: None, echo }
+fn tip(decided: u64, majority: bool, echo: i64) -> LogStatus {
+    LogStatus { decided, majority, bypassed: false, ballot: None, echo }
 }
 
-fn part(slot: u64, total: u64, at: u64, octets: &[u8]) -> Told {
-    Told::Part { slot, total, at, octets: octets.to_vec(), tip: tip(9, true, 0) }
+fn part(slot: u64, total: u64, at: u64, bytes: &[u8]) -> LogMessage {
+    LogMessage::Part { slot, total, at, bytes: bytes.to_vec(), tip: tip(9, true, 0) }
 }
 
 #[test]
 fn what_is_learnt_comes_in_order_bounded_and_newest_word_first() {
     let mut learn = Learn::new(3, 0);
-    let none = |echo, majority| Told::Items { from: 9, items: vec![], tip: tip(9, majority, echo) };
+    let none = |echo, majority| LogMessage::Items { from: 9, items: vec![], tip: tip(9, majority, echo) };
     learn.hear(10, 2, 9, none(100, true));
     assert_eq!(learn.with_majority(10, 50), None, "it answers what was not asked yet");
     learn.hear(10, 2, 9, none(5, true));
     learn.hear(10, 2, 9, none(3, false));
     assert_eq!(learn.with_majority(10, 50), Some(2), "an older word came late");
-    let items = Told::Items { from: 8, items: vec![charge(1)], tip: tip(9, true, 5) };
-    assert_eq!(learn.hear(10, 2, 7, items), Learnt::Nothing, "another place than was asked for");
-    let big = MOST_SNAPSHOT as u64 * 2 + 1;
+    let items = LogMessage::Items { from: 8, items: vec![leader(1)], tip: tip(9, true, 5) };
+    assert_eq!(learn.hear(10, 2, 7, items), LearnOutcome::Nothing, "another place than was asked for");
+    let big = MAX_SNAPSHOT_BYTES as u64 * 2 + 1;
     for wrong in [part(7, 1, 0, b"x"), part(9, big, 0, b"x"), part(9, 0, 0, b"")] {
-        assert_eq!(learn.hear(10, 2, 7, wrong), Learnt::Nothing);
+        assert_eq!(learn.hear(10, 2, 7, wrong), LearnOutcome::Nothing);
     }
     let mut learn = Learn::new(3, 0);
-    assert_eq!(learn.hear(10, 2, 7, part(9, 4, 0, b"ab")), Learnt::Nothing);
-    assert_eq!(learn.hear(10, 2, 7, part(9, 4, 0, b"ab")), Learnt::Nothing, "the same part again");
-    assert_eq!(learn.hear(10, 2, 7, part(9, 4, 2, b"cd")), Learnt::Snapshot(9, b"abcd".to_vec()));
+    assert_eq!(learn.hear(10, 2, 7, part(9, 4, 0, b"ab")), LearnOutcome::Nothing);
+    assert_eq!(learn.hear(10, 2, 7, part(9, 4, 0, b"ab")), LearnOutcome::Nothing, "the same part again");
+    assert_eq!(learn.hear(10, 2, 7, part(9, 4, 2, b"cd")), LearnOutcome::Snapshot(9, b"abcd".to_vec()));
     learn.hear(10, 2, 7, part(9, 4, 0, b"ab"));
     learn.hear(10, 2, 7, part(10, 4, 0, b"ef"));
-    assert_eq!(learn.hear(10, 2, 7, part(10, 4, 2, b"gh")), Learnt::Snapshot(10, b"efgh".to_vec()));
+    assert_eq!(learn.hear(10, 2, 7, part(10, 4, 2, b"gh")), LearnOutcome::Snapshot(10, b"efgh".to_vec()));
 }
 
 #[test]
@@ -172,38 +174,38 @@
     for record in [Record::Put(0, items), Record::Decided(6), base] {
         assert!(state.apply(record));
     }
-    let Told::Items { items, .. } = serve(&state, 0, None, tip(6, true, 0)) else { panic!() };
-    assert!(!items.is_empty() && items.iter().map(Item::octets).sum::<u64>() <= PIECE as u64);
+    let LogMessage::Items { items, .. } = serve(&state, 0, None, tip(6, true, 0)) else { panic!() };
+    assert!(!items.is_empty() && items.iter().map(Item::bytes).sum::<u64>() <= PIECE_BYTES as u64);
     assert!(state.apply(Record::Trim(2)));
     for (asked, at) in [(None, 0), (Some((2, 4)), 4), (Some((1, 4)), 0), (Some((2, 10)), 0)] {
-        let Told::Part { at: served, octets, .. } = serve(&state, 0, asked, tip(6, true, 0)) else {
+        let LogMessage::Part { at: served, bytes, .. } = serve(&state, 0, asked, tip(6, true, 0)) else {
             panic!()
         };
-        assert_eq!((served, octets.len() as u64), (at, 10 - at), "{asked:?}");
+        assert_eq!((served, bytes.len() as u64), (at, 10 - at), "{asked:?}");
     }
 }
 
 #[test]
 fn too_many_too_long_and_more_than_a_message() {
-    let mut asks = Asks::default();
-    assert!((0..MOST_PENDING as u64).all(|n| asks.take(entry(n, 1), 9)));
-    assert!(!asks.take(entry(99, 1), 9) && asks.take(entry(0, 1), 9));
-    let refuse = Told::Refuse { request: entry(1, 0).request, busy: true };
-    let mut octets = pack(&refuse).unwrap();
-    assert_eq!(unpack::<Told>(&octets), Some(refuse));
-    octets.push(0);
-    assert_eq!(unpack::<Told>(&octets), None, "something behind it");
-    let long = part(9, 1, 0, &vec![0; MOST_MESSAGE]);
-    assert!(pack(&long).is_none() && unpack::<Told>(&postcard::to_stdvec(&long).unwrap()).is_none());
+    let mut pending_requests = PendingRequests::default();
+    assert!((0..MAX_PENDING as u64).all(|n| pending_requests.take(entry(n, 1), 9)));
+    assert!(!pending_requests.take(entry(99, 1), 9) && pending_requests.take(entry(0, 1), 9));
+    let refuse = LogMessage::Refuse { request: entry(1, 0).request, busy: true };
+    let mut bytes = pack(&refuse).unwrap();
+    assert_eq!(unpack::<LogMessage>(&bytes), Some(refuse));
+    bytes.push(0);
+    assert_eq!(unpack::<LogMessage>(&bytes), None, "something behind it");
+    let long = part(9, 1, 0, &vec![0; MAX_MESSAGE_BYTES]);
+    assert!(pack(&long).is_none() && unpack::<LogMessage>(&postcard::to_stdvec(&long).unwrap()).is_none());
 }
 
-fn begun(seed: u64, keepers: usize, tuning: Tuning) -> World {
-    let mut w = World::new(seed, keepers, 1, tuning);
+fn begun(seed: u64, replicas: usize, tuning: Tuning) -> World {
+    let mut w = World::new(seed, replicas, 1, tuning);
     w.settle_down(6 * SECOND);
     w
 }
 
-fn octets(w: &World, i: usize) -> u64 {
+fn bytes(w: &World, i: usize) -> u64 {
     w.nodes[i].member.as_ref().unwrap().sizes().0
 }
 
@@ -212,15 +214,15 @@
     let mut w = begun(30, 3, fast());
     let leader = w.in_charge().unwrap();
     (0..4).for_each(|i| w.cut_link(leader, i));
-    let before = octets(&w, leader);
+    let before = bytes(&w, leader);
     w.ask_new(leader, 1_000);
     w.run(w.now + 600 * MS);
-    let one = octets(&w, leader) - before;
+    let one = bytes(&w, leader) - before;
     assert!((1_000..2_000).contains(&one), "it was sent on twice more, and stands once: {one}");
     let mut w = begun(31, 3, fast());
     let leader = w.in_charge().unwrap();
     (0..4).for_each(|i| w.cut_link(leader, i));
-    let count = MOST_UNDECIDED as usize / 40_000 + 3;
+    let count = MAX_UNDECIDED_BYTES as usize / 40_000 + 3;
     let asked: Vec<_> = (0..count).map(|_| w.ask_new(leader, 40_000)).collect();
     let busy = asked.iter().filter(|r| w.answers.get(r) == Some(&Answer::Busy)).count();
     assert!((1..=3).contains(&busy), "{busy} of {count}");
@@ -236,10 +238,10 @@
     let digest = w.digest();
     let ask = |w: &mut World, i: usize, from: &Name, digest: u32, entry: Entry, hops: u8| {
         let clock = w.nodes[i].clock(w.now);
-        let octets = postcard::to_stdvec(&(digest, Told::Ask { entry, hops })).unwrap();
+        let bytes = postcard::to_stdvec(&(digest, LogMessage::Ask { entry, hops })).unwrap();
         let m = w.nodes[i].member.as_mut().unwrap();
         let before = m.counts();
-        m.handle(clock, from, Lane::Log, &octets);
+        m.handle(clock, from, Lane::Log, &bytes);
         let after = m.counts();
         w.settle(i);
         w.run(w.now + 300 * MS);
@@ -255,9 +257,9 @@
     );
     assert_eq!(ask(&mut w, follower, &learner, digest, entry(1, 5), 2), (0, 0, 0), "sent on often enough");
     assert_eq!(ask(&mut w, follower, &learner, digest, entry(1, 5), 1), (0, 0, 1));
-    let before = octets(&w, leader);
+    let before = bytes(&w, leader);
     assert_eq!(ask(&mut w, leader, &learner, digest, entry(1, 5), 0), (0, 0, 1));
-    assert_eq!(octets(&w, leader), before, "decided before: it does not go into the log again");
+    assert_eq!(bytes(&w, leader), before, "decided before: it does not go into the log again");
 }
 
 /// One that only learns is no part of a majority, however well it is heard.
--- a/crates/fleet/tests/keepers/heads.rs
+++ b/crates/fleet/tests/keepers/heads.rs
@@ -4,12 +4,12 @@
 use crate::liars::Stage;
 use crate::node::Shelf;
 use crate::world::{MS, fast};
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::log::Log;
-use heronroute_fleet::keepers::record::Mark;
-use heronroute_fleet::keepers::state::State;
-use heronroute_fleet::keepers::wire::{Head, Said, Spot, Tip, Told};
-use heronroute_fleet::keepers::{Counts, Lane, Standing, Tuning};
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::log::Log;
+use heronroute_fleet::replicas::record::Mark;
+use heronroute_fleet::replicas::state::State;
+use heronroute_fleet::replicas::wire::{Head, LogMessage, LogPosition, LogStatus, ReplicaMessage};
+use heronroute_fleet::replicas::{Counts, Lane, Participation, Tuning};
 use heronroute_fleet::{Life, Name, Start, Term};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
@@ -19,14 +19,14 @@
 pub fn stage() -> Stage {
     let mut stage = Stage::new(3);
     stage.hears();
-    (2..4).for_each(|pid| stage.says(pid, Said::Hello(Spot::default())));
+    (2..4).for_each(|pid| stage.says(pid, ReplicaMessage::Hello(LogPosition::default())));
     stage.hears();
-    assert_eq!(*stage.m.standing(), Standing::Voting);
+    assert_eq!(*stage.m.standing(), Participation::Voting);
     stage
 }
 
 /// What was counted for a message with this head.
-fn counted(stage: &mut Stage, said: Said, alter: impl FnOnce(&mut Head)) -> Counts {
+fn counted(stage: &mut Stage, said: ReplicaMessage, alter: impl FnOnce(&mut Head)) -> Counts {
     let before = stage.m.counts();
     stage.says_as(2, said, alter);
     let after = stage.m.counts();
@@ -42,7 +42,7 @@
 }
 
 fn hellos(stage: &mut Stage) -> usize {
-    stage.hears().iter().filter(|(to, _, said)| *to == 2 && matches!(said, Said::Hello(_))).count()
+    stage.hears().iter().filter(|(to, _, said)| *to == 2 && matches!(said, ReplicaMessage::Hello(_))).count()
 }
 
 #[test]
@@ -50,44 +50,54 @@
     let mut s = stage();
     let foreign = Counts { foreign: 1, ..Counts::default() };
     let refused = Counts { refused: 1, ..Counts::default() };
-    assert_eq!(counted(&mut s, Said::Hello(Spot::default()), |h| h.group ^= 1), foreign);
-    assert_eq!(counted(&mut s, Said::Hello(Spot::default()), |h| h.seen.truncate(2)), foreign);
-    assert_eq!(counted(&mut s, Said::Hello(Spot::default()), |h| h.epochs.truncate(2)), foreign);
-    assert_eq!(counted(&mut s, Said::Hello(Spot::default()), |h| h.nonce = 0), refused);
-    assert_eq!(counted(&mut s, Said::Hello(Spot::default()), |h| h.sent = -1), refused);
+    assert_eq!(counted(&mut s, ReplicaMessage::Hello(LogPosition::default()), |h| h.group ^= 1), foreign);
+    assert_eq!(
+        counted(&mut s, ReplicaMessage::Hello(LogPosition::default()), |h| h.seen.truncate(2)),
+        foreign
+    );
+    assert_eq!(
+        counted(&mut s, ReplicaMessage::Hello(LogPosition::default()), |h| h.epochs.truncate(2)),
+        foreign
+    );
+    assert_eq!(counted(&mut s, ReplicaMessage::Hello(LogPosition::default()), |h| h.nonce = 0), refused);
+    assert_eq!(counted(&mut s, ReplicaMessage::Hello(LogPosition::default()), |h| h.sent = -1), refused);
     let before = s.m.counts().refused;
-    s.says(1, Said::Hello(Spot::default()));
+    s.says(1, ReplicaMessage::Hello(LogPosition::default()));
     assert_eq!(s.m.counts().refused, before + 1, "in its own name");
     assert_eq!(
-        counted(&mut s, Said::Hello(Spot::default()), |_| {}),
+        counted(&mut s, ReplicaMessage::Hello(LogPosition::default()), |_| {}),
         Counts { gaps: 1, ..Counts::default() },
         "numbers went on"
     );
-    assert_eq!(counted(&mut s, Said::Hello(Spot::default()), |_| {}), Counts::default());
+    assert_eq!(counted(&mut s, ReplicaMessage::Hello(LogPosition::default()), |_| {}), Counts::default());
 }
 
 /// What was said twice has its effect once; what is missing is asked for; a new life is told where this one stands.
 #[test]
 fn once_in_order_and_from_the_life_that_lives() {
     let mut s = stage();
-    s.says(2, Said::Gap);
+    s.says(2, ReplicaMessage::Gap);
     assert_eq!(hellos(&mut s), 1, "a link that is begun again");
-    assert_eq!(counted(&mut s, Said::Gap, |h| h.number -= 1), Counts { late: 1, ..Counts::default() });
+    assert_eq!(
+        counted(&mut s, ReplicaMessage::Gap, |h| h.number -= 1),
+        Counts { late: 1, ..Counts::default() }
+    );
     assert_eq!(hellos(&mut s), 0, "it was heard before");
     s.numbers[1] += 5;
-    s.says(2, Said::Hello(Spot::default()));
+    s.says(2, ReplicaMessage::Hello(LogPosition::default()));
     let said = s.hears();
-    assert!(said.iter().any(|(to, _, said)| *to == 2 && matches!(said, Said::Gap)), "{said:?}");
-    let begun = |(to, _, said): &(u64, Head, Said)| *to == 2 && matches!(said, Said::Hello(_));
+    assert!(said.iter().any(|(to, _, said)| *to == 2 && matches!(said, ReplicaMessage::Gap)), "{said:?}");
+    let begun =
+        |(to, _, said): &(u64, Head, ReplicaMessage)| *to == 2 && matches!(said, ReplicaMessage::Hello(_));
     assert!(said.iter().any(begun), "what is missing may have been what this one waits for: {said:?}");
     let life = |h: &mut Head| (h.nonce, h.start) = (9, Start(2));
-    s.says_as(2, Said::Hello(Spot::default()), life);
+    s.says_as(2, ReplicaMessage::Hello(LogPosition::default()), life);
     assert_eq!(hellos(&mut s), 1, "a new life");
     // Its disk knows less than was heard from it: only that is said.
     let stale = |h: &mut Head| (h.nonce, h.start, h.opened) = (10, Start(3), Mark { epoch: 0, writes: 4 });
-    assert_eq!(counted(&mut s, Said::Behind(100), stale), Counts { stale: 1, ..Counts::default() });
+    assert_eq!(counted(&mut s, ReplicaMessage::Behind(100), stale), Counts { stale: 1, ..Counts::default() });
     assert_eq!(hellos(&mut s), 1);
-    assert_eq!(*s.m.standing(), Standing::Voting, "what it says beside does not count");
+    assert_eq!(*s.m.standing(), Participation::Voting, "what it says beside does not count");
 }
 
 /// A message of agreement or of the lease is for one life, by one that votes.
@@ -98,14 +108,14 @@
     let refused = Counts { refused: 1, ..Counts::default() };
     let paxos = |n| {
         let msg = PaxosMsg::PrepareReq(PrepareReq { n });
-        Said::Paxos(Message::SequencePaxos(PaxosMessage { from: 2, to: 1, msg }))
+        ReplicaMessage::Paxos(Message::SequencePaxos(PaxosMessage { from: 2, to: 1, msg }))
     };
     let all = || {
-        let admit = Said::Admit { nonce: 7, slot: 0, ballot: n };
+        let admit = ReplicaMessage::Admit { nonce: 7, slot: 0, ballot: n };
         [
             paxos(n),
-            Said::Renew { term: Term(1), sent: 0, held: true },
-            Said::Grant { term: Term(1), sent: 0 },
+            ReplicaMessage::Renew { term: Term(1), sent: 0, held: true },
+            ReplicaMessage::Grant { term: Term(1), sent: 0 },
             admit,
         ]
     };
@@ -117,11 +127,12 @@
     }
     assert_eq!(counted(&mut s, paxos(n), |_| {}), Counts::default());
     let other = s.m.nonce() ^ 2;
-    assert_eq!(counted(&mut s, Said::Admit { nonce: other, slot: 0, ballot: n }, |_| {}), refused);
+    assert_eq!(counted(&mut s, ReplicaMessage::Admit { nonce: other, slot: 0, ballot: n }, |_| {}), refused);
     // Asked to stay in charge by one that it does not follow, it grants nothing, also once it grants at all.
     for _ in 0..40 {
-        s.says(2, Said::Renew { term: Term(1 << 8 | 2), sent: s.now, held: true });
-        let granted = |(_, _, said): &(u64, Head, Said)| matches!(said, Said::Grant { .. });
+        s.says(2, ReplicaMessage::Renew { term: Term(1 << 8 | 2), sent: s.now, held: true });
+        let granted =
+            |(_, _, said): &(u64, Head, ReplicaMessage)| matches!(said, ReplicaMessage::Grant { .. });
         assert!(!s.hears().iter().any(granted));
     }
 }
@@ -129,12 +140,12 @@
 #[test]
 fn one_that_lacks_nothing_goes_on_agreeing_whoever_says_otherwise() {
     let mut s = stage();
-    s.says(2, Said::Behind(0));
+    s.says(2, ReplicaMessage::Behind(0));
     s.hears();
-    assert_eq!(*s.m.standing(), Standing::Voting);
-    s.says(2, Said::Behind(1));
+    assert_eq!(*s.m.standing(), Participation::Voting);
+    s.says(2, ReplicaMessage::Behind(1));
     s.hears();
-    assert_eq!(*s.m.standing(), Standing::CatchingUp);
+    assert_eq!(*s.m.standing(), Participation::CatchingUp);
 }
 
 const LED: Ballot = Ballot { config_id: 1, n: 5, priority: 0, pid: 2 };
@@ -145,24 +156,24 @@
 }
 
 fn charge(n: u64) -> Item {
-    Item::Charge { term: Term(n), life: Life { name: Name::new("m1").unwrap(), start: Start(1) } }
+    Item::Leadership { term: Term(n), life: Life { name: Name::new("m1").unwrap(), start: Start(1) } }
 }
 
 /// Keeper 1 with an empty disk, where the others have seen it vote before. `readmit`: what the decided log, learnt from keeper 2,
 /// says in its second slot.
 fn emptied(readmit: impl FnOnce(u64) -> Item) -> Stage {
-    let mut s = Stage::on(Shelf::default(), 3, Tuning { hear_all: 100 * MS, ..fast() });
+    let mut s = Stage::on(Shelf::default(), 3, Tuning { startup_wait: 100 * MS, ..fast() });
     s.mark = Mark { epoch: 0, writes: 9 };
     s.hears();
     s.hears();
-    (2..4).for_each(|pid| s.says(pid, Said::Hello(Spot::default())));
+    (2..4).for_each(|pid| s.says(pid, ReplicaMessage::Hello(LogPosition::default())));
     (0..4).for_each(|_| _ = s.hears());
-    assert_eq!(*s.m.standing(), Standing::Amnesiac);
+    assert_eq!(*s.m.standing(), Participation::Amnesiac);
     let items = vec![charge(1), readmit(s.m.nonce()), charge(2)];
-    let tip = Tip { decided: 3, majority: true, adrift: false, ballot: None, echo: 0 };
-    let octets = postcard::to_stdvec(&(s.group, Told::Items { from: 0, items, tip })).unwrap();
+    let tip = LogStatus { decided: 3, majority: true, bypassed: false, ballot: None, echo: 0 };
+    let bytes = postcard::to_stdvec(&(s.group, LogMessage::Items { from: 0, items, tip })).unwrap();
     let name = s.peers[1].name.clone();
-    s.m.handle(s.now, &name, Lane::Log, &octets);
+    s.m.handle(s.now, &name, Lane::Log, &bytes);
     s.hears();
     assert_eq!(on_disk(&s).decided, 3);
     s
@@ -170,7 +181,7 @@
 
 fn admit(s: &mut Stage, slot: u64, ballot: Ballot) -> bool {
     let nonce = s.m.nonce();
-    s.says(2, Said::Admit { nonce, slot, ballot });
+    s.says(2, ReplicaMessage::Admit { nonce, slot, ballot });
     (0..3).for_each(|_| _ = s.hears());
     on_disk(s).voting
 }
@@ -201,7 +212,7 @@
     let mut s = emptied(|nonce| Item::Readmit { pid: 1, nonce });
     assert!(admit(&mut s, 1, LED));
     s.mark = Mark { epoch: 2, writes: 1000 };
-    s.says(3, Said::Hello(Spot::default()));
+    s.says(3, ReplicaMessage::Hello(LogPosition::default()));
     for _ in 0..10 {
         s.hears();
         assert!(!on_disk(&s).voting);
@@ -230,11 +241,11 @@
 #[test]
 fn an_empty_keeper_begins_only_where_all_say_that_they_never_saw_it() {
     for (seen, heard, votes) in [(false, 2, true), (true, 2, false), (false, 1, false)] {
-        let mut s = Stage::on(Shelf::default(), 3, Tuning { hear_all: 100 * MS, ..fast() });
+        let mut s = Stage::on(Shelf::default(), 3, Tuning { startup_wait: 100 * MS, ..fast() });
         s.mark = if seen { Mark { epoch: 0, writes: 1 } } else { Mark::default() };
         s.hears();
         s.hears();
-        (2..2 + heard).for_each(|pid| s.says(pid, Said::Hello(Spot::default())));
+        (2..2 + heard).for_each(|pid| s.says(pid, ReplicaMessage::Hello(LogPosition::default())));
         (0..6).for_each(|_| _ = s.hears());
         assert_eq!(on_disk(&s).voting, votes, "seen {seen}, {heard} heard");
     }
@@ -244,9 +255,13 @@
 #[test]
 fn marks_of_others_are_kept_and_told_on() {
     let mut s = stage();
-    s.says_as(2, Said::Hello(Spot::default()), |h| h.seen[2].mark = Mark { epoch: 0, writes: 50 });
-    s.says(3, Said::Hello(Spot::default()));
-    s.says_as(2, Said::Hello(Spot::default()), |h| h.seen[2].mark = Mark { epoch: 0, writes: 40 });
+    s.says_as(2, ReplicaMessage::Hello(LogPosition::default()), |h| {
+        h.seen[2].mark = Mark { epoch: 0, writes: 50 }
+    });
+    s.says(3, ReplicaMessage::Hello(LogPosition::default()));
+    s.says_as(2, ReplicaMessage::Hello(LogPosition::default()), |h| {
+        h.seen[2].mark = Mark { epoch: 0, writes: 40 }
+    });
     s.paxos(
         2,
         PaxosMsg::Prepare(Prepare { n: LED, decided_idx: 0, n_accepted: Ballot::default(), accepted_idx: 0 }),
@@ -264,10 +279,10 @@
     let mut s = stage();
     let shelf = s.shelf.clone();
     let mark = on_disk(&s).mark();
-    s = Stage::on(shelf, 3, Tuning { hear_all: 100 * MS, ..fast() });
+    s = Stage::on(shelf, 3, Tuning { startup_wait: 100 * MS, ..fast() });
     s.mark = Mark { writes: mark.writes + 1, ..mark };
     s.hears();
-    s.says(2, Said::Hello(Spot::default()));
+    s.says(2, ReplicaMessage::Hello(LogPosition::default()));
     s.hears();
     assert!(!on_disk(&s).voting);
     let log = Log::open(s.shelf.clone(), s.group, 1, 3).unwrap();
@@ -286,7 +301,7 @@
     );
     let said = s.hears();
     assert!(said.is_empty(), "{said:?}");
-    assert!(matches!(s.m.standing(), Standing::Halted(_)));
+    assert!(matches!(s.m.standing(), Participation::Halted(_)));
 }
 
 /// Told of a ballot that nobody can lead in, a keeper that learns does not follow it: it would follow nobody any more.
@@ -300,11 +315,13 @@
     ];
     for (ballot, followed) in wrong.into_iter().map(|b| (b, false)).chain([(LED, true)]) {
         let mut s = emptied(|_| charge(9));
-        let tip = Tip { decided: 4, majority: true, adrift: false, ballot: Some(ballot), echo: s.now };
-        let octets =
-            postcard::to_stdvec(&(s.group, Told::Items { from: 3, items: vec![charge(3)], tip })).unwrap();
+        let tip =
+            LogStatus { decided: 4, majority: true, bypassed: false, ballot: Some(ballot), echo: s.now };
+        let bytes =
+            postcard::to_stdvec(&(s.group, LogMessage::Items { from: 3, items: vec![charge(3)], tip }))
+                .unwrap();
         let name = s.peers[1].name.clone();
-        s.m.handle(s.now, &name, Lane::Log, &octets);
+        s.m.handle(s.now, &name, Lane::Log, &bytes);
         s.hears();
         assert_eq!((on_disk(&s).decided, on_disk(&s).promise.is_some()), (4, followed), "{ballot:?}");
     }
@@ -314,11 +331,11 @@
 #[test]
 fn a_keeper_that_starts_waits_for_word_of_its_disk() {
     let used = stage().shelf;
-    let mut s = Stage::on(used, 3, Tuning { hear_all: 1000 * MS, ..fast() });
+    let mut s = Stage::on(used, 3, Tuning { startup_wait: 1000 * MS, ..fast() });
     for _ in 0..15 {
         s.hears();
-        assert_eq!(*s.m.standing(), Standing::Starting);
+        assert_eq!(*s.m.standing(), Participation::Starting);
     }
     (0..10).for_each(|_| _ = s.hears());
-    assert_eq!(*s.m.standing(), Standing::Voting, "nobody said anything");
+    assert_eq!(*s.m.standing(), Participation::Voting, "nobody said anything");
 }
--- a/crates/fleet/tests/keepers/hostile.rs
+++ b/crates/fleet/tests/keepers/hostile.rs
@@ -1,8 +1,8 @@
 //! Octets that no correct member sends: nothing panics, everything is counted or answered, nothing grows.
 
 use crate::world::{MS, SECOND, World, fast};
-use heronroute_fleet::keepers::wire::{Head, Said, unpack};
-use heronroute_fleet::keepers::{Keepers, Lane};
+use heronroute_fleet::replicas::wire::{Head, ReplicaMessage, unpack};
+use heronroute_fleet::replicas::{Lane, Replicas};
 use heronroute_fleet::{Life, Start};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -32,12 +32,14 @@
         let disk = crate::node::Shelf::default();
         *disk.disk.lock().unwrap() = n.shelf.disk();
         let mut clock = n.clock(w.now);
-        let mut m = Keepers::new(clock, life, "oduya", &w.peers, Some(disk), n.last_seed, fast()).unwrap();
+        let mut m = Replicas::new(clock, life, "oduya", &w.peers, Some(disk), n.last_seed, fast()).unwrap();
         let to_it: Vec<_> = said.iter().filter(|(i, ..)| *i == to).collect();
         for number in 1..1_200 {
             let (_, from, lane, octets) = to_it[rng.random_range(0..to_it.len())];
             let mut octets = octets.clone();
-            if let (Lane::Agreement, Some((mut head, said))) = (lane, unpack::<(Head, Said)>(&octets)) {
+            if let (Lane::Agreement, Some((mut head, said))) =
+                (lane, unpack::<(Head, ReplicaMessage)>(&octets))
+            {
                 // In order, from a life that is known, of a keeper that votes: so that what is altered is looked at.
                 head = Head { number, nonce: 1 + *from as u64, to: m.nonce(), voting: true, ..head };
                 head.start = Start(u64::MAX);
@@ -79,8 +81,8 @@
 fn any_octets_are_dropped_and_counted() {
     let w = World::new(21, 1, 1, fast());
     let mut rng = SmallRng::seed_from_u64(2);
-    let mut m =
-        Keepers::<crate::node::Shelf>::new(0, w.nodes[1].life(), "oduya", &w.peers, None, 1, fast()).unwrap();
+    let mut m = Replicas::<crate::node::Shelf>::new(0, w.nodes[1].life(), "oduya", &w.peers, None, 1, fast())
+        .unwrap();
     for round in 1..3_000 {
         let mut octets = vec![0; rng.random_range(0..100)];
         rng.fill(&mut octets[..]);
--- a/crates/fleet/tests/keepers/liars.rs
+++ b/crates/fleet/tests/keepers/liars.rs
@@ -2,10 +2,10 @@
 
 use crate::node::Shelf;
 use crate::world::{MS, fast};
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::record::{Mark, Seen};
-use heronroute_fleet::keepers::wire::{Head, Said, Spot, unpack};
-use heronroute_fleet::keepers::{Keepers, Lane, Output, Tuning};
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::record::{Mark, Seen};
+use heronroute_fleet::replicas::wire::{Head, LogPosition, ReplicaMessage, unpack};
+use heronroute_fleet::replicas::{Lane, Output, Replicas, Tuning};
 use heronroute_fleet::{Life, Micros, Name, Peer, Start, Term};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
@@ -17,7 +17,7 @@
 
 /// The keeper `m0`, number 1, and what it takes the others to be.
 pub struct Stage {
-    pub m: Keepers<Shelf>,
+    pub m: Replicas<Shelf>,
     pub shelf: Shelf,
     pub peers: Vec<Peer>,
     pub now: Micros,
@@ -30,7 +30,7 @@
 
 impl Stage {
     pub fn new(count: usize) -> Self {
-        Stage::on(Shelf::default(), count, Tuning { found: true, hear_all: 0, ..fast() })
+        Stage::on(Shelf::default(), count, Tuning { found: true, startup_wait: 0, ..fast() })
     }
 
     pub fn on(shelf: Shelf, count: usize, tuning: Tuning) -> Self {
@@ -42,20 +42,20 @@
         };
         let peers: Vec<Peer> = (0..count).map(peer).collect();
         let life = Life { name: peers[0].name.clone(), start: Start(1) };
-        let m = Keepers::new(0, life, "oduya", &peers, Some(shelf.clone()), 1, tuning).unwrap();
+        let m = Replicas::new(0, life, "oduya", &peers, Some(shelf.clone()), 1, tuning).unwrap();
         let (numbers, epochs, mark) = (vec![0; count], vec![0; count], Mark::default());
         Stage { m, shelf, peers, now: 0, numbers, group: 0, epochs, mark }
     }
 
     /// What it has said since, after a tick.
-    pub fn hears(&mut self) -> Vec<(u64, Head, Said)> {
+    pub fn hears(&mut self) -> Vec<(u64, Head, ReplicaMessage)> {
         self.now += 50 * MS;
         self.m.tick(self.now);
         self.m.flush(self.now);
         let mut all = Vec::new();
         while let Some(output) = self.m.poll() {
-            if let Output::Send { to, lane: Lane::Agreement, octets } = output {
-                let (head, said) = unpack::<(Head, Said)>(&octets).unwrap();
+            if let Output::Send { to, lane: Lane::Agreement, bytes } = output {
+                let (head, said) = unpack::<(Head, ReplicaMessage)>(&bytes).unwrap();
                 self.group = head.group;
                 let to = self.peers.iter().position(|p| p.name == to).unwrap() as u64 + 1;
                 all.push((to, head, said));
@@ -64,12 +64,12 @@
         all
     }
 
-    pub fn says(&mut self, from: u64, said: Said) {
+    pub fn says(&mut self, from: u64, said: ReplicaMessage) {
         self.says_as(from, said, |_| {});
     }
 
     /// With another head than a correct one.
-    pub fn says_as(&mut self, from: u64, said: Said, alter: impl FnOnce(&mut Head)) {
+    pub fn says_as(&mut self, from: u64, said: ReplicaMessage, alter: impl FnOnce(&mut Head)) {
         let at = from as usize - 1;
         self.numbers[at] += 1;
         let mark = Mark { epoch: 0, writes: 5 };
@@ -90,18 +90,18 @@
             echo: self.now,
         };
         alter(&mut head);
-        let octets = postcard::to_stdvec(&(head, said)).unwrap();
+        let bytes = postcard::to_stdvec(&(head, said)).unwrap();
         let name = self.peers[at].name.clone();
-        self.m.handle(self.now, &name, Lane::Agreement, &octets);
+        self.m.handle(self.now, &name, Lane::Agreement, &bytes);
     }
 
     pub fn paxos(&mut self, from: u64, msg: PaxosMsg<Item>) {
-        self.says(from, Said::Paxos(Message::SequencePaxos(PaxosMessage { from, to: 1, msg })));
+        self.says(from, ReplicaMessage::Paxos(Message::SequencePaxos(PaxosMessage { from, to: 1, msg })));
     }
 
     pub fn heartbeat(&mut self, from: u64, round: u32, ballot: Ballot, leader: Ballot, happy: bool) {
         let msg = HeartbeatMsg::Reply(HeartbeatReply { round, ballot, leader, happy });
-        self.says(from, Said::Paxos(Message::BLE(BLEMessage { from, to: 1, msg })));
+        self.says(from, ReplicaMessage::Paxos(Message::BLE(BLEMessage { from, to: 1, msg })));
     }
 
     /// Until it is a candidate: the others answer its heartbeats and know no leader. Its ballot.
@@ -109,13 +109,16 @@
         for _ in 0..200 {
             for (to, _, said) in self.hears() {
                 match said {
-                    Said::Hello(_) => self.says(to, Said::Hello(Spot::default())),
-                    Said::Paxos(Message::BLE(BLEMessage { msg: HeartbeatMsg::Request(r), .. })) => {
+                    ReplicaMessage::Hello(_) => self.says(to, ReplicaMessage::Hello(LogPosition::default())),
+                    ReplicaMessage::Paxos(Message::BLE(BLEMessage {
+                        msg: HeartbeatMsg::Request(r), ..
+                    })) => {
                         let ballot = Ballot::with(1, 0, 0, to);
                         self.heartbeat(to, r.round, ballot, ballot, false);
                     }
-                    Said::Paxos(Message::SequencePaxos(PaxosMessage {
-                        msg: PaxosMsg::Prepare(p), ..
+                    ReplicaMessage::Paxos(Message::SequencePaxos(PaxosMessage {
+                        msg: PaxosMsg::Prepare(p),
+                        ..
                     })) => {
                         return p.n;
                     }
@@ -133,8 +136,11 @@
 }
 
 fn leads(stage: &mut Stage) -> bool {
-    let accepts = |said: &Said| {
-        matches!(said, Said::Paxos(Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::AcceptSync(_), .. })))
+    let accepts = |said: &ReplicaMessage| {
+        matches!(
+            said,
+            ReplicaMessage::Paxos(Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::AcceptSync(_), .. }))
+        )
     };
     stage.hears().iter().any(|(_, _, said)| accepts(said))
 }
@@ -177,7 +183,7 @@
 
 fn sync(rng: &mut SmallRng) -> LogSync<Item> {
     let item =
-        || Item::Charge { term: Term(1), life: Life { name: Name::new("m1").unwrap(), start: Start(1) } };
+        || Item::Leadership { term: Term(1), life: Life { name: Name::new("m1").unwrap(), start: Start(1) } };
     let suffix = (0..rng.random_range(0..6)).map(|_| item()).collect();
     LogSync { decided_snapshot: None, suffix, sync_idx: place(rng), stopsign: None }
 }
@@ -232,12 +238,14 @@
     let mut known = stage.candidate();
     for _ in 0..120 {
         for (to, _, said) in stage.hears() {
-            if let Said::Paxos(Message::BLE(BLEMessage { msg: HeartbeatMsg::Request(r), .. })) = &said {
+            if let ReplicaMessage::Paxos(Message::BLE(BLEMessage { msg: HeartbeatMsg::Request(r), .. })) =
+                &said
+            {
                 let leader = ballot(&mut rng, known);
                 let own = Ballot::with(1, rng.random_range(0..3), 0, to);
                 stage.heartbeat(to, r.round, own, leader, rng.random_bool(0.5));
             }
-            if let Said::Paxos(Message::SequencePaxos(m)) = &said {
+            if let ReplicaMessage::Paxos(Message::SequencePaxos(m)) = &said {
                 match &m.msg {
                     PaxosMsg::Prepare(p) => known = p.n,
                     PaxosMsg::Promise(p) => known = p.n,
--- a/crates/fleet/tests/keepers/node.rs
+++ b/crates/fleet/tests/keepers/node.rs
@@ -1,6 +1,6 @@
 //! A member in the scripted world: its disk, its clock, and what it has applied.
 
-use heronroute_fleet::keepers::{Answer, Keepers, Lane, Output, Standing, StartError, Tuning};
+use heronroute_fleet::replicas::{Answer, Lane, Output, Participation, Replicas, StartError, Tuning};
 use heronroute_fleet::{Decided, Entry, Life, Micros, Name, Peer, Request, Start};
 use heronroute_journal::Storage;
 use heronroute_journal::disk::{Disk, Faults};
@@ -35,8 +35,8 @@
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.disk.lock().unwrap().create(name)
     }
-    fn append(&mut self, name: &str, octets: &[u8]) -> io::Result<()> {
-        self.disk.lock().unwrap().append(name, octets)
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.disk.lock().unwrap().append(name, bytes)
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.disk.lock().unwrap().truncate(name, length)
@@ -70,7 +70,7 @@
     pub shelf: Shelf,
     pub start: u64,
     pub starts: u64,
-    pub member: Option<Keepers<Shelf>>,
+    pub member: Option<Replicas<Shelf>>,
     pub applied: Vec<Entry>,
     /// Its clock: rate in thousandths, and where it began.
     pub rate: Micros,
@@ -129,7 +129,7 @@
         let seed = seed ^ self.starts << 32 ^ self.offset as u64;
         self.last_seed = seed;
         let clock = self.clock(now);
-        self.member = Some(Keepers::new(clock, self.life(), "oduya", peers, storage, seed, tuning)?);
+        self.member = Some(Replicas::new(clock, self.life(), "oduya", peers, storage, seed, tuning)?);
         Ok(())
     }
 
@@ -153,7 +153,7 @@
     }
 
     pub fn voting(&self) -> bool {
-        self.member.as_ref().is_some_and(|m| *m.standing() == Standing::Voting)
+        self.member.as_ref().is_some_and(|m| *m.standing() == Participation::Voting)
     }
 
     /// Flushes and takes all outputs, applying what is decided.
@@ -164,7 +164,7 @@
         member.flush(clock);
         while let Some(output) = member.poll() {
             match output {
-                Output::Send { to, lane, octets } => acts.push(Act::Send(to, lane, octets)),
+                Output::Send { to, lane, bytes } => acts.push(Act::Send(to, lane, bytes)),
                 Output::Decided(decided) => {
                     assert_eq!(decided.index, self.applied.len() as u64 + 1, "a gap at {}", self.peer.name);
                     self.applied.push(decided.entry.clone());
@@ -182,8 +182,8 @@
                     member.flush(clock);
                 }
                 Output::Answer { request, answer } => acts.push(Act::Answer(request, answer)),
-                Output::Standing(Standing::Halted(why)) => self.halted = Some(why),
-                Output::Standing(standing) => self.lost &= standing != Standing::Voting,
+                Output::Participation(Participation::Halted(why)) => self.halted = Some(why),
+                Output::Participation(standing) => self.lost &= standing != Participation::Voting,
             }
         }
         acts
--- a/crates/fleet/tests/keepers/pace.rs
+++ b/crates/fleet/tests/keepers/pace.rs
@@ -2,9 +2,9 @@
 
 use crate::heads::stage;
 use crate::world::{MS, fast};
-use heronroute_fleet::keepers::learn::Learn;
-use heronroute_fleet::keepers::wire::{Said, Told};
-use heronroute_fleet::keepers::{Lane, Output};
+use heronroute_fleet::replicas::learn::Learn;
+use heronroute_fleet::replicas::wire::{LogMessage, ReplicaMessage};
+use heronroute_fleet::replicas::{Lane, Output};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::{BLEMessage, HeartbeatMsg};
@@ -13,8 +13,8 @@
 #[test]
 fn a_round_of_heartbeats_is_so_many_ticks_long() {
     let mut s = stage();
-    let beat = |said: &Said| {
-        matches!(said, Said::Paxos(Message::BLE(BLEMessage { msg: HeartbeatMsg::Request(_), .. })))
+    let beat = |said: &ReplicaMessage| {
+        matches!(said, ReplicaMessage::Paxos(Message::BLE(BLEMessage { msg: HeartbeatMsg::Request(_), .. })))
     };
     let ticks: Vec<u64> =
         (0..40).filter(|_| s.hears().iter().any(|(to, _, said)| *to == 2 && beat(said))).collect();
@@ -49,9 +49,9 @@
             s.m.tick(s.now);
             s.m.flush(s.now);
             while let Some(output) = s.m.poll() {
-                if let Output::Send { lane: Lane::Log, octets, .. } = output {
-                    let (_, told) = postcard::from_bytes::<(u32, Told)>(&octets).unwrap();
-                    asked += usize::from(matches!(told, Told::Pull { .. }));
+                if let Output::Send { lane: Lane::Log, bytes, .. } = output {
+                    let (_, told) = postcard::from_bytes::<(u32, LogMessage)>(&bytes).unwrap();
+                    asked += usize::from(matches!(told, LogMessage::Pull { .. }));
                 }
             }
         }
--- a/crates/fleet/tests/keepers/raised.rs
+++ b/crates/fleet/tests/keepers/raised.rs
@@ -2,8 +2,8 @@
 
 use crate::liars::{Stage, promise};
 use heronroute_fleet::Micros;
-use heronroute_fleet::keepers::Tuning;
-use heronroute_fleet::keepers::wire::Said;
+use heronroute_fleet::replicas::Tuning;
+use heronroute_fleet::replicas::wire::ReplicaMessage;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::{BLEMessage, HeartbeatMsg};
@@ -18,13 +18,16 @@
     for _ in 0..200 {
         for (to, _, said) in s.hears() {
             match said {
-                Said::Renew { term, sent, .. } if to == 2 && grants => s.says(2, Said::Grant { term, sent }),
-                Said::Paxos(Message::BLE(BLEMessage { msg: HeartbeatMsg::Request(r), .. })) => {
+                ReplicaMessage::Renew { term, sent, .. } if to == 2 && grants => {
+                    s.says(2, ReplicaMessage::Grant { term, sent })
+                }
+                ReplicaMessage::Paxos(Message::BLE(BLEMessage { msg: HeartbeatMsg::Request(r), .. })) => {
                     s.heartbeat(to, r.round, Ballot::with(1, 0, 0, to), led, true);
                 }
-                Said::Paxos(Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::Prepare(p), .. }))
-                    if to == 2 && p.n > led =>
-                {
+                ReplicaMessage::Paxos(Message::SequencePaxos(PaxosMessage {
+                    msg: PaxosMsg::Prepare(p),
+                    ..
+                })) if to == 2 && p.n > led => {
                     led = p.n;
                     raised.push(s.now);
                     s.paxos(2, promise(led));
--- a/crates/fleet/tests/keepers/schedules.rs
+++ b/crates/fleet/tests/keepers/schedules.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{MS, SECOND, World, fast};
 use heronroute_fleet::Request;
-use heronroute_fleet::keepers::Answer;
+use heronroute_fleet::replicas::Answer;
 use rand::Rng;
 
 /// Within this time after the last fault all are equal.
@@ -21,7 +21,7 @@
 /// Nobody else's promises are lost: one more lost disk is within what the keepers bear.
 fn bears_a_lost_disk(w: &World) -> bool {
     let lost = |n: &crate::node::Node| n.peer.keeper && n.lost;
-    w.keepers() > 1 && !w.nodes.iter().any(lost)
+    w.replicas() > 1 && !w.nodes.iter().any(lost)
 }
 
 fn begin(w: &mut World) {
@@ -41,8 +41,8 @@
 
 /// `copies`: they are put back as copies, whoever is within reach.
 fn played(seed: u64, copies: bool) -> Outcome {
-    let keepers = [3, 3, 5, 1][(seed % 4) as usize];
-    let mut w = World::new(seed, keepers, 1 + (seed % 2) as usize, fast());
+    let replicas = [3, 3, 5, 1][(seed % 4) as usize];
+    let mut w = World::new(seed, replicas, 1 + (seed % 2) as usize, fast());
     w.copies_show = copies;
     begin(&mut w);
     w.loss = [0, 0, 1, 10][(seed / 4 % 4) as usize];
@@ -87,7 +87,7 @@
             24 => w.pause(i),
             25 | 26 => w.wake(i),
             27 => {
-                if i < keepers && bears_a_lost_disk(&w) {
+                if i < replicas && bears_a_lost_disk(&w) {
                     lost_disks += 1;
                     w.kill(i);
                     w.wipe(i);
@@ -97,7 +97,7 @@
             28 => w.back_up(i),
             _ => {
                 if copies {
-                    if i < keepers && bears_a_lost_disk(&w) && w.backups.contains_key(&i) {
+                    if i < replicas && bears_a_lost_disk(&w) && w.backups.contains_key(&i) {
                         lost_disks += 1;
                         w.kill(i);
                         w.put_back(i);
@@ -106,7 +106,7 @@
                     continue;
                 }
                 // An old disk is found out by those that saw more of it; they are to be within reach.
-                if i < keepers && bears_a_lost_disk(&w) && w.backups.contains_key(&i) {
+                if i < replicas && bears_a_lost_disk(&w) && w.backups.contains_key(&i) {
                     (0..count).for_each(|n| w.wake(n));
                     (0..count).filter(|n| *n != i).for_each(|n| {
                         if w.nodes[n].member.is_none() {
--- a/crates/fleet/tests/keepers/spots.rs
+++ b/crates/fleet/tests/keepers/spots.rs
@@ -3,13 +3,13 @@
 use crate::liars::Stage;
 use crate::node::Shelf;
 use crate::world::{MS, fast};
-use heronroute_fleet::keepers::chain;
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::log::Log;
-use heronroute_fleet::keepers::record::{Mark, Record};
-use heronroute_fleet::keepers::state::State;
-use heronroute_fleet::keepers::wire::{Said, Spot};
-use heronroute_fleet::keepers::{Standing, Tuning};
+use heronroute_fleet::replicas::chain;
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::log::Log;
+use heronroute_fleet::replicas::record::{Mark, Record};
+use heronroute_fleet::replicas::state::State;
+use heronroute_fleet::replicas::wire::{LogPosition, ReplicaMessage};
+use heronroute_fleet::replicas::{Participation, Tuning};
 use heronroute_fleet::{Life, Name, Start, Term};
 use omnipaxos::ballot_leader_election::Ballot;
 
@@ -17,12 +17,12 @@
 const LED: Ballot = Ballot { config_id: 1, n: 5, priority: 0, pid: 2 };
 
 fn charge(n: u64) -> Item {
-    Item::Charge { term: Term(n), life: Life { name: Name::new("m1").unwrap(), start: Start(1) } }
+    Item::Leadership { term: Term(n), life: Life { name: Name::new("m1").unwrap(), start: Start(1) } }
 }
 
 /// Keeper 1 of these many, which starts with three slots decided, and voted.
 fn holds(count: usize) -> Stage {
-    let tuning = Tuning { hear_all: 100 * MS, ..fast() };
+    let tuning = Tuning { startup_wait: 100 * MS, ..fast() };
     let mut first = Stage::on(Shelf::default(), count, tuning);
     first.hears();
     let shelf = Shelf::default();
@@ -42,16 +42,16 @@
 }
 
 /// What a keeper says whose log is the same up to `at`, and has `decided` slots.
-fn same(s: &Stage, decided: u64, at: u64) -> Spot {
-    Spot { decided, end: decided, at, head: on_disk(s).head(at), ask: false }
+fn same(s: &Stage, decided: u64, at: u64) -> LogPosition {
+    LogPosition { decided, end: decided, at, head: on_disk(s).head(at), ask: false }
 }
 
-fn other() -> Spot {
-    Spot { decided: HELD, end: HELD, at: HELD, head: Some([7; 32]), ask: false }
+fn other() -> LogPosition {
+    LogPosition { decided: HELD, end: HELD, at: HELD, head: Some([7; 32]), ask: false }
 }
 
-fn tells(s: &mut Stage, pid: u64, spot: Spot) {
-    s.says(pid, Said::Hello(spot));
+fn tells(s: &mut Stage, pid: u64, spot: LogPosition) {
+    s.says(pid, ReplicaMessage::Hello(spot));
     (0..4).for_each(|_| _ = s.hears());
 }
 
@@ -62,12 +62,12 @@
     let spot = same(&s, HELD, HELD);
     tells(&mut s, 2, spot);
     let nonce = s.m.nonce();
-    s.says(2, Said::Admit { nonce, slot: 1, ballot: LED });
+    s.says(2, ReplicaMessage::Admit { nonce, slot: 1, ballot: LED });
     (0..4).for_each(|_| _ = s.hears());
-    assert_eq!((on_disk(&s).decided, s.m.standing()), (HELD, &Standing::Starting));
+    assert_eq!((on_disk(&s).decided, s.m.standing()), (HELD, &Participation::Starting));
     // One that has another lets it in, or is heard beside one that does.
     tells(&mut s, 3, other());
-    assert_eq!((on_disk(&s).decided, s.m.standing()), (0, &Standing::Altered));
+    assert_eq!((on_disk(&s).decided, s.m.standing()), (0, &Participation::Altered));
 }
 
 /// Another log is counted and warned of once for each keeper; as many as leave no majority for this one shut it out.
@@ -89,19 +89,19 @@
     for at in 0..HELD {
         let spot = same(&s, HELD, at);
         tells(&mut s, 2, spot);
-        assert_eq!(*s.m.standing(), Standing::Starting, "at {at}");
+        assert_eq!(*s.m.standing(), Participation::Starting, "at {at}");
     }
     let spot = same(&s, HELD, HELD);
     tells(&mut s, 2, spot);
-    assert_eq!(*s.m.standing(), Standing::Voting);
+    assert_eq!(*s.m.standing(), Participation::Voting);
     // Nor beyond it, nor where the other holds less.
     let mut s = holds(3);
     let spot = same(&s, 1, HELD);
     tells(&mut s, 2, spot);
-    assert_eq!(*s.m.standing(), Standing::Starting);
+    assert_eq!(*s.m.standing(), Participation::Starting);
     let spot = same(&s, 1, 1);
     tells(&mut s, 2, spot);
-    assert_eq!(*s.m.standing(), Standing::Voting);
+    assert_eq!(*s.m.standing(), Participation::Voting);
 }
 
 /// Asked for how its log stands it says so once, up to where the other's goes, and does not ask back.
@@ -111,16 +111,16 @@
     let heads = on_disk(&s);
     for (decided, at) in [(1, 1), (2, 2), (HELD, HELD), (9, HELD)] {
         for ask in [false, true] {
-            s.says(2, Said::Hello(Spot { decided, end: decided, at: 0, head: None, ask }));
-            let said: Vec<Spot> = s
+            s.says(2, ReplicaMessage::Hello(LogPosition { decided, end: decided, at: 0, head: None, ask }));
+            let said: Vec<LogPosition> = s
                 .hears()
                 .into_iter()
                 .filter_map(|(to, _, said)| match said {
-                    Said::Hello(spot) if to == 2 && !spot.ask => Some(spot),
+                    ReplicaMessage::Hello(spot) if to == 2 && !spot.ask => Some(spot),
                     _ => None,
                 })
                 .collect();
-            let spot = Spot { decided: HELD, end: HELD, at, head: heads.head(at), ask: false };
+            let spot = LogPosition { decided: HELD, end: HELD, at, head: heads.head(at), ask: false };
             if ask {
                 assert_eq!(said.last(), Some(&spot), "{decided}");
             } else {
@@ -135,13 +135,13 @@
 fn what_is_given_up_is_said_no_more() {
     let mut s = holds(3);
     s.mark = on_disk(&s).mark();
-    s.says(3, Said::Hello(other()));
-    s.says_as(2, Said::Hello(other()), |h| h.seen[2].mark = Mark { epoch: 0, writes: 50 });
+    s.says(3, ReplicaMessage::Hello(other()));
+    s.says_as(2, ReplicaMessage::Hello(other()), |h| h.seen[2].mark = Mark { epoch: 0, writes: 50 });
     (0..4).for_each(|_| _ = s.hears());
-    assert_eq!(*s.m.standing(), Standing::Altered);
+    assert_eq!(*s.m.standing(), Participation::Altered);
     let state = on_disk(&s);
     assert!(!state.voting && state.promise.is_none() && state.end() == 0);
-    s.says(2, Said::Hello(Spot { ask: true, ..other() }));
+    s.says(2, ReplicaMessage::Hello(LogPosition { ask: true, ..other() }));
     let said = s.hears();
     let head = said.iter().find(|(to, _, _)| *to == 2).map(|(_, head, _)| head.clone()).unwrap();
     assert!(!head.voting);
@@ -173,7 +173,7 @@
     assert_eq!(heads(&state)[2..], held[2..]);
     assert_eq!(state.head(1), None);
     let mut anew = State::new(3);
-    assert!(state.whole(7, 1).into_iter().all(|record| anew.apply(record)));
+    assert!(state.full_records(7, 1).into_iter().all(|record| anew.apply(record)));
     assert_eq!(heads(&anew), heads(&state));
 }
 
@@ -193,7 +193,7 @@
 #[test]
 fn beside_another_log_it_says_that_it_does_not_vote() {
     let says = |s: &mut Stage| {
-        s.says(5, Said::Hello(Spot { decided: 9, end: 9, at: 9, head: None, ask: true }));
+        s.says(5, ReplicaMessage::Hello(LogPosition { decided: 9, end: 9, at: 9, head: None, ask: true }));
         let said = s.hears();
         said.iter().find(|(to, _, _)| *to == 5).map(|(_, head, _)| head.voting).unwrap()
     };
