--- a/crates/fleet/tests/keepers/world.rs
+++ b/crates/fleet/tests/keepers/world.rs
@@ -1,9 +1,9 @@
 //! Members on a virtual clock and a scripted network, everything from a seed, invariants after each step.
 
 use crate::node::{Act, Node, Shelf};
-use heronroute_fleet::keepers::item::Item;
-use heronroute_fleet::keepers::log::Log;
-use heronroute_fleet::keepers::{Answer, Lane, Tuning};
+use heronroute_fleet::replicas::item::Item;
+use heronroute_fleet::replicas::log::Log;
+use heronroute_fleet::replicas::{Answer, Lane, Tuning};
 use heronroute_fleet::{Entry, Life, Micros, Name, Peer, Request, Term};
 use heronroute_journal::disk::Disk;
 use rand::rngs::SmallRng;
@@ -16,7 +16,7 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Packet { to: usize, from: usize, agreement: bool, octets: Vec<u8> },
+    Packet { to: usize, from: usize, agreement: bool, bytes: Vec<u8> },
     Tick(usize, u64),
 }
 
@@ -48,7 +48,7 @@
     asked: BTreeSet<(usize, Request)>,
     pub kills: u64,
     /// Octets sent.
-    pub octets: u64,
+    pub bytes: u64,
     /// A digest of all that was said and decided.
     pub trace: u64,
     pub halts_are_expected: bool,
@@ -62,19 +62,19 @@
 }
 
 pub fn fast() -> Tuning {
-    Tuning { lease: 800 * MS, hear_all: 1_500 * MS, compact: 4 * 1024, keep: 8, ..Tuning::default() }
+    Tuning { lease: 800 * MS, startup_wait: 1_500 * MS, compact: 4 * 1024, keep: 8, ..Tuning::default() }
 }
 
 impl World {
-    pub fn new(seed: u64, keepers: usize, learners: usize, tuning: Tuning) -> Self {
+    pub fn new(seed: u64, replicas: usize, learners: usize, tuning: Tuning) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let peer = |i: usize| Peer {
             name: Name::new(&format!("m{i}")).unwrap(),
             zone: "z".into(),
             address: "127.0.0.1:1".parse().unwrap(),
-            keeper: i < keepers,
+            keeper: i < replicas,
         };
-        let peers: Vec<Peer> = (0..keepers + learners).map(peer).collect();
+        let peers: Vec<Peer> = (0..replicas + learners).map(peer).collect();
         let nodes = peers
             .iter()
             .map(|p| Node::new(p.clone(), rng.random_range(980..=1020), rng.random_range(0..SECOND)))
@@ -100,7 +100,7 @@
             answers: BTreeMap::new(),
             asked: BTreeSet::new(),
             kills: 0,
-            octets: 0,
+            bytes: 0,
             trace: 0,
             halts_are_expected: false,
             record: false,
@@ -114,7 +114,7 @@
         world
     }
 
-    pub fn keepers(&self) -> usize {
+    pub fn replicas(&self) -> usize {
         self.peers.iter().filter(|p| p.keeper).count()
     }
 
@@ -223,8 +223,8 @@
             self.check_charge();
             let life = self.nodes[i].starts;
             self.push(self.now, Event::Tick(i, life));
-            for (to, from, agreement, octets) in std::mem::take(&mut self.waiting) {
-                self.push(self.now, Event::Packet { to, from, agreement, octets });
+            for (to, from, agreement, bytes) in std::mem::take(&mut self.waiting) {
+                self.push(self.now, Event::Packet { to, from, agreement, bytes });
             }
         }
     }
@@ -259,7 +259,7 @@
             self.now = self.now.max(at);
             match event {
                 Event::Tick(i, life) => self.tick(i, life),
-                Event::Packet { to, from, agreement, octets } => self.deliver(to, from, agreement, octets),
+                Event::Packet { to, from, agreement, bytes } => self.deliver(to, from, agreement, bytes),
             }
         }
         self.now = until;
@@ -280,19 +280,19 @@
         self.check_charge();
     }
 
-    fn deliver(&mut self, to: usize, from: usize, agreement: bool, octets: Vec<u8>) {
+    fn deliver(&mut self, to: usize, from: usize, agreement: bool, bytes: Vec<u8>) {
         let node = &mut self.nodes[to];
         if node.paused {
             // It stands in the socket until the process wakes.
-            self.waiting.push((to, from, agreement, octets));
+            self.waiting.push((to, from, agreement, bytes));
             return;
         }
         let clock = node.clock(self.now);
         let Some(member) = &mut node.member else { return };
         let lane = if agreement { Lane::Agreement } else { Lane::Log };
-        member.handle(clock, &self.peers[from].name, lane, &octets);
+        member.handle(clock, &self.peers[from].name, lane, &bytes);
         if self.record {
-            self.recorded.push((to, from, lane, octets));
+            self.recorded.push((to, from, lane, bytes));
         }
         self.settle(to);
         if agreement {
@@ -304,7 +304,7 @@
         let acts = self.nodes[i].settle(self.now);
         for act in acts {
             match act {
-                Act::Send(to, lane, octets) => self.send(i, &to, lane, octets),
+                Act::Send(to, lane, bytes) => self.send(i, &to, lane, bytes),
                 Act::Decided(decided) => self.decided(i, decided.index, decided.entry),
                 Act::Answer(request, answer) => self.answered(i, request, answer),
             }
@@ -318,13 +318,11 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: &Name, lane: Lane, octets: Vec<u8>) {
+    fn send(&mut self, from: usize, to: &Name, lane: Lane, bytes: Vec<u8>) {
         let Some(to) = self.peers.iter().position(|p| p.name == *to) else { return };
-        self.octets += octets.len() as u64;
-        self.trace = self
-            .trace
-            .wrapping_mul(31)
-            .wrapping_add(octets.len() as u64 ^ (to as u64) << 8 ^ self.now as u64);
+        self.bytes += bytes.len() as u64;
+        self.trace =
+            self.trace.wrapping_mul(31).wrapping_add(bytes.len() as u64 ^ (to as u64) << 8 ^ self.now as u64);
         let copies = if self.rng.random_ratio(self.twice, 100) { 2 } else { 1 };
         for _ in 0..copies {
             if self.cut.contains(&(from, to)) || self.rng.random_ratio(self.loss, 100) {
@@ -337,7 +335,7 @@
                 at = at.max(*last);
                 *last = at;
             }
-            self.push(at, Event::Packet { to, from, agreement, octets: octets.clone() });
+            self.push(at, Event::Packet { to, from, agreement, bytes: bytes.clone() });
         }
     }
 
@@ -362,7 +360,7 @@
     /// What is delivered first anywhere stands on the disks of a majority.
     fn on_majority(&self, index: u64, entry: &Entry) {
         let on_disk = |n: &Node, disk: Disk| {
-            let Ok(log) = Log::open(disk, self.digest(), n.pid(), self.keepers()) else { return false };
+            let Ok(log) = Log::open(disk, self.digest(), n.pid(), self.replicas()) else { return false };
             let s = log.state();
             (s.compacted..s.end()).any(|slot| matches!(s.item(slot), Some(Item::Asked(e)) if e == entry))
         };
@@ -371,7 +369,7 @@
             n.applied.len() as u64 >= index || n.graves.iter().cloned().chain([now]).any(|d| on_disk(n, d))
         };
         let count = self.nodes.iter().filter(|n| n.peer.keeper).filter(holds).count();
-        assert!(count > self.keepers() / 2, "seed {}: entry {index} decided on {count} disks", self.seed);
+        assert!(count > self.replicas() / 2, "seed {}: entry {index} decided on {count} disks", self.seed);
     }
 
     pub fn digest(&self) -> u32 {
--- a/crates/fleet/tests/link.rs
+++ b/crates/fleet/tests/link.rs
@@ -3,12 +3,14 @@
 mod link_rig;
 
 use heronroute_fleet::Kind;
-use heronroute_fleet::frames::{Head, What, seal};
+use heronroute_fleet::frames::{FrameType, Head, seal};
 use heronroute_fleet::key::Key;
 use heronroute_fleet::link::hello::VERSION;
-use heronroute_fleet::link::redial::MOST;
-use heronroute_fleet::link::{Conn, HANDSHAKE, Link, Output, Reason, SILENCE, Switch, TOLD_EVERY};
-use heronroute_fleet::queue::{MOST_NEWEST, MOST_ORDERED};
+use heronroute_fleet::link::redial::MAX_DELAY;
+use heronroute_fleet::link::{
+    Conn, HANDSHAKE_TIMEOUT, IDLE_TIMEOUT, Link, Output, Reason, Switch, VERSION_REPORT_INTERVAL,
+};
+use heronroute_fleet::queue::{MAX_LATEST_MESSAGES, MAX_ORDERED_BYTES};
 use link_rig::*;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -79,11 +81,11 @@
         octets
     }));
     w.send(0, 1, Kind::Log, &[1; 500]);
-    w.pass(SILENCE - SECOND / 2);
+    w.pass(IDLE_TIMEOUT - SECOND / 2);
     assert!(w.told[1].unlinked.is_empty() && w.heard(1, 0, Kind::Log).is_empty());
     w.pass(SECOND / 2);
     assert_eq!((w.ended(1, Reason::Silent), w.told[1].unlinked.len()), (1, 1));
-    assert!(w.now - before <= SILENCE);
+    assert!(w.now - before <= IDLE_TIMEOUT);
     w.tap = None;
     w.pass(10 * SECOND);
     assert!(linked(&mut w), "it comes back by itself");
@@ -97,7 +99,7 @@
         w.send(0, 2, Kind::Log, &piece);
         w.send(0, 2, Kind::Gossip, &n.to_be_bytes());
         w.send(0, 1, Kind::Log, &n.to_be_bytes());
-        assert!(w.switch(0).held(2) <= MOST_ORDERED + 2 * 65_536, "{n}: {}", w.switch(0).held(2));
+        assert!(w.switch(0).held(2) <= MAX_ORDERED_BYTES + 2 * 65_536, "{n}: {}", w.switch(0).held(2));
         w.pump();
     }
     assert_eq!(w.heard(1, 0, Kind::Log).len(), 400);
@@ -155,7 +157,7 @@
         w.pump();
     }
     assert_eq!(w.ended(1, Reason::Length), 4);
-    w.pass(HANDSHAKE);
+    w.pass(HANDSHAKE_TIMEOUT);
     assert_eq!(w.switch(1).conns(), 2);
     assert!(linked(&mut w));
 }
@@ -199,7 +201,7 @@
     let heard: Vec<u32> =
         w.heard(1, 0, Kind::Gossip).iter().map(|p| u32::from_be_bytes(p[..4].try_into().unwrap())).collect();
     assert!(heard.len() < 100 && heard.is_sorted(), "{heard:?}");
-    assert_eq!(heard[heard.len() - MOST_NEWEST..], (992..1_000).collect::<Vec<u32>>());
+    assert_eq!(heard[heard.len() - MAX_LATEST_MESSAGES..], (992..1_000).collect::<Vec<u32>>());
     assert_eq!(w.switch(0).stats().given_up as usize + heard.len(), 1_000);
 }
 
@@ -207,7 +209,7 @@
 fn a_paused_member_is_dropped_in_time_and_comes_back() {
     let mut w = world(Memory::new(usize::MAX), 3);
     w.paused.insert(1);
-    w.pass(SILENCE);
+    w.pass(IDLE_TIMEOUT);
     assert!(!w.switch(0).linked(1) && !w.switch(2).linked(1) && w.switch(0).linked(2));
     w.pass(60 * SECOND);
     w.paused.clear();
@@ -303,19 +305,19 @@
         w.pass(20 * SECOND);
         let dialled = w.told[0].dialled.clone();
         assert!((4..10).contains(&dialled.len()), "{dialled:?}");
-        assert!(dialled.windows(2).all(|d| d[1] - d[0] >= MOST / 2), "{dialled:?}");
+        assert!(dialled.windows(2).all(|d| d[1] - d[0] >= MAX_DELAY / 2), "{dialled:?}");
         for n in if refuses { 0..2 } else { 0..1 } {
             assert_eq!(w.told[n].versions, [(VERSION + 7, 1)]);
             assert_eq!(w.ended(n, Reason::Version), dialled.len() as u64);
         }
         assert_eq!((w.told[0].linked.len(), w.told[1].linked.len()), (0, 0));
-        w.pass(TOLD_EVERY);
+        w.pass(VERSION_REPORT_INTERVAL);
         let told = w.told[0].versions.clone();
         assert_eq!(told.len(), 2, "once a minute: {told:?}");
         assert!(told[1].1 > 10, "{told:?}");
         // Mended, it is linked at the next dial.
         w.tap = None;
-        w.pass(MOST);
+        w.pass(MAX_DELAY);
         assert_eq!((w.told[0].linked.len(), w.told[1].linked.len()), (1, 1));
     }
 }
@@ -327,7 +329,13 @@
     let (pipe, conn) = w.stranger(0);
     let mut hello = Vec::new();
     let payload = postcard::to_stdvec(&(VERSION + 1, "whatever comes then")).unwrap();
-    seal(&mut hello, &Key::read(OTHER_KEY).unwrap(), &[], Head { what: What::Hello, number: 0 }, &payload);
+    seal(
+        &mut hello,
+        &Key::read(OTHER_KEY).unwrap(),
+        &[],
+        Head { what: FrameType::Hello, number: 0 },
+        &payload,
+    );
     w.transport.put(pipe, 0, &hello);
     w.pump();
     let answer = w.transport.take(pipe, 0);
@@ -337,6 +345,6 @@
     let now = w.now;
     assert_eq!(w.switch(0).conns(), 1);
     w.switch(0).received(now, conn, &[0; 10]);
-    w.pass(HANDSHAKE);
+    w.pass(HANDSHAKE_TIMEOUT);
     assert_eq!((w.switch(0).conns(), w.ended(0, Reason::Version)), (0, 1));
 }
--- a/crates/fleet/tests/link_figures.rs
+++ b/crates/fleet/tests/link_figures.rs
@@ -4,7 +4,7 @@
 mod link_rig;
 
 use heronroute_fleet::Kind;
-use heronroute_fleet::frames::{Head, Reader, What, seal};
+use heronroute_fleet::frames::{FrameReader, FrameType, Head, seal};
 use heronroute_fleet::key::Key;
 use link_rig::*;
 use std::time::Instant;
@@ -50,10 +50,10 @@
     let key = Key::read(KEY).unwrap();
     for size in [0, 64, 1_024, 65_536] {
         let (payload, n) = (vec![7; size], times(200, 20_000_000 / (size + 1_000)));
-        let head = |n| Head { what: What::Message(Kind::Log), number: n as u64 };
+        let head = |n| Head { what: FrameType::Message(Kind::Log), number: n as u64 };
         let begun = Instant::now();
         for i in 0..n {
-            let (mut out, mut reader) = (Vec::new(), Reader::default());
+            let (mut out, mut reader) = (Vec::new(), FrameReader::default());
             seal(&mut out, &key, &[], head(i), &payload);
             reader.push(&out);
             let raw = reader.next(1 << 18).unwrap().unwrap();
--- a/crates/fleet/tests/link_proof.rs
+++ b/crates/fleet/tests/link_proof.rs
@@ -3,8 +3,8 @@
 mod link_rig;
 
 use heronroute_fleet::Kind;
-use heronroute_fleet::frames::{MOST_FRAME, MOST_HELLO};
-use heronroute_fleet::link::{ALIVE_EVERY, HANDSHAKE, Link, LinkEvent, Reason, SILENCE};
+use heronroute_fleet::frames::{MAX_FRAME_BYTES, MAX_HELLO_BYTES};
+use heronroute_fleet::link::{HANDSHAKE_TIMEOUT, IDLE_TIMEOUT, KEEPALIVE_INTERVAL, Link, LinkEvent, Reason};
 use link_rig::{life, name, roster};
 use proptest::prelude::*;
 
@@ -90,7 +90,7 @@
             let over = matches!(events.last(), Some(LinkEvent::Over(_)));
             // A length made greater waits for octets that don't come: the silence ends it.
             let mut late = Vec::new();
-            link.tick(HANDSHAKE.max(SILENCE), &mut late);
+            link.tick(HANDSHAKE_TIMEOUT.max(IDLE_TIMEOUT), &mut late);
             assert!(over || matches!(late.last(), Some(LinkEvent::Over(_))), "octet {at} bit {bit}");
         }
     }
@@ -145,7 +145,7 @@
     let (record, mut a, mut b) = record();
     assert_eq!(messages(&feed(&mut b, 1, &record.dialler[2..].concat())), record.sent);
     assert!(feed(&mut b, 1, &record.dialler[3]).is_empty());
-    assert_eq!(b.doubled(), 1);
+    assert_eq!(b.duplicates(), 1);
     a.send(0, Kind::Log, vec![1], &mut Vec::new());
     drain(&mut a);
     a.send(0, Kind::Log, vec![2], &mut Vec::new());
@@ -157,9 +157,9 @@
     let (record, _, mut b) = record();
     feed(&mut b, 1, &record.dialler[2..].concat());
     let mut events = Vec::new();
-    for at in 1..=SILENCE / ALIVE_EVERY {
-        b.receive(at * ALIVE_EVERY - 1, &roster(1, 1), &record.dialler[3], &mut events);
-        b.tick(at * ALIVE_EVERY, &mut events);
+    for at in 1..=IDLE_TIMEOUT / KEEPALIVE_INTERVAL {
+        b.receive(at * KEEPALIVE_INTERVAL - 1, &roster(1, 1), &record.dialler[3], &mut events);
+        b.tick(at * KEEPALIVE_INTERVAL, &mut events);
     }
     assert_eq!(events, [LinkEvent::Over(Reason::Silent)]);
 }
@@ -167,10 +167,10 @@
 #[test]
 fn a_length_too_great_ends_it_before_anything_is_held() {
     let (_, _, mut b) = record();
-    let beyond = (MOST_FRAME as u32 + 1).to_be_bytes();
+    let beyond = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     assert_eq!(feed(&mut b, 1, &beyond), [LinkEvent::Over(Reason::Length)]);
     assert_eq!(b.held(), 0);
-    let beyond = (MOST_HELLO as u32 + 1).to_be_bytes();
+    let beyond = (MAX_HELLO_BYTES as u32 + 1).to_be_bytes();
     assert_eq!(feed(&mut answerer(1), 1, &beyond), [LinkEvent::Over(Reason::Length)]);
 }
 
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -81,7 +81,7 @@
     net.with(0, |m, now| {
         m.link(now, 0, true);
         assert!(!m.rows()[0].linked, "a link to itself");
-        assert_eq!(m.rise(now, Start(1)), Err(MembersError::NotAbove(Start(1))), "no later life");
+        assert_eq!(m.continue_as(now, Start(1)), Err(MembersError::NotAbove(Start(1))), "no later life");
         (1..4).for_each(|peer| m.link(now, peer, false));
     });
     let sent = net.procs[0].members.counts().sent;
@@ -182,7 +182,7 @@
         assert!(!net.log.iter().any(|(_, _, c)| dead(c)), "seed {seed}");
         assert!(net.procs.iter().filter(|p| p.running).all(|p| net.count(p, Standing::Alive) == 8));
         assert!(
-            net.log.iter().all(|(_, _, c)| !matches!(c, Change::Twin(_) | Change::Behind(_))),
+            net.log.iter().all(|(_, _, c)| !matches!(c, Change::SharedName(_) | Change::Behind(_))),
             "seed {seed}"
         );
     }
@@ -379,8 +379,8 @@
     assert!(net.procs.iter().all(|p| net.twins(p.place).is_empty()), "an old disk is no twin");
     assert!(net.procs[old].members.stale());
     net.with(old, |m, now| {
-        assert_eq!(m.rise(now, Start(8)), Err(MembersError::NotAbove(Start(8))));
-        m.rise(now, Start(9)).unwrap();
+        assert_eq!(m.continue_as(now, Start(8)), Err(MembersError::NotAbove(Start(8))));
+        m.continue_as(now, Start(9)).unwrap();
     });
     let up =
         |_: &Net, p: &net::Proc| p.place == 2 || p.members.rows()[2].life.as_ref().unwrap().start == Start(9);
--- a/crates/fleet/tests/members/net.rs
+++ b/crates/fleet/tests/members/net.rs
@@ -272,7 +272,7 @@
     }
 
     pub fn twins(&self, id: usize) -> Vec<u64> {
-        let twin = |c: &Change| if let Change::Twin(life) = c { Some(life.start.0) } else { None };
+        let twin = |c: &Change| if let Change::SharedName(life) = c { Some(life.start.0) } else { None };
         self.log.iter().filter(|(_, who, _)| *who == id).filter_map(|(_, _, c)| twin(c)).collect()
     }
 }
--- a/crates/fleet/tests/members_start.rs
+++ b/crates/fleet/tests/members_start.rs
@@ -1,7 +1,7 @@
 //! The start number: never twice, whatever the disk does.
 
 use heronroute_fleet::Start;
-use heronroute_fleet::start::{FILE, Found, StartError, look, raise};
+use heronroute_fleet::start::{FILE, StartError, StoredStart, raise, read_stored};
 use heronroute_journal::Storage;
 use heronroute_journal::dir::Dir;
 use heronroute_journal::disk::{Disk, Faults};
@@ -22,7 +22,7 @@
     for wall in [WALL, WALL + 5, WALL - 3_600_000_000, 0, -7, i64::MIN, WALL + 6, WALL + 6] {
         let raised = raise(&mut disk, wall, Start(0)).unwrap();
         assert!(raised.start > last, "clock at {wall}");
-        assert_eq!(look(&disk), Found::Number(raised.start));
+        assert_eq!(read_stored(&disk), StoredStart::Number(raised.start));
         last = raised.start;
     }
     assert_eq!(last, Start(WALL as u64 + 11));
@@ -33,7 +33,7 @@
     let mut disk = Disk::default();
     let old = disk.clone();
     let first = raise(&mut disk, WALL, Start(0)).unwrap();
-    assert_eq!(first.found, Found::Nothing);
+    assert_eq!(first.found, StoredStart::Nothing);
     let copy = disk.clone();
     let second = raise(&mut disk, WALL + 1_000_000, Start(0)).unwrap().start;
     for mut lost in [old, copy] {
@@ -51,7 +51,7 @@
         let mut bad = Disk::default();
         put(&mut bad, &octets);
         let raised = raise(&mut bad, WALL + 2_000_000, Start(0)).unwrap();
-        assert_eq!(raised.found, Found::Unreadable);
+        assert_eq!(raised.found, StoredStart::Unreadable);
         assert!(raised.start > second);
     }
 }
--- a/crates/installation/src/charge.rs
+++ b/crates/installation/src/charge.rs
@@ -10,7 +10,7 @@
 use crate::waves::Waves;
 use crate::wire::Piece;
 use heronroute_drift::{Act, Config, Detector, Output, Report, content};
-use heronroute_fleet::keepers::Charge;
+use heronroute_fleet::replicas::Leadership;
 use heronroute_fleet::{Life, Name, Start, Term};
 use heronroute_rules::digest::plan_digest;
 use heronroute_rules::registry::{Command, Desired, Registry, Viewer};
@@ -77,7 +77,13 @@
     /// Whether this member is in charge, asked before anything is done in that. True where a term of its own begins, or goes on
     /// after its lease had run out: guards against settings that were read again, or waited to be written, meanwhile, and would
     /// count only from the next term.
-    pub fn confirm(&mut self, now: Micros, charge: Option<&Charge>, known: Term, fences: &Fences) -> bool {
+    pub fn confirm(
+        &mut self,
+        now: Micros,
+        charge: Option<&Leadership>,
+        known: Term,
+        fences: &Fences,
+    ) -> bool {
         let Some(charge) = charge else {
             self.begun = None;
             // Also where no greater term is known: a lease that has run out is not one's own any more.
--- a/crates/installation/src/config.rs
+++ b/crates/installation/src/config.rs
@@ -1,7 +1,7 @@
 //! What the settings gave, as plain values.
 
 use crate::Micros;
-use heronroute_fleet::{Life, Name, Peer, keepers, members};
+use heronroute_fleet::{Life, Name, Peer, members, replicas};
 use heronroute_region::{Region, rights};
 use heronroute_rules::Plan;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     /// New at each start.
     pub seed: u64,
     /// Figures of agreement.
-    pub keepers: keepers::Tuning,
+    pub replicas: replicas::Tuning,
     /// Figures of membership.
     pub members: members::Tuning,
     /// Figures of the detector, which runs at the keeper in charge. Its `wall` and `lease` are set from here on.
--- a/crates/installation/src/errands.rs
+++ b/crates/installation/src/errands.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::limits;
 use crate::machine::Body;
-use heronroute_fleet::keepers::Answer;
+use heronroute_fleet::replicas::Answer;
 use std::collections::VecDeque;
 
 /// After one that could not be decided.
--- a/crates/installation/src/process/answers.rs
+++ b/crates/installation/src/process/answers.rs
@@ -92,13 +92,13 @@
                 "start": row.life.as_ref().map_or(0, |life| life.start.0),
             })
         };
-        let leader = self.keepers.leader();
+        let leader = self.replicas.leader();
         json!({
             "self": self.cfg.own.name.as_str(),
             "start": self.cfg.own.start.0,
             "majority": self.allows().edits,
             "condition": self.condition.word(),
-            "term": self.keepers.term().0,
+            "term": self.replicas.term().0,
             "charge": leader.map(|(_, life)| life.name.as_str()),
             "members": others.map(line).collect::<Vec<_>>(),
         })
@@ -115,7 +115,7 @@
             let text = watch.shown(now, true, self.machine.waves(), page);
             return self.told(asks::told(&ask, text, "shown"));
         }
-        let leader = self.keepers.leader().map(|(_, life)| life.name.clone());
+        let leader = self.replicas.leader().map(|(_, life)| life.name.clone());
         let peer =
             leader.filter(|name| *name != self.cfg.own.name).and_then(|n| self.places.get(&n).copied());
         let Some(peer) = peer.filter(|_| self.allows().edits) else { return self.nothing_known(&ask) };
@@ -129,7 +129,7 @@
 
     pub(super) fn nothing_known(&mut self, ask: &ClientRequest) {
         let page = Page::read(&ask.body).unwrap_or_default();
-        let text = page.unknown(self.keepers.term(), self.allows().edits, self.places.keys());
+        let text = page.unknown(self.replicas.term(), self.allows().edits, self.places.keys());
         self.told(asks::told(ask, text, "shown"));
     }
 
@@ -145,7 +145,7 @@
     }
 
     pub(super) fn shown(&mut self, from: &Name, number: u64, text: String) {
-        if self.keepers.leader().is_none_or(|(_, life)| life.name != *from) {
+        if self.replicas.leader().is_none_or(|(_, life)| life.name != *from) {
             self.counts.misrouted += 1;
             return;
         }
--- a/crates/installation/src/process/carry.rs
+++ b/crates/installation/src/process/carry.rs
@@ -24,7 +24,7 @@
         }
         let known = || self.members.rows().get(peer).and_then(|row| row.life.as_ref());
         let to = life.or_else(known).cloned();
-        let first = self.keepers.leader().and_then(|(_, life)| self.places.get(&life.name).copied());
+        let first = self.replicas.leader().and_then(|(_, life)| self.places.get(&life.name).copied());
         let through = self.detour.through(now, peer, first);
         let (Some(to), Some(through)) = (to, through) else {
             self.counts.unreached += 1;
@@ -79,7 +79,7 @@
             self.counts.misrouted += 1;
             return;
         };
-        if self.detour.astray(place, peer) && self.keepers.leader().is_some_and(|(_, life)| life.name == *to)
+        if self.detour.astray(place, peer) && self.replicas.leader().is_some_and(|(_, life)| life.name == *to)
         {
             self.report_at = self.report_at.min(now);
         }
--- a/crates/installation/src/process/drift.rs
+++ b/crates/installation/src/process/drift.rs
@@ -40,7 +40,7 @@
             Piece::Given(give) => {
                 // Handed on by another, it counts only from the life that the log has in charge: guards against a right made up
                 // by a carrier.
-                let leads = |l: &Life| self.keepers.leader().is_some_and(|(_, life)| life == l);
+                let leads = |l: &Life| self.replicas.leader().is_some_and(|(_, life)| life == l);
                 let keeper = self.cfg.peers.iter().any(|p| p.keeper && p.name == sayer.name);
                 give.to == *own && keeper && sayer.carried.as_ref().is_none_or(leads)
             }
@@ -97,8 +97,8 @@
     /// An order counts where it comes from the one that the log puts in charge, in its term, as an answer to a report that
     /// this life sent a short while ago.
     fn order(&mut self, now: Micros, sayer: &Sayer, order: Order, answers: Micros) {
-        let known = self.keepers.term().max(self.obeyed);
-        let leads = match self.keepers.leader() {
+        let known = self.replicas.term().max(self.obeyed);
+        let leads = match self.replicas.leader() {
             Some((term, life)) if *term == order.term => life.name == sayer.name,
             // A term that the log has not told here yet: its keeper may know. A carrier's word is not enough for that: one that
             // named a term far ahead would have all later orders refused.
@@ -153,7 +153,7 @@
 
     /// To whoever is in charge by the log; to oneself without a detour.
     pub(super) fn report_to_charge(&mut self, now: Micros, piece: Piece) {
-        let Some(leader) = self.keepers.leader().map(|(_, life)| life.clone()) else { return };
+        let Some(leader) = self.replicas.leader().map(|(_, life)| life.clone()) else { return };
         if leader.name == self.cfg.own.name {
             match piece {
                 Piece::Right(ask) => self.right_asked(now, &ask),
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -8,7 +8,7 @@
 use crate::page::Page;
 use crate::seam::{Input, Output};
 use crate::wire::Wire;
-use heronroute_fleet::keepers::Lane;
+use heronroute_fleet::replicas::Lane;
 use heronroute_fleet::{Life, Start};
 use heronroute_journal::Storage;
 
@@ -57,9 +57,9 @@
             _ => {}
         }
         if stands {
-            self.keepers.reconnected(now, &name);
+            self.replicas.reconnected(now, &name);
         } else {
-            self.keepers.lost(now, &name);
+            self.replicas.lost(now, &name);
         }
     }
 
@@ -74,8 +74,8 @@
             Wire::Gossip(octets) => self.members.receive(now, peer, octets),
             // Of a life that is over nothing is promised any more.
             Wire::Agreement(_) | Wire::Log(_) if !agrees => {}
-            Wire::Agreement(octets) => self.keepers.handle(now, &name, Lane::Agreement, octets),
-            Wire::Log(octets) => self.keepers.handle(now, &name, Lane::Log, octets),
+            Wire::Agreement(octets) => self.replicas.handle(now, &name, Lane::Agreement, octets),
+            Wire::Log(octets) => self.replicas.handle(now, &name, Lane::Log, octets),
             // As of a life that is over: it hands nothing on.
             Wire::Carry { .. } | Wire::Carried { .. } | Wire::Astray { .. } if !agrees => {}
             Wire::Carry { to, payload } => self.carry(now, peer, to, payload),
--- a/crates/installation/src/process/log.rs
+++ b/crates/installation/src/process/log.rs
@@ -7,7 +7,7 @@
 use crate::machine::{Body, Effect};
 use crate::seam::Output;
 use crate::wire::Wire;
-use heronroute_fleet::keepers::{self, Answer, Lane};
+use heronroute_fleet::replicas::{self, Answer, Lane};
 use heronroute_fleet::{Decided, Name, Request};
 use heronroute_journal::Storage;
 use heronroute_rules::check::{Finding, Findings};
@@ -16,27 +16,27 @@
 
 impl<S: Storage> Installation<S> {
     pub(super) fn learn(&mut self, now: Micros) {
-        while let Some(output) = self.keepers.poll() {
+        while let Some(output) = self.replicas.poll() {
             match output {
-                keepers::Output::Send { to, lane, octets } if self.allows().agrees => {
+                replicas::Output::Send { to, lane, bytes } if self.allows().agrees => {
                     let Some(peer) = self.places.get(&to).copied() else { continue };
                     let wire = match lane {
-                        Lane::Agreement => Wire::Agreement(&octets),
-                        Lane::Log => Wire::Log(&octets),
+                        Lane::Agreement => Wire::Agreement(&bytes),
+                        Lane::Log => Wire::Log(&bytes),
                     };
                     self.send(peer, &wire);
                 }
-                keepers::Output::Send { .. } => {}
-                keepers::Output::Decided(decided) => self.decided(now, decided),
-                keepers::Output::Restore { index, machine } => self.restored(now, index, &machine),
-                keepers::Output::WantSnapshot { index } => {
+                replicas::Output::Send { .. } => {}
+                replicas::Output::Decided(decided) => self.decided(now, decided),
+                replicas::Output::Restore { index, machine } => self.restored(now, index, &machine),
+                replicas::Output::WantSnapshot { index } => {
                     if index == self.machine.index() {
                         let machine = self.machine.snapshot();
-                        self.keepers.snapshot(index, machine);
+                        self.replicas.snapshot(index, machine);
                     }
                 }
-                keepers::Output::Answer { request, answer } => self.answered(now, &request, answer),
-                keepers::Output::Standing(standing) => tracing::info!(?standing, "part in agreement"),
+                replicas::Output::Answer { request, answer } => self.answered(now, &request, answer),
+                replicas::Output::Participation(standing) => tracing::info!(?standing, "part in agreement"),
             }
         }
     }
@@ -191,7 +191,7 @@
             self.outputs.push(Output::Told(asks::busy(&over)));
         }
         let request = Request { from: self.cfg.own.clone(), number };
-        self.keepers.propose(now, request, self.wall, body);
+        self.replicas.propose(now, request, self.wall, body);
     }
 
     pub(super) fn run_errand(&mut self, now: Micros) {
@@ -200,7 +200,7 @@
         if let Some(body) = self.errands.next(now, number, leads) {
             self.number = number;
             let request = Request { from: self.cfg.own.clone(), number };
-            self.keepers.propose(now, request, self.wall, body);
+            self.replicas.propose(now, request, self.wall, body);
         }
     }
 }
--- a/crates/installation/src/process/mod.rs
+++ b/crates/installation/src/process/mod.rs
@@ -34,8 +34,8 @@
 use crate::wire::{Piece, Wire};
 use crate::{Micros, limits};
 use heronroute_drift::Health;
-use heronroute_fleet::keepers::{Charge, Keepers};
 use heronroute_fleet::members::Members;
+use heronroute_fleet::replicas::{Leadership, Replicas};
 use heronroute_fleet::{Name, Start, Term};
 use heronroute_journal::Storage;
 use heronroute_rules::registry::Registry;
@@ -70,7 +70,7 @@
     /// Zones of the peers by name.
     zones: Zones,
     members: Members,
-    keepers: Keepers<S>,
+    replicas: Replicas<S>,
     machine: Machine,
     applier: Applier,
     reports: Reports,
@@ -149,8 +149,8 @@
     }
 
     /// Whether this member is in charge and may act.
-    pub fn in_charge(&self, now: Micros) -> Option<Charge> {
-        self.keepers.in_charge(now).filter(|_| self.allows().leads)
+    pub fn in_charge(&self, now: Micros) -> Option<Leadership> {
+        self.replicas.in_charge(now).filter(|_| self.allows().leads)
     }
 
     /// Who is there.
@@ -159,8 +159,8 @@
     }
 
     /// The agreed log.
-    pub fn keepers(&self) -> &Keepers<S> {
-        &self.keepers
+    pub fn replicas(&self) -> &Replicas<S> {
+        &self.replicas
     }
 
     /// At keepers, what is known of all members while in charge.
@@ -184,7 +184,7 @@
             self.renewed = (renewed, now.saturating_add(time::DOUBTED));
         }
         let condition = Condition::of(Facts {
-            majority: self.keepers.majority(now),
+            majority: self.replicas.majority(now),
             linked: self.linked > 0,
             stale: self.members.stale(),
             suspected: now < self.renewed.1,
@@ -198,7 +198,7 @@
         }
         let charge = self.in_charge(now);
         if let Some(watch) = &mut self.watch
-            && watch.confirm(now, charge.as_ref(), self.keepers.term(), self.machine.fences())
+            && watch.confirm(now, charge.as_ref(), self.replicas.term(), self.machine.fences())
         {
             let term = watch.detector().current();
             self.errands.replace(vec![Body::Begin { term }]);
@@ -210,7 +210,7 @@
     fn settle(&mut self, now: Micros) -> bool {
         let before = self.number;
         self.swim(now);
-        self.keepers.flush(now);
+        self.replicas.flush(now);
         self.learn(now);
         self.run_errand(now);
         self.watch_out(now);
--- a/crates/installation/src/process/start.rs
+++ b/crates/installation/src/process/start.rs
@@ -15,8 +15,8 @@
 use crate::machine::{Body, Machine};
 use crate::report::Reports;
 use heronroute_drift::Health;
-use heronroute_fleet::keepers::{self, Keepers};
 use heronroute_fleet::members::{Members, MembersError};
+use heronroute_fleet::replicas::{self, Replicas};
 use heronroute_fleet::{Life, Standing, Start, Term};
 use heronroute_journal::Storage;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
     Members(#[from] MembersError),
     /// The keepers' part can't begin.
     #[error(transparent)]
-    Keepers(#[from] keepers::StartError),
+    Replicas(#[from] replicas::StartError),
     /// The regions are none.
     #[error(transparent)]
     Regions(#[from] heronroute_region::list::ListError),
@@ -47,9 +47,9 @@
         let members = Members::new(now, cfg.own.clone(), &cfg.peers, cfg.seed, cfg.members.clone())?;
         let keeper = storage.is_some();
         let own = cfg.own.clone();
-        let keepers =
-            Keepers::new(now, own, &cfg.installation, &cfg.peers, storage, cfg.seed ^ 0x6B65, cfg.keepers)?;
-        let lease = cfg.keepers.lease;
+        let replicas =
+            Replicas::new(now, own, &cfg.installation, &cfg.peers, storage, cfg.seed ^ 0x6B65, cfg.replicas)?;
+        let lease = cfg.replicas.lease;
         let watch = keeper.then(|| Watch::new(now, wall, cfg.detector.clone(), lease));
         let watch = watch.map(|mut watch| {
             for peer in &cfg.peers {
@@ -74,8 +74,8 @@
             places,
             zones,
             members,
-            disk: keepers.sizes().0 > 0,
-            keepers,
+            disk: replicas.sizes().0 > 0,
+            replicas,
             machine: Machine::default(),
             applier,
             reports,
--- a/crates/installation/src/process/swim.rs
+++ b/crates/installation/src/process/swim.rs
@@ -28,13 +28,13 @@
             }
             Change::Stale(stale) => tracing::info!(stale, "what is believed of others"),
             // The elder one keeps still until the later one is gone; raised above it, the two would never end.
-            Change::Twin(life) if life.name == self.cfg.own.name && life.start > self.cfg.own.start => {
+            Change::SharedName(life) if life.name == self.cfg.own.name && life.start > self.cfg.own.start => {
                 tracing::error!(start = life.start.0, "another process bears this member's name");
                 if self.outlived.replace(life.start.max(self.outlived.unwrap_or_default())).is_none() {
                     self.end_asks();
                 }
             }
-            Change::Twin(life) => tracing::error!(member = %life.name, "two processes bear one name"),
+            Change::SharedName(life) => tracing::error!(member = %life.name, "two processes bear one name"),
             Change::Behind(start) => self.over(start),
         }
     }
--- a/crates/installation/src/process/time.rs
+++ b/crates/installation/src/process/time.rs
@@ -14,7 +14,7 @@
 
 impl<S: Storage> Installation<S> {
     pub(super) fn time(&mut self, now: Micros) {
-        self.keepers.tick(now);
+        self.replicas.tick(now);
         self.still |= self.outlived.is_some() && self.members.stale();
         if self.still && self.members.awake() {
             // Members answer this life again: the one that held its name is gone.
@@ -93,7 +93,7 @@
             self.region_wake(),
         ];
         let report = self.report_at.max(self.report_soon);
-        let own = self.members.wake().min(self.keepers.next_wake()).min(report).min(self.probe_at);
+        let own = self.members.wake().min(self.replicas.next_wake()).min(report).min(self.probe_at);
         // Always in the future, so that a turn that could do nothing is not followed by one at the same time.
         rest.into_iter().flatten().fold(own, Micros::min).max(now.saturating_add(1))
     }
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use heronroute_drift::{Ack, Answer, Ask, Challenge, Order, Report, Tell};
-use heronroute_fleet::queue::MOST_MESSAGE;
+use heronroute_fleet::queue::MAX_MESSAGE_BYTES;
 use heronroute_fleet::{Kind, Life, Name};
 use heronroute_region::rights;
 use heronroute_rules::check::{self, LossCounts};
@@ -146,12 +146,12 @@
 
     /// As octets; none where they would be too many.
     pub fn pack(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok().filter(|octets| octets.len() <= MOST_MESSAGE)
+        postcard::to_stdvec(self).ok().filter(|octets| octets.len() <= MAX_MESSAGE_BYTES)
     }
 
     /// Reads a message; none where the octets are not wholly one, or one beyond its bounds.
     pub fn unpack(octets: &'a [u8]) -> Option<Self> {
-        if octets.len() > MOST_MESSAGE {
+        if octets.len() > MAX_MESSAGE_BYTES {
             return None;
         }
         let (wire, rest) = postcard::take_from_bytes::<Wire<'a>>(octets).ok()?;
--- a/crates/installation/tests/detour.rs
+++ b/crates/installation/tests/detour.rs
@@ -235,7 +235,7 @@
     let carrier = (0..3).find(|at| *at != leader).unwrap();
     let (own, boss) = (w.nodes[far].life.clone(), w.nodes[leader].life.clone());
     let clock = w.nodes[far].clock(w.now);
-    let term = w.nodes[far].member.as_ref().unwrap().keepers().term();
+    let term = w.nodes[far].member.as_ref().unwrap().replicas().term();
     let order = |term: Term, answers: i64| {
         let order = Order { term, to: own.clone(), act: Act::SendAgain { clients: vec!["oduya".into()] } };
         Wire::Drift(vec![Piece::Order { order, answers }])
--- a/crates/installation/tests/hard_cases.rs
+++ b/crates/installation/tests/hard_cases.rs
@@ -314,7 +314,7 @@
     let at = 3;
     let node = &world.nodes[at];
     let (to, clock) = (node.life.clone(), node.clock(world.now));
-    let term = node.member.as_ref().unwrap().keepers().term();
+    let term = node.member.as_ref().unwrap().replicas().term();
     let order = |term: u64, answers: i64| {
         let act = Act::SendAgain { clients: vec!["oduya".into()] };
         let order = Order { term: Term(term), to: to.clone(), act };
--- a/crates/installation/tests/rig/mod.rs
+++ b/crates/installation/tests/rig/mod.rs
@@ -108,17 +108,17 @@
 }
 
 impl World {
-    pub fn new(seed: u64, members: usize, keepers: usize) -> Self {
-        Self::with(seed, members, keepers, 1)
+    pub fn new(seed: u64, members: usize, replicas: usize) -> Self {
+        Self::with(seed, members, replicas, 1)
     }
 
-    pub fn with(seed: u64, members: usize, keepers: usize, senders: usize) -> Self {
+    pub fn with(seed: u64, members: usize, replicas: usize, senders: usize) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let peer = |at: usize| Peer {
             name: Name::new(&format!("m{at:03}")).unwrap(),
             zone: format!("z{}", at % 3),
             address: ([127, 0, 0, 1], 7000 + at as u16).into(),
-            keeper: at < keepers,
+            keeper: at < replicas,
         };
         let peers: Vec<Peer> = (0..members).map(peer).collect();
         let nodes = peers.iter().map(|peer| {
@@ -468,12 +468,12 @@
     }
 
     fn check(&mut self, at: usize) {
-        let keepers: Vec<usize> =
+        let replicas: Vec<usize> =
             (0..self.nodes.len()).filter(|k| self.peers[*k].keeper && self.nodes[*k].up()).collect();
         let all = self.peers.iter().filter(|p| p.keeper).count();
         // One keeper that reaches a majority is enough to decide.
-        let near = |k: &usize| keepers.iter().filter(|o| self.reach(*k, **o)).count() > all / 2;
-        if keepers.iter().any(near) {
+        let near = |k: &usize| replicas.iter().filter(|o| self.reach(*k, **o)).count() > all / 2;
+        if replicas.iter().any(near) {
             self.majority_at = self.now;
         }
         let clock = self.nodes[at].clock(self.now);
--- a/crates/installation/tests/rig/node.rs
+++ b/crates/installation/tests/rig/node.rs
@@ -2,7 +2,7 @@
 
 use super::engine::Engine;
 use heronroute_fleet::start::raise;
-use heronroute_fleet::{Life, Name, Peer, Start, keepers, members};
+use heronroute_fleet::{Life, Name, Peer, Start, members, replicas};
 use heronroute_installation::config::Regions;
 use heronroute_installation::seam::{Input, Member, Output};
 use heronroute_installation::{Client, Config, Installation, Pace, Rolling};
@@ -172,9 +172,9 @@
         if self.hasty {
             (detector.rollout_for, detector.stands_for) = (3_000_000, 1_000_000);
         }
-        let mut keepers = keepers::Tuning::default();
+        let mut replicas = replicas::Tuning::default();
         if self.short {
-            (keepers.compact, keepers.keep) = (2_048, 2);
+            (replicas.compact, replicas.keep) = (2_048, 2);
         }
         let cfg = Config {
             installation: "oduya".into(),
@@ -184,7 +184,7 @@
             clients: self.clients.clone(),
             senders: (0..self.engine.tables.len()).collect(),
             seed,
-            keepers,
+            replicas,
             members: members::Tuning::for_size(peers.len()),
             detector,
             pace: Pace::default(),
--- a/crates/installation/tests/rig/script.rs
+++ b/crates/installation/tests/rig/script.rs
@@ -247,7 +247,7 @@
         let line = |at: usize| {
             let node = &self.nodes[at];
             let condition = node.member.as_ref().map_or("down", |m| m.condition().word());
-            let index = node.member.as_ref().map_or(0, |m| m.keepers().index());
+            let index = node.member.as_ref().map_or(0, |m| m.replicas().index());
             let rows = node
                 .member
                 .as_ref()
--- a/crates/installation/tests/schedules.rs
+++ b/crates/installation/tests/schedules.rs
@@ -9,9 +9,9 @@
 use rig::{MS, S, World};
 use std::collections::BTreeSet;
 
-fn run(seed: u64, members: usize, keepers: usize, faults: usize) -> Result<Summary, String> {
+fn run(seed: u64, members: usize, replicas: usize, faults: usize) -> Result<Summary, String> {
     let senders = 1 + (seed % 2) as usize;
-    let mut world = World::with(seed, members, keepers, senders);
+    let mut world = World::with(seed, members, replicas, senders);
     world.nodes.iter_mut().for_each(|node| node.hasty = !seed.is_multiple_of(3));
     // Half of them in two regions.
     world.nodes.iter_mut().for_each(|node| node.regions = !seed.is_multiple_of(2));
@@ -22,11 +22,11 @@
     std::env::var("HERONROUTE_LONG").is_ok_and(|v| v == "1")
 }
 
-fn sweep(seeds: std::ops::Range<u64>, members: usize, keepers: usize, faults: usize) {
+fn sweep(seeds: std::ops::Range<u64>, members: usize, replicas: usize, faults: usize) {
     let mut all: Vec<Summary> = Vec::new();
     let mut failed = 0;
     for seed in seeds {
-        match run(seed, members, keepers, faults) {
+        match run(seed, members, replicas, faults) {
             Ok(summary) => all.push(summary),
             Err(line) => {
                 println!("{line}");
@@ -77,8 +77,8 @@
 /// keeper. How long until all are in line while it stays so.
 fn partial(seed: u64) -> Result<i64, String> {
     let members = 3 + (seed % 5) as usize;
-    let keepers = if members >= 5 && seed.is_multiple_of(2) { 5 } else { 3 };
-    let mut w = World::with(seed, members, keepers, 1 + (seed % 2) as usize).begun();
+    let replicas = if members >= 5 && seed.is_multiple_of(2) { 5 } else { 3 };
+    let mut w = World::with(seed, members, replicas, 1 + (seed % 2) as usize).begun();
     let line = |w: &World, what: &str| {
         let failed = w.book.failed.as_deref().unwrap_or(what);
         format!("HERONROUTE_PARTIAL={seed}: {members} members, cut {:?}: {failed}", w.cut)
@@ -92,11 +92,11 @@
         let mut more = cut.clone();
         more.insert((a.min(b), a.max(b)));
         let stands = |a: usize, b: usize| a != b && !more.contains(&(a.min(b), a.max(b)));
-        let reached = |a, b| stands(a, b) || (0..keepers).any(|c| stands(a, c) && stands(c, b));
+        let reached = |a, b| stands(a, b) || (0..replicas).any(|c| stands(a, c) && stands(c, b));
         let all = (0..members).all(|a| (0..a).all(|b| reached(a, b)));
         // Edits go on only where some keeper has links to a majority.
-        let centre = |k: usize| (0..keepers).filter(|o| k == *o || stands(k, *o)).count() > keepers / 2;
-        if a == b || !all || !(0..keepers).any(centre) {
+        let centre = |k: usize| (0..replicas).filter(|o| k == *o || stands(k, *o)).count() > replicas / 2;
+        if a == b || !all || !(0..replicas).any(centre) {
             continue;
         }
         cut = more;
--- a/crates/installation/tests/table.rs
+++ b/crates/installation/tests/table.rs
@@ -73,7 +73,7 @@
         if condition != Condition::Awake {
             assert_eq!(member.condition(), condition, "{say}");
         }
-        let (life, term) = (world.nodes[at].life.clone(), member.keepers().term());
+        let (life, term) = (world.nodes[at].life.clone(), member.replicas().term());
         // Delivering goes on: what the nodes apply is untouched by any of it.
         assert!(!world.nodes[at].engine.at_home("oduya").unwrap().rules.is_empty());
         // Edits: taken, or turned away at once. First, as one that just woke has to know it before it reads anything.
@@ -99,7 +99,7 @@
         let order = Order { term, to: life, act: Act::SendAgain { clients: vec!["oduya".into()] } };
         let wire = Wire::Drift(vec![Piece::Order { order, answers: clock }]);
         let leader =
-            world.nodes[at].member.as_ref().unwrap().keepers().leader().map(|(_, life)| life.name.clone());
+            world.nodes[at].member.as_ref().unwrap().replicas().leader().map(|(_, life)| life.name.clone());
         if let Some(leader) = leader {
             let peer = world.peers.iter().position(|p| p.name == leader).unwrap();
             let refused = |w: &World| w.nodes[at].member.as_ref().unwrap().counts().orders_refused;
--- a/crates/region/tests/schedules/member.rs
+++ b/crates/region/tests/schedules/member.rs
@@ -2,7 +2,7 @@
 
 use crate::world::Plant;
 use heronroute_fleet::lease::{Grants, Lease};
-use heronroute_fleet::{Life, Name, Start, Term, keepers};
+use heronroute_fleet::{Life, Name, Start, Term, replicas};
 use heronroute_region::agreed::Agreed;
 use heronroute_region::duties::Duties;
 use heronroute_region::homes::Partners;
@@ -80,7 +80,7 @@
         self.up.is_some() && !self.paused
     }
 
-    pub fn start(&mut self, now: i64, tuning: Tuning, giver: Tuning, lease: &keepers::Tuning, plant: Plant) {
+    pub fn start(&mut self, now: i64, tuning: Tuning, giver: Tuning, lease: &replicas::Tuning, plant: Plant) {
         self.disk.start += 1;
         self.epoch += 1;
         self.paused = false;
--- a/crates/region/tests/schedules/world.rs
+++ b/crates/region/tests/schedules/world.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{Book, HANDED, Sum, TAKEN, key};
 use crate::member::{Member, Process};
-use heronroute_fleet::{Life, Name, Standing, Start, Term, keepers};
+use heronroute_fleet::{Life, Name, Standing, Start, Term, replicas};
 use heronroute_region::agreed::{Agreed, Command, Effect};
 use heronroute_region::duties::Duties;
 use heronroute_region::homes::Partners;
@@ -83,7 +83,7 @@
     /// When whom was last reached, and in which life.
     seen: BTreeMap<(usize, usize), (i64, u64)>,
     tuning: Tuning,
-    lease: keepers::Tuning,
+    lease: replicas::Tuning,
     divided: BTreeMap<u64, Duties>,
     waiting: Vec<(usize, usize, Msg)>,
     asleep: BTreeMap<usize, Vec<(usize, Msg)>>,
@@ -93,13 +93,13 @@
     pub fn new(seed: u64, plant: Plant) -> World {
         let mut rng = SmallRng::seed_from_u64(seed);
         let count = if rng.random_bool(0.15) { rng.random_range(8..=20) } else { rng.random_range(3..=7) };
-        let keepers = if count < 5 || rng.random_bool(0.5) { 3 } else { 5 };
+        let replicas = if count < 5 || rng.random_bool(0.5) { 3 } else { 5 };
         // Where death is known at once, take-overs wait for nothing but rights.
         let tuning = Tuning { dead_for: [0, 3 * S][rng.random_range(0..2)], ..Tuning::default() };
         let member = |at: usize| Member {
             name: Name::new(&format!("m{at:02}")).unwrap(),
             region: at % 2,
-            keeper: at < keepers,
+            keeper: at < replicas,
             rate: rng.random_range(977..=1023),
             offset: rng.random_range(0..1_000) * S,
             skew: 0,
@@ -130,7 +130,7 @@
             seq: 0,
             seen: BTreeMap::new(),
             tuning,
-            lease: keepers::Tuning::default(),
+            lease: replicas::Tuning::default(),
             divided: BTreeMap::new(),
             waiting: Vec::new(),
             asleep: BTreeMap::new(),
@@ -183,11 +183,11 @@
 
     /// A keeper that reaches a majority both ways, and that this one reaches.
     fn hub(&self, from: Option<usize>) -> bool {
-        let keepers: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].keeper).collect();
+        let replicas: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].keeper).collect();
         let lives = |at: &usize| self.members[*at].lives();
-        keepers.iter().filter(|hub| lives(hub)).any(|hub| {
-            let reached = keepers.iter().filter(|other| lives(other) && self.both(*hub, **other)).count();
-            reached * 2 > keepers.len() && from.is_none_or(|from| self.both(from, *hub))
+        replicas.iter().filter(|hub| lives(hub)).any(|hub| {
+            let reached = replicas.iter().filter(|other| lives(other) && self.both(*hub, **other)).count();
+            reached * 2 > replicas.len() && from.is_none_or(|from| self.both(from, *hub))
         })
     }
 
@@ -431,7 +431,7 @@
     /// A keeper: stays in charge, or tries to be.
     fn keep(&mut self, at: usize) {
         let clock = self.members[at].clock(self.now);
-        let keepers: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].keeper).collect();
+        let replicas: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].keeper).collect();
         let patience = 1_200 * MS + self.rng.random_range(0..600) * MS;
         let hub = self.hub(Some(at));
         let member = &mut self.members[at];
@@ -443,7 +443,7 @@
             }
             process.term = Term((((member.disk.promise.0 >> 8) + 1) << 8) | at as u64);
             member.disk.promise = process.term;
-            process.lease.begin(process.term, keepers.len());
+            process.lease.begin(process.term, replicas.len());
         }
         process.heard = clock;
         let term = process.term;
@@ -451,7 +451,7 @@
             process.lease.granted(at, term, clock, clock);
         }
         let begun = process.begun;
-        for other in keepers {
+        for other in replicas {
             if other != at {
                 self.send(at, other, Msg::Renew { term, sent: clock, epoch });
             }
@@ -771,14 +771,14 @@
 
     /// Some die, fewer than half of the keepers, and stay so.
     fn deaths(&mut self) {
-        let keepers = self.members.iter().filter(|m| m.keeper).count();
+        let replicas = self.members.iter().filter(|m| m.keeper).count();
         let (mut dead, mut out) = (BTreeSet::new(), 0);
         let first = self.leader().unwrap_or(0);
         for _ in 0..self.rng.random_range(1..3) {
             let any = self.rng.random_range(0..self.members.len());
             let at = if self.rng.random_bool(0.3) { first } else { any };
             let kept = usize::from(self.members[at].keeper);
-            if out + kept <= (keepers - 1) / 2 && dead.insert(at) {
+            if out + kept <= (replicas - 1) / 2 && dead.insert(at) {
                 out += kept;
                 self.kill(at);
             }
