--- a/crates/fleet/src/frames.rs
+++ b/crates/fleet/src/frames.rs
@@ -1,7 +1,7 @@
 //! Encodes and decodes the frames on a link.
 //!
 //! ```text
-//! length   u32, big-endian: the number of bytes that follow, at most MOST_FRAME
+//! length   u32, big-endian: the number of bytes that follow, at most MAX_FRAME_BYTES
 //! head     postcard of Head: the frame's type, and its sequence number on this link and direction
 //! payload  everything up to the tag
 //! tag      32 bytes: HMAC-SHA256 over length, head and payload under the key of this link and direction
--- a/crates/fleet/src/key.rs
+++ b/crates/fleet/src/key.rs
@@ -23,7 +23,7 @@
     /// The file holds only whitespace.
     #[error("the key file is empty; write {MIN_KEY_BYTES} random octets or more into it, as hex or base64")]
     Empty,
-    /// The file is longer than [`MOST_KEY_TEXT`].
+    /// The file is longer than [`MAX_KEY_FILE_BYTES`].
     #[error("the key file has more than {max} octets; that can't be a key", max = MAX_KEY_FILE_BYTES)]
     Long,
     /// The content is neither hex nor base64.
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -76,10 +76,10 @@
     }
 
     /// Records that a replica, counted from 0, has granted the renewal that was requested at this time.
-    pub fn granted(&mut self, keeper: usize, term: Term, requested: Micros, now: Micros) {
+    pub fn granted(&mut self, replica: usize, term: Term, requested: Micros, now: Micros) {
         if term == self.term
             && requested <= now
-            && let Some(at) = self.requested.get_mut(keeper)
+            && let Some(at) = self.requested.get_mut(replica)
         {
             *at = (*at).max(Some(requested));
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,8 +3,8 @@
 //! - [`link`] authenticates connections between members and carries messages on them; [`frames`] encodes the
 //!   messages under the installation's [`key`], and [`queue`] holds a bounded number of them for each peer.
 //! - [`members`] tracks which members are alive, suspected or dead, and which have been replaced.
-//! - [`keepers`] replicates an ordered log of decisions: a majority of the replicas decides, and every member
-//!   learns the result. [`lease`] limits how long its leader may act.
+//! - [`replicas`] replicates an ordered log of decisions: a majority of the replicas decides, and every
+//!   member learns the result. [`lease`] limits how long its leader may act.
 //! - [`start`] keeps the start number, which tells the successive processes of a member apart, on disk.
 //!
 //! The crate uses no socket, thread, clock or random source of the machine: the caller passes in time,
@@ -22,7 +22,6 @@
 pub mod members;
 pub mod name;
 pub mod queue;
-#[path = "replicas/mod.rs"]
 pub mod replicas;
 pub mod start;
 
--- a/crates/fleet/src/link/output.rs
+++ b/crates/fleet/src/link/output.rs
@@ -71,7 +71,7 @@
     /// Another member knows a later start of this member.
     Outlived(Start),
     /// A peer uses another version of the protocol. Reported for the first such peer, and then at most once
-    /// in [`TOLD_EVERY`].
+    /// in [`VERSION_REPORT_INTERVAL`].
     OtherVersion {
         /// The peer's version, which differs from [`VERSION`](super::hello::VERSION).
         theirs: u32,
--- a/crates/fleet/src/link/switch.rs
+++ b/crates/fleet/src/link/switch.rs
@@ -271,10 +271,10 @@
     }
 
     fn other_version(&mut self, now: Micros, theirs: u32) {
-        let (refused, told) = &mut self.refused;
+        let (refused, last_report) = &mut self.refused;
         *refused += 1;
-        if told.is_none_or(|at| now - at >= VERSION_REPORT_INTERVAL) {
-            *told = Some(now);
+        if last_report.is_none_or(|at| now - at >= VERSION_REPORT_INTERVAL) {
+            *last_report = Some(now);
             self.outputs.push(Output::OtherVersion { theirs, refused: *refused });
         }
     }
--- a/crates/fleet/src/members/change.rs
+++ b/crates/fleet/src/members/change.rs
@@ -15,7 +15,8 @@
     /// There are more than 65,535 members.
     #[error("too many members")]
     TooMany,
-    /// [`Members::rise`](super::Members::rise) was called with a start that isn't greater than all others.
+    /// [`Members::continue_as`](super::Members::continue_as) was called with a start that isn't greater than
+    /// all others.
     #[error("start {0:?} is not greater than every start seen under this member's name")]
     NotAbove(Start),
 }
@@ -42,7 +43,7 @@
     SharedName(Life),
     /// The last life under this member's own name had this start number, which isn't less than the own one,
     /// and is dead: this process was restored from an old disk. Raise the start above it on disk, then call
-    /// [`Members::rise`](super::Members::rise).
+    /// [`Members::continue_as`](super::Members::continue_as).
     Behind(Start),
 }
 
--- a/crates/fleet/src/members/member_id.rs
+++ b/crates/fleet/src/members/member_id.rs
@@ -10,7 +10,7 @@
 /// than the text.
 pub(super) fn key_of(name: &Name) -> u64 {
     let digest = Sha256::digest(name.as_str().as_bytes());
-    digest.iter().take(8).fold(0, |key, octet| key << 8 | u64::from(*octet))
+    digest.iter().take(8).fold(0, |key, byte| key << 8 | u64::from(*byte))
 }
 
 /// The identity of a member in the protocol.
--- a/crates/fleet/src/members/name_claim.rs
+++ b/crates/fleet/src/members/name_claim.rs
@@ -10,5 +10,5 @@
     /// The time at which it was last reported alive.
     pub alive: Micros,
     pub conflict_reported: bool,
-    pub behind: bool,
+    pub behind_reported: bool,
 }
--- a/crates/fleet/src/members/name_conflicts.rs
+++ b/crates/fleet/src/members/name_conflicts.rs
@@ -26,8 +26,13 @@
     pub(super) fn name_claimed(&mut self, now: Micros, other: &Member<MemberId>) {
         let who = *other.id();
         if self.claim.as_ref().is_none_or(|c| c.who.precedence() < who.precedence()) {
-            self.claim =
-                Some(NameClaim { who, since: now, alive: now, conflict_reported: false, behind: false });
+            self.claim = Some(NameClaim {
+                who,
+                since: now,
+                alive: now,
+                conflict_reported: false,
+                behind_reported: false,
+            });
             (self.timers, self.probe_retry) = (Timers::default(), None);
             self.become_stale(now);
         }
@@ -35,14 +40,14 @@
             return;
         };
         if other.state() == State::Down {
-            if !claim.behind {
-                claim.behind = true;
+            if !claim.behind_reported {
+                claim.behind_reported = true;
                 self.out.change(Change::Behind(who.start));
             }
             return;
         }
         claim.alive = now;
-        claim.behind = false;
+        claim.behind_reported = false;
         if !claim.conflict_reported && now - claim.since >= self.tuning.conflict_after {
             claim.conflict_reported = true;
             let name = self.life.name.clone();
@@ -54,8 +59,8 @@
     pub(super) fn name_not_claimed(&mut self, now: Micros) {
         // The sender may not have learnt of the other process yet, and those that had may all be gone.
         let long = 2 * self.tuning.conflict_after;
-        if let Some(claim) = self.claim.as_mut().filter(|c| !c.behind && now - c.alive > long) {
-            claim.behind = true;
+        if let Some(claim) = self.claim.as_mut().filter(|c| !c.behind_reported && now - c.alive > long) {
+            claim.behind_reported = true;
             self.out.change(Change::Behind(claim.who.start));
         }
     }
--- a/crates/fleet/src/members/state.rs
+++ b/crates/fleet/src/members/state.rs
@@ -159,8 +159,8 @@
         None
     }
 
-    /// Returns the time at which [`Members::tick`] is due. It is never later than [`Tuning::greet_interval`] after the
-    /// last call, so that a longer gap is a pause.
+    /// Returns the time at which [`Members::tick`] is due. It is never later than [`Tuning::greet_interval`]
+    /// after the last call, so that a longer gap is a pause.
     pub fn wake(&self) -> Micros {
         let due = self.timers.next().unwrap_or(Micros::MAX).min(self.next_greeting);
         let due = self.probe_retry_at().unwrap_or(Micros::MAX).min(due);
--- a/crates/fleet/src/members/tuning.rs
+++ b/crates/fleet/src/members/tuning.rs
@@ -36,7 +36,8 @@
     pub greet_interval: Micros,
     /// The number of members greeted at a time.
     pub greet_count: usize,
-    /// A gap of the own clock longer than this makes the view stale. It must be greater than `greet_interval`.
+    /// A gap of the own clock longer than this makes the view stale. It must be greater than
+    /// `greet_interval`.
     pub lease: Micros,
     /// How long a stale member waits for the view of a member that isn't stale before it accepts any view.
     pub view_wait: Micros,
--- a/crates/fleet/src/members/wire.rs
+++ b/crates/fleet/src/members/wire.rs
@@ -113,8 +113,8 @@
         rest = members;
         for _ in 0..u16::from_be_bytes(*count) {
             let start = bytes.len() - rest.len();
-            let (member, behind) = postcard::take_from_bytes::<Member<MemberId>>(rest).ok()?;
-            rest = behind;
+            let (member, remaining) = postcard::take_from_bytes::<Member<MemberId>>(rest).ok()?;
+            rest = remaining;
             updates.push((member, start..bytes.len() - rest.len()));
         }
     }
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -30,7 +30,7 @@
     Replaced(usize),
     /// There is no room for a message that must not be left out: the link has to be reset.
     Full,
-    /// The message has more than [`MOST_MESSAGE`] bytes and was discarded.
+    /// The message has more than [`MAX_MESSAGE_BYTES`] bytes and was discarded.
     TooLong,
 }
 
--- a/crates/fleet/src/replicas/check.rs
+++ b/crates/fleet/src/replicas/check.rs
@@ -43,7 +43,7 @@
     if message.get_sender() != from || message.get_receiver() != own {
         return Verdict::Drop;
     }
-    let behind = |decided: usize| {
+    let lacks_too_much = |decided: usize| {
         let decided = decided as u64;
         decided < state.compacted || state.octets_from(decided) > MAX_SYNC_BYTES
     };
@@ -64,7 +64,7 @@
                 return Verdict::Drop;
             }
             // What we would have to send may have been trimmed, or be too much for one message.
-            if behind(m.decided_idx) {
+            if lacks_too_much(m.decided_idx) {
                 return Verdict::Behind;
             }
             m.accepted_idx < MAX_INDEX
@@ -73,7 +73,7 @@
             if !owned_by(&m.n, own) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
                 return Verdict::Drop;
             }
-            if behind(m.decided_idx) {
+            if lacks_too_much(m.decided_idx) {
                 return Verdict::Behind;
             }
             if leads {
--- a/crates/fleet/src/replicas/learn.rs
+++ b/crates/fleet/src/replicas/learn.rs
@@ -77,30 +77,30 @@
     }
 
     /// Makes this replica the next to be asked, at once.
-    pub fn switch_to(&mut self, keeper: u8) {
-        (self.source, self.next_ask, self.awaiting_answer, self.forced) = (keeper, 0, false, true);
+    pub fn switch_to(&mut self, replica: u8) {
+        (self.source, self.next_ask, self.awaiting_answer, self.forced) = (replica, 0, false, true);
     }
 
     /// Handles the loss of the link to a replica.
-    pub fn lost(&mut self, keeper: u8) {
-        if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1)) {
+    pub fn lost(&mut self, replica: u8) {
+        if let Some(report) = self.reports.get_mut(usize::from(replica).wrapping_sub(1)) {
             *report = None;
         }
-        if keeper == self.source {
+        if replica == self.source {
             (self.next_ask, self.awaiting_answer) = (0, true);
         }
     }
 
     /// Records that a replica reported that it has no majority.
-    pub fn refused(&mut self, now: Micros, keeper: u8) {
-        if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1)) {
+    pub fn refused(&mut self, now: Micros, replica: u8) {
+        if let Some(report) = self.reports.get_mut(usize::from(replica).wrapping_sub(1)) {
             *report = Some((now, false, false));
         }
     }
 
     /// Returns whether the replica has a majority and receives decisions.
-    fn is_useful(&self, keeper: u8) -> bool {
-        let report = self.reports.get(usize::from(keeper).wrapping_sub(1)).copied().flatten();
+    fn is_useful(&self, replica: u8) -> bool {
+        let report = self.reports.get(usize::from(replica).wrapping_sub(1)).copied().flatten();
         report.is_some_and(|(_, majority, bypassed)| majority && !bypassed)
     }
 
@@ -119,14 +119,14 @@
         self.reports.iter().position(steady).or_else(any).map(|i| i as u8 + 1)
     }
 
-    fn record_status(&mut self, now: Micros, keeper: u8, tip: LogStatus, more: bool) {
-        if let Some(report) = self.reports.get_mut(usize::from(keeper).wrapping_sub(1))
+    fn record_status(&mut self, now: Micros, replica: u8, tip: LogStatus, more: bool) {
+        if let Some(report) = self.reports.get_mut(usize::from(replica).wrapping_sub(1))
             && tip.echo <= now
             && report.is_none_or(|(asked, ..)| asked <= tip.echo)
         {
             *report = Some((tip.echo, tip.majority, tip.bypassed));
         }
-        if keeper == self.source {
+        if replica == self.source {
             self.awaiting_answer = false;
             if more {
                 self.next_ask = now;
@@ -135,13 +135,13 @@
     }
 
     /// Handles an answer; `from` is the next slot wanted.
-    pub fn hear(&mut self, now: Micros, keeper: u8, from: u64, answer: LogMessage) -> LearnOutcome {
+    pub fn hear(&mut self, now: Micros, replica: u8, from: u64, answer: LogMessage) -> LearnOutcome {
         match answer {
             LogMessage::Items { from: at, items, tip } => {
                 let fits = at == from && !items.is_empty();
                 // The next request is sent at once, even if there is nothing more, so that the replica
                 // reports the next decision as soon as it is made.
-                self.record_status(now, keeper, tip, fits);
+                self.record_status(now, replica, tip, fits);
                 if !fits {
                     return if from >= tip.decided { LearnOutcome::All } else { LearnOutcome::Nothing };
                 }
@@ -155,14 +155,14 @@
                 }
                 let wanted = slot > from && total <= MAX_SNAPSHOT_BYTES as u64 * 2 && !bytes.is_empty();
                 if !wanted {
-                    self.record_status(now, keeper, tip, false);
+                    self.record_status(now, replica, tip, false);
                     return LearnOutcome::Nothing;
                 }
                 let next = so_far.len() as u64 == at;
                 if next {
                     so_far.extend_from_slice(&bytes);
                 }
-                self.record_status(now, keeper, tip, next);
+                self.record_status(now, replica, tip, next);
                 if so_far.len() as u64 >= total {
                     return LearnOutcome::Snapshot(slot, so_far);
                 }
--- a/crates/fleet/src/replicas/member.rs
+++ b/crates/fleet/src/replicas/member.rs
@@ -34,7 +34,7 @@
     pub(super) tuning: Tuning,
     pub(super) group: Group,
     /// The names of the replicas, by number.
-    pub(super) replicas: Vec<Name>,
+    pub(super) replica_names: Vec<Name>,
     pub(super) own: Option<u8>,
     pub(super) replica: Option<Replica<S>>,
     pub(super) applied_state: AppliedState,
@@ -57,7 +57,7 @@
     /// Returns the state of a member that starts now. `peers` lists all members of the settings, including
     /// this one; `installation` is the installation's name; `seed` must differ at each start, as it
     /// distinguishes this life from others under its name. Entries that the disk knows as decided are
-    /// delivered after the first [`Keepers::flush`].
+    /// delivered after the first [`Replicas::flush`].
     ///
     /// # Errors
     /// Fails when the settings are invalid, or the replica's file can't be used.
@@ -122,7 +122,7 @@
             replica,
             applied_state,
             learn: Learn::new(replicas.len(), mix(nonce)),
-            replicas,
+            replica_names: replicas,
             pending_requests: PendingRequests::default(),
             watchers,
             log_outbox: Vec::new(),
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Returns the time at which [`Keepers::tick`] is due.
+    /// Returns the time at which [`Replicas::tick`] is due.
     pub fn next_wake(&self) -> Micros {
         self.next_tick
     }
@@ -194,7 +194,7 @@
         self.outputs.push_back(Output::Answer { request, answer });
     }
 
-    /// Handles a tick. Call it at [`Keepers::next_wake`] or later. A late call counts as one tick: a process
+    /// Handles a tick. Call it at [`Replicas::next_wake`] or later. A late call counts as one tick: a process
     /// that was paused doesn't catch up on the ticks that it missed.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
@@ -211,7 +211,7 @@
             if std::mem::take(&mut replica.log_discarded) {
                 // What was delivered from the discarded log may be wrong, so all of it is revoked.
                 self.applied_state = AppliedState::default();
-                self.learn = Learn::new(self.replicas.len(), mix(self.nonce));
+                self.learn = Learn::new(self.replica_names.len(), mix(self.nonce));
                 self.outputs.push_back(Output::Restore { index: 0, machine: Vec::new() });
             }
         }
@@ -237,7 +237,7 @@
             self.fold_decided(now);
         }
         for (pid, bytes) in sends {
-            if let Some(to) = self.replicas.get(usize::from(pid).wrapping_sub(1)) {
+            if let Some(to) = self.replica_names.get(usize::from(pid).wrapping_sub(1)) {
                 self.outputs.push_back(Output::Send { to: to.clone(), lane: Lane::Agreement, bytes });
             }
         }
@@ -256,7 +256,7 @@
 
     /// Takes a snapshot: the caller's state with all entries up to `index` applied, as
     /// [`Output::WantSnapshot`] requested it. Returns false if it isn't accepted, because there are newer
-    /// entries or it is longer than [`MOST_SNAPSHOT`].
+    /// entries or it is longer than [`MAX_SNAPSHOT_BYTES`].
     pub fn snapshot(&mut self, index: u64, machine: Vec<u8>) -> bool {
         let undelivered =
             self.outputs.iter().any(|o| matches!(o, Output::Decided(_) | Output::Restore { .. }));
@@ -281,7 +281,7 @@
     }
 
     pub(super) fn pid(&self, name: &Name) -> Option<u8> {
-        self.replicas.binary_search(name).ok().map(|i| i as u8 + 1)
+        self.replica_names.binary_search(name).ok().map(|i| i as u8 + 1)
     }
 
     pub(super) fn answer_all(&mut self, requests: Vec<Request>, answer: pending_requests::Answer) {
--- a/crates/fleet/src/replicas/mod.rs
+++ b/crates/fleet/src/replicas/mod.rs
@@ -20,11 +20,10 @@
 //! cases in which a replica stays excluded for good after messages or a process were lost (`receive.rs`);
 //! repeated requests (`applied_state.rs`); and leases ([`crate::lease`]).
 //!
-//! **Use.** Inputs change memory only. [`Keepers::flush`] makes their effects durable with one sync and then
+//! **Use.** Inputs change memory only. [`Replicas::flush`] makes their effects durable with one sync and then
 //! releases the messages that depend on them, so a batch of inputs costs one sync. After each flush the
 //! caller takes every [`Output`], in order.
 
-#[path = "applied_state.rs"]
 pub mod applied_state;
 pub mod chain;
 pub mod check;
@@ -34,7 +33,6 @@
 pub mod log;
 mod member;
 pub mod peers;
-#[path = "pending_requests.rs"]
 pub mod pending_requests;
 mod progress;
 mod receive;
@@ -76,10 +74,10 @@
     Restore {
         /// The last entry that the state includes.
         index: u64,
-        /// The state as it was passed to [`Keepers::snapshot`].
+        /// The state as it was passed to [`Replicas::snapshot`].
         machine: Vec<u8>,
     },
-    /// The log has grown: call [`Keepers::snapshot`] once everything up to this entry is applied.
+    /// The log has grown: call [`Replicas::snapshot`] once everything up to this entry is applied.
     WantSnapshot {
         /// The last entry delivered.
         index: u64,
@@ -107,7 +105,7 @@
     /// The replica may vote, but lacks so much of the log that it learns that part first.
     CatchingUp,
     /// The replica's log differed from the others' and was discarded; from there on as
-    /// [`Standing::Amnesiac`].
+    /// [`Participation::Amnesiac`].
     Altered,
     /// The replica's disk is empty, or older than what the replica once sent. It learns, and doesn't vote
     /// until it is readmitted.
--- a/crates/fleet/src/replicas/pending_requests.rs
+++ b/crates/fleet/src/replicas/pending_requests.rs
@@ -29,7 +29,7 @@
     next_send: Micros,
 }
 
-/// The pending requests, at most [`MOST_PENDING`].
+/// The pending requests, at most [`MAX_PENDING`].
 #[derive(Clone, Debug, Default)]
 pub struct PendingRequests {
     pending: BTreeMap<Request, PendingRequest>,
--- a/crates/fleet/src/replicas/progress.rs
+++ b/crates/fleet/src/replicas/progress.rs
@@ -44,7 +44,7 @@
     }
 
     pub(super) fn send_to_replica(&mut self, pid: u8, message: LogMessage) {
-        if let Some(name) = self.replicas.get(usize::from(pid).wrapping_sub(1)) {
+        if let Some(name) = self.replica_names.get(usize::from(pid).wrapping_sub(1)) {
             self.log_outbox.push((name.clone(), message));
         }
     }
@@ -121,9 +121,9 @@
                 // A snapshot that can't be decoded would prevent this replica's next start.
                 let base =
                     postcard::from_bytes::<Snapshot>(&bytes).ok().filter(|b| b.applied_state.slot == slot);
-                let sound = base.is_some();
+                let readable = base.is_some();
                 let mut records = log.state().follow(ballot);
-                if sound && slot >= log.state().end() {
+                if readable && slot >= log.state().end() {
                     records.push(Record::Accepted(unled_ballot));
                 }
                 if let Some(base) = base {
--- a/crates/fleet/src/replicas/replica.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -204,7 +204,7 @@
     }
 
     /// Returns a ballot of this replica in which nobody leads, below all ballots that are led; see
-    /// [`super::state::State::learnt`].
+    /// [`super::state::State::learn_records`].
     pub(super) fn unled_ballot(&self) -> Ballot {
         Ballot::with(CONFIGURATION, 0, 0, u64::from(self.own))
     }
--- a/crates/fleet/src/replicas/voting.rs
+++ b/crates/fleet/src/replicas/voting.rs
@@ -27,17 +27,17 @@
 //!
 //! **An old disk while others are out of reach.** An old disk is detected by the replicas that have seen a
 //! later state of it. A replica that receives answers from all others votes; one that doesn't waits for
-//! [`Tuning::hear_all`](super::Tuning::hear_all) and then votes all the same, as otherwise one unavailable
-//! replica would prevent another from starting. Where its file is a copy ([`Log::copied`]: it isn't the file
-//! that was written, by its number in the file system), it doesn't: it waits for all others, or to be
-//! readmitted.
+//! [`Tuning::startup_wait`](super::Tuning::startup_wait) and then votes all the same, as otherwise one
+//! unavailable replica would prevent another from starting. Where its file is a copy ([`Log::copied`]: it
+//! isn't the file that was written, by its number in the file system), it doesn't: it waits for all others,
+//! or to be readmitted.
 //!
 //! Not covered: a disk that was restored *below* the file system, such as a snapshot of a volume or of a
 //! machine, looks as it did when it was written. X then votes from the old state if the replicas that know
 //! more of it are unreachable, for X and for all that X reaches, for longer than
-//! [`Tuning::hear_all`](super::Tuning::hear_all). Among three replicas A, B and X this can lose what B and X
-//! alone decided after the copy was taken, while A received messages from neither. As soon as A has received
-//! one message from either, A knows X's mark, and X is detected. Both cases are tests in
+//! [`Tuning::startup_wait`](super::Tuning::startup_wait). Among three replicas A, B and X this can lose what
+//! B and X alone decided after the copy was taken, while A received messages from neither. As soon as A has
+//! received one message from either, A knows X's mark, and X is detected. Both cases are tests in
 //! `tests/keepers/copies.rs`.
 //!
 //! Also, where *all* disks are empty, it can't be determined whether the installation is new.
--- a/crates/fleet/src/replicas/wire.rs
+++ b/crates/fleet/src/replicas/wire.rs
@@ -1,4 +1,4 @@
-//! The messages about the replicated log: encoded with postcard, at most [`MOST_MESSAGE`] bytes.
+//! The messages about the replicated log: encoded with postcard, at most [`MAX_MESSAGE_BYTES`] bytes.
 
 use super::chain::Chain;
 use super::item::Item;
