--- a/crates/fleet/src/link/session.rs
+++ b/crates/fleet/src/link/session.rs
@@ -1,69 +1,70 @@
-//! One connection between two members, from its first octet to its end.
+//! The state machine of one connection between two members.
 
 use super::hello::{self, Keys, Nonce, Side};
 use super::pieces::Pieces;
 use super::reason::Reason;
 use super::roster::Roster;
 use crate::Micros;
-use crate::frames::{Head, MOST_FRAME, MOST_HELLO, Reader, What, seal};
+use crate::frames::{FrameReader, FrameType, Head, MAX_FRAME_BYTES, MAX_HELLO_BYTES, seal};
 use crate::key::Tag;
 use crate::kind::Kind;
 use crate::name::{Life, Name, Start};
-use crate::queue::{Queue, Queued};
+use crate::queue::{PushOutcome, Queue};
 
-/// Both sides must be proved so long after a connection was begun.
-pub const HANDSHAKE: Micros = 5_000_000;
-/// Where nothing else was sent for so long, a frame says that its sender lives.
-pub const ALIVE_EVERY: Micros = 1_000_000;
-/// A link without a whole frame for so long is over.
-pub const SILENCE: Micros = 4_000_000;
-/// Octets that are sealed but not written at most, before another piece is sealed. What is sealed can't be given up for
-/// something newer, so it is kept short.
-pub const SEALED: usize = 16 * 1024;
+/// The time from the start of a connection within which both sides must be authenticated.
+pub const HANDSHAKE_TIMEOUT: Micros = 5_000_000;
+/// The time without other frames after which a keepalive is sent.
+pub const KEEPALIVE_INTERVAL: Micros = 1_000_000;
+/// A link on which no whole frame arrived for this long is closed.
+pub const IDLE_TIMEOUT: Micros = 4_000_000;
+/// The number of sealed but unwritten bytes above which no further piece is sealed. Sealed bytes can't be
+/// replaced by newer messages, so the limit is low.
+pub const MAX_SEALED_BYTES: usize = 16 * 1024;
 
-/// What came of octets or time.
+/// The result of received bytes or of passed time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
-    /// The other side is proved.
+    /// The peer is authenticated.
     Up {
-        /// Who it is.
+        /// The peer's life.
         life: Life,
     },
-    /// The other side has heard this member under a later start than its own: this one was brought back from an old disk,
-    /// or another process goes by its name. [`LinkEvent::Over`] follows.
+    /// The peer knows this member under a later start than its own: this process was restored from an old
+    /// disk, or another process uses its name. [`LinkEvent::Over`] follows.
     Outlived(Start),
-    /// The other side is of this other version of the protocol. The connection is over, or ends once the other side was told.
+    /// The peer uses this other version of the protocol. The connection is over, or ends once the peer has
+    /// been informed.
     OtherVersion(u32),
     /// A whole message.
     Message {
-        /// Of this kind.
+        /// The kind of the message.
         kind: Kind,
-        /// Its octets.
+        /// The content.
         payload: Vec<u8>,
     },
-    /// It is over: close the connection. Nothing follows.
+    /// The connection has to be closed. No event follows.
     Over(Reason),
 }
 
 #[derive(Debug)]
 enum State {
-    /// Said hello 1, waits for hello 2.
-    Dialled {
+    /// Hello 1 was sent; waits for hello 2.
+    AwaitingReply {
         to: Name,
         first: Tag,
     },
     /// Waits for hello 1.
-    Asked {
+    AwaitingHello {
         nonce: Nonce,
     },
-    /// Said hello 2, waits for a frame under the link's key.
-    Answered {
+    /// Hello 2 was sent; waits for a frame under the link's key.
+    AwaitingProof {
         keys: Keys,
         life: Life,
     },
-    /// Was dialled by another version and said so; the other side closes.
+    /// A dialler of another version was refused; waits until it closes the connection.
     Refused,
-    /// Both are proved.
+    /// Both sides are authenticated.
     Up {
         keys: Keys,
     },
@@ -74,136 +75,144 @@
 #[derive(Debug)]
 pub struct Link {
     state: State,
-    reader: Reader,
+    reader: FrameReader,
     queue: Queue,
-    /// Sealed and not written yet, from `wrote` on.
+    /// Sealed bytes; those from `wrote` on are not written yet.
     sealed: Vec<u8>,
     wrote: usize,
-    /// Numbers of the next frame out and in.
+    /// The sequence numbers of the next outgoing and incoming frame.
     next_out: u64,
     next_in: u64,
     pieces: Pieces,
-    begun: Micros,
-    said: Micros,
-    heard: Micros,
-    /// Frames that came twice.
-    doubled: u64,
+    opened_at: Micros,
+    last_sent: Micros,
+    last_received: Micros,
+    /// The number of frames that arrived twice.
+    duplicates: u64,
 }
 
 impl Link {
-    /// The side that dials `to`. `nonce`: octets that no other connection of this installation has.
+    /// Begins a connection as the dialler. `nonce` must be used by no other connection of this installation.
     pub fn dial(now: Micros, roster: &Roster, to: &Name, nonce: Nonce) -> Self {
         let mut sealed = Vec::new();
-        let first = hello::say(&mut sealed, roster, Side::Dials, to, nonce, &[]);
-        Link::new(now, State::Dialled { to: to.clone(), first }, sealed)
+        let first = hello::write(&mut sealed, roster, Side::Dialler, to, nonce, &[]);
+        Link::new(now, State::AwaitingReply { to: to.clone(), first }, sealed)
     }
 
-    /// The side that was dialled.
+    /// Begins a connection as the answerer.
     pub fn answer(now: Micros, nonce: Nonce) -> Self {
-        Link::new(now, State::Asked { nonce }, Vec::new())
+        Link::new(now, State::AwaitingHello { nonce }, Vec::new())
     }
 
     fn new(now: Micros, state: State, sealed: Vec<u8>) -> Self {
         Link {
             state,
-            reader: Reader::default(),
+            reader: FrameReader::default(),
             queue: Queue::default(),
             sealed,
             wrote: 0,
             next_out: 1,
             next_in: 1,
             pieces: Pieces::default(),
-            begun: now,
-            said: now,
-            heard: now,
-            doubled: 0,
+            opened_at: now,
+            last_sent: now,
+            last_received: now,
+            duplicates: 0,
         }
     }
 
-    /// Both sides are proved.
+    /// Returns whether both sides are authenticated.
     pub fn is_up(&self) -> bool {
         matches!(self.state, State::Up { .. })
     }
 
-    /// The other side was told that it is of another version.
+    /// Returns whether the peer was refused for its protocol version.
     pub fn is_refused(&self) -> bool {
         matches!(self.state, State::Refused)
     }
 
-    /// Takes what came. Events are appended; after [`LinkEvent::Over`] nothing more is heard.
-    pub fn receive(&mut self, now: Micros, roster: &Roster, octets: &[u8], events: &mut Vec<LinkEvent>) {
+    /// Handles received bytes and appends the resulting events. After [`LinkEvent::Over`], received bytes are
+    /// ignored.
+    pub fn receive(&mut self, now: Micros, roster: &Roster, bytes: &[u8], events: &mut Vec<LinkEvent>) {
         if matches!(self.state, State::Over | State::Refused) {
             return;
         }
-        self.reader.push(octets);
+        self.reader.push(bytes);
         loop {
-            match self.step(now, roster, events) {
+            match self.process_frame(now, roster, events) {
                 Ok(true) => {}
                 Ok(false) => break,
                 Err(reason) => return self.end(reason, events),
             }
         }
-        self.fill(now);
+        self.seal_queued(now);
     }
 
-    /// One frame. False: none is whole.
-    fn step(&mut self, now: Micros, roster: &Roster, events: &mut Vec<LinkEvent>) -> Result<bool, Reason> {
-        let proved = matches!(self.state, State::Answered { .. } | State::Up { .. });
-        let Some(raw) = self.reader.next(if proved { MOST_FRAME } else { MOST_HELLO })? else {
+    /// Handles the next frame. Returns false when no whole frame is buffered.
+    fn process_frame(
+        &mut self,
+        now: Micros,
+        roster: &Roster,
+        events: &mut Vec<LinkEvent>,
+    ) -> Result<bool, Reason> {
+        let proved = matches!(self.state, State::AwaitingProof { .. } | State::Up { .. });
+        let Some(raw) = self.reader.next(if proved { MAX_FRAME_BYTES } else { MAX_HELLO_BYTES })? else {
             return Ok(false);
         };
         if !proved && let Some(theirs) = hello::other_version(&raw) {
             events.push(LinkEvent::OtherVersion(theirs));
-            if matches!(self.state, State::Dialled { .. }) {
+            if matches!(self.state, State::AwaitingReply { .. }) {
                 return Err(Reason::Version);
             }
-            hello::refuse(&mut self.sealed, roster);
-            (self.state, self.reader) = (State::Refused, Reader::default());
+            hello::write_refusal(&mut self.sealed, roster);
+            (self.state, self.reader) = (State::Refused, FrameReader::default());
             return Ok(false);
         }
         match &self.state {
             State::Over | State::Refused => return Ok(false),
-            State::Asked { nonce } => {
-                let heard = hello::hear(&raw, roster, Side::Dials, None, &[])?;
-                outlived(roster, heard.known, events)?;
-                let (to, nonce) = (heard.life.name.clone(), *nonce);
-                let tag = hello::say(&mut self.sealed, roster, Side::Answers, &to, nonce, &heard.tag);
-                let keys = hello::keys(roster, Side::Answers, &tag);
-                self.state = State::Answered { keys, life: heard.life };
+            State::AwaitingHello { nonce } => {
+                let peer = hello::verify(&raw, roster, Side::Dialler, None, &[])?;
+                check_outlived(roster, peer.known, events)?;
+                let (to, nonce) = (peer.life.name.clone(), *nonce);
+                let tag = hello::write(&mut self.sealed, roster, Side::Answerer, &to, nonce, &peer.tag);
+                let keys = hello::keys(roster, Side::Answerer, &tag);
+                self.state = State::AwaitingProof { keys, life: peer.life };
             }
-            State::Dialled { to, first } => {
-                let heard = hello::hear(&raw, roster, Side::Answers, Some(to), first)?;
-                outlived(roster, heard.known, events)?;
-                self.state = State::Up { keys: hello::keys(roster, Side::Dials, &heard.tag) };
-                self.heard = now;
-                // It proves this side to the other.
-                self.seal(now, What::Alive, &[]);
-                events.push(LinkEvent::Up { life: heard.life });
+            State::AwaitingReply { to, first } => {
+                let peer = hello::verify(&raw, roster, Side::Answerer, Some(to), first)?;
+                check_outlived(roster, peer.known, events)?;
+                self.state = State::Up { keys: hello::keys(roster, Side::Dialler, &peer.tag) };
+                self.last_received = now;
+                // This frame authenticates this side to the peer.
+                self.seal(now, FrameType::Alive, &[]);
+                events.push(LinkEvent::Up { life: peer.life });
             }
-            State::Answered { keys, .. } | State::Up { keys } => {
-                let (head, payload) = raw.open(&keys.hears, &[])?;
+            State::AwaitingProof { keys, .. } | State::Up { keys } => {
+                let (head, payload) = raw.open(&keys.incoming, &[])?;
                 if head.number < self.next_in {
-                    // A relay that doubles does no harm. It is no sign of life: anyone could have kept it.
-                    self.doubled += 1;
+                    // A relay that repeats frames does no harm. A repeated frame doesn't count as a sign of
+                    // life, as anyone could have kept it.
+                    self.duplicates += 1;
                     return Ok(true);
                 }
                 if head.number > self.next_in {
                     return Err(Reason::Gap);
                 }
                 self.next_in += 1;
-                self.heard = now;
+                self.last_received = now;
                 let came = self.pieces.take(head.what, payload)?;
-                self.up(events);
+                self.confirm_peer(events);
                 events.extend(came.map(|(kind, payload)| LinkEvent::Message { kind, payload }));
             }
         }
         Ok(true)
     }
 
-    /// The dialler spoke under the key of this link: it is no echo of an older one.
-    fn up(&mut self, events: &mut Vec<LinkEvent>) {
+    /// Completes the handshake of an answerer: the dialler has used the key of this link, so its hello was no
+    /// replay.
+    fn confirm_peer(&mut self, events: &mut Vec<LinkEvent>) {
         self.state = match std::mem::replace(&mut self.state, State::Over) {
-            State::Answered { keys, life } => {
+            State::AwaitingProof { keys, life } => {
                 events.push(LinkEvent::Up { life });
                 State::Up { keys }
             }
@@ -211,118 +220,118 @@
         };
     }
 
-    /// Queues a message. [`LinkEvent::Over`] follows where one that must not be left out has no room. Before the link is up
-    /// it is given up.
+    /// Queues a message. [`LinkEvent::Over`] follows when there is no room for a message that must not be
+    /// left out. Before the link is up, the message is discarded.
     pub fn send(
         &mut self,
         now: Micros,
         kind: Kind,
         payload: Vec<u8>,
         events: &mut Vec<LinkEvent>,
-    ) -> Option<Queued> {
+    ) -> Option<PushOutcome> {
         if !self.is_up() {
             return None;
         }
         let queued = self.queue.push(kind, payload);
         match queued {
-            // One too long for a frame of its kind would leave a gap too, and would each time: it is the sender's fault,
-            // and the rest goes on.
-            Queued::Full => self.end(Reason::Full, events),
-            _ => self.fill(now),
+            // A message that is too long would leave a gap too, but would do so on each new link. It is the
+            // sender's fault, and the link goes on.
+            PushOutcome::Full => self.end(Reason::Full, events),
+            _ => self.seal_queued(now),
         }
         Some(queued)
     }
 
-    /// Octets to be written next.
+    /// Returns the bytes to be written next.
     pub fn pending(&self) -> &[u8] {
         self.sealed.get(self.wrote..).unwrap_or_default()
     }
 
-    /// So many of [`Link::pending`] were written.
+    /// Records that `n` bytes of [`Link::pending`] were written.
     pub fn wrote(&mut self, now: Micros, n: usize) {
         self.wrote = self.wrote.saturating_add(n).min(self.sealed.len());
-        self.fill(now);
+        self.seal_queued(now);
     }
 
-    /// Time went on.
+    /// Handles the passing of time.
     pub fn tick(&mut self, now: Micros, events: &mut Vec<LinkEvent>) {
         match self.state {
             State::Over => {}
-            State::Up { .. } if now - self.heard >= SILENCE => self.end(Reason::Silent, events),
-            State::Up { .. } if now - self.said >= ALIVE_EVERY => {
-                // Not to one that takes nothing: frames would pile up.
+            State::Up { .. } if now - self.last_received >= IDLE_TIMEOUT => self.end(Reason::Silent, events),
+            State::Up { .. } if now - self.last_sent >= KEEPALIVE_INTERVAL => {
+                // A peer that reads nothing gets no further keepalives: they would pile up.
                 if self.pending().is_empty() {
-                    self.seal(now, What::Alive, &[]);
+                    self.seal(now, FrameType::Alive, &[]);
                 } else {
-                    self.said = now;
+                    self.last_sent = now;
                 }
             }
             State::Up { .. } => {}
-            State::Refused if now - self.begun >= HANDSHAKE => self.end(Reason::Version, events),
-            _ if now - self.begun >= HANDSHAKE => self.end(Reason::Unproved, events),
+            State::Refused if now - self.opened_at >= HANDSHAKE_TIMEOUT => self.end(Reason::Version, events),
+            _ if now - self.opened_at >= HANDSHAKE_TIMEOUT => self.end(Reason::Unproved, events),
             _ => {}
         }
     }
 
-    /// When [`Link::tick`] is due.
+    /// Returns the time at which [`Link::tick`] is due.
     pub fn wake(&self) -> Micros {
         match self.state {
             State::Over => Micros::MAX,
-            State::Up { .. } => (self.said + ALIVE_EVERY).min(self.heard + SILENCE),
-            _ => self.begun + HANDSHAKE,
+            State::Up { .. } => (self.last_sent + KEEPALIVE_INTERVAL).min(self.last_received + IDLE_TIMEOUT),
+            _ => self.opened_at + HANDSHAKE_TIMEOUT,
         }
     }
 
-    /// Frames that came twice and were dropped.
-    pub fn doubled(&self) -> u64 {
-        self.doubled
+    /// Returns the number of frames that arrived twice and were dropped.
+    pub fn duplicates(&self) -> u64 {
+        self.duplicates
     }
 
-    /// Octets held for the other side, and of messages from it that are not whole.
+    /// Returns the number of bytes queued for the peer, and buffered of its incomplete messages.
     pub fn held(&self) -> usize {
-        self.queue.octets() + self.sealed.len() + self.pieces.octets()
+        self.queue.bytes() + self.sealed.len() + self.pieces.bytes()
     }
 
     fn end(&mut self, reason: Reason, events: &mut Vec<LinkEvent>) {
         if !matches!(self.state, State::Over) {
             (self.state, self.queue) = (State::Over, Queue::default());
-            (self.reader, self.sealed, self.wrote) = (Reader::default(), Vec::new(), 0);
+            (self.reader, self.sealed, self.wrote) = (FrameReader::default(), Vec::new(), 0);
             self.pieces = Pieces::default();
             events.push(LinkEvent::Over(reason));
         }
     }
 
-    /// Seals what waits, as far as [`SEALED`] lets it.
-    fn fill(&mut self, now: Micros) {
-        if self.wrote == self.sealed.len() || self.wrote > SEALED {
+    /// Seals queued messages up to [`MAX_SEALED_BYTES`].
+    fn seal_queued(&mut self, now: Micros) {
+        if self.wrote == self.sealed.len() || self.wrote > MAX_SEALED_BYTES {
             self.sealed.drain(..self.wrote);
-            self.sealed.shrink_to(SEALED);
+            self.sealed.shrink_to(MAX_SEALED_BYTES);
             self.wrote = 0;
         }
         let State::Up { keys } = &self.state else { return };
-        while self.sealed.len() - self.wrote < SEALED {
+        while self.sealed.len() - self.wrote < MAX_SEALED_BYTES {
             let number = self.next_out;
-            let (sealed, key) = (&mut self.sealed, &keys.sends);
+            let (sealed, key) = (&mut self.sealed, &keys.outgoing);
             if !self.queue.next(|what, piece| _ = seal(sealed, key, &[], Head { what, number }, piece)) {
                 break;
             }
             self.next_out += 1;
-            self.said = now;
+            self.last_sent = now;
         }
     }
 
-    fn seal(&mut self, now: Micros, what: What, payload: &[u8]) {
+    fn seal(&mut self, now: Micros, what: FrameType, payload: &[u8]) {
         if let State::Up { keys } = &self.state {
-            seal(&mut self.sealed, &keys.sends, &[], Head { what, number: self.next_out }, payload);
+            seal(&mut self.sealed, &keys.outgoing, &[], Head { what, number: self.next_out }, payload);
             self.next_out += 1;
-            self.said = now;
+            self.last_sent = now;
         }
     }
 }
 
-/// Ends a life that others know to be past. What they know is true whenever it was said, so a hello is enough, even an
-/// old one: a start that was heard once stays heard.
-fn outlived(roster: &Roster, known: Start, events: &mut Vec<LinkEvent>) -> Result<(), Reason> {
+/// Ends a life when the peer knows a later one. What the peer knows stays true whenever it was said, so even
+/// a replayed hello is sufficient: a start number that was once received remains used.
+fn check_outlived(roster: &Roster, known: Start, events: &mut Vec<LinkEvent>) -> Result<(), Reason> {
     if known <= roster.me.start {
         return Ok(());
     }
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -1,113 +1,120 @@
-//! What waits for one peer, by kind, bounded.
+//! The bounded queue of outgoing messages for one peer, by kind.
 //!
-//! [`Kind::Agreement`] and [`Kind::Log`] go out in order and none is left out: where one of them is full, the link has
-//! to begin anew, so that whoever sends knows that what it sent is gone. Of [`Kind::Gossip`], [`Kind::Drift`] and
-//! [`Kind::Carried`] the newest few wait, and the oldest are given up for them; what is left goes out in order, so that nobody hears an
-//! older state after a newer one. Kinds take turns, piece by piece: none waits longer than a piece of each other kind.
+//! [`Kind::Agreement`] and [`Kind::Log`] are sent in order and without omissions. When one of them is full,
+//! the link has to be reset, so that the sender learns that its messages were lost. Of [`Kind::Gossip`],
+//! [`Kind::Drift`] and [`Kind::Carried`] the queue keeps the newest few messages and discards the oldest; the
+//! remaining ones are sent in order, so that a peer never receives an older state after a newer one. The
+//! kinds are served in turn, piece by piece: a message waits at most for one piece of each other kind.
 
-use crate::frames::{PIECE, What};
+use crate::frames::{FrameType, PIECE_BYTES};
 use crate::kind::Kind;
 use std::collections::VecDeque;
 
-/// Octets of one message at most.
-pub const MOST_MESSAGE: usize = 4 * 1024 * 1024;
-/// Octets of a kind in order that wait for one peer at most.
-pub const MOST_ORDERED: usize = 8 * 1024 * 1024;
-/// Messages of a kind in order that wait for one peer at most.
-pub const MOST_ORDERED_COUNT: usize = 8_192;
-/// Messages of a kind whose newest counts that wait for one peer at most.
-pub const MOST_NEWEST: usize = 8;
-/// Octets of them at most; one message always may wait.
-pub const MOST_NEWEST_OCTETS: usize = 1024 * 1024;
+/// The maximum number of bytes in a message.
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
+/// The maximum number of bytes queued for a peer in one ordered kind.
+pub const MAX_ORDERED_BYTES: usize = 8 * 1024 * 1024;
+/// The maximum number of messages queued for a peer in one ordered kind.
+pub const MAX_ORDERED_MESSAGES: usize = 8_192;
+/// The maximum number of messages queued for a peer in one kind that keeps the newest.
+pub const MAX_LATEST_MESSAGES: usize = 8;
+/// The maximum number of bytes queued in such a kind; a single message is always accepted.
+pub const MAX_LATEST_BYTES: usize = 1024 * 1024;
 
-/// What became of a message.
+/// The result of queueing a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Queued {
-    /// It waits.
-    Waits,
-    /// It waits, and so many older ones of its kind were given up for it.
-    Instead(usize),
-    /// There is no room for one that must not be left out: the link has to begin anew.
+pub enum PushOutcome {
+    /// The message was queued.
+    Added,
+    /// The message was queued, and this many older ones of its kind were discarded.
+    Replaced(usize),
+    /// There is no room for a message that must not be left out: the link has to be reset.
     Full,
-    /// It has more than [`MOST_MESSAGE`] octets, and is given up.
-    Long,
+    /// The message has more than [`MAX_MESSAGE_BYTES`] bytes and was discarded.
+    TooLong,
 }
 
 #[derive(Debug, Default)]
-struct Lane {
+struct KindQueue {
     waiting: VecDeque<Vec<u8>>,
-    octets: usize,
-    /// Octets of the first that went out already, as pieces.
-    gone: usize,
+    bytes: usize,
+    /// The number of bytes of the first message that were sent already, in pieces.
+    sent_bytes: usize,
 }
 
 /// The queue for one peer.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lanes: [Lane; Kind::COUNT],
-    /// Whose turn it is.
+    kinds: [KindQueue; Kind::COUNT],
+    /// The kind to serve next.
     turn: usize,
 }
 
 impl Queue {
-    /// Takes a message in.
-    pub fn push(&mut self, kind: Kind, payload: Vec<u8>) -> Queued {
-        let Some(lane) = self.lanes.get_mut(kind.index()) else { return Queued::Long };
+    /// Queues a message.
+    pub fn push(&mut self, kind: Kind, payload: Vec<u8>) -> PushOutcome {
+        let Some(kind_queue) = self.kinds.get_mut(kind.index()) else { return PushOutcome::TooLong };
         let size = payload.len();
-        if size > MOST_MESSAGE {
-            return Queued::Long;
+        if size > MAX_MESSAGE_BYTES {
+            return PushOutcome::TooLong;
         }
-        let mut given_up = 0;
+        let mut discarded = 0;
         if kind.ordered() {
-            if lane.waiting.len() >= MOST_ORDERED_COUNT || lane.octets + size > MOST_ORDERED {
-                return Queued::Full;
+            if kind_queue.waiting.len() >= MAX_ORDERED_MESSAGES || kind_queue.bytes + size > MAX_ORDERED_BYTES
+            {
+                return PushOutcome::Full;
             }
         } else {
-            // One that went out in part must go on: the other side holds its beginning.
-            let first = usize::from(lane.gone > 0);
-            while lane.waiting.len() > first
-                && (lane.waiting.len() >= MOST_NEWEST || lane.octets + size > MOST_NEWEST_OCTETS)
+            // A message that was sent in part has to be completed: the receiver holds its beginning.
+            let first = usize::from(kind_queue.sent_bytes > 0);
+            while kind_queue.waiting.len() > first
+                && (kind_queue.waiting.len() >= MAX_LATEST_MESSAGES
+                    || kind_queue.bytes + size > MAX_LATEST_BYTES)
             {
-                let Some(old) = lane.waiting.remove(first) else { break };
-                lane.octets -= old.len();
-                given_up += 1;
+                let Some(old) = kind_queue.waiting.remove(first) else { break };
+                kind_queue.bytes -= old.len();
+                discarded += 1;
             }
         }
-        lane.octets += size;
-        lane.waiting.push_back(payload);
-        if given_up > 0 { Queued::Instead(given_up) } else { Queued::Waits }
+        kind_queue.bytes += size;
+        kind_queue.waiting.push_back(payload);
+        if discarded > 0 { PushOutcome::Replaced(discarded) } else { PushOutcome::Added }
     }
 
-    /// Gives the next piece to `out`, of the kind whose turn it is. False: nothing waits.
-    pub fn next(&mut self, out: impl FnOnce(What, &[u8])) -> bool {
+    /// Passes the next piece to `out` and returns true, or returns false when nothing is queued.
+    pub fn next(&mut self, out: impl FnOnce(FrameType, &[u8])) -> bool {
         for step in 0..Kind::COUNT {
             let at = (self.turn + step) % Kind::COUNT;
-            let (Some(lane), Some(kind)) = (self.lanes.get_mut(at), Kind::ALL.get(at)) else { return false };
-            let Some(first) = lane.waiting.front() else { continue };
+            let (Some(kind_queue), Some(kind)) = (self.kinds.get_mut(at), Kind::ALL.get(at)) else {
+                return false;
+            };
+            let Some(first) = kind_queue.waiting.front() else { continue };
             self.turn = at + 1;
-            let rest = first.get(lane.gone..).unwrap_or_default();
-            if let Some((piece, more)) = rest.split_at_checked(PIECE).filter(|(_, more)| !more.is_empty()) {
-                out(What::Piece(*kind), piece);
-                lane.gone = first.len() - more.len();
+            let rest = first.get(kind_queue.sent_bytes..).unwrap_or_default();
+            if let Some((piece, more)) =
+                rest.split_at_checked(PIECE_BYTES).filter(|(_, more)| !more.is_empty())
+            {
+                out(FrameType::Piece(*kind), piece);
+                kind_queue.sent_bytes = first.len() - more.len();
             } else {
-                out(What::Message(*kind), rest);
-                lane.octets -= first.len();
-                lane.gone = 0;
-                lane.waiting.pop_front();
+                out(FrameType::Message(*kind), rest);
+                kind_queue.bytes -= first.len();
+                kind_queue.sent_bytes = 0;
+                kind_queue.waiting.pop_front();
             }
             return true;
         }
         false
     }
 
-    /// Octets that wait, of all kinds.
-    pub fn octets(&self) -> usize {
-        self.lanes.iter().map(|lane| lane.octets).sum()
+    /// Returns the number of queued bytes, over all kinds.
+    pub fn bytes(&self) -> usize {
+        self.kinds.iter().map(|kind_queue| kind_queue.bytes).sum()
     }
 
-    /// Messages that wait, of all kinds.
+    /// Returns the number of queued messages, over all kinds.
     pub fn waiting(&self) -> usize {
-        self.lanes.iter().map(|lane| lane.waiting.len()).sum()
+        self.kinds.iter().map(|kind_queue| kind_queue.waiting.len()).sum()
     }
 }
 
@@ -115,59 +122,59 @@
 mod tests {
     use super::*;
 
-    fn drain(queue: &mut Queue) -> Vec<(What, Vec<u8>)> {
+    fn drain(queue: &mut Queue) -> Vec<(FrameType, Vec<u8>)> {
         let mut all = Vec::new();
         while queue.next(|what, piece| all.push((what, piece.to_vec()))) {}
         all
     }
 
     #[test]
-    fn the_newest_states_wait_and_go_out_in_order() {
+    fn the_newest_messages_are_kept_and_sent_in_order() {
         let mut queue = Queue::default();
         for n in 0..100_u8 {
-            let wanted = if n < 8 { Queued::Waits } else { Queued::Instead(1) };
+            let wanted = if n < 8 { PushOutcome::Added } else { PushOutcome::Replaced(1) };
             assert_eq!(queue.push(Kind::Gossip, vec![n]), wanted);
         }
         let out: Vec<u8> = drain(&mut queue).iter().map(|(_, p)| p[0]).collect();
         assert_eq!(out, (92..100).collect::<Vec<u8>>());
-        assert_eq!((queue.octets(), queue.waiting()), (0, 0));
+        assert_eq!((queue.bytes(), queue.waiting()), (0, 0));
     }
 
     #[test]
-    fn a_state_half_out_is_not_given_up() {
+    fn a_message_sent_in_part_is_not_discarded() {
         let mut queue = Queue::default();
-        queue.push(Kind::Drift, vec![1; PIECE + 1]);
-        assert!(queue.next(|what, _| assert_eq!(what, What::Piece(Kind::Drift))));
+        queue.push(Kind::Drift, vec![1; PIECE_BYTES + 1]);
+        assert!(queue.next(|what, _| assert_eq!(what, FrameType::Piece(Kind::Drift))));
         (2..100).for_each(|n| _ = queue.push(Kind::Drift, vec![n; 1_000]));
         let out = drain(&mut queue);
-        assert_eq!((out[0].0, out[0].1.as_slice()), (What::Message(Kind::Drift), [1].as_slice()));
+        assert_eq!((out[0].0, out[0].1.as_slice()), (FrameType::Message(Kind::Drift), [1].as_slice()));
         assert_eq!(out[1].1[0], 93);
     }
 
     #[test]
-    fn what_must_not_be_left_out_is_full_by_count_and_by_octets() {
+    fn an_ordered_kind_is_limited_by_count_and_by_bytes() {
         let mut queue = Queue::default();
         let taken = |queue: &mut Queue, size: usize| {
-            (0..100_000).take_while(|_| queue.push(Kind::Log, vec![0; size]) == Queued::Waits).count()
+            (0..100_000).take_while(|_| queue.push(Kind::Log, vec![0; size]) == PushOutcome::Added).count()
         };
-        assert_eq!(taken(&mut queue, 1), MOST_ORDERED_COUNT);
+        assert_eq!(taken(&mut queue, 1), MAX_ORDERED_MESSAGES);
         let mut queue = Queue::default();
-        assert_eq!(taken(&mut queue, 65_536), MOST_ORDERED / 65_536);
-        assert_eq!(queue.push(Kind::Agreement, vec![0; MOST_MESSAGE + 1]), Queued::Long);
+        assert_eq!(taken(&mut queue, 65_536), MAX_ORDERED_BYTES / 65_536);
+        assert_eq!(queue.push(Kind::Agreement, vec![0; MAX_MESSAGE_BYTES + 1]), PushOutcome::TooLong);
         assert_eq!(
             queue.push(Kind::Agreement, vec![0; 9]),
-            Queued::Waits,
-            "another kind has room of its own"
+            PushOutcome::Added,
+            "each kind has its own limit"
         );
     }
 
     #[test]
-    fn a_long_message_lets_other_kinds_go_between_its_pieces() {
+    fn other_kinds_are_sent_between_the_pieces_of_a_long_message() {
         let mut queue = Queue::default();
-        queue.push(Kind::Log, vec![7; PIECE * 4]);
+        queue.push(Kind::Log, vec![7; PIECE_BYTES * 4]);
         queue.push(Kind::Gossip, vec![1]);
-        let out: Vec<What> = drain(&mut queue).into_iter().map(|(what, _)| what).collect();
-        let (piece, end) = (What::Piece(Kind::Log), What::Message(Kind::Log));
-        assert_eq!(out, [What::Message(Kind::Gossip), piece, piece, piece, end]);
+        let out: Vec<FrameType> = drain(&mut queue).into_iter().map(|(what, _)| what).collect();
+        let (piece, end) = (FrameType::Piece(Kind::Log), FrameType::Message(Kind::Log));
+        assert_eq!(out, [FrameType::Message(Kind::Gossip), piece, piece, piece, end]);
     }
 }
--- a/crates/fleet/src/keepers/check.rs
+++ b/crates/fleet/src/replicas/check.rs
@@ -1,56 +1,57 @@
-//! What a message of agreement must be before `omnipaxos` sees it: that library indexes by what messages say and panics
-//! on what a correct peer does not send.
+//! Validates messages of the consensus protocol before `omnipaxos` handles them: the library uses their
+//! content as indexes, and panics on messages that a correct peer doesn't send.
 
 use super::item::Item;
 use super::state::State;
-use super::tuning::MOST_SYNC;
+use super::tuning::MAX_SYNC_BYTES;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
 use omnipaxos::util::LogSync;
 
-/// The number of the one configuration there is.
+/// The number of the only configuration.
 pub const CONFIGURATION: u32 = 1;
-/// Ballots and places beyond it can't be counted on without overflow.
-const MOST_BALLOT: u32 = 1 << 30;
-const MOST_PLACE: usize = 1 << 46;
+/// Greater ballots and indexes could overflow.
+const MAX_BALLOT: u32 = 1 << 30;
+const MAX_INDEX: usize = 1 << 46;
 
 /// What to do with a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Hand it over.
+    /// Pass it on.
     Take,
-    /// A correct peer does not send it, or it has come too late to mean anything.
+    /// Drop it: a correct peer doesn't send it, or it is too late to matter.
     Drop,
-    /// The sender lacks more of the log than agreement may bring.
+    /// The sender lacks more of the log than consensus may carry.
     Behind,
 }
 
-/// Judges a message; cuts from it what is decided here already. `leads`: this keeper leads, and has a majority's promises.
+/// Validates a message and removes what is already decided here from it. `leads` tells whether this replica
+/// leads and has a majority's promises.
 pub fn check(
     message: &mut Message<Item>,
     from: u64,
     own: u64,
-    keepers: u64,
+    replicas: u64,
     state: &State,
     leads: bool,
 ) -> Verdict {
     let ballot =
-        |b: &Ballot| b.n < MOST_BALLOT && b.priority == 0 && b.pid <= keepers && b.config_id <= CONFIGURATION;
-    let of = |b: &Ballot, pid: u64| ballot(b) && b.pid == pid && b.config_id == CONFIGURATION;
+        |b: &Ballot| b.n < MAX_BALLOT && b.priority == 0 && b.pid <= replicas && b.config_id <= CONFIGURATION;
+    let owned_by = |b: &Ballot, pid: u64| ballot(b) && b.pid == pid && b.config_id == CONFIGURATION;
     if message.get_sender() != from || message.get_receiver() != own {
         return Verdict::Drop;
     }
-    let behind = |decided: usize| {
+    let lacks_too_much = |decided: usize| {
         let decided = decided as u64;
-        decided < state.compacted || state.octets_from(decided) > MOST_SYNC
+        decided < state.compacted || state.octets_from(decided) > MAX_SYNC_BYTES
     };
     let paxos = match message {
         Message::BLE(ble) => {
             let fits = match &ble.msg {
                 HeartbeatMsg::Request(_) => true,
-                HeartbeatMsg::Reply(r) => of(&r.ballot, from) && ballot(&r.leader),
+                HeartbeatMsg::Reply(r) => owned_by(&r.ballot, from) && ballot(&r.leader),
             };
             return if fits { Verdict::Take } else { Verdict::Drop };
         }
@@ -59,50 +60,50 @@
     let fits = match &mut paxos.msg {
         PaxosMsg::PrepareReq(m) => ballot(&m.n),
         PaxosMsg::Prepare(m) => {
-            if !of(&m.n, from) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
+            if !owned_by(&m.n, from) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
                 return Verdict::Drop;
             }
-            // What we would have to send may be trimmed or too much for one message.
-            if behind(m.decided_idx) {
+            // What we would have to send may have been trimmed, or be too much for one message.
+            if lacks_too_much(m.decided_idx) {
                 return Verdict::Behind;
             }
-            m.accepted_idx < MOST_PLACE
+            m.accepted_idx < MAX_INDEX
         }
         PaxosMsg::Promise(m) => {
-            if !of(&m.n, own) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
+            if !owned_by(&m.n, own) || !ballot(&m.n_accepted) || m.decided_idx > m.accepted_idx {
                 return Verdict::Drop;
             }
-            if behind(m.decided_idx) {
+            if lacks_too_much(m.decided_idx) {
                 return Verdict::Behind;
             }
             if leads {
-                // The leader's log is settled, and may have gone beyond what a promise sent again offers.
+                // The leader's log is settled, and may be longer than what a repeated promise offers.
                 m.log_sync = None;
             }
             if !m.log_sync.as_mut().is_none_or(|sync| sync_fits(sync, state)) {
                 return Verdict::Drop;
             }
-            // What it calls decided it brings, or it is here.
+            // Everything that it reports as decided is in the message or here.
             let brings = m.log_sync.as_ref().map_or(0, |sync| sync.sync_idx + sync.suffix.len());
-            m.accepted_idx < MOST_PLACE && (leads || m.decided_idx <= brings.max(state.end() as usize))
+            m.accepted_idx < MAX_INDEX && (leads || m.decided_idx <= brings.max(state.end() as usize))
         }
         PaxosMsg::AcceptSync(m) => {
-            of(&m.n, from)
-                && m.seq_num.session < MOST_PLACE as u64
-                && m.seq_num.counter < MOST_PLACE as u64
+            owned_by(&m.n, from)
+                && m.seq_num.session < MAX_INDEX as u64
+                && m.seq_num.counter < MAX_INDEX as u64
                 && sync_fits(&mut m.log_sync, state)
                 && m.decided_idx <= m.log_sync.sync_idx + m.log_sync.suffix.len()
         }
         PaxosMsg::AcceptDecide(m) => {
-            of(&m.n, from) && m.decided_idx < MOST_PLACE && m.seq_num.counter < MOST_PLACE as u64
+            owned_by(&m.n, from) && m.decided_idx < MAX_INDEX && m.seq_num.counter < MAX_INDEX as u64
         }
         PaxosMsg::Decide(m) => {
-            of(&m.n, from) && m.decided_idx < MOST_PLACE && m.seq_num.counter < MOST_PLACE as u64
+            owned_by(&m.n, from) && m.decided_idx < MAX_INDEX && m.seq_num.counter < MAX_INDEX as u64
         }
-        PaxosMsg::Accepted(m) => of(&m.n, own) && m.accepted_idx as u64 <= state.end(),
+        PaxosMsg::Accepted(m) => owned_by(&m.n, own) && m.accepted_idx as u64 <= state.end(),
         PaxosMsg::NotAccepted(m) => ballot(&m.n),
-        // Not used here: requests go to the leader by their own way, each keeper trims for itself, and which members
-        // are keepers does not change.
+        // Not used: requests are sent to the leader separately, each replica trims its own log, and the set
+        // of replicas doesn't change.
         PaxosMsg::ProposalForward(_)
         | PaxosMsg::Compaction(_)
         | PaxosMsg::AcceptStopSign(_)
@@ -111,8 +112,8 @@
     if fits { Verdict::Take } else { Verdict::Drop }
 }
 
-/// Whether a part of a log can be put on ours. One that begins before what is decided here says the same up to there: that
-/// part is left out, so that nothing decided is ever written over.
+/// Returns whether a part of a log can be written to ours. A part that begins before the end of the decided
+/// log is equal to it up to there; that much is removed, so that nothing decided is ever overwritten.
 fn sync_fits(sync: &mut LogSync<Item>, state: &State) -> bool {
     let decided = state.decided as usize;
     if sync.decided_snapshot.is_some() || sync.stopsign.is_some() || sync.sync_idx as u64 > state.end() {
--- a/crates/fleet/src/keepers/state.rs
+++ b/crates/fleet/src/replicas/state.rs
@@ -1,4 +1,4 @@
-//! What a keeper holds durably, in memory as well: promise, log, base, marks.
+//! A replica's durable state, held in memory: promise, log, snapshot and marks.
 
 use super::chain::{self, Chain, ROOT};
 use super::item::Item;
@@ -9,68 +9,70 @@
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct LogSlot {
     item: Item,
-    /// Octets of all items up to this one, since the state was made.
-    upto: u64,
-    /// The chain's head after it.
+    /// The number of bytes of all items up to this one, since the state was created.
+    bytes_through: u64,
+    /// The hash chain's head after it.
     head: Chain,
 }
 
-/// A keeper's state. Changes come as [`Record`]s, the same when they are made and when they are read again.
+/// A replica's state. It changes only by [`Record`]s, in the same way when a record is made and when it is
+/// read back.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// Nothing below it is followed.
+    /// The ballot below which nothing is accepted.
     pub promise: Option<Ballot>,
-    /// The ballot in which the log was taken.
+    /// The ballot in which the log was accepted.
     pub accepted: Option<Ballot>,
-    /// Slots decided. May be beyond the log where a peer errs; never trusted as a place in it.
+    /// The number of decided slots. A faulty peer can make it greater than the log, so it must not be used as
+    /// an index unchecked.
     pub decided: u64,
-    /// First slot that the log still has.
+    /// The first slot that the log still holds.
     pub compacted: u64,
-    /// Slot that the base stands for.
+    /// The slot of the snapshot.
     pub base_slot: u64,
-    /// The base.
+    /// The snapshot.
     pub base: Arc<[u8]>,
-    /// It takes part in agreement.
+    /// Whether the replica takes part in consensus.
     pub voting: bool,
     /// See [`Mark::epoch`].
     pub epoch: u64,
-    /// Commits.
+    /// The number of commits.
     pub writes: u64,
-    /// Greatest marks heard, for each keeper.
+    /// The greatest marks received, for each replica.
     pub seen: Vec<Seen>,
-    /// One more than the slot of the last readmission that this log ever had, for each keeper.
+    /// One more than the slot of the last readmission in this log, for each replica.
     pub epochs: Vec<u64>,
-    /// The chain's head before the first slot that the log still has.
+    /// The hash chain's head before the first slot that the log still holds.
     root: Chain,
-    items: VecDeque<Held>,
-    open: HashMap<Request, u32>,
-    folded: u64,
+    items: VecDeque<LogSlot>,
+    open_requests: HashMap<Request, u32>,
+    applied: u64,
 }
 
 impl State {
-    /// An empty state among so many keepers.
-    pub fn new(keepers: usize) -> Self {
-        State { seen: vec![Seen::default(); keepers], epochs: vec![0; keepers], ..State::default() }
+    /// Returns an empty state among the given number of replicas.
+    pub fn new(replicas: usize) -> Self {
+        State { seen: vec![Seen::default(); replicas], epochs: vec![0; replicas], ..State::default() }
     }
 
-    /// Slots in all.
+    /// Returns the number of slots.
     pub fn end(&self) -> u64 {
         self.compacted + self.items.len() as u64
     }
 
-    /// Its mark; none where it does not take part, as nothing of what it keeps binds anybody.
+    /// Returns the replica's mark, which is empty while it doesn't take part: its state then binds nobody.
     pub fn mark(&self) -> Mark {
         if self.voting { Mark { epoch: self.epoch, writes: self.writes } } else { Mark::default() }
     }
 
-    /// The item of a slot.
+    /// Returns the item of a slot.
     pub fn item(&self, slot: u64) -> Option<&Item> {
         self.items.get(usize::try_from(slot.checked_sub(self.compacted)?).ok()?).map(|h| &h.item)
     }
 
-    /// The chain's head before this slot. Nothing where the log does not reach it, or does not any more.
+    /// Returns the hash chain's head before this slot, or `None` if the log doesn't cover it.
     pub fn head(&self, slot: u64) -> Option<Chain> {
         match slot.checked_sub(self.compacted)? {
             0 => Some(self.root),
@@ -78,30 +80,30 @@
         }
     }
 
-    /// Slots decided that the log has.
+    /// Returns the number of decided slots that the log has reached.
     pub fn known(&self) -> u64 {
         self.decided.min(self.end())
     }
 
-    /// Octets of the log from this slot on.
+    /// Returns the number of bytes of the log from this slot on.
     pub fn octets_from(&self, slot: u64) -> u64 {
-        let all = self.items.back().map_or(0, |h| h.upto);
-        let first = self.items.front().map_or(0, |h| h.upto - h.item.octets());
+        let all = self.items.back().map_or(0, |h| h.bytes_through);
+        let first = self.items.front().map_or(0, |h| h.bytes_through - h.item.bytes());
         match slot.checked_sub(self.compacted) {
             None | Some(0) => all - first,
             Some(n) => {
                 let before = usize::try_from(n - 1).ok().and_then(|n| self.items.get(n));
-                before.map_or(0, |h| all - h.upto)
+                before.map_or(0, |h| all - h.bytes_through)
             }
         }
     }
 
-    /// Octets between two slots.
-    pub fn octets_between(&self, from: u64, to: u64) -> u64 {
+    /// Returns the number of bytes between two slots.
+    pub fn bytes_between(&self, from: u64, to: u64) -> u64 {
         self.octets_from(from).saturating_sub(self.octets_from(to))
     }
 
-    /// Items of a range; nothing where not all are there.
+    /// Returns the items of a range, or none if the log doesn't cover all of it.
     pub fn range(&self, from: u64, to: u64) -> Vec<Item> {
         if from < self.compacted || to > self.end() || from > to {
             return Vec::new();
@@ -110,27 +112,27 @@
         self.items.iter().skip(skip).take((to - from) as usize).map(|h| h.item.clone()).collect()
     }
 
-    /// Whether this request stands in the log and is not folded yet.
+    /// Returns whether the request is in the log and not applied yet.
     pub fn is_open(&self, request: &Request) -> bool {
-        self.open.contains_key(request)
+        self.open_requests.contains_key(request)
     }
 
-    /// The caller has folded all before this slot.
+    /// Records that the caller has applied everything before this slot.
     pub fn fold_to(&mut self, slot: u64) {
-        while self.folded < slot {
-            if let Some(Item::Asked(entry)) = self.item(self.folded) {
+        while self.applied < slot {
+            if let Some(Item::Asked(entry)) = self.item(self.applied) {
                 let request = entry.request.clone();
-                close(&mut self.open, &request);
+                close_request(&mut self.open_requests, &request);
             }
-            self.folded += 1;
+            self.applied += 1;
         }
     }
 
     fn push(&mut self, item: Item) {
         let slot = self.end();
         match &item {
-            Item::Asked(entry) if slot >= self.folded => {
-                *self.open.entry(entry.request.clone()).or_default() += 1;
+            Item::Asked(entry) if slot >= self.applied => {
+                *self.open_requests.entry(entry.request.clone()).or_default() += 1;
             }
             Item::Readmit { pid, .. } => {
                 if let Some(epoch) = self.epochs.get_mut(usize::from(*pid).wrapping_sub(1)) {
@@ -139,34 +141,43 @@
             }
             _ => {}
         }
-        let (upto, before) = self.items.back().map_or((0, &self.root), |h| (h.upto, &h.head));
-        let (upto, head) = (upto + item.octets(), chain::next(before, &item));
-        self.items.push_back(Held { item, upto, head });
+        let (bytes_through, before) =
+            self.items.back().map_or((0, &self.root), |h| (h.bytes_through, &h.head));
+        let (bytes_through, head) = (bytes_through + item.bytes(), chain::next(before, &item));
+        self.items.push_back(LogSlot { item, bytes_through, head });
     }
 
     fn truncate(&mut self, end: u64) {
         while self.end() > end {
             let Some(held) = self.items.pop_back() else { return };
             if let Item::Asked(entry) = &held.item
-                && self.end() >= self.folded
+                && self.end() >= self.applied
             {
-                close(&mut self.open, &entry.request);
+                close_request(&mut self.open_requests, &entry.request);
             }
         }
     }
 
-    /// What is to be written to hold decided items from a slot on, which must be the first that is not decided here. What was taken behind
-    /// them stays unless it contradicts them: it may be part of what a majority has taken.
+    /// Returns the records that store decided items from a slot on; the slot must be the first one that isn't
+    /// decided here. Accepted items after them are kept unless they contradict them: they may be part of what
+    /// a majority has accepted.
     ///
-    /// Otherwise the log is no longer that of the ballot it was taken in, and nothing beyond what is decided rests on it;
-    /// `own` is then what it is said to be taken in: a ballot of this keeper that nobody ever leads in. `omnipaxos` takes
-    /// two logs of one ballot for beginnings of one, which this one need not be.
-    pub fn learnt(&self, from: u64, items: Vec<Item>, ballot: Option<Ballot>, own: Ballot) -> Vec<Record> {
+    /// If they contradict them, the log is no longer that of the ballot in which it was accepted, and nothing
+    /// after the decided part may rely on it. It is then recorded as accepted in `own`, a ballot of this
+    /// replica in which nobody ever leads. `omnipaxos` assumes that of two logs with the same ballot one is a
+    /// prefix of the other, which need not hold for this one.
+    pub fn learn_records(
+        &self,
+        from: u64,
+        items: Vec<Item>,
+        ballot: Option<Ballot>,
+        own: Ballot,
+    ) -> Vec<Record> {
         let end = from + items.len() as u64;
         let same = |(i, item): (usize, &Item)| self.item(from + i as u64).is_none_or(|held| held == item);
-        let stands = end <= self.end() && items.iter().enumerate().all(same);
+        let consistent = end <= self.end() && items.iter().enumerate().all(same);
         let mut records = self.follow(ballot);
-        if !stands {
+        if !consistent {
             records.push(Record::Put(from, items));
             records.push(Record::Accepted(own));
         }
@@ -174,13 +185,15 @@
         records
     }
 
-    /// Nothing is followed below the ballot that a teller of decided slots follows: the slots were decided in none
-    /// greater, and a leader of a lesser one would take them for decided in a log of its own.
+    /// Returns the records that raise the promise to the ballot of the replica that reported decided slots.
+    /// The slots were decided in no greater ballot, and a leader with a lesser one would assume that they are
+    /// decided with the items of its own log.
     pub fn follow(&self, ballot: Option<Ballot>) -> Vec<Record> {
         ballot.filter(|b| self.promise.is_none_or(|p| p < *b)).map(Record::Promise).into_iter().collect()
     }
 
-    /// Takes a change. False where it does not fit this state, as only a broken file or an erring peer makes it.
+    /// Applies a record. Returns false if it doesn't fit this state, which only happens with a broken file or
+    /// a faulty peer.
     #[must_use]
     pub fn apply(&mut self, record: Record) -> bool {
         match record {
@@ -205,20 +218,21 @@
                     (self.compacted, self.root) = (self.compacted + 1, held.head);
                 }
             }
-            Record::Base(slot, octets) => (self.base_slot, self.base) = (slot, octets.into()),
-            Record::Install(slot, octets) => {
-                // What was taken behind it may be part of what a majority has taken, and stays.
+            Record::Base(slot, bytes) => (self.base_slot, self.base) = (slot, bytes.into()),
+            Record::Install(slot, bytes) => {
+                // Accepted items after the snapshot are kept: they may be part of what a majority has
+                // accepted.
                 while self.compacted < slot {
                     self.fold_to(self.compacted + 1);
                     let Some(held) = self.items.pop_front() else {
-                        // What it is before this slot is said by the record that follows.
-                        (self.compacted, self.folded, self.root) = (slot, slot, ROOT);
+                        // The head before this slot is set by the record that follows.
+                        (self.compacted, self.applied, self.root) = (slot, slot, ROOT);
                         break;
                     };
                     (self.compacted, self.root) = (self.compacted + 1, held.head);
                 }
-                (self.base_slot, self.base) = (slot, octets.into());
-                self.folded = self.folded.max(slot);
+                (self.base_slot, self.base) = (slot, bytes.into());
+                self.applied = self.applied.max(slot);
                 self.decided = self.decided.max(slot);
             }
             Record::Root(root) if self.root == root => {}
@@ -235,7 +249,7 @@
             Record::Seen(_) | Record::Epochs(_) => return false,
             Record::Voting(epoch) => (self.voting, self.epoch) = (true, epoch),
             Record::Lost => {
-                // The promise stays: what is decided here was decided in no greater ballot.
+                // The promise is kept: what is decided here was decided in no greater ballot.
                 (self.voting, self.accepted) = (false, None);
                 self.truncate(self.decided.max(self.compacted));
             }
@@ -243,8 +257,8 @@
         true
     }
 
-    /// Records that make this state anew.
-    pub fn whole(&self, group: u32, pid: u8) -> Vec<Record> {
+    /// Returns the records that recreate this state.
+    pub fn full_records(&self, group: u32, pid: u8) -> Vec<Record> {
         let mut all = vec![
             Record::Owner { group, pid },
             Record::Install(self.compacted, Vec::new()),
@@ -262,7 +276,7 @@
     }
 }
 
-fn close(open: &mut HashMap<Request, u32>, request: &Request) {
+fn close_request(open: &mut HashMap<Request, u32>, request: &Request) {
     if let Some(count) = open.get_mut(request) {
         *count -= 1;
         if *count == 0 {
@@ -278,37 +292,37 @@
     use crate::name::{Life, Name, Start};
 
     fn item(n: u64) -> Item {
-        Item::Charge { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
+        Item::Leadership { term: Term(n), life: Life { name: Name::new("a").unwrap(), start: Start(1) } }
     }
 
-    fn with(items: std::ops::Range<u64>) -> State {
+    fn with_log(items: std::ops::Range<u64>) -> State {
         let mut state = State::new(3);
         assert!(state.apply(Record::Promise(Ballot::with(1, 4, 0, 2))));
         assert!(state.apply(Record::Put(0, items.map(item).collect())));
         state
     }
 
-    fn learn(state: &mut State, items: Vec<Item>) {
-        let records = state.learnt(0, items, Some(Ballot::with(1, 9, 0, 1)), Ballot::with(1, 0, 0, 3));
+    fn apply_learnt(state: &mut State, items: Vec<Item>) {
+        let records = state.learn_records(0, items, Some(Ballot::with(1, 9, 0, 1)), Ballot::with(1, 0, 0, 3));
         assert!(records.into_iter().all(|record| state.apply(record)));
     }
 
-    /// A keeper that knows slots to be decided and then promised a leader below the ballot they were decided in would
-    /// have that leader take other contents for decided.
+    /// A replica that learnt decided slots, and then promised a leader below the ballot they were decided in,
+    /// would let that leader take other items as decided.
     #[test]
-    fn what_is_learnt_is_followed_by_the_ballot_it_was_decided_under() {
-        let mut state = with(0..0);
-        learn(&mut state, vec![item(0)]);
+    fn learning_decided_slots_raises_the_promise_to_their_ballot() {
+        let mut state = with_log(0..0);
+        apply_learnt(&mut state, vec![item(0)]);
         assert_eq!((state.decided, state.promise.map(|b| b.n)), (1, Some(9)));
     }
 
     #[test]
-    fn what_was_taken_behind_what_is_learnt_stays_unless_it_contradicts() {
-        let mut state = with(0..5);
-        learn(&mut state, vec![item(0), item(1)]);
+    fn accepted_items_after_learnt_ones_are_kept_unless_they_contradict() {
+        let mut state = with_log(0..5);
+        apply_learnt(&mut state, vec![item(0), item(1)]);
         assert_eq!((state.decided, state.end()), (2, 5));
-        let mut state = with(0..5);
-        learn(&mut state, vec![item(0), item(7)]);
+        let mut state = with_log(0..5);
+        apply_learnt(&mut state, vec![item(0), item(7)]);
         assert_eq!((state.decided, state.end(), state.item(1)), (2, 2, Some(&item(7))));
     }
 }
--- a/crates/installation/src/config.rs
+++ b/crates/installation/src/config.rs
@@ -1,7 +1,7 @@
 //! The settings of a member as plain values.
 
 use crate::Micros;
-use heronroute_fleet::{Life, Name, Peer, keepers, members};
+use heronroute_fleet::{Life, Name, Peer, members, replicas};
 use heronroute_region::{Region, rights};
 use heronroute_rules::Plan;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     /// The random seed, new at each start.
     pub seed: u64,
     /// The tuning of agreement.
-    pub keepers: keepers::Tuning,
+    pub replicas: replicas::Tuning,
     /// The tuning of membership.
     pub members: members::Tuning,
     /// The tuning of the drift detector, which runs at the leader. Its `wall` and `lease` are replaced by the
--- a/crates/installation/src/leader.rs
+++ b/crates/installation/src/leader.rs
@@ -10,7 +10,7 @@
 use crate::waves::Waves;
 use crate::wire::Piece;
 use heronroute_drift::{Action, Config, Detector, Output, Report, content};
-use heronroute_fleet::keepers::Charge;
+use heronroute_fleet::replicas::Leadership;
 use heronroute_fleet::{Life, Name, Start, Term};
 use heronroute_rules::digest::plan_digest;
 use heronroute_rules::registry::{Command, Desired, Registry, Viewer};
@@ -81,7 +81,7 @@
     pub fn update_leadership(
         &mut self,
         now: Micros,
-        lease: Option<&Charge>,
+        lease: Option<&Leadership>,
         known: Term,
         fences: &Fences,
     ) -> bool {
--- a/crates/installation/src/process/answers.rs
+++ b/crates/installation/src/process/answers.rs
@@ -99,13 +99,13 @@
                 "start": row.life.as_ref().map_or(0, |life| life.start.0),
             })
         };
-        let leader = self.keepers.leader();
+        let leader = self.replicas.leader();
         json!({
             "self": self.cfg.own.name.as_str(),
             "start": self.cfg.own.start.0,
             "majority": self.allows().edits,
             "condition": self.condition.word(),
-            "term": self.keepers.term().0,
+            "term": self.replicas.term().0,
             "charge": leader.map(|(_, life)| life.name.as_str()),
             "members": others.map(row_json).collect::<Vec<_>>(),
         })
@@ -122,7 +122,7 @@
             let text = drift_monitor.drift_page(now, true, self.machine.waves(), page);
             return self.answer_client(asks::answer(&client_request, text, "shown"));
         }
-        let leader = self.keepers.leader().map(|(_, life)| life.name.clone());
+        let leader = self.replicas.leader().map(|(_, life)| life.name.clone());
         let peer =
             leader.filter(|name| *name != self.cfg.own.name).and_then(|n| self.peer_indexes.get(&n).copied());
         let Some(peer) = peer.filter(|_| self.allows().edits) else {
@@ -140,7 +140,7 @@
 
     pub(super) fn answer_unknown(&mut self, client_request: &ClientRequest) {
         let page = Page::read(&client_request.body).unwrap_or_default();
-        let text = page.unknown(self.keepers.term(), self.allows().edits, self.peer_indexes.keys());
+        let text = page.unknown(self.replicas.term(), self.allows().edits, self.peer_indexes.keys());
         self.answer_client(asks::answer(client_request, text, "shown"));
     }
 
@@ -168,7 +168,7 @@
     }
 
     pub(super) fn handle_drift_answer(&mut self, from: &Name, number: u64, text: String) {
-        if self.keepers.leader().is_none_or(|(_, life)| life.name != *from) {
+        if self.replicas.leader().is_none_or(|(_, life)| life.name != *from) {
             self.counts.misrouted += 1;
             return;
         }
--- a/crates/installation/src/process/drift.rs
+++ b/crates/installation/src/process/drift.rs
@@ -41,7 +41,7 @@
             Piece::LeaseGrant(give) => {
                 // A relayed lease counts only from the life that the log names as leader, so that a relay
                 // can't make one up.
-                let leads = |l: &Life| self.keepers.leader().is_some_and(|(_, life)| life == l);
+                let leads = |l: &Life| self.replicas.leader().is_some_and(|(_, life)| life == l);
                 let keeper = self.cfg.peers.iter().any(|p| p.keeper && p.name == source.name);
                 give.to == *own && keeper && source.relayed_life.as_ref().is_none_or(leads)
             }
@@ -100,8 +100,8 @@
     /// Handles an order. It counts if it comes from the leader in the log, in its term, and answers a report
     /// that this life sent a short while ago.
     fn handle_order(&mut self, now: Micros, source: &MessageSource, order: Order, answers: Micros) {
-        let known = self.keepers.term().max(self.obeyed_term);
-        let leads = match self.keepers.leader() {
+        let known = self.replicas.term().max(self.obeyed_term);
+        let leads = match self.replicas.leader() {
             Some((term, life)) if *term == order.term => life.name == source.name,
             // A term that this member's log does not have yet: its keeper may know it. A relayed message does
             // not suffice: one that named a term far ahead would have all later orders refused.
@@ -162,7 +162,7 @@
 
     /// Sends a message to the leader in the log; if that is this member, handles it directly.
     pub(super) fn send_to_leader(&mut self, now: Micros, piece: Piece) {
-        let Some(leader) = self.keepers.leader().map(|(_, life)| life.clone()) else { return };
+        let Some(leader) = self.replicas.leader().map(|(_, life)| life.clone()) else { return };
         if leader.name == self.cfg.own.name {
             match piece {
                 Piece::LeaseRequest(ask) => self.handle_lease_request(now, &ask),
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -8,7 +8,7 @@
 use crate::page::Page;
 use crate::seam::{Input, Output};
 use crate::wire::Wire;
-use heronroute_fleet::keepers::Lane;
+use heronroute_fleet::replicas::Lane;
 use heronroute_fleet::{Life, Start};
 use heronroute_journal::Storage;
 
@@ -58,9 +58,9 @@
             _ => {}
         }
         if is_linked {
-            self.keepers.reconnected(now, &name);
+            self.replicas.reconnected(now, &name);
         } else {
-            self.keepers.lost(now, &name);
+            self.replicas.lost(now, &name);
         }
     }
 
@@ -75,8 +75,8 @@
             Wire::Gossip(bytes) => self.members.receive(now, peer, bytes),
             // A life that is over takes no part in agreement.
             Wire::Agreement(_) | Wire::Log(_) if !agrees => {}
-            Wire::Agreement(bytes) => self.keepers.handle(now, &name, Lane::Agreement, bytes),
-            Wire::Log(bytes) => self.keepers.handle(now, &name, Lane::Log, bytes),
+            Wire::Agreement(bytes) => self.replicas.handle(now, &name, Lane::Agreement, bytes),
+            Wire::Log(bytes) => self.replicas.handle(now, &name, Lane::Log, bytes),
             // Nor does it relay anything.
             Wire::Relay { .. } | Wire::Relayed { .. } | Wire::NoRoute { .. } if !agrees => {}
             Wire::Relay { to, payload } => self.relay_message(now, peer, to, payload),
--- a/crates/installation/src/process/membership.rs
+++ b/crates/installation/src/process/membership.rs
@@ -29,13 +29,13 @@
             Change::Stale(stale) => tracing::info!(stale, "membership staleness changed"),
             // The earlier process stays silent until the later one is gone: if both raised their start
             // numbers above each other's, they would never stop.
-            Change::Twin(life) if life.name == self.cfg.own.name && life.start > self.cfg.own.start => {
+            Change::SharedName(life) if life.name == self.cfg.own.name && life.start > self.cfg.own.start => {
                 tracing::error!(start = life.start.0, "another process has this member's name");
                 if self.outlived.replace(life.start.max(self.outlived.unwrap_or_default())).is_none() {
                     self.answer_all_pending();
                 }
             }
-            Change::Twin(life) => {
+            Change::SharedName(life) => {
                 tracing::error!(member = %life.name, "two processes have the same member name")
             }
             Change::Behind(start) => self.life_is_over(start),
--- a/crates/installation/src/process/mod.rs
+++ b/crates/installation/src/process/mod.rs
@@ -34,8 +34,8 @@
 use crate::wire::{Piece, Wire};
 use crate::{Micros, limits};
 use heronroute_drift::Health;
-use heronroute_fleet::keepers::{Charge, Keepers};
 use heronroute_fleet::members::Members;
+use heronroute_fleet::replicas::{Leadership, Replicas};
 use heronroute_fleet::{Name, Start, Term};
 use heronroute_journal::Storage;
 use heronroute_rules::registry::Registry;
@@ -69,7 +69,7 @@
     peer_indexes: BTreeMap<Name, usize>,
     zones: Zones,
     members: Members,
-    keepers: Keepers<S>,
+    replicas: Replicas<S>,
     machine: Machine,
     applier: Applier,
     reports: Reports,
@@ -148,8 +148,8 @@
     }
 
     /// Returns the lease if this member is the leader and may act.
-    pub fn in_charge(&self, now: Micros) -> Option<Charge> {
-        self.keepers.in_charge(now).filter(|_| self.allows().leads)
+    pub fn in_charge(&self, now: Micros) -> Option<Leadership> {
+        self.replicas.in_charge(now).filter(|_| self.allows().leads)
     }
 
     /// Returns the membership.
@@ -158,8 +158,8 @@
     }
 
     /// Returns the agreed log.
-    pub fn keepers(&self) -> &Keepers<S> {
-        &self.keepers
+    pub fn replicas(&self) -> &Replicas<S> {
+        &self.replicas
     }
 
     /// Returns what a keeper knows of all members while it leads.
@@ -183,7 +183,7 @@
             self.declared_dead = (renewed, now.saturating_add(timers::SUSPECTED_FOR));
         }
         let condition = Condition::of(ConditionFacts {
-            majority: self.keepers.majority(now),
+            majority: self.replicas.majority(now),
             linked: self.linked > 0,
             stale: self.members.stale(),
             suspected: now < self.declared_dead.1,
@@ -200,7 +200,7 @@
             && drift_monitor.update_leadership(
                 now,
                 lease.as_ref(),
-                self.keepers.term(),
+                self.replicas.term(),
                 self.machine.fences(),
             )
         {
@@ -214,7 +214,7 @@
     fn drain_components(&mut self, now: Micros) -> bool {
         let before = self.last_number;
         self.drain_membership(now);
-        self.keepers.flush(now);
+        self.replicas.flush(now);
         self.drain_keepers(now);
         self.propose_next(now);
         self.drain_drift_monitor(now);
--- a/crates/installation/src/process/relay.rs
+++ b/crates/installation/src/process/relay.rs
@@ -25,7 +25,7 @@
         }
         let known = || self.members.rows().get(peer).and_then(|row| row.life.as_ref());
         let to = life.or_else(known).cloned();
-        let first = self.keepers.leader().and_then(|(_, life)| self.peer_indexes.get(&life.name).copied());
+        let first = self.replicas.leader().and_then(|(_, life)| self.peer_indexes.get(&life.name).copied());
         let through = self.relay_routes.next_hop(now, peer, first);
         let (Some(to), Some(through)) = (to, through) else {
             self.counts.no_route += 1;
@@ -85,7 +85,7 @@
             return;
         };
         if self.relay_routes.no_route(index, peer)
-            && self.keepers.leader().is_some_and(|(_, life)| life.name == *to)
+            && self.replicas.leader().is_some_and(|(_, life)| life.name == *to)
         {
             self.report_at = self.report_at.min(now);
         }
--- a/crates/installation/src/process/timers.rs
+++ b/crates/installation/src/process/timers.rs
@@ -14,7 +14,7 @@
 
 impl<S: Storage> Installation<S> {
     pub(super) fn run_timers(&mut self, now: Micros) {
-        self.keepers.tick(now);
+        self.replicas.tick(now);
         self.silenced |= self.outlived.is_some() && self.members.stale();
         if self.silenced && self.members.awake() {
             // Members answer this life again: the other process of its name is gone.
@@ -96,7 +96,7 @@
             self.region_wake(),
         ];
         let report = self.report_at.max(self.report_soon);
-        let own = self.members.wake().min(self.keepers.next_wake()).min(report).min(self.probe_at);
+        let own = self.members.wake().min(self.replicas.next_wake()).min(report).min(self.probe_at);
         // Always in the future, so that a turn that could do nothing is not followed by one at the same time.
         rest.into_iter().flatten().fold(own, Micros::min).max(now.saturating_add(1))
     }
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use heronroute_drift::{Ack, Ask, Challenge, ChallengeAnswer, Order, Report, TreeReply};
-use heronroute_fleet::queue::MOST_MESSAGE;
+use heronroute_fleet::queue::MAX_MESSAGE_BYTES;
 use heronroute_fleet::{Kind, Life, Name};
 use heronroute_region::rights;
 use heronroute_rules::check::{self, LossCounts};
@@ -149,12 +149,12 @@
 
     /// Encodes the message; none if it is too long.
     pub fn pack(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MOST_MESSAGE)
+        postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MAX_MESSAGE_BYTES)
     }
 
     /// Decodes a message; none if the bytes are not exactly one message within its bounds.
     pub fn unpack(bytes: &'a [u8]) -> Option<Self> {
-        if bytes.len() > MOST_MESSAGE {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
         let (wire, rest) = postcard::take_from_bytes::<Wire<'a>>(bytes).ok()?;
