--- a/crates/engine/src/client_rules/asks.rs
+++ b/crates/engine/src/client_rules/asks.rs
@@ -31,7 +31,7 @@
         self.outputs.push(Output::ClientRequest(ClientRequest { token, client, words, body }));
     }
 
-    /// Handles the process's answer to an [`Output::Ask`]. The answer is dropped if nothing waits for it any
+    /// Handles the process's answer to an [`Output::ClientRequest`]. The answer is dropped if nothing waits for it any
     /// more.
     pub fn told(&mut self, now: Micros, told: Told) {
         self.now = now.max(self.now);
--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -37,7 +37,7 @@
     pub(crate) extent_unknown: bool,
     /// Suspended messages, bounded by the node's room.
     pub(crate) suspended: BTreeSet<MsgId>,
-    /// Messages of the book with an answer that was not acknowledged.
+    /// Messages of the journal state with an answer that was not acknowledged.
     pub(crate) unacknowledged: Vec<Open>,
     /// Answers that were about to be sent, each with its client and the mailbox's name; bounded by the
     /// clients' room.
@@ -91,12 +91,12 @@
         Failover { copied_below, ..self }
     }
 
-    /// Suspends a message of the book.
+    /// Suspends a message of the journal state.
     pub(crate) fn suspend(&mut self, id: MsgId) {
         self.suspended.insert(id);
     }
 
-    /// Defers an answer of the book that was not acknowledged.
+    /// Defers an answer of the journal state that was not acknowledged.
     pub(crate) fn defer_answered(&mut self, open: Open) {
         self.unacknowledged.push(open);
     }
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -1,4 +1,4 @@
-//! Restores a node's state from the journal's book after a restart. [`crate::resume`] decides about each
+//! Restores a node's state from the journal's state after a restart. [`crate::resume`] decides about each
 //! message, and this module carries the decision out.
 
 use crate::Micros;
@@ -28,7 +28,7 @@
 }
 
 impl Node {
-    /// Restores the book. Messages go to the decision library in the order in which they were accepted, so
+    /// Restores the journal state. Messages go to the decision library in the order in which they were accepted, so
     /// that keys keep their order; all of them before their class's deadline, or they are answered here.
     pub(crate) fn restart(&mut self, state: JournalState) {
         let wall = self.wall();
@@ -64,7 +64,7 @@
         tracing::info!(?done, "restored after a restart");
     }
 
-    /// Restores one open message of a book, by what is known of it.
+    /// Restores one open message of a journal state, by what is known of it.
     pub(crate) fn restore_open(&mut self, open: Open, wall: Micros, done: &mut Restarted) {
         let accepted = &open.accepted;
         let client = self.client_index(&accepted.client);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Suspends a message of the book that a partner may have taken over meanwhile, until that is known.
+    /// Suspends a message of the journal state that a partner may have taken over meanwhile, until that is known.
     fn suspend_message(&mut self, client: usize, mailbox: MailboxId, class: Option<usize>, open: Open) {
         if open.answer.is_some() {
             self.region.iter_mut().for_each(|region| region.defer_answered(open.clone()));
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Kind::Agreement`] and [`Kind::Log`] are sent in order and without omissions. When one of them is full,
 //! the link has to be reset, so that the sender learns that its messages were lost. Of [`Kind::Gossip`],
-//! [`Kind::Drift`] and [`Kind::Carried`] the queue keeps the newest few messages and discards the oldest; the
+//! [`Kind::Drift`] and [`Kind::Relayed`] the queue keeps the newest few messages and discards the oldest; the
 //! remaining ones are sent in order, so that a peer never receives an older state after a newer one. The
 //! kinds are served in turn, piece by piece: a message waits at most for one piece of each other kind.
 
--- a/crates/installation/src/machine/mod.rs
+++ b/crates/installation/src/machine/mod.rs
@@ -209,7 +209,7 @@
         outcome
     }
 
-    /// Encodes the state, for [`heronroute_fleet::keepers::Keepers::snapshot`].
+    /// Encodes the state, for [`heronroute_fleet::replicas::Replicas::snapshot`].
     pub fn snapshot(&self) -> Vec<u8> {
         let fields = SnapshotFields {
             registry: self.registry.snapshot(),
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -19,9 +19,9 @@
 pub enum Wire<'a> {
     /// Membership gossip; handled by [`heronroute_fleet::members`].
     Gossip(&'a [u8]),
-    /// Agreement; handled by [`heronroute_fleet::keepers`].
+    /// Agreement; handled by [`heronroute_fleet::replicas`].
     Agreement(&'a [u8]),
-    /// The committed log; handled by [`heronroute_fleet::keepers`].
+    /// The committed log; handled by [`heronroute_fleet::replicas`].
     Log(&'a [u8]),
     /// All drift messages of one turn. They leave as one message because the queue of a slow peer keeps only
     /// the newest few, and an order must not be lost to the acknowledgement that leaves with it.
