--- a/crates/engine/src/client_rules/asks.rs
+++ b/crates/engine/src/client_rules/asks.rs
@@ -31,8 +31,8 @@
         self.outputs.push(Output::ClientRequest(ClientRequest { token, client, words, body }));
     }
 
-    /// Handles the process's answer to an [`Output::ClientRequest`]. The answer is dropped if nothing waits for it any
-    /// more.
+    /// Handles the process's answer to an [`Output::ClientRequest`]. The answer is dropped if nothing waits
+    /// for it any more.
     pub fn told(&mut self, now: Micros, told: Told) {
         self.now = now.max(self.now);
         let Token { sender, conn, token } = told.token;
--- a/crates/engine/src/client_rules/repeat.rs
+++ b/crates/engine/src/client_rules/repeat.rs
@@ -116,8 +116,8 @@
         self.deliver_owed(mailbox);
     }
 
-    /// Restores retained answers after a restart. Those not yet acknowledged are owed by the journal state's open
-    /// messages.
+    /// Restores retained answers after a restart. Those not yet acknowledged are owed by the journal
+    /// state's open messages.
     pub(crate) fn restore_answers(&mut self, state: &JournalState) {
         if self.rule_tables.is_none() {
             return;
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -28,8 +28,9 @@
 }
 
 impl Node {
-    /// Restores the journal state. Messages go to the decision library in the order in which they were accepted, so
-    /// that keys keep their order; all of them before their class's deadline, or they are answered here.
+    /// Restores the journal state. Messages go to the decision library in the order in which they were
+    /// accepted, so that keys keep their order; all of them before their class's deadline, or they are
+    /// answered here.
     pub(crate) fn restart(&mut self, state: JournalState) {
         let wall = self.wall();
         // The next number is above all given so far, with this sender's index in the low bits.
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Suspends a message of the journal state that a partner may have taken over meanwhile, until that is known.
+    /// Suspends a message of the journal state that a partner may have taken over meanwhile, until that is
+    /// known.
     fn suspend_message(&mut self, client: usize, mailbox: MailboxId, class: Option<usize>, open: Open) {
         if open.answer.is_some() {
             self.region.iter_mut().for_each(|region| region.defer_answered(open.clone()));
