--- a/crates/mqtt/src/peek.rs
+++ b/crates/mqtt/src/peek.rs
@@ -1,19 +1,19 @@
-//! Who a connection comes from, before it is a session: the user name of a first CONNECT.
+//! Reads the user name of the first CONNECT of a connection before a session exists.
 
 use crate::codec::{Decoder, Packet};
 
-/// The user name that the first octets of a connection give: nothing while more may come, an empty name where none
-/// will. `most`: octets in which it must stand.
-pub fn user_name(octets: &[u8], most: usize) -> Option<String> {
-    // What does not begin with a CONNECT says nobody's name, however long it goes on.
-    if octets.first().is_some_and(|o| *o != 0x10) {
+/// Returns the user name in the first bytes of a connection: `None` while more bytes are needed, an empty
+/// name if there is none. The CONNECT must be complete within `max_bytes`.
+pub fn user_name(bytes: &[u8], max_bytes: usize) -> Option<String> {
+    // A stream that does not begin with a CONNECT never gives a user name.
+    if bytes.first().is_some_and(|byte| *byte != 0x10) {
         return Some(String::new());
     }
-    let limit = u32::try_from(most).unwrap_or(u32::MAX);
+    let limit = u32::try_from(max_bytes).unwrap_or(u32::MAX);
     let mut decoder = Decoder::new(limit);
-    decoder.push(octets);
-    match decoder.take() {
-        None if octets.len() < most => None,
+    decoder.push(bytes);
+    match decoder.next_packet() {
+        None if bytes.len() < max_bytes => None,
         Some(Ok(Packet::Connect(c))) => Some(c.user.unwrap_or_default()),
         _ => Some(String::new()),
     }
@@ -24,7 +24,7 @@
     use super::*;
 
     #[test]
-    fn a_name_is_found_or_known_to_be_missing() {
+    fn returns_the_user_name_or_an_empty_name() {
         let connect = b"\x10\x12\x00\x04MQTT\x04\x82\x00\x0a\x00\x00\x00\x04anna";
         for n in 0..connect.len() {
             assert_eq!(user_name(&connect[..n], 4_096), None, "{n}");
--- a/crates/mqtt/src/session/mod.rs
+++ b/crates/mqtt/src/session/mod.rs
@@ -1,65 +1,69 @@
-//! The server's side of one connection.
+//! The server side of one connection.
 //!
-//! It answers by itself what the specifications settle (order, windows, pings, subscriptions, what is malformed) and
-//! hands on the rest as events, each to be answered under its token.
+//! The session handles by itself what the specifications define (order, windows, pings, subscriptions,
+//! malformed packets). It reports the rest as events; the caller answers each under its token.
 
-mod enter;
+mod connect;
+mod deliver;
 mod publish;
 mod receive;
-mod tell;
-mod words;
+mod types;
 
-pub use words::{Event, Handed, Telling, handed};
+pub use types::{Event, Handed, Telling, handed};
 
 use crate::Micros;
 use crate::codec::{self, Decoder, Version, Will};
 use bytes::BytesMut;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const SECOND: Micros = 1_000_000;
-/// Filters of a session at most.
-const FILTERS: usize = 16;
-/// Answers out at once at most.
-const MOST_OUT: u16 = 32_767;
-/// Aliases used towards a client at most, and taken from one.
-const ALIASES: u16 = 16;
+const MICROS_PER_SECOND: Micros = 1_000_000;
+/// The maximum number of filters of a session.
+const MAX_FILTERS: usize = 16;
+/// The maximum number of unacknowledged answers: half the packet identifiers, so that one is always free.
+const MAX_IN_FLIGHT: u16 = 32_767;
+/// The maximum number of topic aliases in each direction.
+const MAX_TOPIC_ALIASES: u16 = 16;
 
-/// Figures of a session.
+/// The limits of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A CONNECT must come within this after the connection.
+    /// The time within which a CONNECT must arrive after the connection is made.
     pub connect_within: Micros,
-    /// The longest keep-alive; clients that ask for more or none are held to it (5.0 only).
+    /// The longest keep-alive in seconds, set for clients that request a longer one or none (5.0 only).
     pub keep_alive: u16,
-    /// The longest a session is kept without a connection, in seconds.
+    /// The longest time in seconds for which a session is kept without a connection.
     pub expiry: u32,
-    /// Publications of quality 1 and 2 without an acknowledgement, either way.
+    /// The number of unacknowledged publications of quality of service 1 and 2 in each direction.
     pub window: u16,
-    /// Octets of a packet at most.
+    /// The maximum size of a packet in bytes.
     pub max_packet: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Opening,
-    Entering,
+    /// No CONNECT has been received.
+    AwaitingConnect,
+    /// A CONNECT was received; the caller decides on it.
+    AwaitingAdmission,
+    /// The client is admitted.
     Open,
-    Over,
+    /// The connection is over.
+    Closed,
 }
 
-/// A publication that is not acknowledged yet, in order.
+/// A publication that is not acknowledged yet.
 #[derive(Debug)]
 struct Pending {
     token: u32,
     packet: u16,
     qos: u8,
-    /// Its acknowledgement, once it may go out: a code and the message's identity.
-    done: Option<(u8, String)>,
-    /// Where a question's answer goes.
+    /// The reason code and message identity of its acknowledgement, once the request is decided.
+    outcome: Option<(u8, String)>,
+    /// The topic and correlation data for the answer to a query.
     reply: Option<(String, Vec<u8>)>,
 }
 
-/// One connection's session.
+/// The session of one connection.
 #[derive(Debug)]
 pub struct Session {
     limits: Limits,
@@ -67,131 +71,136 @@
     state: State,
     version: Version,
     client_id: String,
-    began: Micros,
-    heard: Micros,
+    opened_at: Micros,
+    last_received: Micros,
+    /// The time without a packet after which the connection ends; 0 for none.
     keep_alive: Micros,
     next_token: u32,
     pending: VecDeque<Pending>,
-    /// Those of quality 1 among them.
-    ones: usize,
-    /// Publications of quality 2 that wait for their PUBREL.
-    unreleased: BTreeSet<u16>,
+    /// The number of pending publications of quality of service 1.
+    unacknowledged_qos1: usize,
+    /// Packet identifiers of publications of quality of service 2 that wait for their PUBREL.
+    unreleased_qos2: BTreeSet<u16>,
     filters: BTreeMap<String, u8>,
-    /// Aliases of the client, from 1.
-    aliases_in: Vec<String>,
-    aliases_out: Vec<String>,
-    most_aliases: u16,
-    /// Answers out by packet identifier; whether it is one to be told of.
-    out: BTreeMap<u16, bool>,
-    /// Numbers that were heard in the octets at hand. Guards against giving one out again while its answer is still
-    /// on the way to whoever keeps it: the second answer would take the place of the first.
-    resting: BTreeSet<u16>,
-    next_packet: u16,
+    /// Topics of the client's aliases, from alias 1.
+    client_aliases: Vec<String>,
+    /// Topics of the server's aliases, from alias 1.
+    server_aliases: Vec<String>,
+    client_alias_maximum: u16,
+    /// Unacknowledged answers by packet identifier; true if the acknowledgement is reported to the caller.
+    in_flight: BTreeMap<u16, bool>,
+    /// Packet identifiers acknowledged in the bytes being processed. They are not reused yet, because the
+    /// caller has not handled their acknowledgements: a second answer would take the place of the first.
+    just_acknowledged: BTreeSet<u16>,
+    last_packet_id: u16,
     receive_maximum: u16,
     maximum_packet: u32,
     problem_information: bool,
     will: Option<Will>,
     expiry: u32,
-    /// Topics about rules and the fleet lead somewhere.
-    fleet: bool,
-    /// Where answers go to questions that were acknowledged before. As many as whoever answers leaves open.
-    questions: BTreeMap<u32, (String, Vec<u8>)>,
+    /// Whether topics about rules and the fleet are valid.
+    serves_rules_topics: bool,
+    /// Topics and correlation data for the answers to queries that are already acknowledged, by token.
+    /// Bounded only by the number of queries that the caller leaves unanswered.
+    reply_addresses: BTreeMap<u32, (String, Vec<u8>)>,
 }
 
 impl Session {
-    /// A session on a new connection.
+    /// Creates a session on a new connection.
     pub fn new(now: Micros, limits: Limits) -> Self {
         Session {
             limits,
             decoder: Decoder::new(limits.max_packet),
-            state: State::Opening,
+            state: State::AwaitingConnect,
             version: Version::V3,
             client_id: String::new(),
-            began: now,
-            heard: now,
+            opened_at: now,
+            last_received: now,
             keep_alive: 0,
             next_token: 0,
             pending: VecDeque::new(),
-            ones: 0,
-            unreleased: BTreeSet::new(),
+            unacknowledged_qos1: 0,
+            unreleased_qos2: BTreeSet::new(),
             filters: BTreeMap::new(),
-            aliases_in: Vec::new(),
-            aliases_out: Vec::new(),
-            most_aliases: 0,
-            out: BTreeMap::new(),
-            resting: BTreeSet::new(),
-            next_packet: 0,
+            client_aliases: Vec::new(),
+            server_aliases: Vec::new(),
+            client_alias_maximum: 0,
+            in_flight: BTreeMap::new(),
+            just_acknowledged: BTreeSet::new(),
+            last_packet_id: 0,
             receive_maximum: 0,
             maximum_packet: u32::MAX,
             problem_information: false,
             will: None,
             expiry: 0,
-            fleet: false,
-            questions: BTreeMap::new(),
+            serves_rules_topics: false,
+            reply_addresses: BTreeMap::new(),
         }
     }
 
-    /// Whether topics about rules and the fleet lead somewhere.
-    pub fn fleet(mut self, on: bool) -> Self {
-        self.fleet = on;
+    /// Sets whether topics about rules and the fleet are valid.
+    pub fn fleet(mut self, enabled: bool) -> Self {
+        self.serves_rules_topics = enabled;
         self
     }
 
-    /// Whether the client is in.
+    /// Returns whether the client is admitted and the connection is open.
     pub fn open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// The client identifier.
+    /// Returns the client identifier.
     pub fn client_id(&self) -> &str {
         &self.client_id
     }
 
-    /// Whether the client's version knows refusals of single publications.
+    /// Returns whether the client's protocol version can refuse a single publication.
     pub fn refuses(&self) -> bool {
         self.version == Version::V5
     }
 
-    /// The seconds for which the session is kept after the connection.
+    /// Returns the seconds for which the session is kept after the connection.
     pub fn expiry(&self) -> u32 {
         self.expiry
     }
 
-    /// The will that is left, once the connection is over: none where the client took its leave.
+    /// Takes the will once the connection is over; returns `None` if the client disconnected normally.
     pub fn will(&mut self) -> Option<Will> {
         self.will.take()
     }
 
-    /// The subscriptions.
+    /// Returns the filters of the subscriptions with their quality of service.
     pub fn filters(&self) -> Vec<(String, u8)> {
-        self.filters.iter().map(|(f, q)| (f.clone(), *q)).collect()
+        self.filters.iter().map(|(filter, qos)| (filter.clone(), *qos)).collect()
     }
 
     fn unacknowledged(&self) -> usize {
-        self.ones + self.unreleased.len()
+        self.unacknowledged_qos1 + self.unreleased_qos2.len()
     }
 
-    /// Whether the client has as many publications out as it may: until the last step of each exchange.
-    fn full(&self) -> bool {
+    /// Returns whether the client has used up its receive maximum. A publication counts until the last step
+    /// of its exchange.
+    fn receive_window_full(&self) -> bool {
         self.unacknowledged() >= usize::from(self.limits.window)
     }
 
-    /// Whether more is to be read from the client now: version 3.1.1 has no receive maximum, so its connection is left to
-    /// fill while the server owes a window of acknowledgements. What waits for the client's own PUBREL does not count:
-    /// guards against a client with more of quality 2 out than that, whose releases would never be read.
+    /// Returns whether the caller should read from the client now. Version 3.1.1 has no receive maximum, so
+    /// reading stops while the server owes a window of acknowledgements. Publications that wait for the
+    /// client's PUBREL don't count: otherwise the releases of a client with more than a window of quality of
+    /// service 2 would never be read.
     pub fn listens(&self) -> bool {
         self.pending.len() < usize::from(self.limits.window)
     }
 
-    /// Ends the connection from the server's side, with a code of version 5.0.
+    /// Closes the connection from the server side with a code of version 5.0.
     pub fn leave(&mut self, code: u8, out: &mut BytesMut) {
         if self.state == State::Open {
-            codec::disconnect(self.version, code, None, out);
+            codec::write_disconnect(self.version, code, None, out);
         }
-        // That the server goes is no sign that the client is gone.
+        // 0x8B: a server shutdown does not mean that the client is gone, so its will is not published.
         if code == 0x8B {
             self.will = None;
         }
-        self.state = State::Over;
+        self.state = State::Closed;
     }
 }
--- a/crates/mqtt/src/session/receive.rs
+++ b/crates/mqtt/src/session/receive.rs
@@ -1,32 +1,32 @@
-//! Octets in: packets in their order, what is wrong with them, and the timers of a silent connection.
+//! Handles received packets in order, closes the connection on errors, and runs its timers.
 
-use super::{Event, FILTERS, Session, State};
+use super::{Event, MAX_FILTERS, Session, State};
 use crate::Micros;
-use crate::codec::{self, Ack, Bad, PROTOCOL, Packet, Version};
+use crate::codec::{self, Ack, PROTOCOL_ERROR, Packet, Rejection, Version};
 use crate::topics::is_filter;
 use bytes::BytesMut;
 
 impl Session {
-    /// Octets came.
-    pub fn receive(&mut self, now: Micros, octets: &[u8], out: &mut BytesMut, events: &mut Vec<Event>) {
-        if self.state == State::Over {
+    /// Handles received bytes: adds events, and writes what the session answers by itself.
+    pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut BytesMut, events: &mut Vec<Event>) {
+        if self.state == State::Closed {
             return;
         }
-        self.resting.clear();
-        self.decoder.push(octets);
-        // What comes behind a CONNECT waits for its answer.
-        while matches!(self.state, State::Opening | State::Open) {
-            let Some(packet) = self.decoder.take() else { return };
-            self.heard = now;
-            let result = packet.and_then(|p| self.packet(p, out, events));
-            if let Err(bad) = result {
-                self.end(bad, out, events);
+        self.just_acknowledged.clear();
+        self.decoder.push(bytes);
+        // Packets after a CONNECT wait until the caller has decided on it.
+        while matches!(self.state, State::AwaitingConnect | State::Open) {
+            let Some(packet) = self.decoder.next_packet() else { return };
+            self.last_received = now;
+            let result = packet.and_then(|p| self.handle_packet(p, out, events));
+            if let Err(fault) = result {
+                self.close(fault, out, events);
             }
         }
     }
 
-    fn end(&mut self, bad: Bad, out: &mut BytesMut, events: &mut Vec<Event>) {
-        let why = match bad.0 {
+    fn close(&mut self, fault: Rejection, out: &mut BytesMut, events: &mut Vec<Event>) {
+        let reason = match fault.0 {
             0x81 => "malformed packet",
             0x82 => "protocol error",
             0x84 => "unknown protocol version",
@@ -41,98 +41,103 @@
             _ => "refused",
         };
         match self.state {
-            State::Open => codec::disconnect(self.version, bad.0, Some(why), out),
-            // To what is no MQTT nothing is said; 0x84 is said in the words of the version that has them.
-            State::Opening if bad.0 == 0x84 => codec::unwelcome(Version::V3, bad.0, out),
+            State::Open => codec::write_disconnect(self.version, fault.0, Some(reason), out),
+            // Peers that don't send a CONNECT get no answer; 0x84 is answered in the form of version 3.1.1.
+            State::AwaitingConnect if fault.0 == 0x84 => codec::write_refusal(Version::V3, fault.0, out),
             _ => {}
         }
-        self.state = State::Over;
-        events.push(Event::Over(Some(why)));
+        self.state = State::Closed;
+        events.push(Event::Over(Some(reason)));
     }
 
-    /// When [`Session::tick`] is next needed.
+    /// Returns the time at which [`Session::tick`] is next due.
     pub fn wake(&self) -> Micros {
         match self.state {
-            State::Opening | State::Entering => self.began + self.limits.connect_within,
-            State::Open if self.keep_alive > 0 => self.heard + self.keep_alive,
+            State::AwaitingConnect | State::AwaitingAdmission => self.opened_at + self.limits.connect_within,
+            State::Open if self.keep_alive > 0 => self.last_received + self.keep_alive,
             _ => Micros::MAX,
         }
     }
 
-    /// Acts on timers.
+    /// Handles timers that are due.
     pub fn tick(&mut self, now: Micros, out: &mut BytesMut, events: &mut Vec<Event>) {
         if now < self.wake() {
             return;
         }
         match self.state {
-            State::Open => self.end(Bad(0x8D), out, events),
-            State::Opening | State::Entering => {
-                self.state = State::Over;
+            State::Open => self.close(Rejection(0x8D), out, events),
+            State::AwaitingConnect | State::AwaitingAdmission => {
+                self.state = State::Closed;
                 events.push(Event::Over(Some("no CONNECT in time")));
             }
-            State::Over => {}
+            State::Closed => {}
         }
     }
 
-    fn packet(&mut self, packet: Packet, out: &mut BytesMut, events: &mut Vec<Event>) -> Result<(), Bad> {
+    fn handle_packet(
+        &mut self,
+        packet: Packet,
+        out: &mut BytesMut,
+        events: &mut Vec<Event>,
+    ) -> Result<(), Rejection> {
         match packet {
-            Packet::Connect(c) => self.connect(*c, out, events),
-            Packet::Publish(p) => self.publish(*p, out, events),
+            Packet::Connect(c) => self.handle_connect(*c, out, events),
+            Packet::Publish(p) => self.handle_publish(*p, out, events),
             Packet::Ack(Ack::Puback, packet, _) => {
-                // A code of refusal is an acknowledgement all the same: it must not be sent again.
-                if self.out.remove(&packet) == Some(true) {
-                    self.resting.insert(packet);
+                // An error code is an acknowledgement too: the publication must not be sent again.
+                if self.in_flight.remove(&packet) == Some(true) {
+                    self.just_acknowledged.insert(packet);
                     events.push(Event::Heard(packet));
                 }
                 Ok(())
             }
             Packet::Ack(Ack::Pubrel, packet, _) => {
-                let known = self.unreleased.remove(&packet);
-                // After a lost connection the release of what was acknowledged there comes here.
+                let known = self.unreleased_qos2.remove(&packet);
+                // The release of a publication acknowledged on an earlier connection may arrive on this one.
                 let code = if known || self.version == Version::V3 { 0 } else { 0x92 };
-                codec::ack(self.version, Ack::Pubcomp, packet, code, &[], out);
+                codec::write_ack(self.version, Ack::Pubcomp, packet, code, &[], out);
                 Ok(())
             }
-            // Nothing is sent with quality 2.
-            Packet::Ack(Ack::Pubrec | Ack::Pubcomp, ..) => Err(PROTOCOL),
-            Packet::Subscribe(packet, filters, named) => {
-                if named {
-                    return Err(Bad(0xA1));
+            // The server sends nothing with quality of service 2.
+            Packet::Ack(Ack::Pubrec | Ack::Pubcomp, ..) => Err(PROTOCOL_ERROR),
+            Packet::Subscribe(packet, filters, has_subscription_id) => {
+                if has_subscription_id {
+                    return Err(Rejection(0xA1));
                 }
                 let codes: Vec<u8> = filters.into_iter().map(|(f, qos)| self.subscribe(f, qos)).collect();
-                let mut told = BytesMut::new();
-                codec::suback(self.version, packet, &codes, &mut told);
-                events.push(Event::Subscribed(told.into()));
+                let mut response = BytesMut::new();
+                codec::write_suback(self.version, packet, &codes, &mut response);
+                events.push(Event::Subscribed(response.into()));
                 Ok(())
             }
             Packet::Unsubscribe(packet, filters) => {
-                let gone = |f: &String| if self.filters.remove(f).is_some() { 0 } else { 0x11 };
-                let codes: Vec<u8> = filters.iter().map(gone).collect();
-                let mut told = BytesMut::new();
-                codec::unsuback(self.version, packet, &codes, &mut told);
-                events.push(Event::Subscribed(told.into()));
+                let remove = |f: &String| if self.filters.remove(f).is_some() { 0 } else { 0x11 };
+                let codes: Vec<u8> = filters.iter().map(remove).collect();
+                let mut response = BytesMut::new();
+                codec::write_unsuback(self.version, packet, &codes, &mut response);
+                events.push(Event::Subscribed(response.into()));
                 Ok(())
             }
             Packet::Ping => {
-                codec::pong(out);
+                codec::write_pingresp(out);
                 Ok(())
             }
             Packet::Disconnect(code, expiry) => {
                 if let Some(expiry) = expiry {
                     if self.expiry == 0 && expiry > 0 {
-                        return Err(PROTOCOL);
+                        return Err(PROTOCOL_ERROR);
                     }
                     self.expiry = expiry.min(self.limits.expiry);
                 }
-                // 0x04 asks for the will all the same.
+                // Any other code, such as 0x04, leaves the will to be published.
                 if code == 0 {
                     self.will = None;
                 }
-                self.state = State::Over;
+                self.state = State::Closed;
                 events.push(Event::Over(None));
                 Ok(())
             }
-            Packet::Auth => Err(PROTOCOL),
+            Packet::Auth => Err(PROTOCOL_ERROR),
         }
     }
 
@@ -143,10 +148,10 @@
         if !is_filter(&filter) {
             return 0x8F;
         }
-        if self.filters.len() >= FILTERS && !self.filters.contains_key(&filter) {
+        if self.filters.len() >= MAX_FILTERS && !self.filters.contains_key(&filter) {
             return 0x97;
         }
-        let granted = qos.min(codec::GRANTED);
+        let granted = qos.min(codec::MAX_GRANTED_QOS);
         self.filters.insert(filter, granted);
         granted
     }
--- a/crates/mqtt/src/topics.rs
+++ b/crates/mqtt/src/topics.rs
@@ -1,45 +1,52 @@
-//! What topics ask for, and which filters they fit.
+//! Topics of requests, and the matching of topics against subscription filters.
 
-/// Octets of a topic, filter, key or name at most; of correlation data likewise.
-pub const LONGEST: usize = 256;
+/// The maximum length in bytes of a topic, filter, client identifier, user property value or correlation
+/// data.
+pub const MAX_LENGTH: usize = 256;
 
-/// What a publication to a topic asks for.
+/// The request that a publication to a topic makes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// To hand a message in: `to/<address>[/<class>[/<key>[/<name>]]]`, a level left empty where nothing is said.
+    /// Submits a message: `to/<address>[/<class>[/<key>[/<name>]]]`; an empty level counts as absent.
     Message {
         /// The destination address.
         address: String,
-        /// The class; empty for the first.
+        /// The class; empty for the first class.
         class: String,
-        /// What it is about, in classes that keep order.
+        /// The ordering key, in classes that keep order.
         key: Option<String>,
-        /// The client's own name for it.
+        /// The client's own name for the message.
         name: Option<String>,
     },
-    /// What became of a message: `ask/<message>`.
+    /// Queries the state of a message: `ask/<message>`.
     Ask(String),
-    /// To withdraw a message: `withdraw/<message>`.
+    /// Withdraws a message: `withdraw/<message>`.
     Withdraw(String),
-    /// What is held: `held/list[/<after>]`, `held/show/<message>`, `held/again/<message>[/new]`, `held/drop/<message>`,
-    /// `held/release[/<destination>]`, `held/stop`.
+    /// Handles held messages: `held/list[/<after>]`, `held/show/<message>`, `held/again/<message>[/new]`,
+    /// `held/drop/<message>`, `held/release[/<destination>]`, `held/stop`.
     Held(Vec<String>),
-    /// A client's own rules, and the fleet: `rules/show`, `rules/check`, `rules/submit`, `rules/back/<version>`,
-    /// `rules/approve/<client>/<version>`, `rules/refuse/<client>/<version>`, `fleet/members`, `fleet/drift`. All levels.
+    /// Handles the client's own rules, and queries the fleet: `rules/show`, `rules/check`, `rules/submit`,
+    /// `rules/back/<version>`, `rules/approve/<client>/<version>`, `rules/refuse/<client>/<version>`,
+    /// `fleet/members`, `fleet/drift`. Holds all levels of the topic.
     Rules(Vec<String>),
 }
 
-/// Reads a topic; none where it leads nowhere.
-pub fn target(topic: &str) -> Option<Target> {
-    if topic.len() > LONGEST {
+/// Parses a topic; returns `None` if it makes no request.
+pub fn parse_target(topic: &str) -> Option<Target> {
+    if topic.len() > MAX_LENGTH {
         return None;
     }
     let mut levels = topic.split('/');
     let first = levels.next()?;
     let mut level = || levels.next().unwrap_or_default().to_string();
-    let some = |text: String| Some(text).filter(|t| !t.is_empty());
+    let non_empty = |text: String| Some(text).filter(|t| !t.is_empty());
     let target = match first {
-        "to" => Target::Message { address: level(), class: level(), key: some(level()), name: some(level()) },
+        "to" => Target::Message {
+            address: level(),
+            class: level(),
+            key: non_empty(level()),
+            name: non_empty(level()),
+        },
         "ask" => Target::Ask(level()),
         "withdraw" => Target::Withdraw(level()),
         "held" => Target::Held(levels.by_ref().take(3).map(str::to_string).collect()),
@@ -48,42 +55,43 @@
         }
         _ => return None,
     };
-    let named = match &target {
+    let complete = match &target {
         Target::Message { address, key, .. } => {
             !address.is_empty() && key.as_ref().is_none_or(|k| k.len() <= 64)
         }
         Target::Ask(id) | Target::Withdraw(id) => !id.is_empty(),
-        Target::Held(words) => !words.is_empty(),
-        Target::Rules(words) => match &words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+        Target::Held(levels) => !levels.is_empty(),
+        Target::Rules(levels) => match &levels.iter().map(String::as_str).collect::<Vec<_>>()[..] {
             ["rules", "show" | "check" | "submit"] | ["fleet", "members" | "drift"] => true,
             ["rules", "back", version] => !version.is_empty(),
             ["rules", "approve" | "refuse", client, version] => !client.is_empty() && !version.is_empty(),
             _ => false,
         },
     };
-    (named && levels.next().is_none()).then_some(target)
+    (complete && levels.next().is_none()).then_some(target)
 }
 
-/// Whether a text is a topic to publish to.
+/// Returns whether a text is a valid topic to publish to.
 pub fn is_topic(text: &str) -> bool {
-    !text.is_empty() && text.len() <= LONGEST && !text.contains(['+', '#', '\0'])
+    !text.is_empty() && text.len() <= MAX_LENGTH && !text.contains(['+', '#', '\0'])
 }
 
-/// Whether a text is a filter (MQTT 5.0, 4.7.1): `+` stands for a whole level, `#` for the last.
+/// Returns whether a text is a valid filter (MQTT 5.0, 4.7.1): `+` stands for a whole level, `#` only for the
+/// last.
 pub fn is_filter(text: &str) -> bool {
     let levels: Vec<&str> = text.split('/').collect();
     let last = levels.len() - 1;
-    let plain = |(at, level): (usize, &&str)| match *level {
+    let valid_level = |(index, level): (usize, &&str)| match *level {
         "+" => true,
-        "#" => at == last,
+        "#" => index == last,
         other => !other.contains(['+', '#', '\0']),
     };
-    !text.is_empty() && text.len() <= LONGEST && levels.iter().enumerate().all(plain)
+    !text.is_empty() && text.len() <= MAX_LENGTH && levels.iter().enumerate().all(valid_level)
 }
 
-/// Whether a topic fits a filter.
-pub fn fits(topic: &str, filter: &str) -> bool {
-    // Wildcards at the front don't fit topics that begin with `$`.
+/// Returns whether a topic matches a filter.
+pub fn matches_filter(topic: &str, filter: &str) -> bool {
+    // Leading wildcards don't match topics that begin with `$`.
     if topic.starts_with('$') && filter.starts_with(['+', '#']) {
         return false;
     }
@@ -103,21 +111,21 @@
     use super::*;
 
     #[test]
-    fn topics_and_filters() {
-        let full = target("to/0001/ALRT/k/n").unwrap();
+    fn topics_parse_and_filters_match() {
+        let full = parse_target("to/0001/ALRT/k/n").unwrap();
         let (key, name) = (Some("k".into()), Some("n".into()));
         assert_eq!(full, Target::Message { address: "0001".into(), class: "ALRT".into(), key, name });
         assert!(
-            matches!(target("to/0001"), Some(Target::Message { class, key: None, .. }) if class.is_empty())
+            matches!(parse_target("to/0001"), Some(Target::Message { class, key: None, .. }) if class.is_empty())
         );
-        for nowhere in ["", "to", "to/", "to/1/2/3/4/5", "ask", "ask/", "ask/1/2", "answers/x", "/to/1"] {
-            assert_eq!(target(nowhere), None, "{nowhere}");
+        for invalid in ["", "to", "to/", "to/1/2/3/4/5", "ask", "ask/", "ask/1/2", "answers/x", "/to/1"] {
+            assert_eq!(parse_target(invalid), None, "{invalid}");
         }
-        let words = |t: &str| Some(Target::Rules(t.split('/').map(str::to_string).collect()));
+        let request = |t: &str| Some(Target::Rules(t.split('/').map(str::to_string).collect()));
         for topic in ["rules/show", "rules/submit", "rules/back/3", "rules/approve/c/4", "fleet/drift"] {
-            assert_eq!(target(topic), words(topic));
+            assert_eq!(parse_target(topic), request(topic));
         }
-        for nowhere in [
+        for invalid in [
             "rules",
             "rules/",
             "rules/shown",
@@ -130,9 +138,9 @@
             "fleet/",
             "fleet/show",
         ] {
-            assert_eq!(target(nowhere), None, "{nowhere}");
+            assert_eq!(parse_target(invalid), None, "{invalid}");
         }
-        for (topic, filter, yes) in [
+        for (topic, filter, matches) in [
             ("answers/a", "answers/a", true),
             ("answers/a", "answers/+", true),
             ("answers/a", "#", true),
@@ -142,10 +150,10 @@
             ("$sys/a", "#", false),
         ] {
             assert!(is_filter(filter));
-            assert_eq!(fits(topic, filter), yes, "{topic} {filter}");
+            assert_eq!(matches_filter(topic, filter), matches, "{topic} {filter}");
         }
-        for wrong in ["", "a+", "a/#/b", "#a", "a/b#"] {
-            assert!(!is_filter(wrong), "{wrong}");
+        for invalid in ["", "a+", "a/#/b", "#a", "a/b#"] {
+            assert!(!is_filter(invalid), "{invalid}");
         }
         assert!(is_topic("a/b") && !is_topic("a/+") && !is_topic(""));
     }
