--- a/crates/smpp/src/client.rs
+++ b/crates/smpp/src/client.rs
@@ -1,4 +1,5 @@
-//! The ESME's side of a session: our senders towards receivers, and clients in tests and tools.
+//! The ESME side of a session: for the senders of the service towards receivers, and for clients in tests and
+//! tools.
 
 use crate::Micros;
 use crate::codec::{Decoder, Frame, encode, encode_error, encode_nack};
@@ -11,68 +12,70 @@
 use rusmpp_core::values::{InterfaceVersion, MessageState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a session hands on.
+/// An event that a session reports to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The bind was accepted.
     Bound,
     /// The bind was refused; the session is over.
     BindRefused(CommandStatus),
-    /// The response to a request, by the sequence number that the request was given.
+    /// A response to a request arrived.
     Response {
-        /// The number.
+        /// The sequence number of the request.
         sequence: u32,
-        /// Its status.
+        /// The status.
         status: CommandStatus,
-        /// The message_id, where there is one.
+        /// The message_id; empty if there is none.
         id: String,
-        /// TLVs beside it.
+        /// The TLVs.
         tlvs: Vec<Tlv>,
-        /// The state, in the response to a query.
+        /// The message state, in the response to a query.
         state: Option<MessageState>,
     },
-    /// An enquiry of ours was answered.
+    /// The peer answered an enquiry.
     Alive {
-        /// The number of the enquiry.
+        /// The sequence number of the enquiry.
         sequence: u32,
-        /// It was answered with an error.
+        /// The status of the response.
         status: CommandStatus,
     },
-    /// A deliver_sm came and was answered with success.
+    /// A deliver_sm arrived and was answered with success.
     Delivered(Box<DeliverSm>),
-    /// A response came under a number that was never used or is long answered; it is passed over.
+    /// A response arrived under a sequence number that was never used or is already answered; it is ignored.
     Stray(u32),
-    /// The peer ended the session in good order, or answered our unbind.
+    /// The session is over: the peer unbound, or answered an unbind.
     Unbound,
-    /// The session is over: close. Says why.
+    /// The session failed and the connection must be closed. Holds the reason.
     Ended(&'static str),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum RequestKind {
     Bind,
     Message,
     Enquire,
     Unbind,
 }
 
-/// One session.
+/// The session of one connection.
 #[derive(Debug)]
 pub struct Session {
     limits: Limits,
     decoder: Decoder,
     bound: bool,
     over: bool,
-    next: u32,
-    heard: Micros,
-    asked: BTreeMap<u32, (Micros, Asked)>,
-    due: BTreeSet<(Micros, u32)>,
-    /// Of `asked`, how many are enquiries.
+    last_sequence: u32,
+    last_received: Micros,
+    /// Requests without a response by sequence number, with their deadline and kind.
+    outstanding: BTreeMap<u32, (Micros, RequestKind)>,
+    /// The deadlines of outstanding requests that have one, with their sequence numbers.
+    response_deadlines: BTreeSet<(Micros, u32)>,
+    /// The number of outstanding enquiries.
     enquiries: usize,
 }
 
 impl Session {
-    /// A session on a new connection; writes the bind.
+    /// Creates a session on a new connection and writes its bind.
     pub fn bind(
         now: Micros,
         limits: Limits,
@@ -86,17 +89,17 @@
         s
     }
 
-    /// A session that has not bound yet.
+    /// Creates a session that has not bound yet.
     pub fn new(now: Micros, limits: Limits) -> Self {
         Session {
             limits,
             decoder: Decoder::new(limits.max_pdu),
             bound: false,
             over: false,
-            next: 0,
-            heard: now,
-            asked: BTreeMap::new(),
-            due: BTreeSet::new(),
+            last_sequence: 0,
+            last_received: now,
+            outstanding: BTreeMap::new(),
+            response_deadlines: BTreeSet::new(),
             enquiries: 0,
         }
     }
@@ -111,93 +114,101 @@
         system_type: &str,
         out: &mut BytesMut,
     ) {
-        let id = COctetString::from_string(system_id.to_string()).unwrap_or_default();
-        let proof = COctetString::from_string(password.to_string()).unwrap_or_default();
+        let system_id = COctetString::from_string(system_id.to_string()).unwrap_or_default();
+        let password = COctetString::from_string(password.to_string()).unwrap_or_default();
         let version = InterfaceVersion::Smpp3_4;
-        let kind = COctetString::from_string(system_type.to_string()).unwrap_or_default();
+        let system_type = COctetString::from_string(system_type.to_string()).unwrap_or_default();
         let pdu: Pdu = match mode {
             Mode::Transmitter => BindTransmitter::builder()
-                .system_id(id)
-                .password(proof)
-                .system_type(kind)
+                .system_id(system_id)
+                .password(password)
+                .system_type(system_type)
                 .interface_version(version)
                 .build()
                 .into(),
             Mode::Receiver => BindReceiver::builder()
-                .system_id(id)
-                .password(proof)
-                .system_type(kind)
+                .system_id(system_id)
+                .password(password)
+                .system_type(system_type)
                 .interface_version(version)
                 .build()
                 .into(),
             Mode::Transceiver => BindTransceiver::builder()
-                .system_id(id)
-                .password(proof)
-                .system_type(kind)
+                .system_id(system_id)
+                .password(password)
+                .system_type(system_type)
                 .interface_version(version)
                 .build()
                 .into(),
         };
-        self.ask(now, Asked::Bind, Some(self.limits.response), pdu, out);
+        self.send_request(now, RequestKind::Bind, Some(self.limits.response), pdu, out);
     }
 
-    /// Whether the bind was accepted and the session goes on.
+    /// Returns whether the bind was accepted and the session is not over.
     pub fn bound(&self) -> bool {
         self.bound && !self.over
     }
 
-    /// Writes a request; gives its sequence number. The caller waits for the response as long as it likes.
+    /// Writes a request and returns its sequence number. The session sets no deadline for the response; the
+    /// caller may.
     pub fn request(&mut self, now: Micros, pdu: impl Into<Pdu>, out: &mut BytesMut) -> u32 {
-        self.ask(now, Asked::Message, None, pdu.into(), out)
+        self.send_request(now, RequestKind::Message, None, pdu.into(), out)
     }
 
-    /// Writes an enquiry of the caller's own; gives its sequence number.
+    /// Writes an enquiry for the caller and returns its sequence number.
     pub fn enquire(&mut self, now: Micros, out: &mut BytesMut) -> u32 {
-        self.ask(now, Asked::Enquire, Some(self.limits.response), Pdu::EnquireLink, out)
+        self.send_request(now, RequestKind::Enquire, Some(self.limits.response), Pdu::EnquireLink, out)
     }
 
     /// Writes an unbind.
     pub fn unbind(&mut self, now: Micros, out: &mut BytesMut) {
-        self.ask(now, Asked::Unbind, Some(self.limits.response), Pdu::Unbind, out);
+        self.send_request(now, RequestKind::Unbind, Some(self.limits.response), Pdu::Unbind, out);
     }
 
-    /// Forgets a request: its response will be a stray.
+    /// Forgets a request; a later response to it is reported as [`Event::Stray`].
     pub fn forget(&mut self, sequence: u32) {
-        if let Some((at, asked)) = self.asked.remove(&sequence) {
-            self.due.remove(&(at, sequence));
-            self.enquiries -= usize::from(asked == Asked::Enquire);
+        if let Some((deadline, kind)) = self.outstanding.remove(&sequence) {
+            self.response_deadlines.remove(&(deadline, sequence));
+            self.enquiries -= usize::from(kind == RequestKind::Enquire);
         }
     }
 
-    /// Requests without a response.
+    /// Returns the number of message requests without a response.
     pub fn out(&self) -> usize {
-        self.asked.values().filter(|a| a.1 == Asked::Message).count()
+        self.outstanding.values().filter(|request| request.1 == RequestKind::Message).count()
     }
 
-    fn ask(&mut self, now: Micros, what: Asked, wait: Option<Micros>, pdu: Pdu, out: &mut BytesMut) -> u32 {
-        self.next = if self.next >= 0x7FFF_FFFF { 1 } else { self.next + 1 };
-        let due = wait.map_or(Micros::MAX, |w| now + w);
-        self.asked.insert(self.next, (due, what));
-        self.enquiries += usize::from(what == Asked::Enquire);
-        if wait.is_some() {
-            self.due.insert((due, self.next));
+    fn send_request(
+        &mut self,
+        now: Micros,
+        kind: RequestKind,
+        timeout: Option<Micros>,
+        pdu: Pdu,
+        out: &mut BytesMut,
+    ) -> u32 {
+        self.last_sequence = if self.last_sequence >= 0x7FFF_FFFF { 1 } else { self.last_sequence + 1 };
+        let deadline = timeout.map_or(Micros::MAX, |t| now + t);
+        self.outstanding.insert(self.last_sequence, (deadline, kind));
+        self.enquiries += usize::from(kind == RequestKind::Enquire);
+        if timeout.is_some() {
+            self.response_deadlines.insert((deadline, self.last_sequence));
         }
-        encode(CommandStatus::EsmeRok, self.next, pdu, out);
-        self.next
+        encode(CommandStatus::EsmeRok, self.last_sequence, pdu, out);
+        self.last_sequence
     }
 
-    /// Takes octets; gives events, and writes what is answered at once.
-    pub fn receive(&mut self, now: Micros, octets: &[u8], out: &mut BytesMut, events: &mut Vec<Event>) {
-        self.decoder.push(octets);
+    /// Handles received bytes: adds events, and writes what the session answers by itself.
+    pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut BytesMut, events: &mut Vec<Event>) {
+        self.decoder.push(bytes);
         while !self.over {
             match self.decoder.next_frame() {
                 Ok(None) => break,
                 Ok(Some(frame)) => {
-                    self.heard = now;
-                    self.take(frame, out, events);
+                    self.last_received = now;
+                    self.handle_frame(frame, out, events);
                 }
-                Err(lost) => {
-                    encode_nack(CommandStatus::EsmeRinvcmdlen, lost.sequence, out);
+                Err(error) => {
+                    encode_nack(CommandStatus::EsmeRinvcmdlen, error.sequence, out);
                     self.over = true;
                     events.push(Event::Ended("wrong command_length"));
                 }
@@ -205,13 +216,21 @@
         }
     }
 
-    fn take(&mut self, frame: Frame, out: &mut BytesMut, events: &mut Vec<Event>) {
+    fn handle_frame(&mut self, frame: Frame, out: &mut BytesMut, events: &mut Vec<Event>) {
         let command = match frame {
             Frame::Command(command) => command,
             Frame::Unreadable { id, sequence, status } => {
                 if id & 0x8000_0000 != 0 {
-                    // It answers this request, though nobody knows how: the message may have run.
-                    self.respond(sequence, CommandStatus::EsmeRunknownerr, String::new(), &[], None, events);
+                    // The response belongs to this request, but its content is unknown: the message may have
+                    // had an effect.
+                    self.handle_response(
+                        sequence,
+                        CommandStatus::EsmeRunknownerr,
+                        String::new(),
+                        &[],
+                        None,
+                        events,
+                    );
                 } else {
                     encode_error(id, status, sequence, out);
                 }
@@ -232,27 +251,43 @@
                 events.push(Event::Delivered(Box::new(sm.clone())));
             }
             Pdu::SubmitSmResp(r) => {
-                self.respond(sequence, status, r.message_id().as_str().into(), r.tlvs(), None, events);
+                self.handle_response(
+                    sequence,
+                    status,
+                    r.message_id().as_str().into(),
+                    r.tlvs(),
+                    None,
+                    events,
+                );
             }
             Pdu::DataSmResp(r) => {
-                self.respond(sequence, status, r.message_id().as_str().into(), r.tlvs(), None, events);
+                self.handle_response(
+                    sequence,
+                    status,
+                    r.message_id().as_str().into(),
+                    r.tlvs(),
+                    None,
+                    events,
+                );
             }
             Pdu::QuerySmResp(r) => {
                 let (id, state) = (r.message_id.as_str().into(), Some(r.message_state));
-                self.respond(sequence, status, id, &[], state, events);
+                self.handle_response(sequence, status, id, &[], state, events);
             }
             _ if u32::from(command.id()) & 0x8000_0000 != 0 => {
-                // Guards against an answer of another kind that is taken for a delivery: the message may have run.
-                let message = self.asked.get(&sequence).is_some_and(|(_, asked)| *asked == Asked::Message);
-                let well = message && status == CommandStatus::EsmeRok;
-                let status = if well { CommandStatus::EsmeRunknownerr } else { status };
-                self.respond(sequence, status, String::new(), &[], None, events);
+                // A successful response of another type must not count as a delivery: the message may have
+                // had an effect, so its status is unknown.
+                let is_message =
+                    self.outstanding.get(&sequence).is_some_and(|(_, kind)| *kind == RequestKind::Message);
+                let wrong_type = is_message && status == CommandStatus::EsmeRok;
+                let status = if wrong_type { CommandStatus::EsmeRunknownerr } else { status };
+                self.handle_response(sequence, status, String::new(), &[], None, events);
             }
             _ => encode_nack(CommandStatus::EsmeRinvcmdid, sequence, out),
         }
     }
 
-    fn respond(
+    fn handle_response(
         &mut self,
         sequence: u32,
         status: CommandStatus,
@@ -261,32 +296,32 @@
         state: Option<MessageState>,
         events: &mut Vec<Event>,
     ) {
-        let Some((at, asked)) = self.asked.remove(&sequence) else {
+        let Some((deadline, kind)) = self.outstanding.remove(&sequence) else {
             return events.push(Event::Stray(sequence));
         };
-        self.due.remove(&(at, sequence));
-        self.enquiries -= usize::from(asked == Asked::Enquire);
-        match asked {
-            Asked::Bind if status == CommandStatus::EsmeRok => {
+        self.response_deadlines.remove(&(deadline, sequence));
+        self.enquiries -= usize::from(kind == RequestKind::Enquire);
+        match kind {
+            RequestKind::Bind if status == CommandStatus::EsmeRok => {
                 self.bound = true;
                 events.push(Event::Bound);
             }
-            Asked::Bind => {
+            RequestKind::Bind => {
                 self.over = true;
                 events.push(Event::BindRefused(status));
             }
-            Asked::Message => {
+            RequestKind::Message => {
                 events.push(Event::Response { sequence, status, id, tlvs: tlvs.to_vec(), state });
             }
-            Asked::Enquire => events.push(Event::Alive { sequence, status }),
-            Asked::Unbind => {
+            RequestKind::Enquire => events.push(Event::Alive { sequence, status }),
+            RequestKind::Unbind => {
                 self.over = true;
                 events.push(Event::Unbound);
             }
         }
     }
 
-    /// When [`Session::tick`] is next needed.
+    /// Returns the time at which [`Session::tick`] is next due.
     pub fn wake(&self) -> Micros {
         if self.over {
             return Micros::MAX;
@@ -294,17 +329,17 @@
         let enquire = if self.enquiries > 0 || !self.bound {
             Micros::MAX
         } else {
-            self.heard + self.limits.enquire_every
+            self.last_received + self.limits.enquire_every
         };
-        self.due.first().map_or(enquire, |(at, _)| enquire.min(*at))
+        self.response_deadlines.first().map_or(enquire, |(deadline, _)| enquire.min(*deadline))
     }
 
-    /// Acts on timers that fell due: enquiries, and responses that did not come.
+    /// Handles timers that are due: sends enquiries, and ends the session if a response is missing.
     pub fn tick(&mut self, now: Micros, out: &mut BytesMut, events: &mut Vec<Event>) {
         if now < self.wake() {
             return;
         }
-        if self.due.first().is_some_and(|(at, _)| *at <= now) {
+        if self.response_deadlines.first().is_some_and(|(deadline, _)| *deadline <= now) {
             self.over = true;
             return events.push(Event::Ended("no response in time"));
         }
--- a/crates/smpp/src/codec.rs
+++ b/crates/smpp/src/codec.rs
@@ -1,5 +1,6 @@
-//! From octets to commands and back. `rusmpp-core` packs and unpacks; framing is ours, so that a command that
-//! cannot be read is answered under its own sequence number instead of ending in an error.
+//! Converts bytes to commands and back. `rusmpp-core` encodes and decodes; this module does the framing, so
+//! that a command that cannot be decoded is answered under its own sequence number instead of failing the
+//! stream.
 
 use bytes::{Buf, BytesMut};
 use rusmpp_core::CommandStatus;
@@ -8,93 +9,94 @@
 use rusmpp_core::encode::{Length, owned::Encode};
 use rusmpp_core::pdus::owned::Pdu;
 
-/// Octets of a header.
+/// The length of a command header in bytes.
 pub const HEADER: usize = 16;
 
-/// What came out of the stream.
+/// A frame of the stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     /// A command.
     Command(Box<Command>),
-    /// A command with a known header and a body that cannot be read.
+    /// A command with a valid header and a body that cannot be decoded.
     Unreadable {
         /// Its command_id.
         id: u32,
         /// Its sequence_number.
         sequence: u32,
-        /// What to answer.
+        /// The status to answer with.
         status: CommandStatus,
     },
 }
 
-/// The stream is lost: where the next command begins is not known.
+/// An invalid command_length: the start of the next command is unknown, so the stream can't be read any
+/// further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lost {
-    /// The command_length that cannot be.
+pub struct InvalidLength {
+    /// The invalid command_length.
     pub length: u32,
-    /// The sequence_number beside it, where it came along.
+    /// The sequence_number of the command, or 0 if it was not received.
     pub sequence: u32,
 }
 
-/// Cuts a stream into commands. Holds at most one command and what came behind it.
+/// Splits a byte stream into commands. Buffers the bytes that are not decoded yet.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: BytesMut,
-    most: usize,
+    max_bytes: usize,
 }
 
 impl Decoder {
-    /// A decoder that takes commands of up to `most` octets.
-    pub fn new(most: usize) -> Self {
-        Decoder { buffer: BytesMut::new(), most: most.max(HEADER) }
+    /// Creates a decoder for commands of up to `max_bytes` bytes.
+    pub fn new(max_bytes: usize) -> Self {
+        Decoder { buffer: BytesMut::new(), max_bytes: max_bytes.max(HEADER) }
     }
 
-    /// Takes octets from the stream.
-    pub fn push(&mut self, octets: &[u8]) {
-        self.buffer.extend_from_slice(octets);
+    /// Adds received bytes.
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Octets at hand that make no whole command yet.
+    /// Returns the number of buffered bytes that are not decoded yet.
     pub fn waiting(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next command, if one is whole.
+    /// Returns the next frame, if it is complete.
     ///
     /// # Errors
-    /// Where a length is impossible; nothing after it can be read.
-    pub fn next_frame(&mut self) -> Result<Option<Frame>, Lost> {
+    /// Fails if a command_length is invalid; nothing after it can be read.
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, InvalidLength> {
         if self.buffer.len() < 4 {
             return Ok(None);
         }
-        let word = |b: &BytesMut, at: usize| {
+        let read_u32 = |b: &BytesMut, at: usize| {
             b.get(at..at + 4).map_or(0, |w| u32::from_be_bytes([w[0], w[1], w[2], w[3]]))
         };
-        let length = word(&self.buffer, 0);
-        if (length as usize) < HEADER || length as usize > self.most {
-            return Err(Lost { length, sequence: word(&self.buffer, 12) });
+        let length = read_u32(&self.buffer, 0);
+        if (length as usize) < HEADER || length as usize > self.max_bytes {
+            return Err(InvalidLength { length, sequence: read_u32(&self.buffer, 12) });
         }
         if self.buffer.len() < length as usize {
             return Ok(None);
         }
-        let mut whole = self.buffer.split_to(length as usize);
-        let (id, status, sequence) = (word(&whole, 4), word(&whole, 8), word(&whole, 12));
-        whole.advance(4);
-        let body = whole.len();
-        // A response that reports an error may come without a body, by the specification; some peers leave out
-        // the empty body of a deliver_sm_resp too.
-        if body == HEADER - 4 && id & 0x8000_0000 != 0 {
-            return Ok(Some(Frame::Command(Box::new(bare(id, status, sequence)))));
+        let mut command = self.buffer.split_to(length as usize);
+        let (id, status, sequence) = (read_u32(&command, 4), read_u32(&command, 8), read_u32(&command, 12));
+        command.advance(4);
+        let body_length = command.len();
+        // By the specification an error response may have no body; some peers also omit the empty body of a
+        // deliver_sm_resp.
+        if body_length == HEADER - 4 && id & 0x8000_0000 != 0 {
+            return Ok(Some(Frame::Command(Box::new(response_without_body(id, status, sequence)))));
         }
-        Ok(Some(match Command::decode(&mut whole, body) {
+        Ok(Some(match Command::decode(&mut command, body_length) {
             Ok((command, _)) => Frame::Command(Box::new(command)),
             Err(_) => Frame::Unreadable { id, sequence, status: CommandStatus::EsmeRinvcmdlen },
         }))
     }
 }
 
-/// A response without a body, as its default.
-fn bare(id: u32, status: u32, sequence: u32) -> Command {
+/// Returns the response to a header without a body, with default values in the body.
+fn response_without_body(id: u32, status: u32, sequence: u32) -> Command {
     use rusmpp_core::CommandId;
     let pdu = match CommandId::from(id) {
         CommandId::SubmitSmResp => Pdu::SubmitSmResp(Default::default()),
@@ -121,7 +123,7 @@
     command.encode(out);
 }
 
-/// Appends a response that reports an error: a header alone.
+/// Appends an error response, which is a header alone.
 pub fn encode_error(request: u32, status: CommandStatus, sequence: u32, out: &mut BytesMut) {
     let id = request | 0x8000_0000;
     for word in [HEADER as u32, id, u32::from(status), sequence] {
--- a/crates/smpp/src/lib.rs
+++ b/crates/smpp/src/lib.rs
@@ -1,10 +1,10 @@
 //! SMPP 3.4 with the 5.0 TLVs, as state machines without I/O.
 //!
-//! Does: frames and PDUs (packed and unpacked by `rusmpp-core`), the session of the message centre's side
-//! ([`server::Session`]) and of the ESME's side ([`client::Session`]), receipts, and SMPP's forms of time.
-//! Decides: what the specification has a session answer by itself: wrong states, wrong lengths, unknown
-//! commands, windows, timers, enquiries, unbinding.
-//! Never: touches a socket, reads a clock, or decides what becomes of a message.
+//! The crate handles frames and PDUs (encoded and decoded by `rusmpp-core`), the session of the message
+//! centre side ([`server::Session`]) and of the ESME side ([`client::Session`]), receipts, and the time
+//! formats of SMPP. It decides what the specification has a session answer by itself: wrong states, wrong
+//! lengths, unknown commands, windows, timers, enquiries and unbinding. It never touches a socket, reads a
+//! clock, or decides what happens to a message.
 
 #![forbid(unsafe_code)]
 
--- a/crates/smpp/src/receipt.rs
+++ b/crates/smpp/src/receipt.rs
@@ -1,4 +1,4 @@
-//! Final answers on SMPP: states, receipt text (SMPP 3.4, appendix B) and the TLVs beside it.
+//! Final answers in SMPP: message states, receipt texts (SMPP 3.4, appendix B) and their TLVs.
 
 use crate::{Micros, tags, time};
 use rusmpp_core::pdus::owned::DeliverSm;
@@ -9,27 +9,27 @@
 /// The final answer to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A receiver took it.
+    /// A receiver accepted the message.
     Delivered,
-    /// Handed back: it surely did not run. Trying again after the wait does no harm.
+    /// The message was rejected and certainly had no effect. It is safe to retry after the wait.
     Rejected {
-        /// Stay away for so long.
+        /// The time to wait before a retry.
         retry_after: Micros,
     },
-    /// Failed: it surely did not run.
+    /// The message failed and certainly had no effect.
     Undeliverable,
-    /// It may have taken effect.
+    /// The message may have had an effect.
     Unknown {
-        /// Where trying again does no harm all the same: after this wait.
+        /// The time to wait before a retry, if a retry is safe all the same.
         retry_after: Option<Micros>,
     },
-    /// Its time ran out; it surely did not run.
+    /// The validity of the message ended; it certainly had no effect.
     Expired,
-    /// Withdrawn by its client; it surely did not run.
+    /// The client withdrew the message; it certainly had no effect.
     Deleted,
 }
 
-/// The word for a state, as in receipts (SMPP 3.4, appendix B).
+/// Returns the word for a state in receipts (SMPP 3.4, appendix B).
 pub fn word(state: MessageState) -> &'static str {
     match state {
         MessageState::Enroute => "ENROUTE",
@@ -43,7 +43,7 @@
 }
 
 impl Answer {
-    /// The message_state of the specification.
+    /// Returns the message_state of the specification.
     pub fn state(self) -> MessageState {
         match self {
             Answer::Delivered => MessageState::Delivered,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The word that stands in receipts.
+    /// Returns the word for the answer in receipts.
     pub fn word(self) -> &'static str {
         word(self.state())
     }
 
-    /// The wait told beside it.
+    /// Returns the time to wait before a retry, if there is one.
     pub fn retry_after(self) -> Option<Micros> {
         match self {
             Answer::Rejected { retry_after } => Some(retry_after),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The answer that a word and a wait stand for.
+    /// Returns the answer for a word of a receipt and a wait; `None` if the word is unknown.
     pub fn read(word: &str, retry_after: Option<Micros>) -> Option<Answer> {
         Some(match word {
             "DELIVRD" => Answer::Delivered,
@@ -86,29 +86,29 @@
 /// A receipt: the final answer to one accepted message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Receipt {
-    /// The message_id given at acceptance.
+    /// The message_id that was returned when the message was accepted.
     pub id: String,
     /// The answer.
     pub answer: Answer,
-    /// When it was accepted and answered, in wall-clock microseconds.
+    /// The time of acceptance, in wall-clock microseconds.
     pub taken: Micros,
-    /// See `taken`.
+    /// The time of the final answer, in wall-clock microseconds.
     pub done: Micros,
-    /// The submission's addresses: a receipt travels from the destination to the source.
+    /// The source address of the submission, to which the receipt is sent.
     pub source: String,
-    /// See `source`.
+    /// The destination address of the submission, from which the receipt is sent.
     pub destination: String,
 }
 
 impl Receipt {
-    /// The deliver_sm that carries it. The receipt text has the form of SMPP 3.4, appendix B.
+    /// Returns the deliver_sm for the receipt. Its text has the form of SMPP 3.4, appendix B.
     pub fn deliver(&self) -> DeliverSm {
         let delivered = u8::from(self.answer == Answer::Delivered);
         let text = format!(
             "id:{} sub:001 dlvrd:00{delivered} submit date:{} done date:{} stat:{} err:000 text:",
             self.id,
-            time::short(self.taken),
-            time::short(self.done),
+            time::receipt_date(self.taken),
+            time::receipt_date(self.done),
             self.answer.word()
         );
         let esm_class = EsmClass::new(
@@ -134,10 +134,10 @@
         sm
     }
 
-    /// The message and answer that a deliver_sm tells of; `None` where it is no receipt.
+    /// Returns the message_id and answer of a deliver_sm, or `None` if it is not a receipt.
     pub fn read(sm: &DeliverSm) -> Option<(String, Answer)> {
         let text = String::from_utf8_lossy(sm.short_message().as_ref()).into_owned();
-        let word = |name: &str| {
+        let value = |name: &str| {
             let rest = &text[text.find(name)? + name.len()..];
             Some(rest.split(' ').next().unwrap_or_default().to_string())
         };
@@ -146,6 +146,6 @@
             _ => None,
         });
         let wait = tags::find_u32(sm.tlvs(), tags::RETRY_AFTER).map(|ms| Micros::from(ms) * 1_000);
-        Some((id.or_else(|| word("id:"))?, Answer::read(&word("stat:")?, wait)?))
+        Some((id.or_else(|| value("id:"))?, Answer::read(&value("stat:")?, wait)?))
     }
 }
--- a/crates/smpp/src/server.rs
+++ b/crates/smpp/src/server.rs
@@ -1,7 +1,8 @@
-//! The message centre's side of a session: towards our clients, and in stand-ins for receivers.
+//! The message centre side of a session: towards the clients of the service, and in simulated receivers.
 //!
-//! The session answers by itself what the specification settles (states, lengths, unknown commands, windows,
-//! enquiries, unbinding, timers) and hands on the rest as events, each to be answered under its sequence number.
+//! The session handles by itself what the specification defines (states, lengths, unknown commands, windows,
+//! enquiries, unbinding, timers). It reports the rest as events; the caller answers each under its sequence
+//! number.
 
 use crate::codec::{Decoder, Frame, HEADER, encode, encode_error, encode_nack};
 use crate::receipt::Receipt;
@@ -16,103 +17,103 @@
 use rusmpp_core::{CommandId, CommandStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long acknowledgements are heard after the peer has unbound.
-const PARTING: Micros = 1_000_000;
+/// The time for which acknowledgements are accepted after the peer has unbound.
+const UNBIND_GRACE: Micros = 1_000_000;
 
-/// Figures of a session.
+/// The limits of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A bind must come within this after the connection.
+    /// The time within which a bind must arrive after the connection is made.
     pub session_init: Micros,
-    /// Silence after which the peer is asked whether it is there.
+    /// The time without received commands after which an enquiry is sent to the peer.
     pub enquire_every: Micros,
-    /// Without any request but enquiries for so long, the session is unbound.
+    /// The time without requests other than enquiries after which the session is unbound.
     pub inactivity: Micros,
-    /// A response of the peer must come within this.
+    /// The time within which the peer must respond to a request.
     pub response: Micros,
-    /// Requests that may lack a response, in each direction.
+    /// The number of requests without a response, in each direction.
     pub window: usize,
-    /// Octets of a command at most.
+    /// The maximum length of a command in bytes.
     pub max_pdu: usize,
 }
 
-/// What a bound peer may do.
+/// The mode in which a peer is bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It hands in only.
+    /// The peer may only submit messages.
     Transmitter,
-    /// It is handed receipts only.
+    /// The peer may only receive receipts.
     Receiver,
-    /// Both.
+    /// The peer may submit messages and receive receipts.
     Transceiver,
 }
 
 impl Mode {
-    /// Whether messages may be handed in.
+    /// Returns whether the peer may submit messages.
     pub fn sends(self) -> bool {
         self != Mode::Receiver
     }
-    /// Whether receipts may be handed out.
+    /// Returns whether the peer may receive receipts.
     pub fn receives(self) -> bool {
         self != Mode::Transmitter
     }
 }
 
-/// What a session hands on.
+/// An event that a session reports to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A bind, to be answered with [`Session::accept`] or [`Session::refuse`].
+    /// The peer binds; answered with [`Session::accept`] or [`Session::refuse`].
     Bind {
-        /// What it binds as.
+        /// The requested mode.
         mode: Mode,
-        /// Who it says it is.
+        /// The system_id that the peer claims.
         system_id: String,
-        /// What it says for proof.
+        /// The password.
         password: String,
-        /// Its system_type.
+        /// The system_type.
         system_type: String,
-        /// To be given back with the answer.
+        /// The sequence number for the answer.
         sequence: u32,
     },
-    /// A message, to be answered with [`Session::submitted`] or [`Session::error`].
+    /// The peer submits a message; answered with [`Session::submitted`] or [`Session::error`].
     Submit {
-        /// To be given back with the answer.
+        /// The sequence number for the answer.
         sequence: u32,
-        /// The command that carried it.
+        /// The command of the request.
         request: CommandId,
-        /// What it asks for.
+        /// The submitted message.
         submission: Box<Submission>,
     },
-    /// A question after a message, to be answered with [`Session::queried`] or [`Session::error`].
+    /// The peer queries the state of a message; answered with [`Session::queried`] or [`Session::error`].
     Query {
-        /// To be given back with the answer.
+        /// The sequence number for the answer.
         sequence: u32,
-        /// The message.
+        /// The message_id.
         id: String,
-        /// The source address that must fit.
+        /// The source address, which must match.
         source: String,
     },
-    /// A withdrawal, to be answered with [`Session::cancelled`] or [`Session::error`].
+    /// The peer withdraws messages; answered with [`Session::cancelled`] or [`Session::error`].
     Cancel {
-        /// To be given back with the answer.
+        /// The sequence number for the answer.
         sequence: u32,
-        /// The message; empty for all that fit the addresses.
+        /// The message_id; empty for all messages that match the addresses.
         id: String,
-        /// The source address that must fit.
+        /// The source address, which must match.
         source: String,
-        /// The destination address, where no message is named.
+        /// The destination address, if no message_id is given.
         destination: String,
     },
     /// The peer answered a receipt.
     Acknowledged {
         /// The sequence number that [`Session::deliver`] gave.
         sequence: u32,
-        /// It took the receipt.
+        /// Whether the receipt needs no further delivery.
         taken: bool,
     },
-    /// The session is over in good order; close once all is written.
+    /// The session ended normally; close the connection once all output is written.
     Unbound,
-    /// The session is over: close once all is written. Says why.
+    /// The session failed; close the connection once all output is written. Holds the reason.
     Ended(&'static str),
 }
 
@@ -122,111 +123,121 @@
     Binding,
     Bound(Mode),
     Unbinding,
-    /// The peer has unbound; acknowledgements of receipts that crossed its unbind are still heard.
-    Parting(Micros),
-    Over,
+    /// The peer unbound at this time; acknowledgements that crossed its unbind are still accepted.
+    Draining(Micros),
+    Closed,
 }
 
-/// One session.
+/// The session of one connection.
 #[derive(Debug)]
 pub struct Session {
     limits: Limits,
     decoder: Decoder,
     state: State,
     version: u8,
-    next: u32,
-    began: Micros,
-    heard: Micros,
-    active: Micros,
-    /// Sequence numbers of the peer's requests that are owed a response, with the command.
-    owed: BTreeMap<u32, CommandId>,
-    /// Our requests that lack a response, with the time by which it must come.
-    asked: BTreeMap<u32, (Micros, Asked)>,
-    due: BTreeSet<(Micros, u32)>,
-    /// Of `asked`, how many are receipts, and whether an enquiry is among them.
-    delivering: usize,
-    enquiring: bool,
+    last_sequence: u32,
+    opened_at: Micros,
+    last_received: Micros,
+    /// The time of the last request other than an enquiry.
+    last_active: Micros,
+    /// The peer's requests without a response: sequence numbers and commands.
+    unanswered: BTreeMap<u32, CommandId>,
+    /// Requests to the peer without a response by sequence number, with their deadline and kind.
+    outstanding: BTreeMap<u32, (Micros, RequestKind)>,
+    /// The deadlines of outstanding requests, with their sequence numbers.
+    response_deadlines: BTreeSet<(Micros, u32)>,
+    /// The number of outstanding receipts.
+    unacknowledged_receipts: usize,
+    /// Whether an enquiry is outstanding.
+    enquiry_outstanding: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum RequestKind {
     Deliver,
     Enquire,
     Unbind,
 }
 
 impl Session {
-    /// A session on a connection that was just made.
+    /// Creates a session on a new connection.
     pub fn new(now: Micros, limits: Limits) -> Self {
         Session {
             limits,
             decoder: Decoder::new(limits.max_pdu),
             state: State::Open,
             version: 0x34,
-            next: 0,
-            began: now,
-            heard: now,
-            active: now,
-            owed: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            due: BTreeSet::new(),
-            delivering: 0,
-            enquiring: false,
+            last_sequence: 0,
+            opened_at: now,
+            last_received: now,
+            last_active: now,
+            unanswered: BTreeMap::new(),
+            outstanding: BTreeMap::new(),
+            response_deadlines: BTreeSet::new(),
+            unacknowledged_receipts: 0,
+            enquiry_outstanding: false,
         }
     }
 
-    /// What the peer is bound as.
+    /// Returns the mode in which the peer is bound, if it is.
     pub fn mode(&self) -> Option<Mode> {
         if let State::Bound(mode) = self.state { Some(mode) } else { None }
     }
 
-    /// Receipts that may go out before one is answered.
+    /// Returns how many more receipts may be sent before one is acknowledged.
     pub fn room(&self) -> usize {
         let receives = self.mode().is_some_and(Mode::receives);
-        if receives { self.limits.window.saturating_sub(self.delivering) } else { 0 }
+        if receives { self.limits.window.saturating_sub(self.unacknowledged_receipts) } else { 0 }
     }
 
-    /// Requests of the peer that lack their response.
+    /// Returns the number of requests of the peer without a response.
     pub fn owed(&self) -> usize {
-        self.owed.len()
+        self.unanswered.len()
     }
 
-    /// Takes octets; gives events, and writes what it answers by itself.
+    /// Handles received bytes: adds events, and writes what the session answers by itself.
     pub fn receive(
         &mut self,
         now: Micros,
         wall: Micros,
-        octets: &[u8],
+        bytes: &[u8],
         out: &mut BytesMut,
         events: &mut Vec<Event>,
     ) {
-        if self.state == State::Over {
+        if self.state == State::Closed {
             return;
         }
-        self.decoder.push(octets);
-        while self.state != State::Over {
+        self.decoder.push(bytes);
+        while self.state != State::Closed {
             match self.decoder.next_frame() {
                 Ok(None) => break,
                 Ok(Some(frame)) => {
-                    self.heard = now;
-                    self.take(now, wall, frame, out, events);
+                    self.last_received = now;
+                    self.handle_frame(now, wall, frame, out, events);
                 }
-                Err(lost) => {
-                    // Nothing after a wrong length can be read: the specification has the session end.
-                    encode_nack(CommandStatus::EsmeRinvcmdlen, lost.sequence, out);
+                Err(error) => {
+                    // Nothing after an invalid length can be read, so by the specification the session ends.
+                    encode_nack(CommandStatus::EsmeRinvcmdlen, error.sequence, out);
                     self.end("wrong command_length", events);
                 }
             }
         }
     }
 
-    fn take(&mut self, now: Micros, wall: Micros, frame: Frame, out: &mut BytesMut, events: &mut Vec<Event>) {
+    fn handle_frame(
+        &mut self,
+        now: Micros,
+        wall: Micros,
+        frame: Frame,
+        out: &mut BytesMut,
+        events: &mut Vec<Event>,
+    ) {
         let command = match frame {
             Frame::Command(command) => command,
             Frame::Unreadable { id, sequence, status } => {
                 match CommandId::from(id) {
                     CommandId::Other(_) => encode_nack(CommandStatus::EsmeRinvcmdid, sequence, out),
-                    // A response that can't be read answers nothing; what it was for will time out.
+                    // A response that can't be decoded is ignored; its request will time out.
                     _ if id & 0x8000_0000 != 0 => {}
                     _ => encode_error(id, status, sequence, out),
                 }
@@ -242,31 +253,31 @@
         };
         match pdu {
             Pdu::EnquireLink => encode(CommandStatus::EsmeRok, sequence, Pdu::EnquireLinkResp, out),
-            Pdu::EnquireLinkResp => _ = self.answered(sequence, Asked::Enquire),
-            Pdu::DeliverSmResp(_) => self.acknowledged(&command, events),
-            Pdu::GenericNack => self.acknowledged(&command, events),
+            Pdu::EnquireLinkResp => _ = self.take_outstanding(sequence, RequestKind::Enquire),
+            Pdu::DeliverSmResp(_) => self.handle_acknowledgement(&command, events),
+            Pdu::GenericNack => self.handle_acknowledgement(&command, events),
             Pdu::UnbindResp => {
-                if self.answered(sequence, Asked::Unbind) {
-                    self.state = State::Over;
+                if self.take_outstanding(sequence, RequestKind::Unbind) {
+                    self.state = State::Closed;
                     events.push(Event::Unbound);
                 }
             }
             Pdu::Unbind => {
-                self.active = now;
+                self.last_active = now;
                 if self.state == State::Open || self.state == State::Binding {
                     return encode_error(id.into(), CommandStatus::EsmeRinvbndsts, sequence, out);
                 }
                 encode(CommandStatus::EsmeRok, sequence, Pdu::UnbindResp, out);
-                // Guards against telling an answer twice that was taken while the peer's unbind was on its way.
-                if self.delivering > 0 {
-                    self.state = State::Parting(now);
+                // A receipt that the peer acknowledges while its unbind is on the way must not be sent again.
+                if self.unacknowledged_receipts > 0 {
+                    self.state = State::Draining(now);
                     return;
                 }
-                self.state = State::Over;
+                self.state = State::Closed;
                 events.push(Event::Unbound);
             }
             Pdu::BindTransmitter(b) => {
-                self.bind(id, sequence, b.interface_version, out).then(|| {
+                self.register_bind(id, sequence, b.interface_version, out).then(|| {
                     events.push(bind_event(
                         Mode::Transmitter,
                         &b.system_id,
@@ -277,7 +288,7 @@
                 });
             }
             Pdu::BindReceiver(b) => {
-                self.bind(id, sequence, b.interface_version, out).then(|| {
+                self.register_bind(id, sequence, b.interface_version, out).then(|| {
                     events.push(bind_event(
                         Mode::Receiver,
                         &b.system_id,
@@ -288,7 +299,7 @@
                 });
             }
             Pdu::BindTransceiver(b) => {
-                self.bind(id, sequence, b.interface_version, out).then(|| {
+                self.register_bind(id, sequence, b.interface_version, out).then(|| {
                     events.push(bind_event(
                         Mode::Transceiver,
                         &b.system_id,
@@ -299,27 +310,28 @@
                 });
             }
             Pdu::SubmitSm(sm) => {
-                let read = Submission::from_submit(&sm, wall);
-                self.submit(now, id, sequence, read, out, events);
+                let submission = Submission::from_submit(&sm, wall);
+                self.handle_submit(now, id, sequence, submission, out, events);
             }
             Pdu::DataSm(sm) => {
-                let read = Submission::from_data(&sm);
-                self.submit(now, id, sequence, read, out, events);
+                let submission = Submission::from_data(&sm);
+                self.handle_submit(now, id, sequence, submission, out, events);
             }
             Pdu::QuerySm(q) => {
-                if self.request(now, id, sequence, out) {
+                if self.register_request(now, id, sequence, out) {
                     let (id, source) = (q.message_id.as_str().into(), q.source_addr.as_str().into());
                     events.push(Event::Query { sequence, id, source });
                 }
             }
             Pdu::CancelSm(c) => {
-                if self.request(now, id, sequence, out) {
+                if self.register_request(now, id, sequence, out) {
                     let (id, source) = (c.message_id.as_str().into(), c.source_addr.as_str().into());
                     let destination = c.destination_addr.as_str().into();
                     events.push(Event::Cancel { sequence, id, source, destination });
                 }
             }
-            // Known to the specification, not offered here; it is not an unknown command.
+            // The specification defines these commands and this server doesn't support them, so they get
+            // their own errors instead of that for unknown commands.
             Pdu::ReplaceSm(_) => encode_error(id.into(), CommandStatus::EsmeRreplacefail, sequence, out),
             Pdu::SubmitMulti(_) => encode_error(id.into(), CommandStatus::EsmeRsubmitfail, sequence, out),
             Pdu::BroadcastSm(_) => encode_error(id.into(), CommandStatus::EsmeRbcastfail, sequence, out),
@@ -334,19 +346,26 @@
         }
     }
 
-    fn bind(&mut self, id: CommandId, sequence: u32, version: InterfaceVersion, out: &mut BytesMut) -> bool {
+    fn register_bind(
+        &mut self,
+        id: CommandId,
+        sequence: u32,
+        version: InterfaceVersion,
+        out: &mut BytesMut,
+    ) -> bool {
         if self.state != State::Open {
             encode_error(id.into(), CommandStatus::EsmeRalybnd, sequence, out);
             return false;
         }
         self.version = version.into();
         self.state = State::Binding;
-        self.owed.insert(sequence, id);
+        self.unanswered.insert(sequence, id);
         true
     }
 
-    /// Whether a bound peer's request may go on; says no to the peer otherwise.
-    fn request(&mut self, now: Micros, id: CommandId, sequence: u32, out: &mut BytesMut) -> bool {
+    /// Registers a request and returns whether it goes on; otherwise a repeat is ignored and a wrong state or
+    /// a full window is answered with an error.
+    fn register_request(&mut self, now: Micros, id: CommandId, sequence: u32, out: &mut BytesMut) -> bool {
         let State::Bound(mode) = self.state else {
             encode_error(id.into(), CommandStatus::EsmeRinvbndsts, sequence, out);
             return false;
@@ -355,77 +374,78 @@
             encode_error(id.into(), CommandStatus::EsmeRinvbndsts, sequence, out);
             return false;
         }
-        self.active = now;
-        // Guards against one request taken twice: a number that is still owed its response is a repeat of
-        // that request, and is answered with it. An answer of its own would be read as the first one's.
-        if self.owed.contains_key(&sequence) {
+        self.last_active = now;
+        // A sequence number without a response yet is a repeat of that request and is answered with it, so
+        // that one request is not accepted twice. The peer would read a separate answer as that to the first
+        // request.
+        if self.unanswered.contains_key(&sequence) {
             return false;
         }
-        if self.owed.len() >= self.limits.window {
+        if self.unanswered.len() >= self.limits.window {
             encode_error(id.into(), CommandStatus::EsmeRthrottled, sequence, out);
             return false;
         }
-        self.owed.insert(sequence, id);
+        self.unanswered.insert(sequence, id);
         true
     }
 
-    fn submit(
+    fn handle_submit(
         &mut self,
         now: Micros,
         id: CommandId,
         sequence: u32,
-        read: Result<Submission, CommandStatus>,
+        submission: Result<Submission, CommandStatus>,
         out: &mut BytesMut,
         events: &mut Vec<Event>,
     ) {
-        if !self.request(now, id, sequence, out) {
+        if !self.register_request(now, id, sequence, out) {
             return;
         }
-        match read {
+        match submission {
             Ok(s) => events.push(Event::Submit { sequence, request: id, submission: Box::new(s) }),
             Err(status) => self.error(sequence, status, out),
         }
     }
 
-    fn answered(&mut self, sequence: u32, wanted: Asked) -> bool {
-        let Some((at, asked)) = self.asked.get(&sequence).copied() else { return false };
-        if asked != wanted {
+    fn take_outstanding(&mut self, sequence: u32, expected: RequestKind) -> bool {
+        let Some((deadline, kind)) = self.outstanding.get(&sequence).copied() else { return false };
+        if kind != expected {
             return false;
         }
-        self.asked.remove(&sequence);
-        self.due.remove(&(at, sequence));
-        match asked {
-            Asked::Deliver => self.delivering -= 1,
-            Asked::Enquire => self.enquiring = false,
-            Asked::Unbind => {}
+        self.outstanding.remove(&sequence);
+        self.response_deadlines.remove(&(deadline, sequence));
+        match kind {
+            RequestKind::Deliver => self.unacknowledged_receipts -= 1,
+            RequestKind::Enquire => self.enquiry_outstanding = false,
+            RequestKind::Unbind => {}
         }
         true
     }
 
-    /// A response to a receipt; ones with numbers that were never used are passed over.
-    fn acknowledged(&mut self, command: &Command, events: &mut Vec<Event>) {
+    /// Handles a response to a receipt; ignores those with an unknown sequence number.
+    fn handle_acknowledgement(&mut self, command: &Command, events: &mut Vec<Event>) {
         let sequence = command.sequence_number();
-        if self.answered(sequence, Asked::Deliver) {
-            // A peer that refuses for good has been told all the same; any other error asks for another try.
+        if self.take_outstanding(sequence, RequestKind::Deliver) {
+            // A permanent refusal counts as delivered; any other error requests another attempt.
             use CommandStatus::{EsmeRok, EsmeRxPAppn, EsmeRxRAppn};
-            let told = matches!(command.status(), EsmeRok | EsmeRxPAppn | EsmeRxRAppn);
-            let taken = told && command.id() != CommandId::GenericNack;
+            let delivered = matches!(command.status(), EsmeRok | EsmeRxPAppn | EsmeRxRAppn);
+            let taken = delivered && command.id() != CommandId::GenericNack;
             events.push(Event::Acknowledged { sequence, taken });
-            if matches!(self.state, State::Parting(_)) && self.delivering == 0 {
-                self.state = State::Over;
+            if matches!(self.state, State::Draining(_)) && self.unacknowledged_receipts == 0 {
+                self.state = State::Closed;
                 events.push(Event::Unbound);
             }
         }
     }
 
-    fn end(&mut self, why: &'static str, events: &mut Vec<Event>) {
-        self.state = State::Over;
-        events.push(Event::Ended(why));
+    fn end(&mut self, reason: &'static str, events: &mut Vec<Event>) {
+        self.state = State::Closed;
+        events.push(Event::Ended(reason));
     }
 
-    /// Accepts a bind.
+    /// Accepts a bind, with `own` as the system_id of the message centre.
     pub fn accept(&mut self, now: Micros, sequence: u32, own: &str, out: &mut BytesMut) {
-        let Some(id) = self.owed.remove(&sequence) else { return };
+        let Some(id) = self.unanswered.remove(&sequence) else { return };
         let system_id = COctetString::from_string(own.to_string()).unwrap_or_default();
         let version = (self.version >= 0x34).then_some(InterfaceVersion::Smpp5_0);
         let (mode, pdu): (Mode, Pdu) = match id {
@@ -443,17 +463,17 @@
             }
         };
         self.state = State::Bound(mode);
-        self.active = now;
+        self.last_active = now;
         encode(CommandStatus::EsmeRok, sequence, pdu, out);
     }
 
-    /// Refuses a bind. The session stays open for another try, until its time to bind is up.
+    /// Refuses a bind. The peer may try again until the time limit for a bind.
     pub fn refuse(&mut self, sequence: u32, status: CommandStatus, out: &mut BytesMut) {
         self.state = State::Open;
         self.error(sequence, status, out);
     }
 
-    /// Answers a submission with the message_id it was given.
+    /// Answers a submission with its message_id.
     pub fn submitted(
         &mut self,
         sequence: u32,
@@ -462,7 +482,7 @@
         tlvs: Vec<MessageSubmissionResponseTlvValue>,
         out: &mut BytesMut,
     ) {
-        let Some(request) = self.owed.remove(&sequence) else { return };
+        let Some(request) = self.unanswered.remove(&sequence) else { return };
         let id = COctetString::from_string(id.to_string()).unwrap_or_default();
         if request == CommandId::DataSm {
             let mut resp = DataSmResp::builder().message_id(id).build();
@@ -480,7 +500,7 @@
         }
     }
 
-    /// Answers a question after a message.
+    /// Answers a query for a message.
     pub fn queried(
         &mut self,
         sequence: u32,
@@ -489,7 +509,7 @@
         done: Option<Micros>,
         out: &mut BytesMut,
     ) {
-        if self.owed.remove(&sequence).is_none() {
+        if self.unanswered.remove(&sequence).is_none() {
             return;
         }
         let id = COctetString::from_string(id.to_string()).unwrap_or_default();
@@ -498,100 +518,103 @@
         encode(CommandStatus::EsmeRok, sequence, QuerySmResp::new(id, date, state, 0), out);
     }
 
-    /// Answers a withdrawal that was carried out.
+    /// Confirms a withdrawal.
     pub fn cancelled(&mut self, sequence: u32, out: &mut BytesMut) {
-        if self.owed.remove(&sequence).is_some() {
+        if self.unanswered.remove(&sequence).is_some() {
             encode(CommandStatus::EsmeRok, sequence, Pdu::CancelSmResp, out);
         }
     }
 
     /// Answers a request with an error.
     pub fn error(&mut self, sequence: u32, status: CommandStatus, out: &mut BytesMut) {
-        if let Some(id) = self.owed.remove(&sequence) {
+        if let Some(id) = self.unanswered.remove(&sequence) {
             encode_error(id.into(), status, sequence, out);
         }
     }
 
-    /// Hands a receipt to the peer; gives the sequence number under which it will be answered.
+    /// Sends a receipt to the peer and returns its sequence number.
     pub fn deliver(&mut self, now: Micros, receipt: &Receipt, out: &mut BytesMut) -> u32 {
         let mut sm = receipt.deliver();
         if self.version < 0x34 {
-            // A peer of 3.3 or earlier is sent no TLVs, by the specification.
+            // By the specification a peer of version 3.3 or earlier gets no TLVs.
             sm.set_tlvs(Vec::<MessageDeliveryRequestTlvValue>::new());
         }
-        self.ask(now, Asked::Deliver, sm.into(), out)
+        self.send_request(now, RequestKind::Deliver, sm.into(), out)
     }
 
-    fn ask(&mut self, now: Micros, what: Asked, pdu: Pdu, out: &mut BytesMut) -> u32 {
-        self.next = if self.next >= 0x7FFF_FFFF { 1 } else { self.next + 1 };
-        let (sequence, due) = (self.next, now + self.limits.response);
-        self.asked.insert(sequence, (due, what));
-        self.due.insert((due, sequence));
-        match what {
-            Asked::Deliver => self.delivering += 1,
-            Asked::Enquire => self.enquiring = true,
-            Asked::Unbind => {}
+    fn send_request(&mut self, now: Micros, kind: RequestKind, pdu: Pdu, out: &mut BytesMut) -> u32 {
+        self.last_sequence = if self.last_sequence >= 0x7FFF_FFFF { 1 } else { self.last_sequence + 1 };
+        let (sequence, deadline) = (self.last_sequence, now + self.limits.response);
+        self.outstanding.insert(sequence, (deadline, kind));
+        self.response_deadlines.insert((deadline, sequence));
+        match kind {
+            RequestKind::Deliver => self.unacknowledged_receipts += 1,
+            RequestKind::Enquire => self.enquiry_outstanding = true,
+            RequestKind::Unbind => {}
         }
         encode(CommandStatus::EsmeRok, sequence, pdu, out);
         sequence
     }
 
-    /// Asks the peer to end the session.
+    /// Sends an unbind to a bound peer; otherwise ends the session at once.
     pub fn unbind(&mut self, now: Micros, out: &mut BytesMut) {
         if matches!(self.state, State::Bound(_)) {
             self.state = State::Unbinding;
-            self.ask(now, Asked::Unbind, Pdu::Unbind, out);
+            self.send_request(now, RequestKind::Unbind, Pdu::Unbind, out);
         } else {
-            self.state = State::Over;
+            self.state = State::Closed;
         }
     }
 
-    /// Whether the session has ended.
+    /// Returns whether the session has ended.
     pub fn over(&self) -> bool {
-        self.state == State::Over
+        self.state == State::Closed
     }
 
-    /// When [`Session::tick`] is next needed.
+    /// Returns the time at which [`Session::tick`] is next due.
     pub fn wake(&self) -> Micros {
         let timers = match self.state {
-            State::Over => return Micros::MAX,
-            State::Open | State::Binding => self.began + self.limits.session_init,
+            State::Closed => return Micros::MAX,
+            State::Open | State::Binding => self.opened_at + self.limits.session_init,
             State::Unbinding => Micros::MAX,
-            State::Parting(since) => return since + PARTING,
+            State::Draining(since) => return since + UNBIND_GRACE,
             State::Bound(_) => {
-                let enquire =
-                    if self.enquiring { Micros::MAX } else { self.heard + self.limits.enquire_every };
-                enquire.min(self.active + self.limits.inactivity)
+                let enquire = if self.enquiry_outstanding {
+                    Micros::MAX
+                } else {
+                    self.last_received + self.limits.enquire_every
+                };
+                enquire.min(self.last_active + self.limits.inactivity)
             }
         };
-        self.due.first().map_or(timers, |(at, _)| timers.min(*at))
+        self.response_deadlines.first().map_or(timers, |(deadline, _)| timers.min(*deadline))
     }
 
-    /// Acts on timers that fell due.
+    /// Handles timers that are due.
     pub fn tick(&mut self, now: Micros, out: &mut BytesMut, events: &mut Vec<Event>) {
-        if self.state == State::Over || now < self.wake() {
+        if self.state == State::Closed || now < self.wake() {
             return;
         }
-        if let State::Parting(_) = self.state {
-            self.state = State::Over;
+        if let State::Draining(_) = self.state {
+            self.state = State::Closed;
             return events.push(Event::Unbound);
         }
         if matches!(self.state, State::Open | State::Binding) {
             return self.end("no bind in time", events);
         }
-        if self.due.first().is_some_and(|(at, _)| *at <= now) {
-            // Receipts without an answer stay owed; the session is given up, as the response timer has it.
+        if self.response_deadlines.first().is_some_and(|(deadline, _)| *deadline <= now) {
+            // Unacknowledged receipts stay owed; the response timer ends the session.
             return self.end("no response in time", events);
         }
         if let State::Bound(_) = self.state {
-            if now >= self.active + self.limits.inactivity && self.owed.is_empty() {
+            if now >= self.last_active + self.limits.inactivity && self.unanswered.is_empty() {
                 return self.unbind(now, out);
             }
-            if now >= self.active + self.limits.inactivity {
-                self.active = now;
+            if now >= self.last_active + self.limits.inactivity {
+                self.last_active = now;
             }
-            if !self.enquiring && now >= self.heard + self.limits.enquire_every {
-                self.ask(now, Asked::Enquire, Pdu::EnquireLink, out);
+            if !self.enquiry_outstanding && now >= self.last_received + self.limits.enquire_every {
+                self.send_request(now, RequestKind::Enquire, Pdu::EnquireLink, out);
             }
         }
     }
@@ -609,19 +632,19 @@
     Event::Bind { mode, system_id, password, system_type, sequence }
 }
 
-/// The system_id in the first command of a stream: `None` while it isn't whole, an empty one where the command
-/// is no bind. A front door goes by it before any session exists.
-pub fn peek_system_id(octets: &[u8], most: usize) -> Option<String> {
-    if octets.len() < HEADER {
+/// Returns the system_id in the first command of a stream: `None` while it is incomplete, an empty one if the
+/// command is not a bind. An acceptor routes the connection by it before a session exists.
+pub fn peek_system_id(bytes: &[u8], max_bytes: usize) -> Option<String> {
+    if bytes.len() < HEADER {
         return None;
     }
-    let word = |at: usize| u32::from_be_bytes([octets[at], octets[at + 1], octets[at + 2], octets[at + 3]]);
-    let (length, id) = (word(0) as usize, word(4));
-    if !matches!(id, 1 | 2 | 9) || !(HEADER..=most).contains(&length) {
+    let read_u32 = |at: usize| u32::from_be_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
+    let (length, id) = (read_u32(0) as usize, read_u32(4));
+    if !matches!(id, 1 | 2 | 9) || !(HEADER..=max_bytes).contains(&length) {
         return Some(String::new());
     }
-    let end = octets.len().min(length);
-    let body = &octets[HEADER..end];
+    let end = bytes.len().min(length);
+    let body = &bytes[HEADER..end];
     match body.iter().take(16).position(|b| *b == 0) {
         Some(at) => Some(String::from_utf8_lossy(&body[..at]).into_owned()),
         None if end == length || body.len() >= 16 => Some(String::new()),
--- a/crates/smpp/src/submission.rs
+++ b/crates/smpp/src/submission.rs
@@ -1,4 +1,4 @@
-//! What a submit_sm or data_sm asks for, in plain words; and the submit_sm that carries a message on.
+//! Converts submit_sm and data_sm into submissions, and submissions into submit_sm.
 
 use crate::{Micros, tags, time};
 use rusmpp_core::CommandStatus;
@@ -8,21 +8,21 @@
 use rusmpp_core::values::owned::{MessagePayload, ServiceType};
 use rusmpp_core::values::{EsmClass, RegisteredDelivery};
 
-/// When the client is told of the end by a receipt.
+/// The outcomes for which the client requests a receipt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Wanted {
-    /// Always.
+    /// Every outcome.
     Always,
-    /// Only of failure.
+    /// Failures only.
     Failure,
-    /// Only of success.
+    /// Successes only.
     Success,
-    /// Never asked for. The final answer is owed all the same and is kept for queries.
+    /// None. The final answer is still owed, and is kept for queries.
     #[default]
     Never,
 }
 
-/// A message that a client hands in.
+/// A message that a client submits.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Submission {
     /// The service_type.
@@ -31,35 +31,35 @@
     pub source: String,
     /// The destination address.
     pub destination: String,
-    /// The validity asked for; `None` for the class's own.
+    /// The requested validity; `None` for the default of the class.
     pub validity: Option<Micros>,
-    /// Forward (transaction) mode: the response itself is the answer.
+    /// Whether the message uses forward (transaction) mode, in which the response itself is the final answer.
     pub forward: bool,
-    /// Which receipts are wanted.
+    /// The requested receipts.
     pub wanted: Wanted,
-    /// What it is about, in classes that keep order.
+    /// The ordering key, in classes that keep order.
     pub key: Option<String>,
-    /// It was handed in before.
+    /// Whether the message was submitted before.
     pub again: bool,
     /// The data_coding.
     pub coding: u8,
-    /// The esm_class octet's features (UDH), passed on.
+    /// The feature bits of the esm_class byte (UDH), which are forwarded.
     pub esm: u8,
-    /// Its text or payload.
+    /// The text or payload.
     pub body: Vec<u8>,
-    /// Its identity, where a sender of ours hands it on to a receiver.
+    /// The message identity, on the way from a sender of the service to a receiver.
     pub identity: Option<String>,
 }
 
-fn wanted(r: RegisteredDelivery) -> Wanted {
+fn requested_receipts(r: RegisteredDelivery) -> Wanted {
     Wanted::from_code(u32::from(u8::from(r)))
 }
 
 impl Submission {
-    /// Reads a submit_sm.
+    /// Converts a submit_sm.
     ///
     /// # Errors
-    /// The status to answer with.
+    /// Returns the status to answer with if the request is invalid.
     pub fn from_submit(sm: &SubmitSm, wall: Micros) -> Result<Self, CommandStatus> {
         if !sm.schedule_delivery_time.as_str().is_empty() {
             return Err(CommandStatus::EsmeRinvsched);
@@ -71,56 +71,56 @@
             source: sm.source_addr.as_str().to_string(),
             destination: sm.destination_addr.as_str().to_string(),
             validity,
-            wanted: wanted(sm.registered_delivery),
+            wanted: requested_receipts(sm.registered_delivery),
             coding: u8::from(sm.data_coding),
             body: sm.short_message().as_ref().to_vec(),
             ..Submission::default()
         };
-        s.mode(sm.esm_class)?;
-        s.tlvs(sm.tlvs())?;
+        s.apply_esm_class(sm.esm_class)?;
+        s.apply_tlvs(sm.tlvs())?;
         Ok(s)
     }
 
-    /// Reads a data_sm.
+    /// Converts a data_sm.
     ///
     /// # Errors
-    /// The status to answer with.
+    /// Returns the status to answer with if the request is invalid.
     pub fn from_data(sm: &DataSm) -> Result<Self, CommandStatus> {
         let mut s = Submission {
             service: sm.service_type.value().as_str().to_string(),
             source: sm.source_addr.as_str().to_string(),
             destination: sm.destination_addr.as_str().to_string(),
-            wanted: wanted(sm.registered_delivery),
+            wanted: requested_receipts(sm.registered_delivery),
             coding: u8::from(sm.data_coding),
             ..Submission::default()
         };
-        s.mode(sm.esm_class)?;
-        s.tlvs(sm.tlvs())?;
+        s.apply_esm_class(sm.esm_class)?;
+        s.apply_tlvs(sm.tlvs())?;
         Ok(s)
     }
 
-    /// Whether a receipt is owed for an answer that was not told as the response. In forward mode it always is: the
-    /// response was to be the answer, and its session is gone.
+    /// Returns whether a receipt is owed for an answer that was not sent as the response. In forward mode it
+    /// always is, because the response was to be the answer and its session is gone.
     pub fn owes_receipt(&self, delivered: bool) -> bool {
         self.forward || self.wanted.receipt(delivered)
     }
 
-    fn mode(&mut self, class: EsmClass) -> Result<(), CommandStatus> {
-        let octet = u8::from(class);
-        // Bits 1-0 are the mode, 5-2 the type of message: clients hand in ordinary ones.
-        if octet & 0b0011_1100 != 0 {
+    fn apply_esm_class(&mut self, class: EsmClass) -> Result<(), CommandStatus> {
+        let byte = u8::from(class);
+        // Bits 1-0 are the mode and 5-2 the message type, of which clients may submit only the default.
+        if byte & 0b0011_1100 != 0 {
             return Err(CommandStatus::EsmeRinvesmclass);
         }
-        self.forward = octet & 3 == 2;
-        // Datagram mode asks for no receipts by its definition.
-        if octet & 3 == 1 {
+        self.forward = byte & 3 == 2;
+        // Datagram mode has no receipts by definition.
+        if byte & 3 == 1 {
             self.wanted = Wanted::Never;
         }
-        self.esm = octet & 0b1100_0000;
+        self.esm = byte & 0b1100_0000;
         Ok(())
     }
 
-    fn tlvs(&mut self, tlvs: &[rusmpp_core::tlvs::owned::Tlv]) -> Result<(), CommandStatus> {
+    fn apply_tlvs(&mut self, tlvs: &[rusmpp_core::tlvs::owned::Tlv]) -> Result<(), CommandStatus> {
         for t in tlvs {
             match t.value() {
                 Some(TlvValue::MessagePayload(p)) => {
@@ -129,7 +129,7 @@
                     }
                     self.body = p.value.as_ref().to_vec();
                 }
-                // Seconds; it goes before validity_period, by the specification.
+                // In seconds; it overrides validity_period, by the specification.
                 Some(TlvValue::QosTimeToLive(s)) => self.validity = Some(Micros::from(*s) * 1_000_000),
                 _ => {}
             }
@@ -138,13 +138,14 @@
             let text = std::str::from_utf8(key).ok().filter(|k| (1..=64).contains(&k.len()));
             self.key = Some(text.ok_or(CommandStatus::EsmeRinvtlvval)?.to_string());
         }
-        let identity = tags::find(tlvs, tags::MESSAGE).and_then(|v| std::str::from_utf8(v).ok());
+        let identity = tags::find(tlvs, tags::MESSAGE_IDENTITY).and_then(|v| std::str::from_utf8(v).ok());
         self.identity = identity.map(str::to_string);
-        self.again = tags::find(tlvs, tags::AGAIN).is_some_and(|v| v == [1]);
+        self.again = tags::find(tlvs, tags::RESUBMITTED).is_some_and(|v| v == [1]);
         Ok(())
     }
 
-    /// The submit_sm for it, as a client writes it; `message` is its identity towards a receiver.
+    /// Returns the submit_sm for the message as a client writes it; `message` is its identity towards a
+    /// receiver.
     pub fn submit(&self, message: Option<&str>) -> SubmitSm {
         let text = |t: &str| COctetString::from_string(t.to_string()).unwrap_or_default();
         let mode = if self.forward { 2 } else { 0 };
@@ -160,7 +161,7 @@
             .validity_period(EmptyOrFullCOctetString::from_string(validity).unwrap_or_default())
             .data_coding(self.coding.into())
             .build();
-        let other = |number: u16, value: &[u8]| Tlv::Other {
+        let own_tlv = |number: u16, value: &[u8]| Tlv::Other {
             tag: tags::tag(number),
             value: AnyOctetString::from_vec(value.to_vec()),
         };
@@ -172,20 +173,20 @@
             }
         }
         if let Some(key) = &self.key {
-            sm.push_tlv(other(tags::KEY, key.as_bytes()));
+            sm.push_tlv(own_tlv(tags::KEY, key.as_bytes()));
         }
         if self.again {
-            sm.push_tlv(other(tags::AGAIN, &[1]));
+            sm.push_tlv(own_tlv(tags::RESUBMITTED, &[1]));
         }
         if let Some(id) = message {
-            sm.push_tlv(other(tags::MESSAGE, id.as_bytes()));
+            sm.push_tlv(own_tlv(tags::MESSAGE_IDENTITY, id.as_bytes()));
         }
         sm
     }
 }
 
 impl Wanted {
-    /// A number for it, as in registered_delivery.
+    /// Returns the code in registered_delivery.
     pub fn code(self) -> u32 {
         match self {
             Wanted::Never => 0,
@@ -195,7 +196,7 @@
         }
     }
 
-    /// The other way.
+    /// Returns the value for a code in registered_delivery.
     pub fn from_code(code: u32) -> Self {
         match code & 3 {
             1 => Wanted::Always,
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Whether a receipt is wanted of an answer that is a success, or a failure.
+    /// Returns whether a receipt is requested for a success (`delivered`) or a failure.
     pub fn receipt(self, delivered: bool) -> bool {
         match self {
             Wanted::Always => true,
