--- a/crates/mqtt/src/codec.rs
+++ b/crates/mqtt/src/codec.rs
@@ -70,11 +70,11 @@
     /// The largest packet in bytes that the client accepts.
     pub maximum_packet: u32,
     /// The topic alias maximum of the client.
-    pub aliases: u16,
+    pub topic_alias_maximum: u16,
     /// Whether the client accepts user properties and reason strings on acknowledgements.
     pub problem_information: bool,
     /// Whether the client requests enhanced authentication.
-    pub method: bool,
+    pub enhanced_authentication: bool,
 }
 
 /// A PUBLISH packet.
@@ -97,11 +97,11 @@
     /// The message expiry interval in seconds.
     pub expiry: Option<u32>,
     /// The response topic.
-    pub response: Option<String>,
+    pub response_topic: Option<String>,
     /// The correlation data.
     pub correlation: Option<Vec<u8>>,
     /// The user properties.
-    pub user: Vec<(String, String)>,
+    pub user_properties: Vec<(String, String)>,
 }
 
 /// A type of acknowledgement packet.
@@ -289,9 +289,9 @@
             expiry: 0,
             receive_maximum: u16::MAX,
             maximum_packet: u32::MAX,
-            aliases: 0,
+            topic_alias_maximum: 0,
             problem_information: false,
-            method: false,
+            enhanced_authentication: false,
         }
     };
 }
@@ -350,9 +350,11 @@
         match p {
             Property::TopicAlias(v) => publish.alias = Some(v.val()),
             Property::MessageExpiryInterval(v) => publish.expiry = Some(v.val()),
-            Property::ResponseTopic(v) => publish.response = Some(v.val().to_string()),
+            Property::ResponseTopic(v) => publish.response_topic = Some(v.val().to_string()),
             Property::CorrelationData(v) => publish.correlation = Some(v.val().to_vec()),
-            Property::UserProperty(v) => publish.user.push((v.key().to_string(), v.val().to_string())),
+            Property::UserProperty(v) => {
+                publish.user_properties.push((v.key().to_string(), v.val().to_string()))
+            }
             _ => {}
         }
     }
@@ -377,9 +379,9 @@
                     Property::SessionExpiryInterval(v) => connect.expiry = v.val(),
                     Property::ReceiveMaximum(v) => connect.receive_maximum = v.val(),
                     Property::MaximumPacketSize(v) => connect.maximum_packet = v.val(),
-                    Property::TopicAliasMaximum(v) => connect.aliases = v.val(),
+                    Property::TopicAliasMaximum(v) => connect.topic_alias_maximum = v.val(),
                     Property::RequestProblemInformation(v) => connect.problem_information = v.val() != 0,
-                    Property::AuthenticationMethod(_) => connect.method = true,
+                    Property::AuthenticationMethod(_) => connect.enhanced_authentication = true,
                     _ => {}
                 }
             }
@@ -420,9 +422,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Connack {
     /// Whether an earlier session is resumed.
-    pub present: bool,
+    pub session_present: bool,
     /// The client identifier, if the server assigned it.
-    pub assigned: Option<String>,
+    pub assigned_client_id: Option<String>,
     /// The keep-alive in seconds, if the server set it.
     pub keep_alive: Option<u16>,
     /// The session expiry interval in seconds.
@@ -432,7 +434,7 @@
     /// The largest packet in bytes that the server accepts.
     pub maximum_packet: u32,
     /// The topic alias maximum of the server.
-    pub aliases: u16,
+    pub topic_alias_maximum: u16,
 }
 
 fn push_property<T: Into<Property>>(props: &mut Properties, value: Result<T, MqttError>) {
@@ -465,25 +467,25 @@
 pub fn write_connack(version: Version, connack: &Connack, out: &mut BytesMut) {
     if version == Version::V3 {
         let b = v3_1_1::Connack::builder().return_code(ConnectReturnCode::Accepted);
-        write_packet!(out, b.session_present(connack.present));
+        write_packet!(out, b.session_present(connack.session_present));
         return;
     }
     let mut props = Properties::new();
     push_property(&mut props, SessionExpiryInterval::new(connack.expiry));
     push_property(&mut props, ReceiveMaximum::new(connack.receive_maximum));
     push_property(&mut props, MaximumPacketSize::new(connack.maximum_packet));
-    push_property(&mut props, TopicAliasMaximum::new(connack.aliases));
+    push_property(&mut props, TopicAliasMaximum::new(connack.topic_alias_maximum));
     push_property(&mut props, RetainAvailable::new(0));
     push_property(&mut props, SubscriptionIdentifierAvailable::new(0));
     push_property(&mut props, SharedSubscriptionAvailable::new(0));
-    if let Some(id) = &connack.assigned {
+    if let Some(id) = &connack.assigned_client_id {
         push_property(&mut props, AssignedClientIdentifier::new(id.as_str()));
     }
     if let Some(seconds) = connack.keep_alive {
         push_property(&mut props, ServerKeepAlive::new(seconds));
     }
     let b = v5_0::Connack::builder().reason_code(ConnectReasonCode::Success);
-    write_packet!(out, b.session_present(connack.present).props(props));
+    write_packet!(out, b.session_present(connack.session_present).props(props));
 }
 
 /// Writes the CONNACK that refuses a client, with a code of version 5.0.
@@ -611,7 +613,9 @@
     if let Some(c) = &p.correlation {
         push_property(&mut props, CorrelationData::new(c.clone()));
     }
-    p.user.iter().for_each(|(k, v)| push_property(&mut props, UserProperty::new(k.as_str(), v.as_str())));
+    p.user_properties
+        .iter()
+        .for_each(|(k, v)| push_property(&mut props, UserProperty::new(k.as_str(), v.as_str())));
     encode_publish_packet!(p, qos, v5_0::Publish, props)
 }
 
--- a/crates/mqtt/src/session/connect.rs
+++ b/crates/mqtt/src/session/connect.rs
@@ -19,12 +19,12 @@
                 return Some(0x9A);
             }
             let is_message = matches!(parse_target(&w.publish.topic), Some(Target::Message { .. }));
-            let reply_is_valid = w.publish.response.as_ref().is_none_or(|r| is_topic(r));
+            let reply_is_valid = w.publish.response_topic.as_ref().is_none_or(|r| is_topic(r));
             let correlation_fits = w.publish.correlation.as_ref().is_none_or(|c| c.len() <= MAX_LENGTH);
             // Rejects a will that could not be published later: an error now is better than a lost will.
             (!is_message || !reply_is_valid || !correlation_fits).then_some(0x90)
         });
-        let code = if c.method {
+        let code = if c.enhanced_authentication {
             Some(0x8C)
         } else if c.client_id.len() > MAX_LENGTH
             || c.client_id.contains(['+', '#'])
@@ -46,7 +46,7 @@
         self.expiry = c.expiry.min(self.limits.expiry);
         self.receive_maximum = c.receive_maximum.min(self.limits.window).min(MAX_IN_FLIGHT);
         self.maximum_packet = c.maximum_packet;
-        self.client_alias_maximum = c.aliases.min(MAX_TOPIC_ALIASES);
+        self.client_alias_maximum = c.topic_alias_maximum.min(MAX_TOPIC_ALIASES);
         self.problem_information = c.problem_information;
         self.will = c.will.clone();
         let requested = Micros::from(c.keep_alive) * MICROS_PER_SECOND;
@@ -63,12 +63,12 @@
         Ok(())
     }
 
-    /// Admits the client. `assigned` is the client identifier that the server chose, if it did; `present`
-    /// says that an earlier session with these filters is resumed.
+    /// Admits the client. `assigned_client_id` is the client identifier that the server chose, if it did;
+    /// `session_present` says that an earlier session with these filters is resumed.
     pub fn admit(
         &mut self,
-        assigned: Option<String>,
-        present: bool,
+        assigned_client_id: Option<String>,
+        session_present: bool,
         filters: &[(String, u8)],
         out: &mut BytesMut,
     ) {
@@ -76,19 +76,19 @@
             return;
         }
         self.state = State::Open;
-        if let Some(id) = &assigned {
+        if let Some(id) = &assigned_client_id {
             self.client_id.clone_from(id);
         }
         self.filters = filters.iter().cloned().collect();
         let seconds = u16::try_from(self.keep_alive / MICROS_PER_SECOND * 2 / 3).unwrap_or(u16::MAX);
         let connack = Connack {
-            present,
-            assigned,
+            session_present,
+            assigned_client_id,
             keep_alive: Some(seconds).filter(|_| self.limits.keep_alive > 0),
             expiry: self.expiry,
             receive_maximum: self.limits.window,
             maximum_packet: self.limits.max_packet,
-            aliases: MAX_TOPIC_ALIASES,
+            topic_alias_maximum: MAX_TOPIC_ALIASES,
         };
         codec::write_connack(self.version, &connack, out);
     }
--- a/crates/mqtt/src/session/deliver.rs
+++ b/crates/mqtt/src/session/deliver.rs
@@ -13,18 +13,18 @@
         &mut self,
         token: u32,
         text: String,
-        user_properties: Vec<(&'static str, String)>,
+        properties: Vec<(&'static str, String)>,
         out: &mut BytesMut,
     ) {
         let reply = self.pending.iter_mut().find(|p| p.token == token).and_then(|p| p.reply.take());
         let reply = reply.or_else(|| self.reply_addresses.remove(&token));
         let (topic, correlation) = reply.unwrap_or_default();
-        let telling =
-            Telling { topic: &topic, correlation: &correlation, text, said: user_properties, before: None };
+        let answer =
+            Telling { topic: &topic, correlation: &correlation, text, said: properties, before: None };
         let deliverable = self.wants(&topic).is_some() && self.room() > 0;
         self.complete(token, if deliverable { 0 } else { 0x10 }, String::new(), out);
         if deliverable {
-            self.send_answer(&telling, false, out);
+            self.send_answer(&answer, false, out);
         }
     }
 
@@ -56,17 +56,17 @@
     /// Sends an answer to a topic that the client is subscribed to. Returns its packet identifier, or `None`
     /// if the answer needs no acknowledgement: it was sent with quality of service 0, or can't be sent to
     /// this client.
-    pub fn deliver(&mut self, telling: &Telling<'_>, out: &mut BytesMut) -> Option<u16> {
-        self.send_answer(telling, true, out)
+    pub fn deliver(&mut self, answer: &Telling<'_>, out: &mut BytesMut) -> Option<u16> {
+        self.send_answer(answer, true, out)
     }
 
-    fn send_answer(&mut self, telling: &Telling<'_>, report: bool, out: &mut BytesMut) -> Option<u16> {
+    fn send_answer(&mut self, answer: &Telling<'_>, report: bool, out: &mut BytesMut) -> Option<u16> {
         let own = self.default_answer_topic();
-        let topic = if telling.topic.is_empty() { own.as_str() } else { telling.topic };
+        let topic = if answer.topic.is_empty() { own.as_str() } else { answer.topic };
         let qos = self.wants(topic)?;
         let is_free = |id: &u16| !self.in_flight.contains_key(id) && !self.just_acknowledged.contains(id);
         // An answer that was unacknowledged when a connection was lost keeps its packet identifier.
-        let resent = telling.before.filter(|p| qos > 0 && is_free(p));
+        let resent = answer.before.filter(|p| qos > 0 && is_free(p));
         let packet = match resent {
             Some(p) => p,
             None => {
@@ -84,9 +84,9 @@
             packet,
             qos,
             duplicate: resent.is_some(),
-            payload: telling.text.clone().into_bytes(),
-            correlation: Some(telling.correlation.to_vec()).filter(|c| !c.is_empty()),
-            user: telling.said.iter().map(|(k, v)| ((*k).to_string(), v.clone())).collect(),
+            payload: answer.text.clone().into_bytes(),
+            correlation: Some(answer.correlation.to_vec()).filter(|c| !c.is_empty()),
+            user_properties: answer.said.iter().map(|(k, v)| ((*k).to_string(), v.clone())).collect(),
             ..Publish::default()
         };
         let alias_count = self.server_aliases.len();
@@ -120,7 +120,7 @@
                 return Some(bytes);
             }
             match step {
-                0 => p.user.retain(|(k, _)| matches!(k.as_str(), "state" | "message")),
+                0 => p.user_properties.retain(|(k, _)| matches!(k.as_str(), "state" | "message")),
                 _ => p.payload.clear(),
             }
         }
--- a/crates/mqtt/src/session/publish.rs
+++ b/crates/mqtt/src/session/publish.rs
@@ -40,8 +40,9 @@
             parse_target(&p.topic).filter(|t| self.serves_rules_topics || !matches!(t, Target::Rules(_)));
         let is_query = matches!(request, Some(Target::Ask(_) | Target::Withdraw(_) | Target::Held(_)));
         if p.qos > 0 || is_query {
-            let reply = is_query
-                .then(|| (p.response.clone().unwrap_or_default(), p.correlation.clone().unwrap_or_default()));
+            let reply = is_query.then(|| {
+                (p.response_topic.clone().unwrap_or_default(), p.correlation.clone().unwrap_or_default())
+            });
             self.pending.push_back(Pending { token, packet: p.packet, qos: p.qos, outcome: None, reply });
         }
         match p.qos {
@@ -49,7 +50,7 @@
             2 => _ = self.unreleased_qos2.insert(p.packet),
             _ => {}
         }
-        let fault = if p.response.as_ref().is_some_and(|r| !r.is_empty() && !is_topic(r)) {
+        let fault = if p.response_topic.as_ref().is_some_and(|r| !r.is_empty() && !is_topic(r)) {
             Some(0x90)
         } else if p.correlation.as_ref().is_some_and(|c| c.len() > MAX_LENGTH) {
             Some(0x97)
@@ -59,7 +60,7 @@
         let event = match (fault, request) {
             (Some(code), _) => Err(code),
             (None, Some(Target::Rules(levels))) => {
-                let reply = (p.response.unwrap_or_default(), p.correlation.unwrap_or_default());
+                let reply = (p.response_topic.unwrap_or_default(), p.correlation.unwrap_or_default());
                 self.reply_addresses.insert(token, reply);
                 events.push(Event::Rules(token, levels, p.payload));
                 // Acknowledged at once: members have to agree on the answer, and acknowledgements go out in
--- a/crates/mqtt/src/session/types.rs
+++ b/crates/mqtt/src/session/types.rs
@@ -80,7 +80,7 @@
         return None;
     };
     let mut again = false;
-    for (k, v) in p.user {
+    for (k, v) in p.user_properties {
         if v.len() > MAX_LENGTH {
             continue;
         }
@@ -106,7 +106,7 @@
         name,
         again,
         expiry: p.expiry.map(|s| Micros::from(s) * MICROS_PER_SECOND),
-        reply: p.response.unwrap_or_default(),
+        reply: p.response_topic.unwrap_or_default(),
         correlation,
         payload: p.payload,
         qos: p.qos,
--- a/crates/mqtt/tests/session.rs
+++ b/crates/mqtt/tests/session.rs
@@ -264,7 +264,7 @@
     let (_, events) = receive(&mut s, &subscribe);
     assert_eq!(events, [Event::Subscribed(vec![0x90, 4, 0, 1, 0, 1])]);
     assert_eq!((s.wants("answers/me"), s.wants(""), s.wants("else")), (Some(1), Some(1), None));
-    let telling = |text: &str, before| Telling {
+    let answer = |text: &str, before| Telling {
         correlation: b"c",
         text: text.to_string(),
         said: vec![("state", "DELIVRD".into()), ("retry-after", "1".into())],
@@ -272,11 +272,7 @@
         ..Telling::default()
     };
     let mut out = BytesMut::new();
-    assert_eq!(
-        s.deliver(&telling("id:1", Some(9)), &mut out),
-        Some(9),
-        "keeps its earlier packet identifier"
-    );
+    assert_eq!(s.deliver(&answer("id:1", Some(9)), &mut out), Some(9), "keeps its earlier packet identifier");
     assert_eq!((out[0] & 8, s.room()), (8, 0), "the DUP flag is set");
     assert!(
         out.len() <= 60 && out.windows(5).any(|w| w == b"state") && !out.windows(5).any(|w| w == b"retry")
@@ -284,12 +280,12 @@
     assert_eq!(receive(&mut s, &[0x40, 3, 0, 9, 0x97]).1, [Event::Heard(9)], "a refusal acknowledges too");
     assert_eq!((receive(&mut s, &[0x40, 2, 0, 9]).1, s.room()), (vec![], 1));
     let mut second = BytesMut::new();
-    let packet_id = s.deliver(&telling("id:2", None), &mut second).unwrap();
+    let packet_id = s.deliver(&answer("id:2", None), &mut second).unwrap();
     assert!(!second.windows(7).any(|w| w == b"answers"), "sent with its topic alias");
     receive(&mut s, &[0x40, 2, (packet_id >> 8) as u8, packet_id as u8]);
     let too_long = Telling {
         topic: "answers/a/topic/that/is/much/longer/than/sixty/octets/all/told",
-        ..telling("", None)
+        ..answer("", None)
     };
     let mut written = BytesMut::new();
     assert_eq!((s.deliver(&too_long, &mut written), written.len(), s.room()), (None, 0, 1));
