--- a/crates/mqtt/src/session/types.rs
+++ b/crates/mqtt/src/session/types.rs
@@ -37,18 +37,18 @@
 /// An event that a session reports to its caller. Numbers without a name are tokens for the answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client connects; answered with [`Session::admit`] or [`Session::refuse`].
+    /// A client connects; answered with [`super::Session::admit`] or [`super::Session::refuse`].
     Connect(Box<Connect>),
-    /// Submits a message; answered with [`Session::taken`] or [`Session::denied`].
+    /// Submits a message; answered with [`super::Session::taken`] or [`super::Session::denied`].
     Submit(u32, Box<Handed>),
-    /// Queries the state of a message; answered with [`Session::told`] or [`Session::denied`].
+    /// Queries the state of a message; answered with [`super::Session::told`] or [`super::Session::denied`].
     Query(u32, String),
-    /// Withdraws a message; answered with [`Session::told`] or [`Session::denied`].
+    /// Withdraws a message; answered with [`super::Session::told`] or [`super::Session::denied`].
     Withdraw(u32, String),
-    /// Makes a request on held messages, as topic levels; answered with [`Session::told`].
+    /// Makes a request on held messages, as topic levels; answered with [`super::Session::told`].
     Held(u32, Vec<String>),
     /// Makes a request on the client's rules or the fleet, as topic levels with a body; answered with
-    /// [`Session::told`] at any later time.
+    /// [`super::Session::told`] at any later time.
     Rules(u32, Vec<String>, Vec<u8>),
     /// The subscriptions changed. Holds the acknowledgement packet, which the caller writes once it has
     /// stored them: otherwise a crash could lose a subscription that was already acknowledged to the client.
