--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use heronroute_net::Clock;
 use heronroute_smpp::server::Mode;
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::clients::{Herd, Plan, Step};
 use heronroute_standins::run::Running;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
             service: args.class.clone(),
             source: "client".into(),
             destination: args.to.clone(),
-            wanted: Wanted::Always,
+            wanted: ReceiptRequest::Always,
             key: args.key.clone(),
             body: args.text.clone().into_bytes(),
             forward: args.forward,
--- a/crates/cli/tests/kill.rs
+++ b/crates/cli/tests/kill.rs
@@ -10,7 +10,7 @@
 use heronroute_net::Clock;
 use heronroute_relay::lag::Lag;
 use heronroute_smpp::server::Mode;
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::clients::{Herd, Plan, Step};
 use heronroute_standins::farm::{Destination, Endpoint, Farm, Speaks};
 use heronroute_standins::flock::{self, Flock, Letter, MqttPlan};
@@ -107,7 +107,7 @@
             service: NAMES[class].into(),
             source: "survey".into(),
             destination: format!("{:06}{n:06}", 1 + dice.below(4)),
-            wanted: Wanted::Always,
+            wanted: ReceiptRequest::Always,
             key: (class == 3).then(|| format!("k{}", dice.below(5))),
             body: format!("message {n}").into_bytes(),
             ..Submission::default()
--- a/crates/contracts/src/link/smpp.rs
+++ b/crates/contracts/src/link/smpp.rs
@@ -33,7 +33,7 @@
         How::Error => (CommandStatus::EsmeRsyserr, 0),
     };
     let ms = u32::try_from(wait / 1_000).unwrap_or(u32::MAX).to_be_bytes().to_vec();
-    let wait = Tlv::Other { tag: tags::tag(tags::WAIT), value: AnyOctetString::from_vec(ms) };
+    let wait = Tlv::Other { tag: tags::tag(tags::RECEIVER_RETRY_AFTER), value: AnyOctetString::from_vec(ms) };
     let tlvs = if matches!(how, How::Busy(1..)) { vec![wait] } else { Vec::new() };
     let id = COctetString::from_string("1".to_string()).unwrap_or_default();
     written(status, sequence, SubmitSmResp::new(id, tlvs))
--- a/crates/drill/benches/shared/mod.rs
+++ b/crates/drill/benches/shared/mod.rs
@@ -4,7 +4,7 @@
 use heronroute_smpp::client::{self, Event};
 use heronroute_smpp::receipt::{Answer, Receipt};
 use heronroute_smpp::server::{self, Limits, Mode};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::Micros;
 use heronroute_standins::actor::{Actor, Ask, Conn};
 use rusmpp_core::CommandStatus;
@@ -112,7 +112,7 @@
             service: "RESP".into(),
             source: "a".into(),
             destination: format!("{:06}{:06}", 1 + self.left * 7 % 20, self.left % 1_000_000),
-            wanted: if self.receipts { Wanted::Always } else { Wanted::Never },
+            wanted: if self.receipts { ReceiptRequest::Always } else { ReceiptRequest::Never },
             body: BODY.to_vec(),
             ..Submission::default()
         };
--- a/crates/drill/src/bad_day.rs
+++ b/crates/drill/src/bad_day.rs
@@ -4,7 +4,7 @@
 use heronroute_audit::Effect;
 use heronroute_config::{parse_span, raw};
 use heronroute_smpp::server::Mode;
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::Micros;
 use heronroute_standins::clients::{Plan, Step};
 use heronroute_standins::farm::Speaks;
@@ -79,7 +79,7 @@
         service: class.name.to_string(),
         source: "survey".into(),
         destination: format!("{destination:06}{n:06}"),
-        wanted: Wanted::Always,
+        wanted: ReceiptRequest::Always,
         key,
         body: format!("message {n}").into_bytes(),
         ..Submission::default()
--- a/crates/drill/tests/hard_cases.rs
+++ b/crates/drill/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 use heronroute_drill::{ClassSpec, ClientSpec, Day, Destination, Drill, Listed, Outcome, Rules};
 use heronroute_smpp::codec::encode;
 use heronroute_smpp::server::Mode;
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::clients::{Plan, Step};
 use heronroute_standins::farm::Speaks;
 use heronroute_standins::model::{Shape, Strike, Trouble};
@@ -65,7 +65,7 @@
         service,
         source: "survey".into(),
         destination: format!("{destination:06}{n:06}"),
-        wanted: Wanted::Always,
+        wanted: ReceiptRequest::Always,
         key: (class == QUOTA).then(|| format!("k{}", n % 3)),
         body: b"top up 100".to_vec(),
         ..Submission::default()
@@ -207,7 +207,7 @@
     for (_, step) in &mut steps {
         if let Step::Submit(s, _) = step {
             s.forward = true;
-            s.wanted = Wanted::Never;
+            s.wanted = ReceiptRequest::Never;
         }
     }
     let o = pass(day(ds, vec![plan(steps)]));
--- a/crates/drill/tests/mqtt.rs
+++ b/crates/drill/tests/mqtt.rs
@@ -6,7 +6,7 @@
 use heronroute_drill::{ClassSpec, ClientSpec, Day, Destination, Drill, Listed, Rules};
 use heronroute_net::Service;
 use heronroute_smpp::server::Mode;
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::clients::{Plan, Step as SmppStep};
 use heronroute_standins::farm::Speaks;
 use heronroute_standins::flock::{Letter, MqttPlan, Step};
@@ -118,7 +118,7 @@
         let s = Submission {
             service: "STAT".into(),
             destination: format!("000001{:06}", 900_000 + n),
-            wanted: Wanted::Always,
+            wanted: ReceiptRequest::Always,
             body: b"top up".to_vec(),
             ..Submission::default()
         };
--- a/crates/engine/benches/node.rs
+++ b/crates/engine/benches/node.rs
@@ -12,7 +12,7 @@
 use heronroute_rules::{Plan, Rule, RuleLimits, RuleSet};
 use heronroute_smpp::client;
 use heronroute_smpp::server::{Event, Limits, Mode, Session};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use rusmpp_core::CommandStatus;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -93,7 +93,7 @@
             service: "RESP".into(),
             source: "a".into(),
             destination: format!("{destination:06}{n:06}"),
-            wanted: Wanted::Always,
+            wanted: ReceiptRequest::Always,
             body: b"a response of ordinary length, as they are: 0123456789".to_vec(),
             ..Submission::default()
         };
--- a/crates/engine/benches/release.rs
+++ b/crates/engine/benches/release.rs
@@ -13,7 +13,7 @@
 use heronroute_smpp::client::{Event, Session as Client};
 use heronroute_smpp::receipt::Receipt;
 use heronroute_smpp::server::{self, Limits, Mode, Session};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::mqtt::{Hand, MqttClient, Who};
 use rusmpp_core::CommandStatus;
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,7 +118,7 @@
             let s = Submission {
                 service: "PAY".into(),
                 destination: format!("1{:06}", w.live),
-                wanted: Wanted::Always,
+                wanted: ReceiptRequest::Always,
                 body: vec![b'y'; 60],
                 ..Submission::default()
             };
--- a/crates/engine/src/entry_codec.rs
+++ b/crates/engine/src/entry_codec.rs
@@ -2,7 +2,7 @@
 
 use crate::outbox::ReplyAddress;
 use heronroute_journal::entry::Accepted;
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 
 /// Returns the entry of an accepted message. `rest` holds the fields that are not part of the submission.
 pub(crate) fn to_entry(
@@ -35,7 +35,7 @@
         source: accepted.source.clone(),
         destination: accepted.destination.clone(),
         forward: accepted.forward,
-        wanted: Wanted::from_code(accepted.wanted),
+        wanted: ReceiptRequest::from_code(accepted.wanted),
         key: Some(accepted.key.clone()).filter(|k| !k.is_empty()),
         again: accepted.again,
         coding: accepted.coding as u8,
--- a/crates/engine/src/front/mqtt.rs
+++ b/crates/engine/src/front/mqtt.rs
@@ -7,10 +7,10 @@
 use crate::Micros;
 use crate::outbox::{OwedAnswer, ReplyAddress};
 use bytes::BytesMut;
-use heronroute_mqtt::session::{Event, Handed, Limits, Session, Telling, handed};
+use heronroute_mqtt::session::{Event, Limits, OutgoingAnswer, Session, SubmittedMessage, submitted_message};
 use heronroute_seen::{Handle, digest};
 use heronroute_smpp::receipt::{Answer, word};
-use heronroute_smpp::submission::{Submission, Wanted as Receipts};
+use heronroute_smpp::submission::{ReceiptRequest as Receipts, Submission};
 use rusmpp_core::values::MessageState;
 
 const SECOND: Micros = 1_000_000;
@@ -70,7 +70,7 @@
 }
 
 /// Converts a published message into the form that all fronts share.
-fn to_submission(h: Handed) -> (Submission, SubmissionContext) {
+fn to_submission(h: SubmittedMessage) -> (Submission, SubmissionContext) {
     let key = h.key.as_deref().unwrap_or_default();
     let name = h.name.as_deref().unwrap_or_default();
     // The digest covers what stays the same when the message is sent again. That excludes the expiry, which
@@ -237,7 +237,7 @@
     }
 
     fn deliver(&mut self, _: Micros, owed: &OwedAnswer, out: &mut BytesMut) -> Delivery {
-        if self.session.wants(&owed.reply.topic).is_none() {
+        if self.session.subscribed_qos(&owed.reply.topic).is_none() {
             return Delivery::NotSubscribed;
         }
         let answer = owed.receipt.answer;
@@ -246,11 +246,11 @@
         if plain && !owed.reply.correlation.is_empty() {
             text = format!("{text} ref:{}", String::from_utf8_lossy(&owed.reply.correlation));
         }
-        let telling = Telling {
+        let telling = OutgoingAnswer {
             topic: &owed.reply.topic,
             correlation: &owed.reply.correlation,
             text,
-            said: properties,
+            user_properties: properties,
             before: owed.before.and_then(|n| u16::try_from(n).ok()),
         };
         match self.session.deliver(&telling, out) {
@@ -279,7 +279,7 @@
     fn disconnect_state(&mut self) -> DisconnectState {
         let expiry = Micros::from(self.session.expiry()) * SECOND;
         let will = self.session.will().and_then(|w| {
-            let (submission, context) = to_submission(handed(w.publish)?);
+            let (submission, context) = to_submission(submitted_message(w.publish)?);
             Some((Micros::from(w.delay) * SECOND, Box::new(submission), context.reply))
         });
         DisconnectState { expiry, will }
--- a/crates/engine/src/link/smpp.rs
+++ b/crates/engine/src/link/smpp.rs
@@ -56,7 +56,7 @@
                         events.push(LinkEvent::Answered { call, part, reply: reply(status, &tlvs) });
                     }
                 }
-                Event::Alive { sequence, status } => {
+                Event::EnquiryAnswered { sequence, status } => {
                     if self.probe == Some(sequence) {
                         self.probe = None;
                         events.push(LinkEvent::Probed(reply(status, &[])));
@@ -78,7 +78,7 @@
         // With any other error the receiver has seen the message, and may have processed it.
         _ => Outcome::Error,
     };
-    let wait = tags::find_u32(tlvs, tags::WAIT).map_or(0, |ms| Micros::from(ms) * 1_000);
+    let wait = tags::find_u32(tlvs, tags::RECEIVER_RETRY_AFTER).map_or(0, |ms| Micros::from(ms) * 1_000);
     let congestion = tlvs.iter().find_map(|t| match t.value() {
         Some(TlvValue::CongestionState(c)) => Some(u8::from(*c)),
         _ => None,
--- a/crates/engine/tests/crash.rs
+++ b/crates/engine/tests/crash.rs
@@ -14,7 +14,7 @@
 use heronroute_smpp::client::{Event, Session as Client};
 use heronroute_smpp::receipt::{Answer, Receipt};
 use heronroute_smpp::server::{self, Mode, Session};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use rig::{Dice, LIMITS, SMALL, commit};
 use rusmpp_core::CommandStatus;
 use std::collections::{BTreeMap, BTreeSet};
@@ -137,7 +137,7 @@
         let s = Submission {
             service: ["PAY", "RESP", "STAT"][class].into(),
             destination: format!("{}{:06}", 1 + dice.below(2), world.submitted),
-            wanted: Wanted::Always,
+            wanted: ReceiptRequest::Always,
             body: vec![1; 20],
             ..Submission::default()
         };
--- a/crates/engine/tests/mqtt.rs
+++ b/crates/engine/tests/mqtt.rs
@@ -12,7 +12,7 @@
 use heronroute_journal::{Entry, Journal};
 use heronroute_smpp::client::Session as SmppClient;
 use heronroute_smpp::server::{self, Mode, Session};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use heronroute_standins::mqtt::{Hand, Heard, MqttClient, Who, field};
 use rig::{Dice, LIMITS, SMALL, commit};
 use rusmpp_core::CommandStatus;
@@ -602,7 +602,7 @@
     let s = Submission {
         service: "PAY".into(),
         destination: "1000001".into(),
-        wanted: Wanted::Never,
+        wanted: ReceiptRequest::Never,
         body: b"7".to_vec(),
         ..Submission::default()
     };
--- a/crates/engine/tests/node.rs
+++ b/crates/engine/tests/node.rs
@@ -8,7 +8,7 @@
 use heronroute_smpp::client::{Event, Session};
 use heronroute_smpp::receipt::{Answer, Receipt};
 use heronroute_smpp::server::{Limits, Mode};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     let s = Submission {
         service: "PAY".into(),
         destination: "234".into(),
-        wanted: Wanted::Always,
+        wanted: ReceiptRequest::Always,
         body: b"pay".to_vec(),
         ..Submission::default()
     };
--- a/crates/engine/tests/pause.rs
+++ b/crates/engine/tests/pause.rs
@@ -7,7 +7,7 @@
 use heronroute_journal::{Book, Usage};
 use heronroute_smpp::client::{Event, Session};
 use heronroute_smpp::server::{Limits, Mode};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use rusmpp_core::CommandStatus;
 use std::sync::Arc;
 
@@ -66,7 +66,7 @@
         let s = Submission {
             service: "PAY".into(),
             destination: "234".into(),
-            wanted: Wanted::Never,
+            wanted: ReceiptRequest::Never,
             body: b"pay".to_vec(),
             ..Submission::default()
         };
--- a/crates/mqtt/src/session/deliver.rs
+++ b/crates/mqtt/src/session/deliver.rs
@@ -1,7 +1,7 @@
 //! Sends answers: chooses their topic and packet identifier, and fits them into the client's maximum packet
 //! size.
 
-use super::{Session, Telling};
+use super::{OutgoingAnswer, Session};
 use crate::codec::{self, Publish};
 use crate::topics::matches_filter;
 use bytes::BytesMut;
@@ -19,9 +19,14 @@
         let reply = self.pending.iter_mut().find(|p| p.token == token).and_then(|p| p.reply.take());
         let reply = reply.or_else(|| self.reply_addresses.remove(&token));
         let (topic, correlation) = reply.unwrap_or_default();
-        let answer =
-            Telling { topic: &topic, correlation: &correlation, text, said: properties, before: None };
-        let deliverable = self.wants(&topic).is_some() && self.room() > 0;
+        let answer = OutgoingAnswer {
+            topic: &topic,
+            correlation: &correlation,
+            text,
+            user_properties: properties,
+            before: None,
+        };
+        let deliverable = self.subscribed_qos(&topic).is_some() && self.room() > 0;
         self.complete(token, if deliverable { 0 } else { 0x10 }, String::new(), out);
         if deliverable {
             self.send_answer(&answer, false, out);
@@ -30,7 +35,7 @@
 
     /// Returns the maximum quality of service of the subscriptions that match a topic, if any do. An empty
     /// topic is the client's default answer topic.
-    pub fn wants(&self, topic: &str) -> Option<u8> {
+    pub fn subscribed_qos(&self, topic: &str) -> Option<u8> {
         let own;
         let topic = if topic.is_empty() {
             own = self.default_answer_topic();
@@ -56,14 +61,14 @@
     /// Sends an answer to a topic that the client is subscribed to. Returns its packet identifier, or `None`
     /// if the answer needs no acknowledgement: it was sent with quality of service 0, or can't be sent to
     /// this client.
-    pub fn deliver(&mut self, answer: &Telling<'_>, out: &mut BytesMut) -> Option<u16> {
+    pub fn deliver(&mut self, answer: &OutgoingAnswer<'_>, out: &mut BytesMut) -> Option<u16> {
         self.send_answer(answer, true, out)
     }
 
-    fn send_answer(&mut self, answer: &Telling<'_>, report: bool, out: &mut BytesMut) -> Option<u16> {
+    fn send_answer(&mut self, answer: &OutgoingAnswer<'_>, report: bool, out: &mut BytesMut) -> Option<u16> {
         let own = self.default_answer_topic();
         let topic = if answer.topic.is_empty() { own.as_str() } else { answer.topic };
-        let qos = self.wants(topic)?;
+        let qos = self.subscribed_qos(topic)?;
         let is_free = |id: &u16| !self.in_flight.contains_key(id) && !self.just_acknowledged.contains(id);
         // An answer that was unacknowledged when a connection was lost keeps its packet identifier.
         let resent = answer.before.filter(|p| qos > 0 && is_free(p));
@@ -86,7 +91,11 @@
             duplicate: resent.is_some(),
             payload: answer.text.clone().into_bytes(),
             correlation: Some(answer.correlation.to_vec()).filter(|c| !c.is_empty()),
-            user_properties: answer.said.iter().map(|(k, v)| ((*k).to_string(), v.clone())).collect(),
+            user_properties: answer
+                .user_properties
+                .iter()
+                .map(|(k, v)| ((*k).to_string(), v.clone()))
+                .collect(),
             ..Publish::default()
         };
         let alias_count = self.server_aliases.len();
--- a/crates/mqtt/src/session/mod.rs
+++ b/crates/mqtt/src/session/mod.rs
@@ -9,7 +9,7 @@
 mod receive;
 mod types;
 
-pub use types::{Event, Handed, Telling, handed};
+pub use types::{Event, OutgoingAnswer, SubmittedMessage, submitted_message};
 
 use crate::Micros;
 use crate::codec::{self, Decoder, Version, Will};
--- a/crates/mqtt/src/session/publish.rs
+++ b/crates/mqtt/src/session/publish.rs
@@ -1,6 +1,6 @@
 //! Handles publications of the client and acknowledges them in order.
 
-use super::types::handed;
+use super::types::submitted_message;
 use super::{Event, MAX_TOPIC_ALIASES, Pending, Session};
 use crate::codec::{self, Ack, PROTOCOL_ERROR, Publish, Rejection, Version};
 use crate::topics::{MAX_LENGTH, Target, is_topic, parse_target};
@@ -72,7 +72,7 @@
             (None, Some(Target::Withdraw(id))) => Ok(Event::Withdraw(token, id)),
             (None, Some(Target::Held(levels))) => Ok(Event::Held(token, levels)),
             (None, Some(Target::Message { .. })) => {
-                Ok(Event::Submit(token, Box::new(handed(p).ok_or(PROTOCOL_ERROR)?)))
+                Ok(Event::Submit(token, Box::new(submitted_message(p).ok_or(PROTOCOL_ERROR)?)))
             }
             (None, None) => Err(0x90),
         };
--- a/crates/mqtt/src/session/types.rs
+++ b/crates/mqtt/src/session/types.rs
@@ -7,7 +7,7 @@
 
 /// A message that a client submitted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Handed {
+pub struct SubmittedMessage {
     /// The destination address.
     pub address: String,
     /// The class; empty for the first class.
@@ -40,7 +40,7 @@
     /// A client connects; answered with [`super::Session::admit`] or [`super::Session::refuse`].
     Connect(Box<Connect>),
     /// Submits a message; answered with [`super::Session::taken`] or [`super::Session::denied`].
-    Submit(u32, Box<Handed>),
+    Submit(u32, Box<SubmittedMessage>),
     /// Queries the state of a message; answered with [`super::Session::told`] or [`super::Session::denied`].
     Query(u32, String),
     /// Withdraws a message; answered with [`super::Session::told`] or [`super::Session::denied`].
@@ -61,7 +61,7 @@
 
 /// An answer to send to the client.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Telling<'a> {
+pub struct OutgoingAnswer<'a> {
     /// The topic; empty for the client's default answer topic.
     pub topic: &'a str,
     /// The correlation data.
@@ -69,13 +69,13 @@
     /// The text.
     pub text: String,
     /// The user properties.
-    pub said: Vec<(&'static str, String)>,
+    pub user_properties: Vec<(&'static str, String)>,
     /// The packet identifier on the last connection, if the answer was sent before.
     pub before: Option<u16>,
 }
 
 /// Converts a publication into a message. User properties take precedence over topic levels.
-pub fn handed(p: Publish) -> Option<Handed> {
+pub fn submitted_message(p: Publish) -> Option<SubmittedMessage> {
     let Some(Target::Message { address, mut class, mut key, mut name }) = parse_target(&p.topic) else {
         return None;
     };
@@ -99,7 +99,7 @@
         (None, Some(name)) => name.clone().into_bytes(),
         (None, None) => Vec::new(),
     };
-    Some(Handed {
+    Some(SubmittedMessage {
         address,
         class,
         key,
--- a/crates/mqtt/tests/session.rs
+++ b/crates/mqtt/tests/session.rs
@@ -1,7 +1,7 @@
 //! Tests a session byte by byte against the specifications, and against packets that no client should send.
 
 use bytes::BytesMut;
-use heronroute_mqtt::session::{Event, Limits, Session, Telling};
+use heronroute_mqtt::session::{Event, Limits, OutgoingAnswer, Session};
 use proptest::prelude::*;
 
 const LIMITS: Limits =
@@ -263,13 +263,16 @@
     let subscribe = packet(0x82, &[&[0, 1, 0], &field(b"answers/#"), &[1]]);
     let (_, events) = receive(&mut s, &subscribe);
     assert_eq!(events, [Event::Subscribed(vec![0x90, 4, 0, 1, 0, 1])]);
-    assert_eq!((s.wants("answers/me"), s.wants(""), s.wants("else")), (Some(1), Some(1), None));
-    let answer = |text: &str, before| Telling {
+    assert_eq!(
+        (s.subscribed_qos("answers/me"), s.subscribed_qos(""), s.subscribed_qos("else")),
+        (Some(1), Some(1), None)
+    );
+    let answer = |text: &str, before| OutgoingAnswer {
         correlation: b"c",
         text: text.to_string(),
-        said: vec![("state", "DELIVRD".into()), ("retry-after", "1".into())],
+        user_properties: vec![("state", "DELIVRD".into()), ("retry-after", "1".into())],
         before,
-        ..Telling::default()
+        ..OutgoingAnswer::default()
     };
     let mut out = BytesMut::new();
     assert_eq!(s.deliver(&answer("id:1", Some(9)), &mut out), Some(9), "keeps its earlier packet identifier");
@@ -283,7 +286,7 @@
     let packet_id = s.deliver(&answer("id:2", None), &mut second).unwrap();
     assert!(!second.windows(7).any(|w| w == b"answers"), "sent with its topic alias");
     receive(&mut s, &[0x40, 2, (packet_id >> 8) as u8, packet_id as u8]);
-    let too_long = Telling {
+    let too_long = OutgoingAnswer {
         topic: "answers/a/topic/that/is/much/longer/than/sixty/octets/all/told",
         ..answer("", None)
     };
--- a/crates/smpp/src/client.rs
+++ b/crates/smpp/src/client.rs
@@ -33,7 +33,7 @@
         state: Option<MessageState>,
     },
     /// The peer answered an enquiry.
-    Alive {
+    EnquiryAnswered {
         /// The sequence number of the enquiry.
         sequence: u32,
         /// The status of the response.
@@ -313,7 +313,7 @@
             RequestKind::Message => {
                 events.push(Event::Response { sequence, status, id, tlvs: tlvs.to_vec(), state });
             }
-            RequestKind::Enquire => events.push(Event::Alive { sequence, status }),
+            RequestKind::Enquire => events.push(Event::EnquiryAnswered { sequence, status }),
             RequestKind::Unbind => {
                 self.over = true;
                 events.push(Event::Unbound);
--- a/crates/smpp/src/submission.rs
+++ b/crates/smpp/src/submission.rs
@@ -10,7 +10,7 @@
 
 /// The outcomes for which the client requests a receipt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Wanted {
+pub enum ReceiptRequest {
     /// Every outcome.
     Always,
     /// Failures only.
@@ -36,7 +36,7 @@
     /// Whether the message uses forward (transaction) mode, in which the response itself is the final answer.
     pub forward: bool,
     /// The requested receipts.
-    pub wanted: Wanted,
+    pub wanted: ReceiptRequest,
     /// The ordering key, in classes that keep order.
     pub key: Option<String>,
     /// Whether the message was submitted before.
@@ -51,8 +51,8 @@
     pub identity: Option<String>,
 }
 
-fn requested_receipts(r: RegisteredDelivery) -> Wanted {
-    Wanted::from_code(u32::from(u8::from(r)))
+fn requested_receipts(r: RegisteredDelivery) -> ReceiptRequest {
+    ReceiptRequest::from_code(u32::from(u8::from(r)))
 }
 
 impl Submission {
@@ -114,7 +114,7 @@
         self.forward = byte & 3 == 2;
         // Datagram mode has no receipts by definition.
         if byte & 3 == 1 {
-            self.wanted = Wanted::Never;
+            self.wanted = ReceiptRequest::Never;
         }
         self.esm = byte & 0b1100_0000;
         Ok(())
@@ -185,34 +185,34 @@
     }
 }
 
-impl Wanted {
+impl ReceiptRequest {
     /// Returns the code in registered_delivery.
     pub fn code(self) -> u32 {
         match self {
-            Wanted::Never => 0,
-            Wanted::Always => 1,
-            Wanted::Failure => 2,
-            Wanted::Success => 3,
+            ReceiptRequest::Never => 0,
+            ReceiptRequest::Always => 1,
+            ReceiptRequest::Failure => 2,
+            ReceiptRequest::Success => 3,
         }
     }
 
     /// Returns the value for a code in registered_delivery.
     pub fn from_code(code: u32) -> Self {
         match code & 3 {
-            1 => Wanted::Always,
-            2 => Wanted::Failure,
-            3 => Wanted::Success,
-            _ => Wanted::Never,
+            1 => ReceiptRequest::Always,
+            2 => ReceiptRequest::Failure,
+            3 => ReceiptRequest::Success,
+            _ => ReceiptRequest::Never,
         }
     }
 
     /// Returns whether a receipt is requested for a success (`delivered`) or a failure.
     pub fn receipt(self, delivered: bool) -> bool {
         match self {
-            Wanted::Always => true,
-            Wanted::Failure => !delivered,
-            Wanted::Success => delivered,
-            Wanted::Never => false,
+            ReceiptRequest::Always => true,
+            ReceiptRequest::Failure => !delivered,
+            ReceiptRequest::Success => delivered,
+            ReceiptRequest::Never => false,
         }
     }
 }
--- a/crates/smpp/src/tags.rs
+++ b/crates/smpp/src/tags.rs
@@ -11,7 +11,7 @@
 /// To receivers: the identity of the message as bytes, the same for each attempt.
 pub const MESSAGE_IDENTITY: u16 = 0x1503;
 /// From receivers: in an error response, the milliseconds to wait before a retry, in four bytes.
-pub const WAIT: u16 = 0x1504;
+pub const RECEIVER_RETRY_AFTER: u16 = 0x1504;
 /// From clients: 1 if the message was submitted before, in one byte.
 pub const RESUBMITTED: u16 = 0x1505;
 
--- a/crates/smpp/tests/session.rs
+++ b/crates/smpp/tests/session.rs
@@ -5,7 +5,7 @@
 use heronroute_smpp::codec::{Decoder, Frame, encode};
 use heronroute_smpp::receipt::{Answer, Receipt};
 use heronroute_smpp::server::{Event, Limits, Mode, Session, peek_system_id};
-use heronroute_smpp::submission::{Submission, Wanted};
+use heronroute_smpp::submission::{ReceiptRequest, Submission};
 use proptest::prelude::*;
 use rusmpp_core::pdus::owned::Pdu;
 use rusmpp_core::{CommandId, CommandStatus};
@@ -25,7 +25,7 @@
         source: "a".into(),
         destination: "234801".into(),
         validity: Some(60_000_000),
-        wanted: Wanted::Always,
+        wanted: ReceiptRequest::Always,
         key: Some("k1".into()),
         body: b"hello".to_vec(),
         ..Submission::default()
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -257,7 +257,7 @@
                 }
                 self.lost(i);
             }
-            Event::Alive { .. } | Event::Stray(_) => {}
+            Event::EnquiryAnswered { .. } | Event::Stray(_) => {}
         }
     }
 
--- a/crates/standins/src/farm.rs
+++ b/crates/standins/src/farm.rs
@@ -290,7 +290,7 @@
                 if wait > 0 {
                     let ms = (wait / 1_000) as u32;
                     let value = AnyOctetString::from_vec(ms.to_be_bytes().to_vec());
-                    tlvs.push(Tlv::Other { tag: tags::tag(tags::WAIT), value });
+                    tlvs.push(Tlv::Other { tag: tags::tag(tags::RECEIVER_RETRY_AFTER), value });
                 }
                 session.submitted(sequence, "", CommandStatus::EsmeRthrottled, tlvs, &mut out);
             }
