--- a/crates/ship/benches/ship.rs
+++ b/crates/ship/benches/ship.rs
@@ -1,5 +1,5 @@
-//! What a copy costs, in memory: plain commits, commits that are chained, and commits that are shipped to a copy, in one
-//! run; resuming after 100,000 entries of lag, from the log and from the book; octets held.
+//! The cost of replication with in-memory storage: plain commits, chained commits, and replicated commits, in
+//! one run; resuming after a lag of 100,000 entries, from the log and from a snapshot; bytes buffered.
 //!
 //! `cargo bench -p heronroute-ship --bench ship`
 
@@ -18,7 +18,7 @@
     Name::new("a").expect("a name")
 }
 
-/// One message's life: four entries.
+/// Returns the four entries of one message's life cycle.
 fn life(id: u64) -> [Entry; 4] {
     let at = 1_796_083_200_000_000;
     let accepted = Accepted {
@@ -40,14 +40,14 @@
     ]
 }
 
-fn batches() -> Vec<Vec<Entry>> {
+fn commit_batches() -> Vec<Vec<Entry>> {
     let one = |b: u64| (0..COMMIT as u64 / 4).flat_map(|i| life(b * COMMIT as u64 + i)).collect();
     (0..COMMITS).map(one).collect()
 }
 
 fn sender(journal: &Journal<Disk>) -> Sender {
     let origin = Origin { life: Life { name: name(), start: Start(1) }, sender: 0 };
-    // Fewer than the lag below, so that it has to be read again.
+    // Fewer than the lag below, so that entries have to be read from the log again.
     Sender::new(origin, Bounds { entries: 20_000, ..Bounds::default() }, journal, 0)
 }
 
@@ -55,7 +55,8 @@
     Copying::open(Disk::default(), name(), 0, Limits::default(), 4 << 20).expect("copy")
 }
 
-/// Carries messages both ways until nothing moves; gives the most octets that the two sides held.
+/// Exchanges messages until both sides are idle. Returns the maximum number of bytes that they buffered
+/// together.
 fn settle(journal: &Journal<Disk>, s: &mut Sender, cursors: &mut Cursors, r: &mut Copying<Disk>) -> usize {
     let mut most = 0;
     loop {
@@ -78,12 +79,12 @@
     }
 }
 
-/// An origin that is `COMMITS` commits ahead of an empty copy, `times` over.
+/// Returns an origin that is `times * COMMITS` commits ahead of an empty copy.
 fn lagging(times: u64, limits: Limits) -> (Journal<Disk>, Sender) {
     let mut journal = Journal::open_chained(Disk::default(), limits).expect("journal");
     let mut s = sender(&journal);
     for _ in 0..times {
-        for b in &batches() {
+        for b in &commit_batches() {
             let first = journal.durable();
             journal.commit(b).expect("commit");
             s.wrote(0, first, b);
@@ -92,8 +93,8 @@
     (journal, s)
 }
 
-fn costs(c: &mut Criterion) {
-    let batches = batches();
+fn bench_replication(c: &mut Criterion) {
+    let commit_batches = commit_batches();
     let mut group = c.benchmark_group("entries");
     group.sample_size(20).throughput(Throughput::Elements(COMMIT as u64 * COMMITS));
     for (what, chained) in [("plain commits", false), ("chained commits", true)] {
@@ -103,7 +104,7 @@
             b.iter_batched(
                 fresh,
                 |mut j| {
-                    batches.iter().for_each(|b| _ = j.commit(b).expect("commit"));
+                    commit_batches.iter().for_each(|b| _ = j.commit(b).expect("commit"));
                     j
                 },
                 BatchSize::PerIteration,
@@ -121,7 +122,7 @@
         b.iter_batched(
             fresh,
             |(mut journal, mut s, mut r, mut cursors)| {
-                for b in &batches {
+                for b in &commit_batches {
                     let first = journal.durable();
                     journal.commit(b).expect("commit");
                     s.wrote(0, first, b);
@@ -153,10 +154,10 @@
                 BatchSize::PerIteration,
             );
         });
-        println!("{what}: {held} octets held by both sides at most");
+        println!("{what}: both sides buffered {held} bytes at most");
     }
     group.finish();
 }
 
-criterion_group!(benches, costs);
+criterion_group!(benches, bench_replication);
 criterion_main!(benches);
--- a/crates/ship/src/copy/mod.rs
+++ b/crates/ship/src/copy/mod.rs
@@ -1,4 +1,4 @@
-//! The receiving side.
+//! The receiving side of replication.
 
 mod folder;
 mod take;
@@ -11,51 +11,53 @@
 use heronroute_journal::{Base, Book, Entry, Journal, JournalError, Limits, Mark, Storage};
 use std::collections::VecDeque;
 
-/// Commits that found no room are tried again after this, in microseconds.
-const RETRY: Micros = 1_000_000;
-/// Answers that wait at most; beyond them the origin hears nothing, and begins a new talk.
-const ANSWERS: usize = 64;
+/// The delay before a commit that found the storage full is retried, in microseconds.
+const FULL_RETRY_DELAY: Micros = 1_000_000;
+/// The maximum number of queued replies. Further ones are dropped, and the origin begins a new session.
+const MAX_QUEUED_REPLIES: usize = 64;
 
-/// A copy of one sender's journal, and the receiving side of it.
+/// The copy of one sender's journal, with the receiving side of its replication.
 #[derive(Debug)]
 pub struct Copying<S> {
     name: Name,
     sender: u32,
     limits: Limits,
     window: usize,
-    /// None only after its storage was lost in putting a copy aside.
+    /// None only after its storage was lost while a copy was set aside.
     journal: Option<Journal<S>>,
-    /// The newest life that wrote, which is durable, and its talk.
+    /// The newest life that wrote, which is recorded durably, and its session.
     life: Option<Start>,
     talk: u32,
-    /// What came and is not durable: entries, their octets, and where they lead.
-    waiting: Vec<Entry>,
-    octets: usize,
-    coming: Mark,
-    /// The beginning of an entry whose end has not come.
-    piece: Vec<u8>,
-    base: Option<Base>,
-    /// Where the entries of the base that came lead; more than it has, as what is of a snapshot alone is left out.
-    taken: Mark,
-    /// It was told where to go on from, after something was missing.
-    told: bool,
-    full: Option<Micros>,
+    /// Received entries that are not durable, their bytes, and the position after them.
+    uncommitted: Vec<Entry>,
+    uncommitted_bytes: usize,
+    next_mark: Mark,
+    /// The received part of an entry that is incomplete.
+    partial_entry: Vec<u8>,
+    replacement: Option<Base>,
+    /// The position after the received entries of the snapshot. It counts more entries than are stored, as
+    /// entries that belong to the origin's snapshot only are left out.
+    snapshot_mark: Mark,
+    /// The position was sent after a gap, and no entry has followed since.
+    position_resent: bool,
+    commit_retry_at: Option<Micros>,
     failed: bool,
-    out: VecDeque<Down>,
-    /// What an older life is told; the last of them.
-    refused: Option<Message<Down>>,
+    replies: VecDeque<Down>,
+    /// The latest reply to an older life.
+    old_life_reply: Option<Message<Down>>,
     notices: Notices,
-    /// Messages that made no sense.
-    bad: u64,
+    /// The number of invalid messages.
+    invalid_messages: u64,
 }
 
 impl<S: Storage> Copying<S> {
-    /// Opens the copy of a member's sender in a folder, or makes one. `limits.most` bounds the folder, but for one copy that is
-    /// kept aside and, while a book comes, the copy before it; each is at most as large. `window`: octets of entries that may be on their way or wait for their
+    /// Opens the copy of a member's sender in a folder, or creates one. `limits.most` bounds the folder,
+    /// except for one copy that is set aside and, while a snapshot is received, the previous copy; each is at
+    /// most as large. `window` is the number of bytes of entries that may be in flight or wait for their
     /// commit.
     ///
     /// # Errors
-    /// Where the folder is another's or broken, or the storage fails.
+    /// The folder has the copy of another origin or is corrupt, or the storage fails.
     pub fn open(
         mut storage: S,
         name: Name,
@@ -63,10 +65,10 @@
         limits: Limits,
         window: usize,
     ) -> Result<Self, CopyError> {
-        folder::go_on(&mut storage)?;
-        let origin = folder::whose(&mut storage)?;
+        folder::finish_set_aside(&mut storage)?;
+        let origin = folder::read_origin(&mut storage)?;
         if let Some(o) = origin.as_ref().filter(|o| o.life.name != name || o.sender != sender) {
-            return Err(CopyError::Another(o.life.name.to_string(), o.sender));
+            return Err(CopyError::OtherOrigin(o.life.name.to_string(), o.sender));
         }
         let journal = Journal::open_chained(storage, limits)?;
         let mut copy = Copying {
@@ -77,156 +79,159 @@
             journal: Some(journal),
             life: origin.map(|o| o.life.start),
             talk: 0,
-            waiting: Vec::new(),
-            octets: 0,
-            coming: Mark::default(),
-            piece: Vec::new(),
-            base: None,
-            taken: Mark::default(),
-            told: false,
-            full: None,
+            uncommitted: Vec::new(),
+            uncommitted_bytes: 0,
+            next_mark: Mark::default(),
+            partial_entry: Vec::new(),
+            replacement: None,
+            snapshot_mark: Mark::default(),
+            position_resent: false,
+            commit_retry_at: None,
             failed: false,
-            out: VecDeque::new(),
-            refused: None,
+            replies: VecDeque::new(),
+            old_life_reply: None,
             notices: Notices::default(),
-            bad: 0,
+            invalid_messages: 0,
         };
-        copy.start_over();
+        copy.discard_uncommitted();
         Ok(copy)
     }
 
-    /// The journal that the copy is, for a take-over. What is not durable is let go. None where its storage has failed.
+    /// Returns the journal of the copy, for a takeover. Entries that are not durable are dropped. None if the
+    /// storage failed.
     pub fn into_journal(self) -> Option<Journal<S>> {
         self.journal.filter(|_| !self.failed)
     }
 
-    /// Messages that made no sense, and were passed over.
-    pub fn bad(&self) -> u64 {
-        self.bad
+    /// Returns the number of invalid messages, which were ignored.
+    pub fn invalid_messages(&self) -> u64 {
+        self.invalid_messages
     }
 
-    /// Forgets all that is not durable.
-    fn start_over(&mut self) {
-        (self.waiting, self.octets, self.piece) = (Vec::new(), 0, Vec::new());
-        if self.base.take().is_some()
+    /// Discards everything that is not durable.
+    fn discard_uncommitted(&mut self) {
+        (self.uncommitted, self.uncommitted_bytes, self.partial_entry) = (Vec::new(), 0, Vec::new());
+        if self.replacement.take().is_some()
             && let Some(journal) = &mut self.journal
             && journal.base_drop().is_err()
         {
-            self.fail();
+            self.fail_storage();
         }
-        (self.taken, self.told, self.full) = (Mark::default(), false, None);
-        self.coming = self.at();
+        (self.snapshot_mark, self.position_resent, self.commit_retry_at) = (Mark::default(), false, None);
+        self.next_mark = self.position();
     }
 
-    /// Where the copy stands.
-    fn at(&self) -> Mark {
+    /// Returns the position of the copy.
+    fn position(&self) -> Mark {
         self.journal.as_ref().and_then(Journal::chain).map(|c| c.at()).unwrap_or_default()
     }
 
-    fn say(&mut self, down: Down) {
-        if self.out.len() < ANSWERS {
-            self.out.push_back(down);
+    fn reply(&mut self, down: Down) {
+        if self.replies.len() < MAX_QUEUED_REPLIES {
+            self.replies.push_back(down);
         }
     }
 
-    fn have(&mut self) {
+    fn reply_position(&mut self) {
         let Some(chain) = self.journal.as_ref().and_then(Journal::chain) else { return };
         let marks = chain.marks().iter().copied().map(wire::point).collect();
         let window = u32::try_from(self.window).unwrap_or(u32::MAX);
-        let have = Down::Have { at: wire::point(chain.at()), marks, window };
-        self.say(have);
+        let reply = Down::Have { at: wire::point(chain.at()), marks, window };
+        self.reply(reply);
     }
 
-    /// The storage has failed: what is durable is known to the next opening alone.
-    fn fail(&mut self) {
+    /// Handles a storage failure. Only the next opening of the folder shows which entries are durable.
+    fn fail_storage(&mut self) {
         if !self.failed {
             self.failed = true;
-            self.notices.tell(Notice::Failed);
+            self.notices.push(Notice::Failed);
         }
-        (self.waiting, self.octets, self.piece) = (Vec::new(), 0, Vec::new());
-        self.say(Down::Failed);
+        (self.uncommitted, self.uncommitted_bytes, self.partial_entry) = (Vec::new(), 0, Vec::new());
+        self.reply(Down::Failed);
     }
 
     fn hello(&mut self, origin: &Origin, talk: u32, acked: u64) {
         if self.life != Some(origin.life.start) {
-            // Durable first: guards against an older life's messages after a restart here.
-            let claimed = self.journal.as_mut().is_some_and(|j| folder::claim(j.storage(), origin).is_ok());
-            if !claimed {
-                return self.fail();
+            // Recorded durably first, so that messages of an older life are still rejected after a restart of
+            // this process.
+            let recorded =
+                self.journal.as_mut().is_some_and(|j| folder::write_origin(j.storage(), origin).is_ok());
+            if !recorded {
+                return self.fail_storage();
             }
             self.life = Some(origin.life.start);
         } else if talk <= self.talk {
             return;
         }
         self.talk = talk;
-        self.out.clear();
-        self.start_over();
+        self.replies.clear();
+        self.discard_uncommitted();
         if self.failed {
-            return self.say(Down::Failed);
+            return self.reply(Down::Failed);
         }
-        let found = self.at().number;
+        let found = self.position().number;
         if found < acked {
-            self.notices.tell(Notice::OldCopy { acked, found });
+            self.notices.push(Notice::OldCopy { acked, found });
         }
-        self.have();
+        self.reply_position();
     }
 
-    /// The copy that stands there is not the origin's.
-    fn aside(&mut self, copy: Mark, origin: u64) {
-        if self.at() != copy {
+    /// Sets aside a copy that has diverged from the origin.
+    fn set_aside_copy(&mut self, copy: Mark, origin: u64) {
+        if self.position() != copy {
             return;
         }
-        self.start_over();
-        self.notices.tell(Notice::Parted { copy: copy.number, origin });
+        self.discard_uncommitted();
+        self.notices.push(Notice::Parted { copy: copy.number, origin });
         let Some(mut journal) = self.journal.take() else { return };
-        // One is kept, and no more: a folder has an end.
-        if folder::has_aside(journal.storage()).unwrap_or(true) {
+        // Only one copy is kept, as the folder's space is limited.
+        if folder::has_set_aside_copy(journal.storage()).unwrap_or(true) {
             self.journal = Some(journal);
-            self.notices.tell(Notice::Blocked);
-            return self.say(Down::Blocked);
+            self.notices.push(Notice::Blocked);
+            return self.reply(Down::Blocked);
         }
         let mut storage = journal.into_storage();
-        let opened = match folder::put_aside(&mut storage) {
+        let opened = match folder::set_aside(&mut storage) {
             Ok(()) => Journal::open_chained(storage, self.limits).ok(),
             Err(_) => None,
         };
-        let Some(journal) = opened else { return self.fail() };
+        let Some(journal) = opened else { return self.fail_storage() };
         self.journal = Some(journal);
-        self.start_over();
-        self.have();
+        self.discard_uncommitted();
+        self.reply_position();
     }
 
-    /// Makes durable what waits, all of it in one commit.
+    /// Makes all received entries durable in one commit.
     fn commit(&mut self, now: Micros) {
-        if self.waiting.is_empty() || self.failed || self.full.is_some_and(|at| now < at) {
+        if self.uncommitted.is_empty() || self.failed || self.commit_retry_at.is_some_and(|at| now < at) {
             return;
         }
         let Some(journal) = &mut self.journal else { return };
-        let mut done = journal.commit(&self.waiting);
-        if matches!(done, Err(JournalError::Full)) {
-            // A snapshot drops the log before it.
-            done = match journal.snapshot() {
-                Ok(()) => journal.commit(&self.waiting),
+        let mut result = journal.commit(&self.uncommitted);
+        if matches!(result, Err(JournalError::Full)) {
+            // A snapshot frees the space of the log before it.
+            result = match journal.snapshot() {
+                Ok(()) => journal.commit(&self.uncommitted),
                 Err(JournalError::Storage(e)) if e.kind() == std::io::ErrorKind::StorageFull => {
                     Err(JournalError::Full)
                 }
                 Err(e) => Err(e),
             };
         }
-        match done {
+        match result {
             Ok(next) => {
-                (self.waiting, self.octets, self.full) = (Vec::new(), 0, None);
-                self.out.retain(|d| !matches!(d, Down::Durable { .. } | Down::Full));
-                self.say(Down::Durable { next });
+                (self.uncommitted, self.uncommitted_bytes, self.commit_retry_at) = (Vec::new(), 0, None);
+                self.replies.retain(|d| !matches!(d, Down::Durable { .. } | Down::Full));
+                self.reply(Down::Durable { next });
             }
             Err(JournalError::Full) => {
-                if self.full.is_none() {
-                    self.notices.tell(Notice::Full);
-                    self.say(Down::Full);
+                if self.commit_retry_at.is_none() {
+                    self.notices.push(Notice::Full);
+                    self.reply(Down::Full);
                 }
-                self.full = Some(now.saturating_add(RETRY));
+                self.commit_retry_at = Some(now.saturating_add(FULL_RETRY_DELAY));
             }
-            Err(_) => self.fail(),
+            Err(_) => self.fail_storage(),
         }
     }
 }
@@ -234,19 +239,19 @@
 impl<S: Storage> Receiver for Copying<S> {
     fn heard(&mut self, _now: Micros, payload: &[u8]) {
         let Some(Message { origin, talk, body }) = wire::read::<Up>(payload) else {
-            self.bad += 1;
+            self.invalid_messages += 1;
             return;
         };
         if origin.life.name != self.name || origin.sender != self.sender {
-            self.bad += 1;
+            self.invalid_messages += 1;
             return;
         }
-        // Guards against a life that was paused or cut off, and has been followed by another.
+        // Rejects a life that was paused or disconnected and has been superseded by another.
         if let Some(known) = self.life.filter(|known| origin.life.start < *known) {
-            self.notices.tell(Notice::OldLife { known: known.0 });
-            // Said in that life's own talk, whatever talk stands.
-            let old = Message { origin, talk, body: Down::Old { start: known.0 } };
-            self.refused = Some(old);
+            self.notices.push(Notice::OldLife { known: known.0 });
+            // Sent in that life's own session, whichever session is current.
+            let old = Message { origin, talk, body: Down::NewerLife { start: known.0 } };
+            self.old_life_reply = Some(old);
             return;
         }
         if let Up::Hello { acked, .. } = body {
@@ -256,19 +261,19 @@
             return;
         }
         if self.failed {
-            return self.say(Down::Failed);
+            return self.reply(Down::Failed);
         }
-        self.take(body);
+        self.handle(body);
     }
 
     fn poll(&mut self, now: Micros) -> Option<Vec<u8>> {
-        if let Some(old) = self.refused.take() {
+        if let Some(old) = self.old_life_reply.take() {
             return wire::write(&old);
         }
         self.commit(now);
         let life = Life { name: self.name.clone(), start: self.life? };
         let origin = Origin { life, sender: self.sender };
-        let body = self.out.pop_front()?;
+        let body = self.replies.pop_front()?;
         wire::write(&Message { origin, talk: self.talk, body })
     }
 
@@ -282,10 +287,10 @@
     }
 
     fn held(&self) -> usize {
-        self.octets + self.piece.len()
+        self.uncommitted_bytes + self.partial_entry.len()
     }
 
     fn wake(&self) -> Option<Micros> {
-        self.full.filter(|_| !self.waiting.is_empty() && !self.failed)
+        self.commit_retry_at.filter(|_| !self.uncommitted.is_empty() && !self.failed)
     }
 }
--- a/crates/ship/src/copy/take.rs
+++ b/crates/ship/src/copy/take.rs
@@ -1,167 +1,169 @@
-//! What the receiving side makes of what the origin sends.
+//! Handles the messages of the origin at the receiving side.
 
 use super::Copying;
 use crate::Notice;
-use crate::wire::{self, Down, Entries, LARGEST, PIECE, Up};
+use crate::wire::{self, Down, Entries, MAX_CHUNK_BYTES, MAX_ENTRY_BYTES, Up};
 use heronroute_journal::entry::What;
 use heronroute_journal::{Chain, Entry, JournalError, Mark, Storage, frame};
 use prost::Message as _;
 
-/// Why entries were not taken.
-enum No {
-    /// Something before them is missing, or they are here.
-    Elsewhere,
-    /// They can't be kept as they are.
-    Odd,
+/// The reason why entries were rejected.
+enum Rejection {
+    /// Entries before them are missing, or they were received already.
+    OutOfSequence,
+    /// They can't be stored unchanged.
+    Invalid,
 }
 
-/// Puts a piece behind what came of its entry before. Gives the entries once they are whole.
-fn whole(piece: &mut Vec<u8>, entries: &Entries) -> Result<Option<Vec<u8>>, No> {
-    if piece.len() + entries.octets.len() > LARGEST + PIECE {
-        return Err(No::Odd);
+/// Appends a part of an entry to its earlier parts. Returns the encoded entries once they are complete.
+fn append_part(partial_entry: &mut Vec<u8>, entries: &Entries) -> Result<Option<Vec<u8>>, Rejection> {
+    if partial_entry.len() + entries.octets.len() > MAX_ENTRY_BYTES + MAX_CHUNK_BYTES {
+        return Err(Rejection::Invalid);
     }
-    if entries.more || !piece.is_empty() {
-        piece.extend_from_slice(&entries.octets);
-        return Ok((!entries.more).then(|| std::mem::take(piece)));
+    if entries.more || !partial_entry.is_empty() {
+        partial_entry.extend_from_slice(&entries.octets);
+        return Ok((!entries.more).then(|| std::mem::take(partial_entry)));
     }
     Ok(Some(entries.octets.clone()))
 }
 
-/// The entries, if they lead where they should.
-fn read(octets: &[u8], entries: &Entries, mark: &mut Mark) -> Result<Vec<Entry>, No> {
-    let mut to = *mark;
+/// Decodes entries and checks that they lead to the expected position.
+fn decode_entries(octets: &[u8], entries: &Entries, mark: &mut Mark) -> Result<Vec<Entry>, Rejection> {
+    let mut next = *mark;
     let mut list = Vec::new();
     for raw in frame::pieces(octets) {
-        let entry = Entry::decode(raw).map_err(|_| No::Odd)?;
-        // Guards against a field that this version does not know, and would leave out of the copy.
+        let entry = Entry::decode(raw).map_err(|_| Rejection::Invalid)?;
+        // Rejects an entry with a field that this version does not know and would leave out of the copy.
         if entry.encoded_len() != raw.len() {
-            return Err(No::Odd);
+            return Err(Rejection::Invalid);
         }
-        to.push(raw);
+        next.push(raw);
         list.push(entry);
     }
-    if to != (Mark { number: mark.number + entries.count, digest: entries.digest }) {
-        return Err(No::Odd);
+    if next != (Mark { number: mark.number + entries.count, digest: entries.digest }) {
+        return Err(Rejection::Invalid);
     }
-    *mark = to;
+    *mark = next;
     Ok(list)
 }
 
 impl<S: Storage> Copying<S> {
-    pub(super) fn take(&mut self, up: Up) {
+    pub(super) fn handle(&mut self, up: Up) {
         match up {
             Up::Run(entries) => {
-                let (first, done) = (entries.first, self.run(&entries));
-                self.end(first, done);
+                let (first, result) = (entries.first, self.receive_log_entries(&entries));
+                self.finish(first, result);
             }
             Up::Part(entries) => {
-                let done = self.part(&entries);
-                self.end(entries.first, done);
+                let result = self.receive_snapshot_entries(&entries);
+                self.finish(entries.first, result);
             }
             Up::Base { at, marks } => {
-                self.start_over();
-                let chain = Chain::new(wire::mark(at), marks.into_iter().map(wire::mark));
-                if at.0 < self.at().number {
-                    return self.end(at.0, Err(No::Odd));
+                self.discard_uncommitted();
+                let chain = Chain::new(wire::to_mark(at), marks.into_iter().map(wire::to_mark));
+                if at.0 < self.position().number {
+                    return self.finish(at.0, Err(Rejection::Invalid));
                 }
-                let begun = self.journal.as_mut().map(|j| j.base_begin(chain));
-                match begun {
-                    Some(Ok(base)) => self.base = Some(base),
-                    Some(Err(JournalError::Full)) => self.no_room(),
-                    Some(Err(e)) => self.storage_failed(&e),
+                let result = self.journal.as_mut().map(|j| j.base_begin(chain));
+                match result {
+                    Some(Ok(replacement)) => self.replacement = Some(replacement),
+                    Some(Err(JournalError::Full)) => self.reject_snapshot_for_space(),
+                    Some(Err(e)) => self.handle_storage_error(&e),
                     None => {}
                 }
             }
             Up::BaseEnd { count } => {
-                let Some(base) = self.base.take() else { return };
-                if count != self.taken.number || !self.piece.is_empty() {
-                    self.base = Some(base);
-                    return self.end(count, Err(No::Elsewhere));
+                let Some(replacement) = self.replacement.take() else { return };
+                if count != self.snapshot_mark.number || !self.partial_entry.is_empty() {
+                    self.replacement = Some(replacement);
+                    return self.finish(count, Err(Rejection::OutOfSequence));
                 }
-                let done = self.journal.as_mut().map(|j| j.base_end(base));
-                match done {
+                let result = self.journal.as_mut().map(|j| j.base_end(replacement));
+                match result {
                     Some(Ok(())) => {
-                        self.start_over();
-                        self.have();
+                        self.discard_uncommitted();
+                        self.reply_position();
                     }
-                    Some(Err(e)) => self.storage_failed(&e),
+                    Some(Err(e)) => self.handle_storage_error(&e),
                     None => {}
                 }
             }
-            Up::Aside { copy, origin } => self.aside(wire::mark(copy), origin),
+            Up::Aside { copy, origin } => self.set_aside_copy(wire::to_mark(copy), origin),
             Up::Hello { .. } => {}
         }
     }
 
-    fn end(&mut self, number: u64, done: Result<(), No>) {
-        match done {
+    fn finish(&mut self, number: u64, result: Result<(), Rejection>) {
+        match result {
             Ok(()) => {}
-            // Once, until it goes on from there.
-            Err(No::Elsewhere) if self.told => {}
-            Err(No::Elsewhere) => {
-                self.start_over();
-                self.told = true;
-                self.have();
+            // The position is sent once, until entries follow from there.
+            Err(Rejection::OutOfSequence) if self.position_resent => {}
+            Err(Rejection::OutOfSequence) => {
+                self.discard_uncommitted();
+                self.position_resent = true;
+                self.reply_position();
             }
-            Err(No::Odd) => {
-                self.start_over();
-                self.notices.tell(Notice::Odd { number });
-                self.say(Down::Odd { number });
+            Err(Rejection::Invalid) => {
+                self.discard_uncommitted();
+                self.notices.push(Notice::EntryRejected { number });
+                self.reply(Down::EntryRejected { number });
             }
         }
     }
 
-    fn run(&mut self, entries: &Entries) -> Result<(), No> {
-        // Never more than was allowed: guards against an origin that heeds no window.
-        let piece = entries.more || !self.piece.is_empty();
-        if self.base.is_some()
-            || entries.first != self.coming.number
-            || (!piece && self.octets > 0 && self.octets + entries.octets.len() > self.window)
+    fn receive_log_entries(&mut self, entries: &Entries) -> Result<(), Rejection> {
+        // Never buffers more than the window, in case the origin ignores it.
+        let partial = entries.more || !self.partial_entry.is_empty();
+        if self.replacement.is_some()
+            || entries.first != self.next_mark.number
+            || (!partial
+                && self.uncommitted_bytes > 0
+                && self.uncommitted_bytes + entries.octets.len() > self.window)
         {
-            return Err(No::Elsewhere);
+            return Err(Rejection::OutOfSequence);
         }
-        self.told = false;
-        let Some(octets) = whole(&mut self.piece, entries)? else { return Ok(()) };
-        let list = read(&octets, entries, &mut self.coming)?;
-        self.octets += octets.len();
-        self.waiting.extend(list);
+        self.position_resent = false;
+        let Some(octets) = append_part(&mut self.partial_entry, entries)? else { return Ok(()) };
+        let list = decode_entries(&octets, entries, &mut self.next_mark)?;
+        self.uncommitted_bytes += octets.len();
+        self.uncommitted.extend(list);
         Ok(())
     }
 
-    fn part(&mut self, entries: &Entries) -> Result<(), No> {
-        if self.base.is_none() || entries.first != self.taken.number {
-            return Err(No::Elsewhere);
+    fn receive_snapshot_entries(&mut self, entries: &Entries) -> Result<(), Rejection> {
+        if self.replacement.is_none() || entries.first != self.snapshot_mark.number {
+            return Err(Rejection::OutOfSequence);
         }
-        let Some(octets) = whole(&mut self.piece, entries)? else { return Ok(()) };
-        let list = read(&octets, entries, &mut self.taken)?;
-        // What is of the origin's snapshot alone.
-        let own = |e: &Entry| matches!(e.what, Some(What::Chain(_)));
-        let list: Vec<Entry> = list.into_iter().filter(|e| !own(e)).collect();
-        let done = match (&mut self.journal, &mut self.base) {
-            (Some(journal), Some(base)) => journal.base_part(base, &list),
+        let Some(octets) = append_part(&mut self.partial_entry, entries)? else { return Ok(()) };
+        let list = decode_entries(&octets, entries, &mut self.snapshot_mark)?;
+        // Entries that belong to the origin's snapshot only.
+        let is_snapshot_only = |e: &Entry| matches!(e.what, Some(What::Chain(_)));
+        let list: Vec<Entry> = list.into_iter().filter(|e| !is_snapshot_only(e)).collect();
+        let result = match (&mut self.journal, &mut self.replacement) {
+            (Some(journal), Some(replacement)) => journal.base_part(replacement, &list),
             _ => Ok(()),
         };
-        match done {
+        match result {
             Ok(()) => {
-                let count = self.taken.number;
-                self.out.retain(|d| !matches!(d, Down::Taken { .. }));
-                self.say(Down::Taken { count });
+                let count = self.snapshot_mark.number;
+                self.replies.retain(|d| !matches!(d, Down::SnapshotReceived { .. }));
+                self.reply(Down::SnapshotReceived { count });
             }
-            Err(JournalError::Full) => self.no_room(),
-            Err(e) => self.storage_failed(&e),
+            Err(JournalError::Full) => self.reject_snapshot_for_space(),
+            Err(e) => self.handle_storage_error(&e),
         }
         Ok(())
     }
 
-    /// A book does not fit: what was there before still counts.
-    fn no_room(&mut self) {
-        self.start_over();
-        self.notices.tell(Notice::Full);
-        self.say(Down::Full);
+    /// Handles a snapshot that does not fit. The previous copy remains valid.
+    fn reject_snapshot_for_space(&mut self) {
+        self.discard_uncommitted();
+        self.notices.push(Notice::Full);
+        self.reply(Down::Full);
     }
 
-    fn storage_failed(&mut self, e: &JournalError) {
+    fn handle_storage_error(&mut self, e: &JournalError) {
         let full = matches!(e, JournalError::Storage(e) if e.kind() == std::io::ErrorKind::StorageFull);
-        if full { self.no_room() } else { self.fail() }
+        if full { self.reject_snapshot_for_space() } else { self.fail_storage() }
     }
 }
--- a/crates/ship/src/lib.rs
+++ b/crates/ship/src/lib.rs
@@ -1,13 +1,17 @@
-//! A sender's journal, copied to a partner in the other region as it is written.
+//! Replicates a sender's journal to a partner in the other region while it is written.
 //!
-//! Does: sends entries on in order, a window at a time, and says how far they are durable at the partner ([`Shipper`]); takes
-//! them there, writes them into a copy that is a journal itself, and says how far ([`Receiver`]); after a cut goes on
-//! from the last place both agree on.
-//! Between them [`wire`]; the sending side is [`Sender`], the receiving one [`Copying`]. The thread that has the journal answers what
-//! the sending side wants of the log ([`serve()`]).
-//! Decides: when a copy must begin anew from the book, as the log no longer reaches back; when two logs have parted, and the
-//! copy is refused; when the lag is such that what must be in both regions is taken on no more.
-//! Never: reads a clock, touches a socket or starts a thread; knows what an entry means, but for the book that entries add up to.
+//! The sending side sends journal entries in order, within a window, and reports how far they are durable at
+//! the partner. The receiving side writes them into a copy, which is a journal itself, and acknowledges them
+//! once they are durable. After a disconnection replication resumes from the last position that both sides
+//! agree on. The [`wire`] module has the messages between the two sides. The thread that owns the journal
+//! performs the sending side's reads ([`serve()`]).
+//!
+//! The crate decides when a copy has to be rebuilt from a snapshot, because the log no longer reaches back
+//! far enough; when copy and origin have diverged, so that the copy is rejected; and when the lag is too
+//! large to admit messages that must be durable in both regions.
+//!
+//! The crate reads no clock, uses no sockets and starts no threads. It does not interpret entries, except for
+//! the journal state that they add up to.
 
 #![forbid(unsafe_code)]
 
@@ -27,144 +31,154 @@
 /// Time in microseconds on the caller's clock.
 pub type Micros = i64;
 
-/// Whose journal it is: one sender of one life of a member.
+/// The origin of a journal: one sender in one life of a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The member's life that writes now; the journal itself goes on over lives.
+    /// The member's life that writes now. The journal itself continues across lives.
     pub life: Life,
-    /// The sender's number in its process.
+    /// The index of the sender in its process.
     pub sender: u32,
 }
 
-/// What the sending side wants of the journal.
+/// A read of the journal that the sending side requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Want {
-    /// Entries from a number on, some `most` octets.
+    /// Reads entries of the log.
     Log {
-        /// The number.
+        /// The number of the first entry.
         from: u64,
-        /// Octets.
+        /// The approximate limit in bytes.
         most: usize,
     },
-    /// Entries of the newest snapshot from a place in it on.
+    /// Reads entries of the newest snapshot.
     Base {
-        /// The one that it began with, by the number that it stands for.
+        /// The snapshot that the first read returned, by the log position that it represents; none for the
+        /// first read.
         of: Option<u64>,
-        /// The place.
+        /// The index of the first entry in the snapshot.
         from: u64,
-        /// Octets.
+        /// The approximate limit in bytes.
         most: usize,
     },
 }
 
-/// What the journal gives.
+/// The result of a requested read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Given {
     /// Entries of the log.
     Log(Run),
     /// Entries of the snapshot.
     Base(BasePart),
-    /// The log does not reach back so far; the snapshot is another, or there is none.
-    Gone {
-        /// Where the log begins now.
+    /// The log does not reach back that far, the snapshot was replaced by another, or there is none.
+    Unavailable {
+        /// The position at which the log begins now.
         base: Option<heronroute_journal::Mark>,
     },
 }
 
-/// What an operator is told.
+/// A condition that is reported to an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// More waits than may: it is let go, and read from the log again.
+    /// The buffer limit was reached: unsent entries are dropped, and read from the log again later.
     Behind {
-        /// From this number on.
+        /// The number of the first entry that was dropped.
         from: u64,
     },
-    /// The copy remembers less than it has acknowledged: an old folder was put back, or a disk that lies.
+    /// The copy has fewer entries than it acknowledged: an old folder was restored, or the disk lost synced
+    /// writes.
     OldCopy {
-        /// Entries that were acknowledged.
+        /// The number of entries that were acknowledged.
         acked: u64,
-        /// Entries that are there.
+        /// The number of entries that the copy has.
         found: u64,
     },
-    /// Copy and origin have other entries, or the copy has more: a disk was put back. The copy is kept aside.
+    /// Copy and origin have different entries, or the copy has more, because a disk was restored. The copy is
+    /// set aside.
     Parted {
-        /// Entries of the copy.
+        /// The number of entries in the copy.
         copy: u64,
-        /// Entries of the origin.
+        /// The number of entries at the origin.
         origin: u64,
     },
-    /// The copy begins anew from the book.
+    /// The copy is rebuilt from a snapshot of the origin.
     Anew {
-        /// Entries that the book stands for.
+        /// The number of entries that the origin has written.
         number: u64,
-        /// Entries of the old copy that could not be proved to be the origin's: neither has a digest there any more.
-        unproved: u64,
+        /// The number of entries in the old copy that could not be verified, as no digest is left at that
+        /// position.
+        unverified: u64,
     },
-    /// The copy's folder is full, or a base does not fit.
+    /// The copy's folder is full, or a snapshot does not fit into it.
     Full,
-    /// The partner can't keep an entry as it is: another version, too large, or octets that were changed on the way.
-    Odd {
-        /// Which.
+    /// The partner can't store an entry unchanged: it has another version, is too large, or was corrupted in
+    /// transit.
+    EntryRejected {
+        /// The number of the entry.
         number: u64,
     },
-    /// A newer life of the origin has written.
+    /// A newer life of the origin writes the journal.
     OldLife {
-        /// The start of that life.
+        /// The start number of that life.
         known: u64,
     },
-    /// Logs have parted, and another copy is kept aside already: somebody has to look at that first.
+    /// The logs have diverged, and another copy is set aside already. An operator has to resolve that one
+    /// first.
     Blocked,
-    /// The storage of the copy, or the journal of the origin, has failed.
+    /// The storage of the copy or the journal of the origin failed.
     Failed,
 }
 
-/// The sending side: one for each sender of a process.
+/// The sending side of replication. Each sender of a process has one.
 pub trait Shipper {
-    /// Entries were made durable here, in order; `first` is the number of the first one.
+    /// Handles entries that became durable at the origin. They come in order; `first` is the number of the
+    /// first one.
     fn wrote(&mut self, now: Micros, first: u64, entries: &[heronroute_journal::Entry]);
-    /// What it wants of the journal now, if anything; to be answered by [`Shipper::gave`].
+    /// Returns the journal read that is needed now, if any. The caller passes in its result.
     fn wants(&self) -> Option<Want>;
-    /// What the journal has of that.
+    /// Handles the result of the requested read.
     fn gave(&mut self, now: Micros, given: Given);
-    /// A message of the partner's came.
+    /// Handles a message from the partner.
     fn heard(&mut self, now: Micros, payload: &[u8]);
-    /// The way to the partner stands, or does no more. Messages of the old way may still come, and count for nothing.
-    fn linked(&mut self, now: Micros, stands: bool);
-    /// What is to be sent to the partner next, if anything; [`wire::MOST`] octets at most.
+    /// Handles that the connection to the partner was established or lost. Late messages of an old connection
+    /// are ignored.
+    fn linked(&mut self, now: Micros, connected: bool);
+    /// Returns the next message to the partner, if any. Its size is within the limit of the [`wire`] module.
     fn poll(&mut self, now: Micros) -> Option<Vec<u8>>;
-    /// Entries before this one are durable at the partner; and whether it is near enough for what must be in both regions.
+    /// Returns the number before which all entries are durable at the partner, and whether the copy is
+    /// current enough to admit messages that must be durable in both regions.
     fn durable(&self, now: Micros) -> (u64, bool);
-    /// What an operator has to know, each once.
+    /// Returns the next notice for the operator. Each is returned once.
     fn notice(&mut self) -> Option<Notice>;
-    /// Octets that it holds of entries.
+    /// Returns the bytes of entries that are buffered.
     fn held(&self) -> usize;
-    /// When it wants to be asked again.
+    /// Returns the time at which it has to be polled again.
     fn wake(&self) -> Option<Micros>;
 }
 
-/// The receiving side: one for each origin that this member is the partner of.
+/// The receiving side of replication. A member has one for each origin that it is the partner of.
 pub trait Receiver {
-    /// A message of the origin's came.
+    /// Handles a message from the origin.
     fn heard(&mut self, now: Micros, payload: &[u8]);
-    /// What is to be sent to the origin next, if anything. Commits what waits; so to be called once all that came was heard.
-    /// Never says durable what a crash could lose.
+    /// Returns the next message to the origin, if any. Commits the buffered entries first, so call it once
+    /// all received messages were handled. Entries that a crash could lose are never acknowledged as durable.
     fn poll(&mut self, now: Micros) -> Option<Vec<u8>>;
-    /// The book of the copy, and the number of its next entry: what a take-over starts from. None where there is no copy yet.
+    /// Returns the journal state of the copy and the number of its next entry, from which a takeover starts.
+    /// None if there is no copy yet.
     fn book(&self) -> Option<(&heronroute_journal::Book, u64)>;
-    /// What an operator has to know, each once.
+    /// Returns the next notice for the operator. Each is returned once.
     fn notice(&mut self) -> Option<Notice>;
-    /// Octets that it holds of entries that are not durable yet.
+    /// Returns the bytes of entries that are buffered and not durable yet.
     fn held(&self) -> usize;
-    /// When it wants to be asked again.
+    /// Returns the time at which it has to be polled again.
     fn wake(&self) -> Option<Micros>;
 }
 
-/// Notices that wait to be read, a few; beyond them new ones are let go.
+/// A bounded queue of unread notices. New ones are dropped when it is full.
 #[derive(Debug, Default)]
 struct Notices(std::collections::VecDeque<Notice>);
 
 impl Notices {
-    fn tell(&mut self, notice: Notice) {
+    fn push(&mut self, notice: Notice) {
         if self.0.len() < 16 && self.0.back() != Some(&notice) {
             self.0.push_back(notice);
         }
--- a/crates/ship/src/send/lag.rs
+++ b/crates/ship/src/send/lag.rs
@@ -1,38 +1,39 @@
-//! How long the oldest entry has waited that is not at the partner.
+//! Tracks how long the oldest entry that is not durable at the partner has waited.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Moments that are told apart within the lag that is allowed.
-const FINE: i64 = 16;
+/// The number of distinct write times that are kept per allowed lag.
+const SAMPLES_PER_LIMIT: i64 = 16;
 
-/// A few moments and how far the journal had come by then; once the oldest is late, newer ones are not needed.
+/// Samples of the journal's position and the time of writing. Once the oldest is late, newer ones are not
+/// needed.
 #[derive(Debug, Default)]
 pub struct Lag {
-    since: VecDeque<(u64, Micros)>,
+    samples: VecDeque<(u64, Micros)>,
 }
 
 impl Lag {
-    /// Entries before `next` were written by now. `most`: the lag that is allowed.
-    pub fn wrote(&mut self, now: Micros, next: u64, most: Micros) {
-        let many = self.since.len() as i64 > 2 * FINE;
-        match self.since.back_mut() {
-            // Written at nearly the same time, and counted as written then.
-            Some((number, at)) if now < *at + most / FINE => *number = next,
-            _ if many => {}
-            _ => self.since.push_back((next, now)),
+    /// Records that the entries before `next` are written now. `most` is the allowed lag.
+    pub fn record_written(&mut self, now: Micros, next: u64, most: Micros) {
+        let is_full = self.samples.len() as i64 > 2 * SAMPLES_PER_LIMIT;
+        match self.samples.back_mut() {
+            // Written at nearly the same time: merged into the latest sample.
+            Some((number, at)) if now < *at + most / SAMPLES_PER_LIMIT => *number = next,
+            _ if is_full => {}
+            _ => self.samples.push_back((next, now)),
         }
     }
 
-    /// Entries before `next` are at the partner.
+    /// Records that the entries before `next` are durable at the partner.
     pub fn acked(&mut self, next: u64) {
-        while self.since.front().is_some_and(|(number, _)| *number <= next) {
-            self.since.pop_front();
+        while self.samples.front().is_some_and(|(number, _)| *number <= next) {
+            self.samples.pop_front();
         }
     }
 
-    /// Since when the oldest entry waits.
+    /// Returns the time since which the oldest entry waits.
     pub fn since(&self) -> Option<Micros> {
-        self.since.front().map(|(_, at)| *at)
+        self.samples.front().map(|(_, at)| *at)
     }
 }
--- a/crates/ship/src/send/mod.rs
+++ b/crates/ship/src/send/mod.rs
@@ -1,32 +1,33 @@
-//! The sending side.
+//! The sending side of replication.
 
 mod lag;
 mod queue;
-mod talk;
+mod replies;
 
-use crate::wire::{self, LARGEST, Message, Up};
+use crate::wire::{self, MAX_ENTRY_BYTES, Message, Up};
 use crate::{Given, Micros, Notice, Notices, Origin, Shipper, Want};
 use heronroute_journal::{Chain, Entry, Journal, Mark, Run, Storage, frame};
 use lag::Lag;
 use queue::Queue;
 
-/// Figures of the sending side.
+/// Limits and timeouts of the sending side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Octets that may be on their way; the partner may allow fewer.
+    /// The bytes that may be in flight. The partner may allow fewer.
     pub window: usize,
-    /// Octets of entries that are held at most, sent or not. Beyond them, and beyond `entries`, what was not sent is let go,
-    /// and read from the log again. (One entry may be larger.)
+    /// The maximum bytes of buffered entries, sent or not. Beyond this limit or `entries`, unsent entries are
+    /// dropped and read from the log again. A single entry may be larger.
     pub octets: usize,
-    /// Entries that are held at most.
+    /// The maximum number of buffered entries.
     pub entries: u64,
-    /// Octets of the log that are asked for at once.
+    /// The bytes that are requested in one read of the log.
     pub read: usize,
-    /// Entries by which the partner may lag, and still be near enough for what must be in both regions ...
+    /// The number of entries by which the partner may lag while messages that must be durable in both regions
+    /// are admitted.
     pub lag_entries: u64,
-    /// ... and microseconds.
+    /// The time by which the partner may lag, as above, in microseconds.
     pub lag: Micros,
-    /// What the partner could not do is tried again after this, in microseconds; so is a talk in which nothing comes back.
+    /// The delay before a new session after the partner failed or did not reply, in microseconds.
     pub retry: Micros,
 }
 
@@ -44,102 +45,107 @@
     }
 }
 
-/// Near enough again below this share of the lag that is allowed, so that it doesn't flap.
-const BACK: f64 = 0.7;
+/// The share of the allowed lag below which a lagging copy counts as current again. Below 1 to avoid
+/// flapping.
+const LAG_RECOVERY_SHARE: f64 = 0.7;
 
-/// What is being done.
+/// The state of a session.
 #[derive(Debug)]
 enum State {
-    /// No talk, or its Hello is not answered yet.
-    Apart,
-    /// The log is read from a mark of ours to where the copy stands, to see whether that is the same there.
-    Proving { copy: Mark },
-    /// Entries go, from where both agree on.
-    Flowing,
-    /// The book goes. `read`: where its entries that were read lead; `whole`: all of them were. `ended`: that was told.
-    Base { chain: Option<Chain>, read: Mark, whole: bool, ended: bool, begun: bool },
-    /// Nothing more in this talk: the partner can't, or may not.
+    /// There is no session, or the partner has not replied with its position yet.
+    AwaitingPosition,
+    /// The own log is read from a known mark up to the copy's position, to compare the digests there.
+    Verifying { copy: Mark },
+    /// Entries are sent from the position that both sides agree on.
+    Streaming,
+    /// A snapshot is sent. `read` is the position after the entries that were read from it, `fully_read`
+    /// whether that is all of them, and `begin_sent` and `end_sent` whether the messages before and after its
+    /// entries were sent.
+    Base { chain: Option<Chain>, read: Mark, fully_read: bool, end_sent: bool, begin_sent: bool },
+    /// Nothing more is sent in this session, as the partner can't or must not store it.
     Halted,
 }
 
-/// The sending side of one sender's journal.
+/// The sending side of replication for one sender's journal.
 #[derive(Debug)]
 pub struct Sender {
     origin: Origin,
     bounds: Bounds,
     window: usize,
-    linked: bool,
+    connected: bool,
     talk: u32,
-    hello: bool,
+    hello_pending: bool,
     state: State,
-    /// What is sent next that is no entry.
-    out: Option<Up>,
-    /// The furthest that its own log is known to lead, with marks of before; and where the newest book that was sent stood.
+    /// The next message that is not an entry.
+    control_message: Option<Up>,
+    /// The last known position of the own log with earlier marks, and the position of the newest snapshot
+    /// that was sent.
     chain: Chain,
     base: Option<Mark>,
-    /// Where the queue ends, or, without one, where the next entry is to be read.
+    /// The position at the end of the queue; with an empty queue, the position of the next entry to read.
     tail: Mark,
     queue: Queue,
-    /// Entries before this one are durable here.
+    /// The entries before this number are durable at the origin.
     written: u64,
-    /// So far the copy is known to be durable now, and the most that was ever acknowledged.
+    /// The position up to which the copy is known to be durable now, and the highest number ever
+    /// acknowledged.
     acked: Mark,
-    promised: u64,
-    /// What was held became too much, and was not caught up with yet.
-    behind: bool,
-    late: bool,
-    /// The partner has no room.
-    full: bool,
+    highest_acked: u64,
+    /// Unsent entries were dropped at the buffer limit, and have not been read again yet.
+    catching_up: bool,
+    lagging: bool,
+    /// The partner's storage is full.
+    copy_full: bool,
     lag: Lag,
-    /// When a new talk is begun, unless something comes back before.
-    again: Option<Micros>,
-    over: bool,
+    /// The time at which a new session begins unless a reply comes first.
+    new_session_at: Option<Micros>,
+    superseded: bool,
     notices: Notices,
 }
 
 impl Sender {
-    /// For a journal that was opened chained. `promised`: entries that its copy has acknowledged as far as anybody remembers
-    /// from before, 0 where nobody does.
-    pub fn new<S: Storage>(origin: Origin, bounds: Bounds, journal: &Journal<S>, promised: u64) -> Self {
-        // A journal without a chain has begun none: all that is there is proved by nothing.
+    /// Creates the sending side of a journal that was opened chained. `highest_acked` is the number of
+    /// entries that the copy is known to have acknowledged to an earlier process, or 0 if that is unknown.
+    pub fn new<S: Storage>(origin: Origin, bounds: Bounds, journal: &Journal<S>, highest_acked: u64) -> Self {
+        // A journal without a chain has no digests, so nothing in it can be verified.
         let chain = journal.chain().cloned().unwrap_or_else(|| Chain::begin(journal.durable(), b"none"));
         let base = journal.snap_chain().map(Chain::at);
         Sender {
             origin,
             bounds,
             window: bounds.window,
-            linked: false,
+            connected: false,
             talk: 0,
-            hello: false,
-            state: State::Apart,
-            out: None,
+            hello_pending: false,
+            state: State::AwaitingPosition,
+            control_message: None,
             tail: chain.at(),
             base,
             chain,
             queue: Queue::default(),
             written: journal.durable(),
             acked: Mark::default(),
-            promised,
-            behind: false,
-            late: false,
-            full: false,
+            highest_acked,
+            catching_up: false,
+            lagging: false,
+            copy_full: false,
             lag: Lag::default(),
-            again: None,
-            over: false,
+            new_session_at: None,
+            superseded: false,
             notices: Notices::default(),
         }
     }
 
-    /// Our digest at a number, where it is known.
-    fn own(&self, number: u64) -> Option<Mark> {
-        let known = [Some(self.acked), self.base, self.queue.digest(number), Some(self.tail)];
+    /// Returns the own mark at a number, if it is known.
+    fn own_mark(&self, number: u64) -> Option<Mark> {
+        let known = [Some(self.acked), self.base, self.queue.mark_ending_at(number), Some(self.tail)];
         let known =
             known.into_iter().flatten().find(|m| m.number == number && (number > 0 || m.digest == [0; 16]));
         known.or(self.chain.digest(number).map(|digest| Mark { number, digest }))
     }
 
-    /// The furthest place of our own at or before a number that is known.
-    fn before(&self, number: u64) -> Option<Mark> {
+    /// Returns the last own mark that is known at or before a number.
+    fn last_mark_at(&self, number: u64) -> Option<Mark> {
         let marks = self.chain.marks().iter().copied();
         marks
             .chain([self.chain.at()])
@@ -148,10 +154,10 @@
             .max_by_key(|m| m.number)
     }
 
-    /// The next entry goes into the queue.
+    /// Appends the next entry to the queue.
     fn push(&mut self, raw: &[u8]) {
-        if raw.len() > LARGEST {
-            self.notices.tell(Notice::Odd { number: self.tail.number });
+        if raw.len() > MAX_ENTRY_BYTES {
+            self.notices.push(Notice::EntryRejected { number: self.tail.number });
             self.halt();
             return;
         }
@@ -166,58 +172,58 @@
         self.tail = self.acked;
     }
 
-    fn flowing(&self) -> bool {
-        matches!(self.state, State::Flowing)
+    fn is_streaming(&self) -> bool {
+        matches!(self.state, State::Streaming)
     }
 
-    /// Whether it holds as much as it may.
-    fn crowded(&self) -> bool {
-        self.queue.octets() >= self.bounds.octets || self.queue.entries() >= self.bounds.entries
+    /// Returns whether the buffer limit is reached.
+    fn buffer_full(&self) -> bool {
+        self.queue.bytes() >= self.bounds.octets || self.queue.entries() >= self.bounds.entries
     }
 
-    fn look(&mut self, now: Micros) {
+    fn update_lag(&mut self, now: Micros) {
         if self.tail.number == self.written {
-            self.behind = false;
+            self.catching_up = false;
         }
-        self.late = !self.near(now);
+        self.lagging = !self.within_lag_limits(now);
     }
 
-    fn near(&self, now: Micros) -> bool {
-        let share = if self.late { BACK } else { 1.0 };
+    fn within_lag_limits(&self, now: Micros) -> bool {
+        let share = if self.lagging { LAG_RECOVERY_SHARE } else { 1.0 };
         let count = self.written.saturating_sub(self.acked.number) as f64;
         let time = self.lag.since().map_or(0, |at| now - at) as f64;
         count < self.bounds.lag_entries as f64 * share && time < self.bounds.lag as f64 * share
     }
 
-    fn took(&mut self, run: &Run) {
+    fn append_log_entries(&mut self, run: &Run) {
         if run.first != self.tail.number {
             return;
         }
         for raw in frame::pieces(&run.octets) {
             match self.state {
-                State::Proving { copy } if self.tail.number < copy.number => {
+                State::Verifying { copy } if self.tail.number < copy.number => {
                     self.tail.push(raw);
                     if self.tail.number == copy.number {
-                        return self.proved(copy);
+                        return self.compare_verified(copy);
                     }
                 }
-                State::Flowing => self.push(raw),
+                State::Streaming => self.push(raw),
                 _ => return,
             }
         }
     }
 
-    /// Something came back, or a talk was begun: it is waited for the next so long.
-    fn patience(&mut self, now: Micros) {
-        self.again = Some(now.saturating_add(self.bounds.retry));
+    /// Restarts the timeout after which a session without a reply is replaced by a new one.
+    fn restart_reply_timeout(&mut self, now: Micros) {
+        self.new_session_at = Some(now.saturating_add(self.bounds.retry));
     }
 
-    fn entries(&mut self) -> Option<Up> {
+    fn next_entries(&mut self) -> Option<Up> {
         let base = match &mut self.state {
-            State::Flowing => false,
-            State::Base { chain: Some(chain), begun, .. } => {
-                if !*begun {
-                    *begun = true;
+            State::Streaming => false,
+            State::Base { chain: Some(chain), begin_sent, .. } => {
+                if !*begin_sent {
+                    *begin_sent = true;
                     let marks = chain.marks().iter().copied().map(wire::point).collect();
                     return Some(Up::Base { at: wire::point(chain.at()), marks });
                 }
@@ -229,8 +235,10 @@
             return Some(if base { Up::Part(entries) } else { Up::Run(entries) });
         }
         match &mut self.state {
-            State::Base { read, whole: true, ended, .. } if !*ended && !self.queue.waits() => {
-                *ended = true;
+            State::Base { read, fully_read: true, end_sent, .. }
+                if !*end_sent && !self.queue.has_unsent() =>
+            {
+                *end_sent = true;
                 Some(Up::BaseEnd { count: read.number })
             }
             _ => None,
@@ -241,47 +249,47 @@
 impl Shipper for Sender {
     fn wrote(&mut self, now: Micros, first: u64, entries: &[Entry]) {
         let next = first + entries.len() as u64;
-        // Nothing comes twice, and what was left out is read from the log.
+        // Skips entries that were passed in before; entries that were left out are read from the log.
         if next <= self.written || first > self.written {
             self.written = self.written.max(next);
         } else {
             let new = (self.written - first) as usize;
             self.written = next;
-            let live = self.tail.number == first + new as u64
-                && !matches!(self.state, State::Proving { .. } | State::Base { .. } | State::Halted);
+            let appendable = self.tail.number == first + new as u64
+                && !matches!(self.state, State::Verifying { .. } | State::Base { .. } | State::Halted);
             let mut raw = Vec::new();
-            for e in entries.iter().skip(new).filter(|_| live) {
-                if self.crowded() {
-                    self.behind = true;
-                    self.notices.tell(Notice::Behind { from: self.tail.number });
-                    self.tail = self.queue.let_go().unwrap_or(self.acked);
+            for e in entries.iter().skip(new).filter(|_| appendable) {
+                if self.buffer_full() {
+                    self.catching_up = true;
+                    self.notices.push(Notice::Behind { from: self.tail.number });
+                    self.tail = self.queue.drop_unsent().unwrap_or(self.acked);
                     break;
                 }
                 raw.clear();
-                // Into memory, with room made as needed: it does not fail.
+                // Encoding into a growing buffer can't fail.
                 _ = prost::Message::encode(e, &mut raw);
                 self.push(&raw);
             }
         }
-        self.lag.wrote(now, self.written, self.bounds.lag);
-        self.look(now);
+        self.lag.record_written(now, self.written, self.bounds.lag);
+        self.update_lag(now);
     }
 
     fn wants(&self) -> Option<Want> {
-        if !self.linked || self.over {
+        if !self.connected || self.superseded {
             return None;
         }
         let most = self.bounds.read;
-        // A window and a reading ahead are enough; more would only be held.
-        let room = self.queue.octets() < self.window.saturating_add(most) && !self.crowded();
+        // One window and one read ahead are enough; more would only use memory.
+        let room = self.queue.bytes() < self.window.saturating_add(most) && !self.buffer_full();
         match &self.state {
-            State::Proving { copy } if self.tail.number < copy.number => {
+            State::Verifying { copy } if self.tail.number < copy.number => {
                 Some(Want::Log { from: self.tail.number, most })
             }
-            State::Flowing if room && self.tail.number < self.written => {
+            State::Streaming if room && self.tail.number < self.written => {
                 Some(Want::Log { from: self.tail.number, most })
             }
-            State::Base { chain, read, whole: false, .. } if room => {
+            State::Base { chain, read, fully_read: false, .. } if room => {
                 Some(Want::Base { of: chain.as_ref().map(|c| c.at().number), from: read.number, most })
             }
             _ => None,
@@ -290,9 +298,9 @@
 
     fn gave(&mut self, now: Micros, given: Given) {
         match given {
-            Given::Log(run) => self.took(&run),
+            Given::Log(run) => self.append_log_entries(&run),
             Given::Base(part) => {
-                if let State::Base { chain, read, whole, .. } = &mut self.state
+                if let State::Base { chain, read, fully_read, .. } = &mut self.state
                     && part.run.first == read.number
                 {
                     if chain.is_none() {
@@ -306,86 +314,86 @@
                         read.push(raw);
                         self.queue.push(raw, *read);
                     }
-                    *whole = part.end;
+                    *fully_read = part.end;
                 }
             }
-            Given::Gone { base } => match &self.state {
-                State::Proving { copy } => {
+            Given::Unavailable { base } => match &self.state {
+                State::Verifying { copy } => {
                     let copy = *copy;
                     match base.filter(|b| b.number > self.tail.number && b.number <= copy.number) {
-                        // A snapshot was written since: it is read from there.
+                        // A snapshot was written in the meantime, and the log is read from its position.
                         Some(base) => {
                             (self.base, self.tail) = (Some(base), base);
                             if base.number == copy.number {
-                                self.proved(copy);
+                                self.compare_verified(copy);
                             }
                         }
-                        None => self.begin_anew(copy.number),
+                        None => self.begin_snapshot(copy.number),
                     }
                 }
-                State::Flowing => self.begin_anew(0),
-                // The snapshot was followed by another: its book is sent instead.
-                State::Base { read, .. } if read.number > 0 => self.begin_anew(0),
+                State::Streaming => self.begin_snapshot(0),
+                // The snapshot was replaced by a newer one, which is sent instead.
+                State::Base { read, .. } if read.number > 0 => self.begin_snapshot(0),
                 State::Base { .. } => {
-                    self.notices.tell(Notice::Failed);
+                    self.notices.push(Notice::Failed);
                     self.halt();
                 }
-                State::Apart | State::Halted => {}
+                State::AwaitingPosition | State::Halted => {}
             },
         }
-        self.look(now);
+        self.update_lag(now);
     }
 
     fn heard(&mut self, now: Micros, payload: &[u8]) {
         let Some(message) = wire::read(payload) else { return };
-        if self.linked && message.origin == self.origin && message.talk == self.talk {
-            self.patience(now);
-            self.told(now, message.body);
-            self.look(now);
+        if self.connected && message.origin == self.origin && message.talk == self.talk {
+            self.restart_reply_timeout(now);
+            self.handle(now, message.body);
+            self.update_lag(now);
         }
     }
 
-    fn linked(&mut self, now: Micros, stands: bool) {
-        self.linked = stands;
-        if stands {
-            self.greet(now);
+    fn linked(&mut self, now: Micros, connected: bool) {
+        self.connected = connected;
+        if connected {
+            self.begin_session(now);
         } else {
-            self.part_ways();
+            self.end_session();
         }
-        self.look(now);
+        self.update_lag(now);
     }
 
     fn poll(&mut self, now: Micros) -> Option<Vec<u8>> {
-        self.look(now);
-        if !self.linked || self.over {
+        self.update_lag(now);
+        if !self.connected || self.superseded {
             return None;
         }
-        if self.again.is_some_and(|at| now >= at) {
-            if self.quiet() {
-                self.again = None;
+        if self.new_session_at.is_some_and(|at| now >= at) {
+            if self.is_idle() {
+                self.new_session_at = None;
             } else {
-                self.part_ways();
-                self.greet(now);
+                self.end_session();
+                self.begin_session(now);
             }
         }
-        let body = if std::mem::take(&mut self.hello) {
-            Up::Hello { next: self.written, acked: self.promised }
+        let body = if std::mem::take(&mut self.hello_pending) {
+            Up::Hello { next: self.written, acked: self.highest_acked }
         } else {
-            match self.out.take() {
+            match self.control_message.take() {
                 Some(up) => up,
-                None => self.entries()?,
+                None => self.next_entries()?,
             }
         };
-        if self.again.is_none() {
-            self.patience(now);
+        if self.new_session_at.is_none() {
+            self.restart_reply_timeout(now);
         }
         wire::write(&Message { origin: self.origin.clone(), talk: self.talk, body })
     }
 
     fn durable(&self, now: Micros) -> (u64, bool) {
-        let agreed = self.linked && self.flowing() && !self.over;
-        let kept = !self.full && !self.behind && self.acked.number >= self.promised;
-        (self.acked.number, agreed && kept && self.near(now))
+        let agreed = self.connected && self.is_streaming() && !self.superseded;
+        let kept = !self.copy_full && !self.catching_up && self.acked.number >= self.highest_acked;
+        (self.acked.number, agreed && kept && self.within_lag_limits(now))
     }
 
     fn notice(&mut self) -> Option<Notice> {
@@ -393,10 +401,10 @@
     }
 
     fn held(&self) -> usize {
-        self.queue.octets()
+        self.queue.bytes()
     }
 
     fn wake(&self) -> Option<Micros> {
-        self.again.filter(|_| self.linked && !self.over)
+        self.new_session_at.filter(|_| self.connected && !self.superseded)
     }
 }
--- a/crates/ship/src/send/queue.rs
+++ b/crates/ship/src/send/queue.rs
@@ -1,83 +1,83 @@
-//! What waits to be sent, and what was sent and is not acknowledged yet, as messages that are ready to go.
+//! The queue of encoded messages: those to be sent, and those that were sent and are not acknowledged yet.
 
-use crate::wire::{Entries, PIECE};
+use crate::wire::{Entries, MAX_CHUNK_BYTES};
 use heronroute_journal::Mark;
 use std::collections::VecDeque;
 
 #[derive(Debug)]
 struct Item {
     entries: Entries,
-    /// Where it leads; of a piece, where the whole entry does.
+    /// The position after it; for a part of an entry, the position after the encoded_size entry.
     end: Mark,
 }
 
-/// The queue. What is in front was sent.
+/// The queue of messages. Those at its front were sent.
 #[derive(Debug, Default)]
 pub struct Queue {
     items: VecDeque<Item>,
-    sent: usize,
-    sent_octets: usize,
-    octets: usize,
+    sent_items: usize,
+    sent_bytes: usize,
+    bytes: usize,
     entries: u64,
 }
 
 impl Queue {
-    /// Octets of entries in it, sent or not.
-    pub fn octets(&self) -> usize {
-        self.octets
+    /// Returns the bytes of all queued entries, sent or not.
+    pub fn bytes(&self) -> usize {
+        self.bytes
     }
 
-    /// Entries in it, sent or not.
+    /// Returns the number of queued entries, sent or not.
     pub fn entries(&self) -> u64 {
         self.entries
     }
 
-    /// Whether something was sent that is not acknowledged.
+    /// Returns whether a sent message is not acknowledged yet.
     pub fn in_flight(&self) -> bool {
-        self.sent > 0
+        self.sent_items > 0
     }
 
-    /// Whether something was not sent yet.
-    pub fn waits(&self) -> bool {
-        self.sent < self.items.len()
+    /// Returns whether a message was not sent yet.
+    pub fn has_unsent(&self) -> bool {
+        self.sent_items < self.items.len()
     }
 
-    /// Puts an entry behind all others. `raw` has no length; `end` is where it leads.
+    /// Appends an entry. `raw` has no length prefix; `end` is the position after the entry.
     pub fn push(&mut self, raw: &[u8], end: Mark) {
         let mut length = [0; 10];
         let mut rest = &mut length[..];
-        // Ten octets hold any length.
+        // Ten bytes hold any length.
         _ = prost::encode_length_delimiter(raw.len(), &mut rest);
         let spare = rest.len();
-        let head = &length[..length.len() - spare];
-        let (first, whole) = (end.number - 1, head.len() + raw.len());
-        self.octets += whole;
+        let length_prefix = &length[..length.len() - spare];
+        let (first, encoded_size) = (end.number - 1, length_prefix.len() + raw.len());
+        self.bytes += encoded_size;
         self.entries += 1;
-        if whole > PIECE {
-            let all: Vec<u8> = head.iter().chain(raw).copied().collect();
-            let pieces = all.chunks(PIECE);
-            let last = pieces.len() - 1;
-            for (i, octets) in pieces.enumerate() {
+        if encoded_size > MAX_CHUNK_BYTES {
+            let all: Vec<u8> = length_prefix.iter().chain(raw).copied().collect();
+            let parts = all.chunks(MAX_CHUNK_BYTES);
+            let last = parts.len() - 1;
+            for (i, octets) in parts.enumerate() {
                 let (count, more, octets) = (u64::from(i == last), i < last, octets.to_vec());
                 let entries = Entries { first, count, more, octets, digest: end.digest };
                 self.items.push_back(Item { entries, end });
             }
             return;
         }
-        let fits = self.items.len() > self.sent;
+        let fits = self.items.len() > self.sent_items;
         match self.items.back_mut() {
             Some(Item { entries, end: last })
-                if fits && !entries.more && entries.octets.len() + whole <= PIECE =>
+                if fits && !entries.more && entries.octets.len() + encoded_size <= MAX_CHUNK_BYTES =>
             {
-                entries.octets.extend_from_slice(head);
+                entries.octets.extend_from_slice(length_prefix);
                 entries.octets.extend_from_slice(raw);
                 entries.count += 1;
                 entries.digest = end.digest;
                 *last = end;
             }
             _ => {
-                let mut octets = Vec::with_capacity(whole);
-                octets.extend_from_slice(head);
+                let mut octets = Vec::with_capacity(encoded_size);
+                octets.extend_from_slice(length_prefix);
                 octets.extend_from_slice(raw);
                 let entries = Entries { first, count: 1, more: false, octets, digest: end.digest };
                 self.items.push_back(Item { entries, end });
@@ -85,24 +85,26 @@
         }
     }
 
-    /// The next message, where it fits into the window or nothing is on its way.
+    /// Returns the next message if it fits into the window or nothing is in flight.
     pub fn send(&mut self, window: usize) -> Option<Entries> {
-        let item = self.items.get(self.sent)?;
+        let item = self.items.get(self.sent_items)?;
         let octets = item.entries.octets.len();
-        // The rest of an entry that was begun goes in any case: it is acknowledged only whole.
-        let begun = self.sent.checked_sub(1).and_then(|i| self.items.get(i)).is_some_and(|i| i.entries.more);
-        if self.sent_octets > 0 && self.sent_octets + octets > window && !begun {
+        // The rest of an entry is sent in any case, as only a encoded_size entry is acknowledged.
+        let continues_entry =
+            self.sent_items.checked_sub(1).and_then(|i| self.items.get(i)).is_some_and(|i| i.entries.more);
+        if self.sent_bytes > 0 && self.sent_bytes + octets > window && !continues_entry {
             return None;
         }
-        self.sent += 1;
-        self.sent_octets += octets;
+        self.sent_items += 1;
+        self.sent_bytes += octets;
         Some(item.entries.clone())
     }
 
-    /// Entries before a number are there: they go. Gives where the last of them led.
+    /// Removes the acknowledged entries before a number. Returns the position after the last one that was
+    /// removed.
     pub fn acked(&mut self, next: u64) -> Option<Mark> {
         let mut last = None;
-        while self.sent > 0 && self.items.front().is_some_and(|i| i.end.number <= next) {
+        while self.sent_items > 0 && self.items.front().is_some_and(|i| i.end.number <= next) {
             last = self.drop_front().or(last);
         }
         last
@@ -111,25 +113,25 @@
     fn drop_front(&mut self) -> Option<Mark> {
         let item = self.items.pop_front()?;
         let octets = item.entries.octets.len();
-        if self.sent > 0 {
-            self.sent -= 1;
-            self.sent_octets -= octets;
+        if self.sent_items > 0 {
+            self.sent_items -= 1;
+            self.sent_bytes -= octets;
         }
-        self.octets -= octets;
+        self.bytes -= octets;
         self.entries -= item.entries.count;
         Some(item.end)
     }
 
-    /// Where an item ends, if one ends there.
-    pub fn digest(&self, number: u64) -> Option<Mark> {
+    /// Returns the position at a number, if a message ends there.
+    pub fn mark_ending_at(&self, number: u64) -> Option<Mark> {
         let i = self.items.partition_point(|i| i.end.number < number);
         self.items.get(i).map(|i| i.end).filter(|end| end.number == number)
     }
 
-    /// Starts over at a number: what is before it goes, the rest is to be sent again. False where none begins there; then
-    /// it is empty.
+    /// Restarts sending at a number: entries before it are removed, the rest is sent again. Returns false,
+    /// with the queue emptied, if no message begins there.
     pub fn restart(&mut self, number: u64, tail: u64) -> bool {
-        (self.sent, self.sent_octets) = (0, 0);
+        (self.sent_items, self.sent_bytes) = (0, 0);
         while self.items.front().is_some_and(|i| i.end.number <= number) {
             self.drop_front();
         }
@@ -140,16 +142,16 @@
         fits
     }
 
-    /// Lets go of what was not sent yet. Gives where what is left ends.
-    pub fn let_go(&mut self) -> Option<Mark> {
-        // The pieces of one entry stay together.
-        let mut keep = self.sent;
+    /// Drops the messages that were not sent yet. Returns the position after the remaining ones.
+    pub fn drop_unsent(&mut self) -> Option<Mark> {
+        // The parts of one entry stay together.
+        let mut keep = self.sent_items;
         while keep.checked_sub(1).and_then(|i| self.items.get(i)).is_some_and(|i| i.entries.more) {
             keep += 1;
         }
         while self.items.len() > keep {
             if let Some(item) = self.items.pop_back() {
-                self.octets -= item.entries.octets.len();
+                self.bytes -= item.entries.octets.len();
                 self.entries -= item.entries.count;
             }
         }
--- a/crates/ship/src/serve.rs
+++ b/crates/ship/src/serve.rs
@@ -1,25 +1,25 @@
-//! Answers what the sending side wants, from the journal.
+//! Performs the journal reads that the sending side requests.
 
 use crate::{Given, Want};
 use heronroute_journal::{Cursor, Journal, JournalError, Storage};
 
-/// Where reading has come to.
+/// The read positions in the log and in the snapshot.
 #[derive(Debug, Default)]
 pub struct Cursors {
     log: Cursor,
     base: Cursor,
 }
 
-/// What the journal has of what is wanted. To be called where the journal is written, between commits.
+/// Performs a requested read. Call it on the thread that writes the journal, between commits.
 ///
 /// # Errors
-/// Where the journal is broken or can't be read.
+/// The journal is corrupt or can't be read.
 pub fn serve<S: Storage>(
     journal: &Journal<S>,
     cursors: &mut Cursors,
     want: Want,
 ) -> Result<Given, JournalError> {
-    let gone = Given::Gone { base: journal.snap_chain().map(|c| c.at()) };
+    let gone = Given::Unavailable { base: journal.snap_chain().map(|c| c.at()) };
     Ok(match want {
         Want::Log { from, most } => journal.read(&mut cursors.log, from, most)?.map_or(gone, Given::Log),
         Want::Base { of, from, most } => {
--- a/crates/ship/src/wire.rs
+++ b/crates/ship/src/wire.rs
@@ -1,138 +1,140 @@
-//! The messages, as postcard. Each bears its origin's life and the number of the talk, one for each connection, so that what
-//! comes late of an older life or connection counts for nothing.
+//! The replication messages, encoded with postcard.
+//!
+//! Each message carries the life of its origin and a session number, so that late messages of an older life
+//! or session are ignored.
 
 use crate::Origin;
 use heronroute_journal::{Digest, Mark};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Octets of a message at most.
+/// The maximum size of a message in bytes.
 pub const MOST: usize = 64 << 10;
-/// Octets of entries in one message at most.
-pub const PIECE: usize = 60 << 10;
-/// Octets of one entry at most; a larger one can't be copied.
-pub const LARGEST: usize = 16 << 20;
+/// The maximum size of the entries in one message, in bytes.
+pub const MAX_CHUNK_BYTES: usize = 60 << 10;
+/// The maximum size of an entry in bytes. A larger one can't be replicated.
+pub const MAX_ENTRY_BYTES: usize = 16 << 20;
 
-/// A number and the digest of all entries before it.
-pub type Point = (u64, Digest);
+/// The number of an entry and the digest of all entries before it.
+pub type Position = (u64, Digest);
 
-/// As the journal has it.
-pub fn mark((number, digest): Point) -> Mark {
+/// Converts a position from its wire form to the journal's form.
+pub fn to_mark((number, digest): Position) -> Mark {
     Mark { number, digest }
 }
 
-/// As the wire has it.
-pub fn point(mark: Mark) -> Point {
+/// Converts a position from the journal's form to its wire form.
+pub fn point(mark: Mark) -> Position {
     (mark.number, mark.digest)
 }
 
-/// A message, either way.
+/// A message in either direction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message<B> {
-    /// Whose journal it is about.
+    /// The origin of the journal.
     pub origin: Origin,
-    /// The talk, from 1; a later connection has a higher one.
+    /// The session number, from 1. A later session has a higher one.
     pub talk: u32,
-    /// What it says.
+    /// The content.
     pub body: B,
 }
 
-/// Entries, or a piece of one.
+/// Several whole entries, or a part of one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entries {
-    /// Number of the first one; of a book, its place.
+    /// The number of the first entry, or its index in the snapshot.
     pub first: u64,
-    /// How many end in this message.
+    /// The number of entries that end in this message.
     pub count: u64,
-    /// The entry goes on in the next message; there is no other in this one.
+    /// Whether the entry continues in the next message. This message then has no other entry.
     pub more: bool,
-    /// The entries, each with its length before it.
+    /// The encoded entries, each prefixed by its length.
     pub octets: Vec<u8>,
-    /// Digest of all entries to the last of these; of a book, of its own.
+    /// The digest of all entries up to the last of these; in a snapshot, of the snapshot's entries.
     pub digest: Digest,
 }
 
-/// From the origin.
+/// The content of a message from the origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Up {
-    /// A talk begins. Answered by [`Down::Have`].
+    /// Begins a session. The partner replies with its position.
     Hello {
-        /// Number of its next entry.
+        /// The number of the origin's next entry.
         next: u64,
-        /// So much was acknowledged to it, as it remembers.
+        /// The highest position that was acknowledged to the origin, as far as it knows.
         acked: u64,
     },
     /// Entries of the log.
     Run(Entries),
-    /// A book follows that stands for a number.
+    /// Begins a snapshot, which replaces the copy.
     Base {
-        /// The number, and the digest there.
-        at: Point,
-        /// Digests before it.
-        marks: Vec<Point>,
+        /// The position that the snapshot represents.
+        at: Position,
+        /// Earlier positions.
+        marks: Vec<Position>,
     },
-    /// Entries of that book.
+    /// Entries of the snapshot.
     Part(Entries),
-    /// All of them were sent. Answered by [`Down::Have`] once the copy is the book.
+    /// Ends the snapshot. The partner replies with its position once the copy is replaced.
     BaseEnd {
-        /// How many they are.
+        /// The number of entries in the snapshot.
         count: u64,
     },
-    /// The copy that stands there is no copy of this origin: it is to be put aside. Answered by [`Down::Have`].
+    /// Asks to set aside a copy that has diverged from the origin. The partner replies with its position.
     Aside {
-        /// Where the copy stands.
-        copy: Point,
-        /// Number of the origin's next entry.
+        /// The position of the copy.
+        copy: Position,
+        /// The number of the origin's next entry.
         origin: u64,
     },
 }
 
-/// From the partner.
+/// The content of a message from the partner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Down {
-    /// So far the copy goes; entries are to be sent from there on.
+    /// Reports the position of the copy, from which entries are to be sent.
     Have {
-        /// Where it stands. All of it is durable.
-        at: Point,
-        /// Where it stood before.
-        marks: Vec<Point>,
-        /// Octets of entries that may be on their way.
+        /// The position. All entries before it are durable.
+        at: Position,
+        /// Earlier positions of the copy.
+        marks: Vec<Position>,
+        /// The bytes of entries that may be in flight.
         window: u32,
     },
-    /// Entries before this number are durable.
+    /// Acknowledges the entries before a number as durable.
     Durable {
-        /// The number.
+        /// The number of the first entry that is not durable.
         next: u64,
     },
-    /// So many entries of the book were taken; nothing of it is durable.
-    Taken {
-        /// How many.
+    /// Acknowledges entries of the snapshot as received. They are not durable yet.
+    SnapshotReceived {
+        /// The number of entries received so far.
         count: u64,
     },
-    /// There is no room; what was sent is not durable, and waits, but for a book, which was dropped.
+    /// The storage is full. Received entries are not durable and wait; a snapshot was dropped.
     Full,
-    /// An entry can't be kept as it is.
-    Odd {
-        /// Its number.
+    /// An entry can't be stored unchanged.
+    EntryRejected {
+        /// The number of the entry.
         number: u64,
     },
-    /// A newer life is known.
-    Old {
-        /// When it began.
+    /// A newer life of the origin is known.
+    NewerLife {
+        /// The start number of that life.
         start: u64,
     },
-    /// It keeps a copy aside already.
+    /// Another copy is set aside already.
     Blocked,
-    /// Its storage has failed.
+    /// The storage of the copy failed.
     Failed,
 }
 
-/// Writes a message; none where it would be too large.
+/// Encodes a message. Returns none if it would be too large.
 pub fn write<B: Serialize>(message: &Message<B>) -> Option<Vec<u8>> {
     postcard::to_stdvec(message).ok().filter(|octets| octets.len() <= MOST)
 }
 
-/// Reads one; none where it is no such message, too large, or has something behind it.
+/// Decodes a message. Returns none if the input is malformed, too large, or has trailing bytes.
 pub fn read<B: DeserializeOwned>(octets: &[u8]) -> Option<Message<B>> {
     if octets.len() > MOST {
         return None;
--- a/crates/ship/tests/copy.rs
+++ b/crates/ship/tests/copy.rs
@@ -1,4 +1,4 @@
-//! What one side must find though the other does not.
+//! Checks that the receiving side makes by itself, whatever the origin sends.
 
 use heronroute_fleet::{Life, Name, Start};
 use heronroute_journal::disk::Disk;
@@ -26,7 +26,7 @@
     answers.map(|octets| wire::read::<Down>(&octets).unwrap().body).collect()
 }
 
-/// A run of entries by their octets, with its right digest.
+/// Builds a message with log entries and their correct digest.
 fn run(first: u64, before: Digest, raws: &[Vec<u8>]) -> Up {
     let mut mark = Mark { number: first, digest: before };
     let mut octets = Vec::new();
@@ -43,20 +43,20 @@
 }
 
 #[test]
-fn an_entry_of_a_newer_version_is_refused_rather_than_kept_in_part() {
+fn rejects_an_entry_with_an_unknown_field() {
     let mut copy = open(Disk::default(), "a", 0).unwrap();
     say(&mut copy, Up::Hello { next: 2, acked: 0 });
-    // Field 99, which nobody knows yet.
+    // Field 99 is unknown to this version.
     let newer = [taken(2), vec![0x9a, 0x06, 0x01, 0x07]].concat();
     let answers = say(&mut copy, run(0, [0; 16], &[taken(1), newer]));
-    assert_eq!(answers, [Down::Odd { number: 0 }]);
-    assert_eq!(copy.notice(), Some(Notice::Odd { number: 0 }));
+    assert_eq!(answers, [Down::EntryRejected { number: 0 }]);
+    assert_eq!(copy.notice(), Some(Notice::EntryRejected { number: 0 }));
     assert_eq!(copy.book().unwrap().1, 0);
     assert_eq!(say(&mut copy, run(0, [0; 16], &[taken(1)])), [Down::Durable { next: 1 }]);
 }
 
 #[test]
-fn an_origin_that_heeds_no_window_is_not_followed() {
+fn buffers_no_more_than_the_window_if_the_origin_ignores_it() {
     let mut copy = open(Disk::default(), "a", 0).unwrap();
     say(&mut copy, Up::Hello { next: 9, acked: 0 });
     let many: Vec<Vec<u8>> = (0..100).map(taken).collect();
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn a_folder_of_another_is_refused() {
+fn refuses_to_open_the_folder_of_another_origin() {
     let mut copy = open(Disk::default(), "a", 0).unwrap();
-    assert!(copy.book().is_none(), "nobody has written yet");
+    assert!(copy.book().is_none(), "no origin has written yet");
     say(&mut copy, Up::Hello { next: 0, acked: 0 });
     let disk = copy.into_journal().unwrap().into_storage();
     for (member, sender) in [("b", 0), ("a", 1)] {
-        assert!(matches!(open(disk.clone(), member, sender), Err(CopyError::Another(..))));
+        assert!(matches!(open(disk.clone(), member, sender), Err(CopyError::OtherOrigin(..))));
     }
     assert!(open(disk, "a", 0).is_ok());
 }
