--- a/crates/config/build.rs
+++ b/crates/config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema with protox (no protoc) into Rust types and a descriptor set for the text format.
+//! Compiles the schema with protox, without protoc, into Rust types and a descriptor set for the text format.
 use prost::Message;
 use std::{env, error::Error, fs, path::PathBuf};
 
--- a/crates/config/src/check/fronts.rs
+++ b/crates/config/src/check/fronts.rs
@@ -1,67 +1,69 @@
-//! What clients speak, and what is held for them.
+//! Validates the client protocols and the storage of messages held for clients.
 
-use super::collect::Check;
+use super::checker::Checker;
 use super::types::{HeldConfig, MqttConfig, SmppConfig};
 use crate::raw;
 use crate::units::parse_size;
 use std::net::SocketAddr;
 
-pub fn smpp(c: &mut Check, s: raw::Smpp) -> SmppConfig {
-    let listen = if s.listen.is_empty() { "127.0.0.1:2775" } else { &s.listen };
+pub fn smpp(check: &mut Checker, smpp: raw::Smpp) -> SmppConfig {
+    let listen = if smpp.listen.is_empty() { "127.0.0.1:2775" } else { &smpp.listen };
     SmppConfig {
-        listen: c.address("smpp.listen", listen).unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 2775))),
-        session_init: c.span("smpp.session_init", &s.session_init, 5_000_000, 1_000),
-        enquire_every: c.span("smpp.enquire_every", &s.enquire_every, 30_000_000, 1_000),
-        inactivity: c.span("smpp.inactivity", &s.inactivity, 600_000_000, 1_000),
-        response: c.span("smpp.response", &s.response, 10_000_000, 1_000),
-        window: c.count("smpp.window", s.window, 100, 65_536) as usize,
-        sessions: c.count("smpp.sessions", s.sessions, 4_096, 1 << 20) as usize,
-        max_pdu: c.count("smpp.max_pdu", s.max_pdu, 66_000, 1 << 20) as usize,
-        weight: c.figure("smpp.weight", s.weight, 1.0, 1e3),
+        listen: check
+            .address("smpp.listen", listen)
+            .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 2775))),
+        session_init: check.duration("smpp.session_init", &smpp.session_init, 5_000_000, 1_000),
+        enquire_every: check.duration("smpp.enquire_every", &smpp.enquire_every, 30_000_000, 1_000),
+        inactivity: check.duration("smpp.inactivity", &smpp.inactivity, 600_000_000, 1_000),
+        response: check.duration("smpp.response", &smpp.response, 10_000_000, 1_000),
+        window: check.count("smpp.window", smpp.window, 100, 65_536) as usize,
+        sessions: check.count("smpp.sessions", smpp.sessions, 4_096, 1 << 20) as usize,
+        max_pdu: check.count("smpp.max_pdu", smpp.max_pdu, 66_000, 1 << 20) as usize,
+        weight: check.number("smpp.weight", smpp.weight, 1.0, 1e3),
     }
 }
 
-pub fn held(c: &mut Check, h: &raw::Held) -> HeldConfig {
-    let octets = if h.octets.is_empty() { Ok(64 << 20) } else { parse_size(&h.octets) };
+pub fn held(check: &mut Checker, held: &raw::Held) -> HeldConfig {
+    let octets = if held.octets.is_empty() { Ok(64 << 20) } else { parse_size(&held.octets) };
     HeldConfig {
-        age: c.span("held.age", &h.age, 86_400_000_000, 1_000_000),
-        count: c.count("held.count", h.count, 100_000, 1 << 24) as usize,
+        age: check.duration("held.age", &held.age, 86_400_000_000, 1_000_000),
+        count: check.count("held.count", held.count, 100_000, 1 << 24) as usize,
         octets: octets.unwrap_or_else(|e| {
-            c.say("held.octets", e);
+            check.report("held.octets", e);
             0
         }),
-        trails: c.count("held.trails", h.trails, 100_000, 1 << 24) as usize,
+        trails: check.count("held.trails", held.trails, 100_000, 1 << 24) as usize,
     }
 }
 
-pub fn mqtt(c: &mut Check, m: &raw::Mqtt) -> Option<MqttConfig> {
-    let keep_alive = c.span("mqtt.keep_alive", &m.keep_alive, 300_000_000, 0);
+pub fn mqtt(check: &mut Checker, mqtt: &raw::Mqtt) -> Option<MqttConfig> {
+    let keep_alive = check.duration("mqtt.keep_alive", &mqtt.keep_alive, 300_000_000, 0);
     let seconds = u16::try_from(keep_alive / 1_000_000).unwrap_or_else(|_| {
-        c.say("mqtt.keep_alive", format!("\"{}\" is too long: at most 65,535 s", m.keep_alive));
+        check.report("mqtt.keep_alive", format!("\"{}\" is too long: at most 65,535 s", mqtt.keep_alive));
         0
     });
     if keep_alive % 1_000_000 != 0 {
-        c.say("mqtt.keep_alive", format!("\"{}\" is no whole number of seconds", m.keep_alive));
+        check.report("mqtt.keep_alive", format!("\"{}\" is not a whole number of seconds", mqtt.keep_alive));
     }
-    let expiry = c.span("mqtt.expiry", &m.expiry, 86_400_000_000, 0) / 1_000_000;
+    let expiry = check.duration("mqtt.expiry", &mqtt.expiry, 86_400_000_000, 0) / 1_000_000;
     let mut config = MqttConfig {
         listen: SocketAddr::from(([127, 0, 0, 1], 1883)),
-        connect_within: c.span("mqtt.connect_within", &m.connect_within, 5_000_000, 1_000),
+        connect_within: check.duration("mqtt.connect_within", &mqtt.connect_within, 5_000_000, 1_000),
         keep_alive: seconds,
         expiry: u32::try_from(expiry).unwrap_or(u32::MAX - 1).min(u32::MAX - 1),
-        window: c.count("mqtt.window", m.window, 100, 65_535) as u16,
-        max_packet: c.count("mqtt.max_packet", m.max_packet, 66_000, 1 << 24),
-        sessions: c.count("mqtt.sessions", m.sessions, 10_000, 1 << 20) as usize,
-        remember: c.span("mqtt.remember", &m.remember, 600_000_000, 0),
-        remembered: c.count("mqtt.remembered", m.remembered, 262_144, 1 << 24) as usize,
-        weight: c.figure("mqtt.weight", m.weight, 1.0, 1e3),
+        window: check.count("mqtt.window", mqtt.window, 100, 65_535) as u16,
+        max_packet: check.count("mqtt.max_packet", mqtt.max_packet, 66_000, 1 << 24),
+        sessions: check.count("mqtt.sessions", mqtt.sessions, 10_000, 1 << 20) as usize,
+        remember: check.duration("mqtt.remember", &mqtt.remember, 600_000_000, 0),
+        remembered: check.count("mqtt.remembered", mqtt.remembered, 262_144, 1 << 24) as usize,
+        weight: check.number("mqtt.weight", mqtt.weight, 1.0, 1e3),
     };
-    if m.listen.is_empty() {
-        if *m != raw::Mqtt::default() {
-            c.say("mqtt", "without `listen` no other field of it has a meaning");
+    if mqtt.listen.is_empty() {
+        if *mqtt != raw::Mqtt::default() {
+            check.report("mqtt", "without `listen` no other field has an effect");
         }
         return None;
     }
-    config.listen = c.address("mqtt.listen", &m.listen)?;
+    config.listen = check.address("mqtt.listen", &mqtt.listen)?;
     Some(config)
 }
--- a/crates/config/src/check/receivers.rs
+++ b/crates/config/src/check/receivers.rs
@@ -1,100 +1,113 @@
-//! Where messages go: kinds of destination, routes, endpoints, and what a directory lists.
+//! Validates kinds of destination, routes, endpoints, and the listings of a directory.
 
-use super::collect::{Check, Wrong};
+use super::checker::{Checker, InvalidField};
 use super::types::{EndpointConfig, KindConfig, Listing, Protocol, RouteConfig};
 use crate::raw;
 use heronroute::{KindSettings, Settings, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub fn kinds(c: &mut Check, kinds: &[raw::Kind], settings: &mut Settings) -> Vec<KindConfig> {
+pub fn kinds(check: &mut Checker, kinds: &[raw::Kind], settings: &mut Settings) -> Vec<KindConfig> {
     let mut seen = BTreeSet::new();
     let mut list = Vec::new();
-    for (i, k) in kinds.iter().enumerate() {
+    for (i, kind) in kinds.iter().enumerate() {
         let path = |field: &str| format!("kind[{i}].{field}");
-        c.name(&path("name"), &k.name, 64, &mut seen);
-        let protocol = match k.protocol.as_str() {
+        check.name(&path("name"), &kind.name, 64, &mut seen);
+        let protocol = match kind.protocol.as_str() {
             "smpp" => Protocol::Smpp,
             "http" => Protocol::Http,
             other => {
-                c.say(&path("protocol"), format!("\"{other}\" is no protocol: \"smpp\" or \"http\""));
+                check.report(
+                    &path("protocol"),
+                    format!("\"{other}\" is not a protocol: \"smpp\" or \"http\""),
+                );
                 Protocol::Http
             }
         };
-        if k.system_id.len() > 15 || k.password.len() > 8 {
-            c.say(&path("system_id"), "at most 15 characters, and 8 of password");
+        if kind.system_id.len() > 15 || kind.password.len() > 8 {
+            check.report(&path("system_id"), "at most 15 characters, and 8 of password");
         }
-        for (field, text) in [("path", &k.path), ("probe_path", &k.probe_path)] {
+        for (field, text) in [("path", &kind.path), ("probe_path", &kind.probe_path)] {
             let plain = text.starts_with('/') && text.bytes().all(|b| b.is_ascii_graphic());
             if !text.is_empty() && !plain {
-                c.say(&path(field), format!("\"{text}\" is no path: it begins with / and has no spaces"));
+                check.report(
+                    &path(field),
+                    format!("\"{text}\" is not a path: it has to begin with / and have no spaces"),
+                );
             }
         }
-        let batch = c.count(&path("batch"), k.batch, 1, 1_000);
-        let window = c.count(&path("window"), k.window, 8, 10_000);
-        settings.kinds.push(KindSettings { batch, apart: k.apart });
+        let batch = check.count(&path("batch"), kind.batch, 1, 1_000);
+        let window = check.count(&path("window"), kind.window, 8, 10_000);
+        settings.kinds.push(KindSettings { batch, apart: kind.apart });
         let or = |text: &str, other: &str| if text.is_empty() { other.into() } else { text.to_string() };
         list.push(KindConfig {
-            name: k.name.clone(),
+            name: kind.name.clone(),
             protocol,
             batch: batch as usize,
             window: window as usize,
-            system_id: or(&k.system_id, "heronroute"),
-            password: k.password.clone(),
-            path: or(&k.path, "/"),
-            probe_path: or(&k.probe_path, "/health"),
+            system_id: or(&kind.system_id, "heronroute"),
+            password: kind.password.clone(),
+            path: or(&kind.path, "/"),
+            probe_path: or(&kind.probe_path, "/health"),
         });
     }
-    // The module prices handshakes by the calls that a connection carries; the smallest window is the safe one.
-    settings.streams = list.iter().map(|k| k.window.div_ceil(k.batch) as u32).min().unwrap_or(1).max(1);
+    // The decision library weighs handshakes by the calls that a connection carries; the smallest window is
+    // the safe value.
+    settings.streams =
+        list.iter().map(|kind| kind.window.div_ceil(kind.batch) as u32).min().unwrap_or(1).max(1);
     if list.is_empty() {
-        c.say("kind", "no kind of destination is named: at least one");
+        check.report("kind", "no kind of destination is given: at least one is required");
     }
     list
 }
 
-/// Whether a text can be the beginning of an address.
+/// Returns whether a text can be the prefix of an address.
 pub fn is_prefix(text: &str) -> bool {
     text.len() <= 20 && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-pub fn routes(c: &mut Check, routes: &[raw::Route]) -> Vec<RouteConfig> {
+pub fn routes(check: &mut Checker, routes: &[raw::Route]) -> Vec<RouteConfig> {
     let mut seen: BTreeMap<&str, u32> = BTreeMap::new();
-    for (i, r) in routes.iter().enumerate() {
+    for (i, route) in routes.iter().enumerate() {
         let path = format!("route[{i}].prefix");
-        if !is_prefix(&r.prefix) {
-            c.say(&path, format!("\"{}\" is no prefix: at most 20 printable ASCII characters", r.prefix));
+        if !is_prefix(&route.prefix) {
+            check.report(
+                &path,
+                format!("\"{}\" is not a prefix: at most 20 printable ASCII characters", route.prefix),
+            );
         }
-        if let Some(other) = seen.insert(&r.prefix, r.destination) {
-            c.say(&path, format!("\"{}\" already leads to destination {other}", r.prefix));
+        if let Some(other) = seen.insert(&route.prefix, route.destination) {
+            check.report(&path, format!("\"{}\" already leads to destination {other}", route.prefix));
         }
     }
     if routes.is_empty() {
-        c.say("route", "no route is named: at least one");
+        check.report("route", "no route is given: at least one is required");
     }
-    let plain =
-        |r: &raw::Route| RouteConfig { prefix: r.prefix.clone(), destination: i64::from(r.destination) };
+    let plain = |route: &raw::Route| RouteConfig {
+        prefix: route.prefix.clone(),
+        destination: i64::from(route.destination),
+    };
     routes.iter().map(plain).collect()
 }
 
 pub fn endpoint(
-    c: &mut Check,
+    check: &mut Checker,
     path: &str,
     e: &raw::Endpoint,
     seen: &mut BTreeSet<String>,
 ) -> Option<EndpointConfig> {
-    c.name(&format!("{path}.name"), &e.name, 128, seen);
+    check.name(&format!("{path}.name"), &e.name, 128, seen);
     let status = match e.status.as_str() {
         "" | "up" => Status::Up,
         "draining" => Status::Draining,
         "removed" => Status::Removed,
         other => {
-            let what = format!("\"{other}\" is no status: \"up\", \"draining\" or \"removed\"");
-            c.say(&format!("{path}.status"), what);
+            let what = format!("\"{other}\" is not a status: \"up\", \"draining\" or \"removed\"");
+            check.report(&format!("{path}.status"), what);
             Status::Up
         }
     };
-    let weight = c.figure(&format!("{path}.weight"), e.weight, 0.0, 1e9);
-    let address = c.address(&format!("{path}.address"), &e.address)?;
+    let weight = check.number(&format!("{path}.weight"), e.weight, 0.0, 1e9);
+    let address = check.address(&format!("{path}.address"), &e.address)?;
     Some(EndpointConfig {
         name: e.name.clone(),
         address,
@@ -106,23 +119,23 @@
     })
 }
 
-pub fn listing(raw: &raw::Listing) -> Result<Listing, Vec<Wrong>> {
-    let mut c = Check::default();
+pub fn listing(raw: &raw::Listing) -> Result<Listing, Vec<InvalidField>> {
+    let mut check = Checker::default();
     let mut seen = BTreeSet::new();
     let rows = raw.endpoint.iter().enumerate();
     let endpoints = rows
         .filter_map(|(i, e)| {
-            // Guards against losing a list after a gap: changes may name an endpoint several times, in their
-            // order (draining, then removed). Only a whole list names each once.
+            // A list of changes may name an endpoint several times, in order (draining, then removed), and
+            // must not be rejected for that after a gap. Only a whole list names each endpoint once.
             if !raw.whole {
                 seen.clear();
             }
-            endpoint(&mut c, &format!("endpoint[{i}]"), e, &mut seen)
+            endpoint(&mut check, &format!("endpoint[{i}]"), e, &mut seen)
         })
         .collect();
-    if c.wrong.is_empty() {
+    if check.errors.is_empty() {
         Ok(Listing { version: raw.version, whole: raw.whole, endpoints })
     } else {
-        Err(c.wrong)
+        Err(check.errors)
     }
 }
--- a/crates/config/src/check/types.rs
+++ b/crates/config/src/check/types.rs
@@ -1,275 +1,320 @@
-//! Checked settings as plain data.
+//! Validated settings as plain data.
 
 use heronroute::{Micros, Settings, Status};
 use heronroute_rules::Plan;
 use std::net::SocketAddr;
 
-/// Everything a service is told.
+/// The settings of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// The service itself.
     pub service: ServiceConfig,
-    /// The front for clients.
+    /// The SMPP front.
     pub smpp: SmppConfig,
-    /// The MQTT front, where it is spoken.
+    /// The MQTT front, if enabled.
     pub mqtt: Option<MqttConfig>,
-    /// The platform's front, where it is spoken; not in settings files.
+    /// The front of the platform, if enabled. It is not part of settings files.
     pub platform: Option<PlatformConfig>,
-    /// Messages held for their clients, where any are.
+    /// The storage of messages held for clients, if enabled.
     pub held: Option<HeldConfig>,
-    /// The directory.
+    /// The access to the directory.
     pub directory: DirectoryConfig,
     /// The journal.
     pub journal: JournalConfig,
-    /// The installation that this process is a member of, where it is of one.
+    /// The installation that this process is a member of, if any.
     pub fleet: Option<FleetConfig>,
-    /// Plans within which clients keep rules of their own, in the order of the file.
+    /// The plans, which limit the rules that clients define, in the order of the file.
     pub plans: Vec<Plan>,
-    /// Clients, which are the tenants; a client's index is its tenant.
+    /// The clients. A client's index is its tenant.
     pub clients: Vec<ClientConfig>,
-    /// Names of the classes, in the order of `settings.classes`.
+    /// The names of the classes, in the order of `settings.classes`.
     pub class_names: Vec<String>,
-    /// Kinds of destination, in the order of `settings.kinds`.
+    /// The kinds of destination, in the order of `settings.kinds`.
     pub kinds: Vec<KindConfig>,
-    /// Names of zones; an index is a zone.
+    /// The names of the zones. An index identifies a zone.
     pub zones: Vec<String>,
-    /// Routes.
+    /// The routes.
     pub routes: Vec<RouteConfig>,
-    /// Endpoints known from the start.
+    /// The endpoints known at startup.
     pub endpoints: Vec<EndpointConfig>,
-    /// What the decision library is told.
+    /// The settings of the decision library.
     pub settings: Settings,
 }
 
-/// Figures of the service.
+/// Limits and timeouts of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceConfig {
+    /// The number of senders of the process.
     pub senders: usize,
+    /// The maximum time for draining after SIGTERM.
     pub drain_for: Micros,
+    /// The maximum number of receipts kept for a client that is not bound.
     pub owed_room: usize,
+    /// The timeout for connecting to an endpoint.
     pub connect_timeout: Micros,
 }
 
-/// Figures of the SMPP front.
+/// Limits and timeouts of the SMPP front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SmppConfig {
+    /// The address at which clients connect.
     pub listen: SocketAddr,
+    /// The time within which a client has to bind.
     pub session_init: Micros,
+    /// The silence after which an `enquire_link` is sent.
     pub enquire_every: Micros,
+    /// The time without requests after which a session is unbound.
     pub inactivity: Micros,
+    /// The time within which a response has to arrive.
     pub response: Micros,
+    /// The maximum number of requests without a response in each direction, per session.
     pub window: usize,
+    /// The maximum number of sessions of one sender.
     pub sessions: usize,
+    /// The maximum size of a PDU in bytes.
     pub max_pdu: usize,
-    /// Its part of the room beside other fronts.
+    /// The weight of its share of capacity among fronts.
     pub weight: f64,
 }
 
-/// Figures of the platform's front.
+/// Limits and addresses of the platform's front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformConfig {
-    /// Connections of clients at most.
+    /// The maximum number of client connections.
     pub sessions: usize,
-    /// Where lists come from and notices go.
+    /// The address from which lists are fetched and to which notices are sent.
     pub discovery: SocketAddr,
 }
 
-/// Messages held for their clients.
+/// Limits of the messages held for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldConfig {
-    /// Kept so long.
+    /// The maximum age of a held message.
     pub age: i64,
-    /// Of each client.
+    /// The maximum number of held messages per client.
     pub count: usize,
-    /// Octets of each client.
+    /// The maximum bytes of held messages per client.
     pub octets: u64,
-    /// Trails of other messages.
+    /// The maximum number of trails of other messages, of one sender.
     pub trails: usize,
 }
 
-/// The front that speaks MQTT.
+/// Limits and timeouts of the MQTT front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MqttConfig {
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// A CONNECT must come within this.
+    /// The time within which a CONNECT has to arrive.
     pub connect_within: i64,
-    /// The longest keep-alive in seconds, 0 for none.
+    /// The maximum keep-alive in seconds, 0 for none.
     pub keep_alive: u16,
-    /// The longest a session is kept without a connection, in seconds.
+    /// The maximum time in seconds for which a session is kept without a connection.
     pub expiry: u32,
-    /// PUBLISHes without an acknowledgement, either way.
+    /// The maximum number of unacknowledged PUBLISH packets in each direction.
     pub window: u16,
-    /// Octets of a packet.
+    /// The maximum size of a packet in bytes.
     pub max_packet: u32,
-    /// Sessions of one sender, with and without a connection.
+    /// The maximum number of sessions of one sender, with and without a connection.
     pub sessions: usize,
-    /// Clients' own names of messages count for so long.
+    /// The time for which message names given by clients are remembered.
     pub remember: i64,
-    /// Such names of one sender at once.
+    /// The maximum number of remembered names of one sender.
     pub remembered: usize,
-    /// Its part of the room beside other fronts.
+    /// The weight of its share of capacity among fronts.
     pub weight: f64,
 }
 
-/// How the directory is reached.
+/// The access to the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectoryConfig {
+    /// The address of the directory, if there is one.
     pub address: Option<SocketAddr>,
+    /// The maximum wait of one long poll.
     pub poll: Micros,
+    /// The file that stores the latest list.
     pub keep: Option<String>,
 }
 
-/// Where and how large the journal is.
+/// The location and limits of the journal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournalConfig {
+    /// The folder of the journal. None: there is no journal.
     pub folder: Option<String>,
+    /// The size limits of the journal.
     pub limits: heronroute_journal::Limits,
+    /// The time for which the disk may lag before no more messages are accepted.
     pub most_lag: Micros,
+    /// The time for which entries are gathered before a commit.
     pub gather: Micros,
 }
 
-/// One client.
+/// A client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientConfig {
+    /// The name with which it logs in.
     pub system_id: String,
+    /// The password with which it logs in.
     pub password: String,
-    /// Messages a second accepted at most; infinite where none is set.
+    /// The maximum rate of accepted messages per second. Infinite if none is set.
     pub rate: f64,
+    /// The number of messages accepted at once above the rate.
     pub burst: f64,
-    /// Its part of the room beside other clients.
+    /// The weight of its share of capacity among clients.
     pub weight: f64,
-    /// The plan, by name, within which it keeps rules of its own; none: it keeps none.
+    /// The name of the plan that limits the rules it defines. None: it can't define rules.
     pub plan: Option<String>,
-    /// It may approve other clients' rules and see the installation's drift.
+    /// Whether it may approve other clients' rules and see the drift of the installation.
     pub operator: bool,
 }
 
-/// An installation, and which of its members this process is.
+/// The installation, and this process's place in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// The installation's name; frames of another one are dropped.
+    /// The name of the installation. Frames of another installation are dropped.
     pub id: String,
-    /// Index of this process among `members`.
+    /// The index of this process in `members`.
     pub own: usize,
-    /// Where it listens for other members.
+    /// The address at which it listens for other members.
     pub listen: SocketAddr,
-    /// Where it keeps its start number, its log and its history.
+    /// The folder of its start number, its log and its history.
     pub folder: String,
-    /// File with the installation's key.
+    /// The file with the key of the installation.
     pub key_file: String,
     /// All members, in the order of the file; 1, 3 or 5 are keepers.
     pub members: Vec<MemberConfig>,
-    /// This process's time of day is so much ahead of the machine's, or behind it; for trials of clocks that are set apart.
+    /// The offset of this process's time of day from the machine's, negative if behind. For tests of clock
+    /// skew.
     pub clock_ahead: Micros,
-    /// How approved rules go to the members.
+    /// The rollout of approved rules to the members.
     pub rollout: RolloutConfig,
-    /// Where members stand in regions.
+    /// The regions of the members, if the installation has regions.
     pub regions: Option<RegionsConfig>,
 }
 
-/// Members in regions, either of which can carry the work alone.
+/// The regions of an installation, each of which can carry the whole load alone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionsConfig {
     /// The region of each member, in the order of the members.
     pub of: Vec<String>,
-    /// A member that is cut off goes on sending for so long.
+    /// The time for which a member that is cut off continues to send.
     pub right: Micros,
-    /// One that is called dead for so long is taken over.
+    /// The time for which a member has to be considered dead before it is taken over.
     pub gone: Micros,
-    /// Where this member keeps its copies of others' journals.
+    /// The folder of this member's copies of other members' journals.
     pub folder: String,
-    /// Octets of all copies together.
+    /// The maximum bytes of all copies together.
     pub most_disk: u64,
-    /// A copy that lags by more does not stand.
+    /// The maximum lag of a copy that counts as current.
     pub lag: Micros,
-    /// In how many regions a message has to be durable, by class.
+    /// The regions in which a message has to be durable, by class.
     pub classes: Vec<Copies>,
 }
 
-/// In how many regions a message has to be durable before it is taken on, attempted and answered.
+/// The regions in which a message has to be durable before it is accepted, attempted and answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Copies {
-    /// In its own; the other one's copy follows.
+    /// In the member's own region. The copy in the other region follows.
     #[default]
     Local,
-    /// In both; while the copy does not stand it is refused with a time to come back.
+    /// In both regions. While the copy is not current, the message is refused with a retry time.
     Both,
-    /// In both; while the copy does not stand, as [`Copies::Local`].
+    /// In both regions. While the copy is not current, as [`Copies::Local`].
     BothOrLocal,
 }
 
-/// How approved rules go to the members.
+/// The rollout of approved rules to the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutConfig {
-    /// One member, its zone, all; else to all at once.
+    /// Whether rules go to one member first, then its zone, then all. Otherwise they go to all at once.
     pub waves: bool,
-    /// A wave was in line for so long before the next one leaves.
+    /// The time for which a wave has to be in line before the next one begins.
     pub soak: Micros,
-    /// A wave has so long to be in line.
+    /// The time within which a wave has to be in line.
     pub wave_for: Micros,
-    /// One that stopped goes back.
+    /// Whether a stopped rollout is rolled back.
     pub back: bool,
 }
 
 /// A member of an installation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberConfig {
-    /// Its name, unique: 1 to 32 of `a-z`, `0-9` and `-`.
+    /// Its unique name: 1 to 32 of `a-z`, `0-9` and `-`.
     pub name: String,
-    /// Where the others reach it, unique.
+    /// The unique address at which the others reach it.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// It takes part in agreement.
+    /// Whether it takes part in consensus.
     pub keeper: bool,
 }
 
 /// The protocol of a kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
+    /// SMPP.
     Smpp,
+    /// HTTP.
     Http,
-    /// The calls of the users' platform; not in settings files.
+    /// The calls of the users' platform. Not part of settings files.
     Platform,
 }
 
-/// One kind of destination.
+/// A kind of destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindConfig {
+    /// Its name.
     pub name: String,
+    /// Its protocol.
     pub protocol: Protocol,
+    /// The maximum number of messages in a call.
     pub batch: usize,
+    /// The maximum number of concurrent calls on a connection.
     pub window: usize,
+    /// The name for the login at an SMPP endpoint.
     pub system_id: String,
+    /// The password for the login at an SMPP endpoint.
     pub password: String,
+    /// The path of HTTP calls.
     pub path: String,
+    /// The path of HTTP probes.
     pub probe_path: String,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteConfig {
+    /// The prefix of the addresses that it matches.
     pub prefix: String,
+    /// The destination.
     pub destination: i64,
 }
 
-/// One endpoint.
+/// An endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointConfig {
+    /// Its unique name.
     pub name: String,
+    /// Its address.
     pub address: SocketAddr,
+    /// The destination that it serves.
     pub destination: i64,
+    /// The name of its kind.
     pub kind: String,
+    /// The name of its zone.
     pub zone: String,
+    /// The calls per second that its destination accepts in total, if known.
     pub weight: Option<f64>,
+    /// Its status.
     pub status: Status,
 }
 
-/// A directory's answer.
+/// The answer of a directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
+    /// The version of the list.
     pub version: u64,
+    /// Whether this is the whole list. Otherwise it has changes only.
     pub whole: bool,
+    /// The endpoints in the list.
     pub endpoints: Vec<EndpointConfig>,
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,11 @@
 //! Settings of heronroute.
 //!
-//! Does: reads protobuf text format against the schema `proto/settings.proto`, checks every figure, and gives a
-//! plain [`Config`]; also reads the listings of a directory. Each fault names file, line, column and what is
-//! allowed; all faults of a file are told at once.
-//! Decides: what is allowed and what is taken where a field is left out.
-//! Never: opens a file or a socket, reads a clock, or keeps anything.
+//! The crate parses protobuf text format with the schema `proto/settings.proto`, validates every value, and
+//! returns a plain [`Config`]. It also parses the listings of a directory. Each error names the file, line,
+//! column and the allowed values; all errors of a file are reported at once.
+//!
+//! The crate defines which values are allowed and the defaults of fields that are left out. It opens no files
+//! or sockets, reads no clock and keeps no state.
 
 #![forbid(unsafe_code)]
 
@@ -26,7 +27,7 @@
 use std::fmt;
 use std::sync::OnceLock;
 
-/// The types of the schema, as they stand in a file.
+/// The types of the schema, before validation.
 #[allow(missing_docs, clippy::all)]
 pub mod raw {
     include!(concat!(env!("OUT_DIR"), "/heronroute.settings.rs"));
@@ -34,16 +35,16 @@
 
 const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin"));
 
-/// One fault of a file.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Name of the file, as given.
+    /// The name of the file, as passed by the caller.
     pub file: String,
-    /// Line, from 1.
+    /// The line, from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// The column in characters, from 1.
     pub column: usize,
-    /// What is wrong and what is allowed.
+    /// What is wrong, and which values are allowed.
     pub what: String,
 }
 
@@ -53,48 +54,49 @@
     }
 }
 
-/// Everything wrong with a file, in order of place.
+/// All errors in a file, in the order of their positions.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct Faults(pub Vec<Fault>);
 
-/// Reads and checks a settings file.
+/// Parses and validates a settings file.
 ///
 /// # Errors
-/// All faults found: one where the text cannot be read at all, else every wrong field.
+/// Returns a single error if the text can't be parsed, otherwise one for every invalid field.
 pub fn parse(file: &str, text: &str) -> Result<Config, Faults> {
     let raw: raw::File = read(file, text, "heronroute.settings.File")?;
-    check::config(raw).map_err(|wrong| place(file, text, wrong))
+    check::config(raw).map_err(|wrong| locate_errors(file, text, wrong))
 }
 
-/// Reads a directory's listing.
+/// Parses and validates a directory's listing.
 ///
 /// # Errors
-/// As [`parse`].
+/// Returns errors as [`parse`] does.
 pub fn parse_listing(file: &str, text: &str) -> Result<Listing, Faults> {
     let raw: raw::Listing = read(file, text, "heronroute.settings.Listing")?;
-    check::listing(&raw).map_err(|wrong| place(file, text, wrong))
+    check::listing(&raw).map_err(|wrong| locate_errors(file, text, wrong))
 }
 
-/// Reads the script of a day. What it says is checked by whoever plays it.
+/// Parses the script of a day. The caller that runs the script validates its values.
 ///
 /// # Errors
-/// As [`parse`].
+/// Returns errors as [`parse`] does.
 pub fn parse_day(file: &str, text: &str) -> Result<raw::Day, Faults> {
     read(file, text, "heronroute.settings.Day")
 }
 
-/// The fault of a field that was found wrong after reading, by its path, as `trouble[1].kind`.
+/// Returns the error for a field that was found invalid after parsing, by its path, such as
+/// `trouble[1].kind`.
 pub fn fault(file: &str, text: &str, path: &str, what: &str) -> Faults {
-    place(file, text, vec![check::Wrong { path: path.to_string(), what: what.to_string() }])
+    locate_errors(file, text, vec![check::InvalidField { path: path.to_string(), what: what.to_string() }])
 }
 
-/// Writes the script of a day as [`parse_day`] reads it.
+/// Formats the script of a day as text that [`parse_day`] accepts.
 pub fn write_day(day: &raw::Day) -> String {
     write("heronroute.settings.Day", day)
 }
 
-/// Writes a listing as [`parse_listing`] reads it.
+/// Formats a listing as text that [`parse_listing`] accepts.
 pub fn write_listing(listing: &raw::Listing) -> String {
     write("heronroute.settings.Listing", listing)
 }
@@ -131,14 +133,14 @@
         .map_err(|e| Faults(vec![Fault { file: file.to_string(), line: 1, column: 1, what: e.to_string() }]))
 }
 
-/// Gives each wrong field its place in the text.
-fn place(file: &str, text: &str, wrong: Vec<check::Wrong>) -> Faults {
-    let places = locate::fields(text);
+/// Adds the position in the text to each invalid field.
+fn locate_errors(file: &str, text: &str, wrong: Vec<check::InvalidField>) -> Faults {
+    let positions = locate::field_positions(text);
     let mut faults: Vec<Fault> = wrong
         .into_iter()
         .map(|w| {
             let (line, column) =
-                locate::find(&places, &w.path).map_or((1, 1), |o| locate::line_column(text, o));
+                locate::find_offset(&positions, &w.path).map_or((1, 1), |o| locate::line_column(text, o));
             Fault { file: file.to_string(), line, column, what: format!("{}: {}", w.path, w.what) }
         })
         .collect();
--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -1,10 +1,12 @@
-//! Where the fields of a text stand. The library that reads the text format forgets places once a text is well
-//! formed; faults of meaning need them still. This only skims names and brackets; the library has read the text.
+//! Finds the positions of fields in a text.
+//!
+//! The text format library keeps no positions after it has parsed a well-formed text, but validation errors
+//! need them. This module only scans names and brackets, as the library has parsed the text already.
 
-/// A field's path, as `class[1].deadline`, and its offset in bytes.
-pub type Place = (String, usize);
+/// The path of a field, such as `class[1].deadline`, and its offset in bytes.
+pub type FieldPosition = (String, usize);
 
-/// The line and column of an offset, both from 1.
+/// Returns the line and column of an offset, both from 1.
 pub fn line_column(text: &str, offset: usize) -> (usize, usize) {
     let mut offset = offset.min(text.len());
     while !text.is_char_boundary(offset) {
@@ -16,88 +18,90 @@
     (line, column)
 }
 
-/// All fields of a well-formed text.
-pub fn fields(text: &str) -> Vec<Place> {
+/// Returns the positions of all fields of a well-formed text.
+pub fn field_positions(text: &str) -> Vec<FieldPosition> {
     let bytes = text.as_bytes();
-    let mut places: Vec<Place> = Vec::new();
-    // For each open message: its path, and how often each field has come in it.
-    let mut open: Vec<(String, Vec<(String, usize)>)> = vec![(String::new(), Vec::new())];
-    let mut last = String::new();
-    let mut value = false;
-    let mut i = 0;
-    while i < bytes.len() {
-        match bytes[i] {
-            b'#' => i += text[i..].find('\n').unwrap_or(text.len() - i),
+    let mut positions: Vec<FieldPosition> = Vec::new();
+    // For each open message: its path, and the last index of each field in it.
+    let mut open_messages: Vec<(String, Vec<(String, usize)>)> = vec![(String::new(), Vec::new())];
+    let mut last_path = String::new();
+    let mut expects_value = false;
+    let mut pos = 0;
+    while pos < bytes.len() {
+        match bytes[pos] {
+            b'#' => pos += text[pos..].find('\n').unwrap_or(text.len() - pos),
             quote @ (b'"' | b'\'') => {
-                i += 1;
-                while i < bytes.len() && bytes[i] != quote {
-                    i += if bytes[i] == b'\\' { 2 } else { 1 };
+                pos += 1;
+                while pos < bytes.len() && bytes[pos] != quote {
+                    pos += if bytes[pos] == b'\\' { 2 } else { 1 };
                 }
-                i += 1;
-                value = false;
+                pos += 1;
+                expects_value = false;
             }
             b'{' | b'<' => {
-                open.push((std::mem::take(&mut last), Vec::new()));
-                value = false;
-                i += 1;
+                open_messages.push((std::mem::take(&mut last_path), Vec::new()));
+                expects_value = false;
+                pos += 1;
             }
             b'}' | b'>' => {
-                open.pop();
-                if open.is_empty() {
-                    return places;
+                open_messages.pop();
+                if open_messages.is_empty() {
+                    return positions;
                 }
-                value = false;
-                i += 1;
+                expects_value = false;
+                pos += 1;
             }
             b':' => {
-                value = true;
-                i += 1;
+                expects_value = true;
+                pos += 1;
             }
             b'[' => {
-                value = true;
-                i += 1;
+                expects_value = true;
+                pos += 1;
             }
             b']' | b',' | b';' => {
-                value = false;
-                i += 1;
+                expects_value = false;
+                pos += 1;
             }
             c if c.is_ascii_alphanumeric() || matches!(c, b'_' | b'-' | b'+' | b'.') => {
-                let start = i;
-                while i < bytes.len() && (bytes[i].is_ascii_alphanumeric() || b"_-+.".contains(&bytes[i])) {
-                    i += 1;
+                let start = pos;
+                while pos < bytes.len()
+                    && (bytes[pos].is_ascii_alphanumeric() || b"_-+.".contains(&bytes[pos]))
+                {
+                    pos += 1;
                 }
-                if value {
-                    value = false;
+                if expects_value {
+                    expects_value = false;
                     continue;
                 }
-                let name = &text[start..i];
-                let Some((parent, seen)) = open.last_mut() else { return places };
-                let count = match seen.iter_mut().find(|(n, _)| n == name) {
+                let name = &text[start..pos];
+                let Some((parent, seen_fields)) = open_messages.last_mut() else { return positions };
+                let count = match seen_fields.iter_mut().find(|(n, _)| n == name) {
                     Some((_, count)) => {
                         *count += 1;
                         *count
                     }
                     None => {
-                        seen.push((name.to_string(), 0));
+                        seen_fields.push((name.to_string(), 0));
                         0
                     }
                 };
                 let dot = if parent.is_empty() { "" } else { "." };
-                last = format!("{parent}{dot}{name}[{count}]");
-                places.push((last.clone(), start));
+                last_path = format!("{parent}{dot}{name}[{count}]");
+                positions.push((last_path.clone(), start));
             }
-            _ => i += 1,
+            _ => pos += 1,
         }
     }
-    places
+    positions
 }
 
-/// The place of a path, or of the nearest message around it. Paths may leave out `[0]`.
-pub fn find(places: &[Place], path: &str) -> Option<usize> {
-    let full: Vec<String> =
+/// Returns the offset of a path, or of the nearest enclosing message. Paths may leave out `[0]`.
+pub fn find_offset(positions: &[FieldPosition], path: &str) -> Option<usize> {
+    let full_path: Vec<String> =
         path.split('.').map(|p| if p.ends_with(']') { p.to_string() } else { format!("{p}[0]") }).collect();
-    (1..=full.len()).rev().find_map(|n| {
-        let wanted = full[..n].join(".");
-        places.iter().find(|(p, _)| *p == wanted).map(|(_, offset)| *offset)
+    (1..=full_path.len()).rev().find_map(|n| {
+        let wanted = full_path[..n].join(".");
+        positions.iter().find(|(p, _)| *p == wanted).map(|(_, offset)| *offset)
     })
 }
