--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -73,10 +73,10 @@
     }
     let mut zones: Vec<String> = Vec::new();
     let own_zone = raw.service.map(|s| s.zone).unwrap_or_default();
-    let named = endpoints.iter().any(|e| !e.zone.is_empty());
+    let any_named = endpoints.iter().any(|e| !e.zone.is_empty());
     for zone in std::iter::once(&own_zone).chain(endpoints.iter().map(|e| &e.zone)) {
-        let unnamed = zone.is_empty() && named;
-        if !unnamed && !zones.contains(zone) {
+        let is_unnamed = zone.is_empty() && any_named;
+        if !is_unnamed && !zones.contains(zone) {
             zones.push(zone.clone());
         }
     }
--- a/crates/config/src/check/plans.rs
+++ b/crates/config/src/check/plans.rs
@@ -93,8 +93,8 @@
     let (answer_for, remember) =
         (duration("answer_for", &plan.answer_for), duration("remember", &plan.remember));
     let (hold_for, validity) = (duration("hold_for", &plan.hold_for), duration("validity", &plan.validity));
-    let mut count = |field: &str, value: u32, most: u32| {
-        let count = check.count(&format!("{at}.{field}"), value, 0, most);
+    let mut count = |field: &str, value: u32, max: u32| {
+        let count = check.count(&format!("{at}.{field}"), value, 0, max);
         (count > 0).then_some(u64::from(count))
     };
     RuleLimits {
--- a/crates/config/src/check/regions.rs
+++ b/crates/config/src/check/regions.rs
@@ -27,16 +27,16 @@
         }
         return None;
     };
-    let mut names = BTreeSet::new();
+    let mut region_names = BTreeSet::new();
     for (i, member) in members.iter().enumerate() {
         if is_name(&member.region) {
-            names.insert(&member.region);
+            region_names.insert(&member.region);
         } else {
             let path = format!("fleet.member[{i}].region");
             check.report(&path, format!("\"{}\" is not a region: 1 to 32 of a-z, 0-9 and -", member.region));
         }
     }
-    if names.len() == 1 {
+    if region_names.len() == 1 {
         check.report("fleet.regions", "all members are in one region: at least two regions are required");
     }
     if raw.journal.as_ref().is_none_or(|j| j.folder.is_empty()) {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -65,7 +65,7 @@
 /// Returns a single error if the text can't be parsed, otherwise one for every invalid field.
 pub fn parse(file: &str, text: &str) -> Result<Config, Faults> {
     let raw: raw::File = read(file, text, "heronroute.settings.File")?;
-    check::config(raw).map_err(|wrong| locate_errors(file, text, wrong))
+    check::config(raw).map_err(|invalid_fields| locate_errors(file, text, invalid_fields))
 }
 
 /// Parses and validates a directory's listing.
@@ -74,7 +74,7 @@
 /// Returns errors as [`parse`] does.
 pub fn parse_listing(file: &str, text: &str) -> Result<Listing, Faults> {
     let raw: raw::Listing = read(file, text, "heronroute.settings.Listing")?;
-    check::listing(&raw).map_err(|wrong| locate_errors(file, text, wrong))
+    check::listing(&raw).map_err(|invalid_fields| locate_errors(file, text, invalid_fields))
 }
 
 /// Parses the script of a day. The caller that runs the script validates its values.
@@ -134,16 +134,16 @@
 }
 
 /// Adds the position in the text to each invalid field.
-fn locate_errors(file: &str, text: &str, wrong: Vec<check::InvalidField>) -> Faults {
+fn locate_errors(file: &str, text: &str, invalid_fields: Vec<check::InvalidField>) -> Faults {
     let positions = locate::field_positions(text);
-    let mut faults: Vec<Fault> = wrong
+    let mut errors: Vec<Fault> = invalid_fields
         .into_iter()
-        .map(|w| {
+        .map(|field| {
             let (line, column) =
-                locate::find_offset(&positions, &w.path).map_or((1, 1), |o| locate::line_column(text, o));
-            Fault { file: file.to_string(), line, column, what: format!("{}: {}", w.path, w.what) }
+                locate::find_offset(&positions, &field.path).map_or((1, 1), |o| locate::line_column(text, o));
+            Fault { file: file.to_string(), line, column, what: format!("{}: {}", field.path, field.what) }
         })
         .collect();
-    faults.sort_by_key(|f| (f.line, f.column));
-    Faults(faults)
+    errors.sort_by_key(|f| (f.line, f.column));
+    Faults(errors)
 }
