--- a/crates/cli/src/days.rs
+++ b/crates/cli/src/days.rs
@@ -1,7 +1,7 @@
 //! `demo` and `bad-day`.
 
 use crate::fail;
-use heronroute_config::{fault, parse_day, write_day};
+use heronroute_config::{field_error, parse_day, write_day};
 use heronroute_drill::{BadDay, Drill, Outcome, bad_day, demo as demo_day, mixed, report, stage};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -40,7 +40,7 @@
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
     let mut day = parse_day(&name, &text).map_err(|e| e.to_string())?;
     day.seed = seed.unwrap_or(day.seed);
-    let staged = stage(&day).map_err(|(at, what)| fault(&name, &text, &at, &what).to_string())?;
+    let staged = stage(&day).map_err(|(at, what)| field_error(&name, &text, &at, &what).to_string())?;
     Ok((format!("{name}, seed {}", day.seed.max(1)), staged))
 }
 
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -57,7 +57,7 @@
 fn wait(span: Option<&String>) -> Result<(), String> {
     match span {
         Some(span) => {
-            let micros = heronroute_config::parse_span(span)?;
+            let micros = heronroute_config::parse_duration(span)?;
             std::thread::sleep(Duration::from_micros(micros as u64));
         }
         None => _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink()),
@@ -89,7 +89,7 @@
     let clock = Clock::start();
     match what {
         Standin::Receiver { speaks, listen, pace, trouble, span } => {
-            let pace = heronroute_config::parse_span(pace)?;
+            let pace = heronroute_config::parse_duration(pace)?;
             let strikes = trouble.iter().map(|w| strike(w)).collect::<Result<Vec<_>, _>>()?;
             let speaks = match speaks {
                 Protocol::Smpp => Speaks::Smpp,
--- a/crates/cli/tests/fleet/long.rs
+++ b/crates/cli/tests/fleet/long.rs
@@ -34,7 +34,7 @@
 
 /// "90s", "30m" and "1h" as seconds.
 fn seconds(text: &str) -> Option<u64> {
-    heronroute_config::parse_span(text).ok().map(|micros| (micros / S) as u64)
+    heronroute_config::parse_duration(text).ok().map(|micros| (micros / S) as u64)
 }
 
 /// Submits at one member after the other, on what that one shows, until told to stop.
--- a/crates/config/src/check/checker.rs
+++ b/crates/config/src/check/checker.rs
@@ -1,6 +1,6 @@
 //! Validates single values and collects the errors.
 
-use crate::units::{parse_size, parse_span};
+use crate::units::{parse_duration, parse_size};
 use heronroute::Micros;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -28,10 +28,13 @@
         if text.is_empty() {
             return default;
         }
-        match parse_span(text) {
+        match parse_duration(text) {
             Ok(duration) if duration >= min => duration,
             Ok(_) => {
-                self.report(path, format!("\"{text}\" is too short: at least {}", crate::show_span(min)));
+                self.report(
+                    path,
+                    format!("\"{text}\" is too short: at least {}", crate::format_duration(min)),
+                );
                 default
             }
             Err(e) => {
@@ -52,7 +55,7 @@
     ) -> Micros {
         let duration = self.duration(path, text, default, min);
         if duration > max {
-            self.report(path, format!("\"{text}\" is too long: at most {}", crate::show_span(max)));
+            self.report(path, format!("\"{text}\" is too long: at most {}", crate::format_duration(max)));
         }
         duration
     }
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -3,7 +3,7 @@
 use super::checker::Checker;
 use super::types::{FleetConfig, MemberConfig, RolloutConfig};
 use crate::raw;
-use crate::units::{parse_span, show_span};
+use crate::units::{format_duration, parse_duration};
 use heronroute::Micros;
 use std::collections::BTreeSet;
 
@@ -48,11 +48,13 @@
 /// Parses a duration with an optional minus sign.
 fn clock_ahead(check: &mut Checker, text: &str) -> Micros {
     let (sign, duration) = text.strip_prefix('-').map_or((1, text), |duration| (-1, duration));
-    match parse_span(duration) {
+    match parse_duration(duration) {
         _ if text.is_empty() => return 0,
         Ok(duration) if duration <= MAX_CLOCK_OFFSET => return sign * duration,
-        Ok(_) => check
-            .report("fleet.clock_ahead", format!("\"{text}\" is more than {}", show_span(MAX_CLOCK_OFFSET))),
+        Ok(_) => check.report(
+            "fleet.clock_ahead",
+            format!("\"{text}\" is more than {}", format_duration(MAX_CLOCK_OFFSET)),
+        ),
         Err(e) => check.report("fleet.clock_ahead", e),
     }
     0
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -20,7 +20,7 @@
 };
 pub use heronroute::SettingsError;
 pub use heronroute_rules::Plan;
-pub use units::{parse_size, parse_span, show_span};
+pub use units::{format_duration, parse_duration, parse_size};
 
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage};
@@ -37,7 +37,7 @@
 
 /// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct FileError {
     /// The name of the file, as passed by the caller.
     pub file: String,
     /// The line, from 1.
@@ -48,7 +48,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.what)
     }
@@ -56,14 +56,14 @@
 
 /// All errors in a file, in the order of their positions.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{}", .0.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n"))]
-pub struct Faults(pub Vec<Fault>);
+#[error("{}", .0.iter().map(FileError::to_string).collect::<Vec<_>>().join("\n"))]
+pub struct FileErrors(pub Vec<FileError>);
 
 /// Parses and validates a settings file.
 ///
 /// # Errors
 /// Returns a single error if the text can't be parsed, otherwise one for every invalid field.
-pub fn parse(file: &str, text: &str) -> Result<Config, Faults> {
+pub fn parse(file: &str, text: &str) -> Result<Config, FileErrors> {
     let raw: raw::File = read(file, text, "heronroute.settings.File")?;
     check::config(raw).map_err(|invalid_fields| locate_errors(file, text, invalid_fields))
 }
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// Returns errors as [`parse`] does.
-pub fn parse_listing(file: &str, text: &str) -> Result<Listing, Faults> {
+pub fn parse_listing(file: &str, text: &str) -> Result<Listing, FileErrors> {
     let raw: raw::Listing = read(file, text, "heronroute.settings.Listing")?;
     check::listing(&raw).map_err(|invalid_fields| locate_errors(file, text, invalid_fields))
 }
@@ -81,13 +81,13 @@
 ///
 /// # Errors
 /// Returns errors as [`parse`] does.
-pub fn parse_day(file: &str, text: &str) -> Result<raw::Day, Faults> {
+pub fn parse_day(file: &str, text: &str) -> Result<raw::Day, FileErrors> {
     read(file, text, "heronroute.settings.Day")
 }
 
 /// Returns the error for a field that was found invalid after parsing, by its path, such as
 /// `trouble[1].kind`.
-pub fn fault(file: &str, text: &str, path: &str, what: &str) -> Faults {
+pub fn field_error(file: &str, text: &str, path: &str, what: &str) -> FileErrors {
     locate_errors(file, text, vec![check::InvalidField { path: path.to_string(), what: what.to_string() }])
 }
 
@@ -117,7 +117,7 @@
     })
 }
 
-fn read<T: prost::Message + Default>(file: &str, text: &str, name: &str) -> Result<T, Faults> {
+fn read<T: prost::Message + Default>(file: &str, text: &str, name: &str) -> Result<T, FileErrors> {
     let descriptor = pool().get_message_by_name(name).expect("the schema has this message");
     let message = DynamicMessage::parse_text_format(descriptor, text).map_err(|e| {
         let offset = e.labels().and_then(|mut l| l.next()).map_or(0, |l| l.offset());
@@ -126,24 +126,29 @@
             what = format!("{what} ({help})");
         }
         let (line, column) = locate::line_column(text, offset);
-        Faults(vec![Fault { file: file.to_string(), line, column, what }])
+        FileErrors(vec![FileError { file: file.to_string(), line, column, what }])
     })?;
-    message
-        .transcode_to()
-        .map_err(|e| Faults(vec![Fault { file: file.to_string(), line: 1, column: 1, what: e.to_string() }]))
+    message.transcode_to().map_err(|e| {
+        FileErrors(vec![FileError { file: file.to_string(), line: 1, column: 1, what: e.to_string() }])
+    })
 }
 
 /// Adds the position in the text to each invalid field.
-fn locate_errors(file: &str, text: &str, invalid_fields: Vec<check::InvalidField>) -> Faults {
+fn locate_errors(file: &str, text: &str, invalid_fields: Vec<check::InvalidField>) -> FileErrors {
     let positions = locate::field_positions(text);
-    let mut errors: Vec<Fault> = invalid_fields
+    let mut errors: Vec<FileError> = invalid_fields
         .into_iter()
         .map(|field| {
             let (line, column) =
                 locate::find_offset(&positions, &field.path).map_or((1, 1), |o| locate::line_column(text, o));
-            Fault { file: file.to_string(), line, column, what: format!("{}: {}", field.path, field.what) }
+            FileError {
+                file: file.to_string(),
+                line,
+                column,
+                what: format!("{}: {}", field.path, field.what),
+            }
         })
         .collect();
     errors.sort_by_key(|f| (f.line, f.column));
-    Faults(errors)
+    FileErrors(errors)
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 /// Returns a message with the allowed format.
-pub fn parse_span(text: &str) -> Result<Micros, String> {
+pub fn parse_duration(text: &str) -> Result<Micros, String> {
     let format_error =
         || format!("\"{text}\" is not a duration: a number with us, ms, s, m or h, such as \"250ms\"");
     let text = text.trim();
@@ -25,7 +25,7 @@
 }
 
 /// Formats a duration in the largest unit that does not exceed it.
-pub fn show_span(duration: Micros) -> String {
+pub fn format_duration(duration: Micros) -> String {
     let (name, scale) = UNITS.iter().rev().find(|(_, s)| duration as f64 >= *s).unwrap_or(&UNITS[0]);
     let mut number = format!("{:.3}", duration as f64 / scale);
     while number.ends_with('0') {
@@ -61,11 +61,11 @@
     #[test]
     fn parses_and_formats_durations() {
         for (text, micros) in [("250ms", 250_000), ("1.5s", 1_500_000), ("10m", 600_000_000), ("7us", 7)] {
-            assert_eq!(parse_span(text), Ok(micros));
-            assert_eq!(parse_span(&show_span(micros)), Ok(micros));
+            assert_eq!(parse_duration(text), Ok(micros));
+            assert_eq!(parse_duration(&format_duration(micros)), Ok(micros));
         }
         for text in ["", "5", "s", "5 days", "1.2.3s", "-1s", "99999999h", "ms5"] {
-            assert!(parse_span(text).is_err(), "{text}");
+            assert!(parse_duration(text).is_err(), "{text}");
         }
     }
 
--- a/crates/contracts/src/ship/clauses.rs
+++ b/crates/contracts/src/ship/clauses.rs
@@ -5,8 +5,8 @@
 use crate::ensure;
 use crate::suite::Clause;
 use heronroute_journal::entry::{Accepted, What};
-use heronroute_ship::wire::{self, Down, Up};
-use heronroute_ship::{Bounds, Notice};
+use heronroute_ship::wire::{self, FromOrigin, FromPartner};
+use heronroute_ship::{Notice, ReplicationLimits};
 
 /// What holds of both sides.
 pub const CLAUSES: &[Clause<dyn Shipping>] = &[
@@ -66,7 +66,7 @@
         .past
         .iter()
         .filter_map(|(_, octets)| match up(octets)?.body {
-            Up::Run(e) => Some(e.count),
+            FromOrigin::Run(e) => Some(e.count),
             _ => None,
         })
         .sum();
@@ -82,10 +82,9 @@
     let old = w.copy.borrow().clone();
     w.write(&workload(2, 20));
     w.settle()?;
-    let word =
-        w.past.iter().rev().find(|(is_up, o)| {
-            !is_up && down(o).is_some_and(|m| matches!(m.body, Down::Durable { next: 40 }))
-        });
+    let word = w.past.iter().rev().find(|(is_up, o)| {
+        !is_up && down(o).is_some_and(|m| matches!(m.body, FromPartner::Durable { next: 40 }))
+    });
     let word = word.map(|(_, octets)| octets.clone()).ok_or("nothing said that 40 are durable")?;
     w.cut(true);
     w.receiver = None;
@@ -97,7 +96,7 @@
         w.step();
     }
     if let Some(shipper) = &mut w.shipper {
-        shipper.heard(w.now, &word);
+        shipper.handle_message(w.now, &word);
     }
     ensure!(w.durable().0 <= w.copied(), "{} by an old word, {} are there", w.durable().0, w.copied());
     w.settle()?;
@@ -152,7 +151,7 @@
     let octets: usize =
         w.up.iter()
             .filter_map(|(_, o)| match up(o)?.body {
-                Up::Run(e) => Some(e.octets.len()),
+                FromOrigin::Run(e) => Some(e.octets.len()),
                 _ => None,
             })
             .sum();
@@ -180,7 +179,11 @@
         let held = w.shipper.as_ref().map_or(0, |s| s.held());
         ensure!(held <= BOUNDS.octets + 200, "{held} octets are held");
     }
-    ensure!(w.told.iter().any(|n| matches!(n, Notice::Behind { .. })), "nobody was told: {:?}", w.told);
+    ensure!(
+        w.told.iter().any(|n| matches!(n, Notice::BufferLimitReached { .. })),
+        "nobody was told: {:?}",
+        w.told
+    );
     w.link();
     for _ in 0..3_000 {
         let moves = w.step();
@@ -243,7 +246,7 @@
         w.limits = limits;
         w.origin_up()?;
         w.copy_up()?;
-        let body = vec![7; 3 * wire::MOST + 11];
+        let body = vec![7; 3 * wire::MAX_MESSAGE_BYTES + 11];
         let large = What::Accepted(Accepted { id: 900, body, ..Accepted::default() }).into();
         w.write(&workload(1, 10));
         w.write(&[large]);
@@ -254,7 +257,7 @@
                 break;
             }
             let most = w.up.iter().map(|(_, o)| o.len()).max().unwrap_or(0);
-            ensure!(most <= wire::MOST, "a message of {most} octets");
+            ensure!(most <= wire::MAX_MESSAGE_BYTES, "a message of {most} octets");
             w.sound()?;
         }
         w.complete()?;
@@ -264,7 +267,7 @@
 
 fn anew(s: &dyn Shipping) -> Result<(), String> {
     let mut w = World::new(s);
-    (w.limits, w.bounds) = (SMALL, Bounds { entries: 50, ..BOUNDS });
+    (w.limits, w.bounds) = (SMALL, ReplicationLimits { entries: 50, ..BOUNDS });
     w.origin_up()?;
     w.copy_up()?;
     w.link();
@@ -282,7 +285,11 @@
             w.step();
             w.sound().map_err(|e| format!("round {round}: {e}"))?;
         }
-        ensure!(w.told.iter().any(|n| matches!(n, Notice::Anew { .. })), "round {round}: {:?}", w.told);
+        ensure!(
+            w.told.iter().any(|n| matches!(n, Notice::RebuildStarted { .. })),
+            "round {round}: {:?}",
+            w.told
+        );
         if round % 2 == 0 {
             w.copy_down(round);
             w.copy_up()?;
@@ -310,7 +317,7 @@
         w.step();
         let body = w.up.back_mut().and_then(|(_, octets)| Some((up(octets)?, octets)));
         if let Some((mut m, octets)) = body
-            && let Up::Part(e) = &mut m.body
+            && let FromOrigin::SnapshotEntries(e) = &mut m.body
             && spoilt < 1
         {
             spoilt += 1;
@@ -340,7 +347,7 @@
         let mut whole = bad.clone();
         // Entries of the talk that stands, with one octet changed: they are not taken, or not as they are.
         let spoilt = w.up.back().and_then(|(_, octets)| up(octets)).and_then(|mut m| match &mut m.body {
-            Up::Run(e) | Up::Part(e) => {
+            FromOrigin::Run(e) | FromOrigin::SnapshotEntries(e) => {
                 let at = dice.below(e.octets.len());
                 e.octets[at] ^= 1 << dice.below(8);
                 wire::write(&m)
@@ -350,10 +357,10 @@
         let is_up = is_up || spoilt.is_some();
         whole = spoilt.unwrap_or(whole);
         if let (true, Some(r)) = (is_up, &mut w.receiver) {
-            r.heard(w.now, &whole);
+            r.handle_message(w.now, &whole);
         }
         if let (false, Some(s)) = (is_up, &mut w.shipper) {
-            s.heard(w.now, &whole);
+            s.handle_message(w.now, &whole);
         }
         w.sound()?;
     }
--- a/crates/contracts/src/ship/mod.rs
+++ b/crates/contracts/src/ship/mod.rs
@@ -16,7 +16,7 @@
 use crate::ledger::real::On;
 use heronroute_journal::disk::Disk;
 use heronroute_journal::{Journal, Limits};
-use heronroute_ship::{Bounds, Origin, Receiver, Shipper};
+use heronroute_ship::{Origin, ReplicationLimits, ReplicationSource, ReplicationTarget};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -29,13 +29,18 @@
     fn shipper(
         &self,
         origin: Origin,
-        bounds: Bounds,
+        bounds: ReplicationLimits,
         journal: &Journal<On>,
         promised: u64,
-    ) -> Box<dyn Shipper>;
+    ) -> Box<dyn ReplicationSource>;
     /// The receiving side for the copy of member `a`'s sender 0.
     ///
     /// # Errors
     /// Where it can't be opened.
-    fn receiver(&self, shelf: Shelf, limits: Limits, window: usize) -> Result<Box<dyn Receiver>, String>;
+    fn receiver(
+        &self,
+        shelf: Shelf,
+        limits: Limits,
+        window: usize,
+    ) -> Result<Box<dyn ReplicationTarget>, String>;
 }
--- a/crates/contracts/src/ship/trouble.rs
+++ b/crates/contracts/src/ship/trouble.rs
@@ -40,7 +40,7 @@
         ensure!(w.copied() == 50 || !w.durable().1, "it stands at {:?}", w.durable());
     }
     w.settle()?;
-    let notice = Notice::OldCopy { acked: 50, found: 25 };
+    let notice = Notice::CopyLostEntries { acked: 50, found: 25 };
     ensure!(w.told.contains(&notice), "the origin's side says {:?}", w.told);
     ensure!(w.told_there.contains(&notice), "the partner's side says {:?}", w.told_there);
     w.complete()
@@ -95,7 +95,7 @@
             }
         }
         ensure!(
-            w.told.iter().any(|n| matches!(n, Notice::Parted { copy: 50, .. })),
+            w.told.iter().any(|n| matches!(n, Notice::Diverged { copy: 50, .. })),
             "{more} more: the origin's side says {:?}",
             w.told
         );
@@ -113,7 +113,7 @@
         w.origin_up()?;
         w.link();
         w.settle()?;
-        ensure!(w.told.contains(&Notice::Blocked), "{more} more: a second time says {:?}", w.told);
+        ensure!(w.told.contains(&Notice::SetAsideExists), "{more} more: a second time says {:?}", w.told);
         ensure!(
             !w.durable().1 && w.copied() == 30 + more as u64,
             "{more} more: it goes on at {}",
@@ -145,7 +145,7 @@
     w.told.clear();
     w.link();
     w.settle()?;
-    let wanted = Notice::Parted { copy: 2_500, origin: 3_500 };
+    let wanted = Notice::Diverged { copy: 2_500, origin: 3_500 };
     ensure!(w.told.contains(&wanted), "the origin's side says {:?}", w.told);
     w.complete()
 }
@@ -182,7 +182,7 @@
         older.link();
         older.settle()?;
         ensure!(older.copied() == 20, "it took {} entries", older.copied());
-        let known = Notice::OldLife { known: 2 };
+        let known = Notice::NewerLife { known: 2 };
         ensure!(older.told.contains(&known), "the older life is told {:?}", older.told);
         ensure!(older.told_there.contains(&known), "the partner says {:?}", older.told_there);
         ensure!(!older.durable().1, "the older life is called near");
--- a/crates/contracts/src/ship/world.rs
+++ b/crates/contracts/src/ship/world.rs
@@ -8,8 +8,11 @@
 use heronroute_journal::disk::Disk;
 use heronroute_journal::entry::{Accepted, Answer, Intent, Named, Outcome, Place, Session, Taken, What};
 use heronroute_journal::{Book, Entry, Journal, Limits};
-use heronroute_ship::wire::{self, Down, Message, Up};
-use heronroute_ship::{Bounds, Copying, Cursors, Notice, Origin, Receiver, Sender, Shipper, serve};
+use heronroute_ship::wire::{self, FromOrigin, FromPartner, Message};
+use heronroute_ship::{
+    Cursors, JournalCopy, JournalReplicator, Notice, Origin, ReplicationLimits, ReplicationSource,
+    ReplicationTarget, serve,
+};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -21,14 +24,19 @@
     fn shipper(
         &self,
         origin: Origin,
-        bounds: Bounds,
+        bounds: ReplicationLimits,
         journal: &Journal<On>,
         promised: u64,
-    ) -> Box<dyn Shipper> {
-        Box::new(Sender::new(origin, bounds, journal, promised))
+    ) -> Box<dyn ReplicationSource> {
+        Box::new(JournalReplicator::new(origin, bounds, journal, promised))
     }
-    fn receiver(&self, shelf: Shelf, limits: Limits, window: usize) -> Result<Box<dyn Receiver>, String> {
-        let copy = Copying::open(On(shelf), name(), 0, limits, window);
+    fn receiver(
+        &self,
+        shelf: Shelf,
+        limits: Limits,
+        window: usize,
+    ) -> Result<Box<dyn ReplicationTarget>, String> {
+        let copy = JournalCopy::open(On(shelf), name(), 0, limits, window);
         Ok(Box::new(copy.map_err(|e| e.to_string())?))
     }
 }
@@ -42,7 +50,7 @@
 /// No snapshot is due.
 pub const LONG: Limits = Limits { segment: 1 << 20, growth: 4, least: 1 << 20, most: 1 << 20 };
 /// Small, so that they are met.
-pub const BOUNDS: Bounds = Bounds {
+pub const BOUNDS: ReplicationLimits = ReplicationLimits {
     window: 4 << 10,
     octets: 16 << 10,
     entries: 200,
@@ -114,7 +122,7 @@
     /// Each message takes so long.
     pub delay: i64,
     /// Figures of the next shipper, and of both journals.
-    pub bounds: Bounds,
+    pub bounds: ReplicationLimits,
     pub limits: Limits,
     pub copy_limits: Limits,
     /// The life that writes.
@@ -124,14 +132,14 @@
     pub origin: Shelf,
     pub copy: Shelf,
     pub journal: Option<Journal<On>>,
-    pub shipper: Option<Box<dyn Shipper>>,
-    pub receiver: Option<Box<dyn Receiver>>,
+    pub shipper: Option<Box<dyn ReplicationSource>>,
+    pub receiver: Option<Box<dyn ReplicationTarget>>,
     cursors: Cursors,
     pub up: VecDeque<(i64, Vec<u8>)>,
     pub down: VecDeque<(i64, Vec<u8>)>,
     /// What was delivered, latest last, a few.
     pub past: VecDeque<(bool, Vec<u8>)>,
-    linked: bool,
+    connected: bool,
     /// What the operators were told, and the most that was ever said to be durable.
     pub told: Vec<Notice>,
     pub told_there: Vec<Notice>,
@@ -160,7 +168,7 @@
             up: VecDeque::new(),
             down: VecDeque::new(),
             past: VecDeque::new(),
-            linked: false,
+            connected: false,
             told: Vec::new(),
             told_there: Vec::new(),
             promised: 0,
@@ -219,24 +227,24 @@
         }
         self.written.extend_from_slice(entries);
         if let Some(s) = &mut self.shipper {
-            s.wrote(self.now, first, entries);
+            s.entries_written(self.now, first, entries);
         }
         true
     }
 
     /// A connection stands.
     pub fn link(&mut self) {
-        self.linked = true;
+        self.connected = true;
         if let Some(s) = &mut self.shipper {
-            s.linked(self.now, true);
+            s.connected(self.now, true);
         }
     }
 
     /// It is cut; what is on its way is lost, or comes late.
     pub fn cut(&mut self, lost: bool) {
-        self.linked = false;
+        self.connected = false;
         if let Some(s) = &mut self.shipper {
-            s.linked(self.now, false);
+            s.connected(self.now, false);
         }
         if lost {
             self.up.clear();
@@ -247,16 +255,16 @@
     /// Reads for the shipper what it wants, and takes what both send.
     pub fn turn(&mut self) {
         if let (Some(s), Some(j)) = (&mut self.shipper, &self.journal) {
-            while let Some(want) = s.wants() {
+            while let Some(want) = s.pending_read() {
                 match serve(j, &mut self.cursors, want) {
-                    Ok(given) => s.gave(self.now, given),
+                    Ok(given) => s.read_finished(self.now, given),
                     Err(_) => break,
                 }
                 if s.held() > 1 << 20 {
                     break;
                 }
             }
-            while let Some(octets) = s.poll(self.now).filter(|_| self.linked) {
+            while let Some(octets) = s.poll(self.now).filter(|_| self.connected) {
                 self.up.push_back((self.now + self.delay, octets));
             }
             self.promised = self.promised.max(s.durable(self.now).0);
@@ -266,7 +274,7 @@
         }
         if let Some(r) = &mut self.receiver {
             while let Some(octets) = r.poll(self.now) {
-                if self.linked {
+                if self.connected {
                     self.down.push_back((self.now + self.delay, octets));
                 }
             }
@@ -286,13 +294,13 @@
         // All that is there is heard before anything is said, as from a socket.
         while let Some((_, octets)) = self.up.pop_front_if(|(at, _)| *at <= self.now) {
             if let Some(r) = &mut self.receiver {
-                r.heard(self.now, &octets);
+                r.handle_message(self.now, &octets);
             }
             self.past.push_back((true, octets));
         }
         while let Some((_, octets)) = self.down.pop_front_if(|(at, _)| *at <= self.now) {
             if let Some(s) = &mut self.shipper {
-                s.heard(self.now, &octets);
+                s.handle_message(self.now, &octets);
             }
             self.past.push_back((false, octets));
         }
@@ -354,11 +362,11 @@
 }
 
 /// What a message says, where it is one of the origin's.
-pub fn up(octets: &[u8]) -> Option<Message<Up>> {
+pub fn up(octets: &[u8]) -> Option<Message<FromOrigin>> {
     wire::read(octets)
 }
 
 /// Where it is one of the partner's.
-pub fn down(octets: &[u8]) -> Option<Message<Down>> {
+pub fn down(octets: &[u8]) -> Option<Message<FromPartner>> {
     wire::read(octets)
 }
--- a/crates/contracts/src/ship/wrong.rs
+++ b/crates/contracts/src/ship/wrong.rs
@@ -4,8 +4,10 @@
 use super::{Shelf, Shipping};
 use crate::ledger::real::On;
 use heronroute_journal::{Book, Chain, Entry, Journal, Limits, Storage};
-use heronroute_ship::wire::{self, Down, Message, Up};
-use heronroute_ship::{Bounds, Given, Notice, Origin, Receiver, Shipper, Want};
+use heronroute_ship::wire::{self, FromOrigin, FromPartner, Message};
+use heronroute_ship::{
+    Notice, Origin, ReadRequest, ReadResult, ReplicationLimits, ReplicationSource, ReplicationTarget,
+};
 use std::collections::VecDeque;
 
 /// What is wrong.
@@ -52,20 +54,22 @@
     fn shipper(
         &self,
         origin: Origin,
-        bounds: Bounds,
+        bounds: ReplicationLimits,
         journal: &Journal<On>,
         promised: u64,
-    ) -> Box<dyn Shipper> {
+    ) -> Box<dyn ReplicationSource> {
         let bounds = match self.0 {
-            Fault::HoldsMore => Bounds { octets: usize::MAX, entries: bounds.entries * 8, ..bounds },
-            Fault::NoLagEntries => Bounds { lag_entries: u64::MAX, ..bounds },
-            Fault::NoLagTime => Bounds { lag: i64::MAX, ..bounds },
+            Fault::HoldsMore => {
+                ReplicationLimits { octets: usize::MAX, entries: bounds.entries * 8, ..bounds }
+            }
+            Fault::NoLagEntries => ReplicationLimits { lag_entries: u64::MAX, ..bounds },
+            Fault::NoLagTime => ReplicationLimits { lag: i64::MAX, ..bounds },
             _ => bounds,
         };
 
         let chain = journal.chain().cloned().unwrap_or_default();
         let inner = Real.shipper(origin, bounds, journal, promised);
-        let (parts, first_part, talk) = (0, 0, 0);
+        let (parts, first_part, session) = (0, 0, 0);
         Box::new(WrongShipper {
             inner,
             fault: self.0,
@@ -74,18 +78,23 @@
             parts,
             halves: false,
             first_part,
-            talk,
+            session,
         })
     }
-    fn receiver(&self, shelf: Shelf, limits: Limits, window: usize) -> Result<Box<dyn Receiver>, String> {
+    fn receiver(
+        &self,
+        shelf: Shelf,
+        limits: Limits,
+        window: usize,
+    ) -> Result<Box<dyn ReplicationTarget>, String> {
         let inner = Real.receiver(shelf.clone(), limits, window)?;
-        let (said, next, newest, talk) = (VecDeque::new(), 0, None, 0);
-        Ok(Box::new(WrongReceiver { inner, fault: self.0, shelf, said, next, newest, talk }))
+        let (said, next, newest, session) = (VecDeque::new(), 0, None, 0);
+        Ok(Box::new(WrongReceiver { inner, fault: self.0, shelf, said, next, newest, session }))
     }
 }
 
 struct WrongShipper {
-    inner: Box<dyn Shipper>,
+    inner: Box<dyn ReplicationSource>,
     fault: Fault,
     stood: bool,
     /// The chain at each number that was written since.
@@ -93,11 +102,11 @@
     parts: u32,
     halves: bool,
     first_part: u64,
-    talk: u32,
+    session: u32,
 }
 
-impl Shipper for WrongShipper {
-    fn wrote(&mut self, now: i64, first: u64, entries: &[Entry]) {
+impl ReplicationSource for WrongShipper {
+    fn entries_written(&mut self, now: i64, first: u64, entries: &[Entry]) {
         for e in entries {
             let mut chain = self.marks.last().cloned().unwrap_or_default();
             let mut raw = Vec::new();
@@ -106,56 +115,58 @@
             heronroute_journal::frame::pieces(raw).for_each(|raw| chain.push(raw));
             self.marks.push(chain);
         }
-        self.inner.wrote(now, first, entries);
+        self.inner.entries_written(now, first, entries);
     }
-    fn wants(&self) -> Option<Want> {
-        self.inner.wants()
+    fn pending_read(&self) -> Option<ReadRequest> {
+        self.inner.pending_read()
     }
-    fn gave(&mut self, now: i64, given: Given) {
-        self.inner.gave(now, given);
+    fn read_finished(&mut self, now: i64, given: ReadResult) {
+        self.inner.read_finished(now, given);
     }
-    fn heard(&mut self, now: i64, payload: &[u8]) {
-        let Some(mut message) = down(payload) else { return self.inner.heard(now, payload) };
+    fn handle_message(&mut self, now: i64, payload: &[u8]) {
+        let Some(mut message) = down(payload) else { return self.inner.handle_message(now, payload) };
         match &mut message.body {
-            Down::Have { window, .. } if self.fault == Fault::NoWindow => *window = u32::MAX,
-            Down::Have { at, marks, .. } if self.fault == Fault::TrustsNumbers => {
+            FromPartner::Position { window, .. } if self.fault == Fault::NoWindow => *window = u32::MAX,
+            FromPartner::Position { at, marks, .. } if self.fault == Fault::TrustsNumbers => {
                 if let Some(own) = self.marks.iter().find(|c| c.at().number == at.0 && at.0 < 1_000) {
-                    *at = wire::point(own.at());
+                    *at = wire::to_position(own.at());
                     marks.clear();
                 }
             }
             _ => {}
         }
-        if self.fault == Fault::Late && !matches!(message.body, Down::Have { .. }) {
-            message.talk = self.talk;
+        if self.fault == Fault::Late && !matches!(message.body, FromPartner::Position { .. }) {
+            message.session = self.session;
         }
-        self.inner.heard(now, &wire::write(&message).unwrap_or_default());
+        self.inner.handle_message(now, &wire::write(&message).unwrap_or_default());
     }
-    fn linked(&mut self, now: i64, stands: bool) {
+    fn connected(&mut self, now: i64, stands: bool) {
         self.stood = !stands && self.inner.durable(now).1;
-        self.inner.linked(now, stands);
+        self.inner.connected(now, stands);
     }
     fn poll(&mut self, now: i64) -> Option<Vec<u8>> {
         let octets = self.inner.poll(now)?;
         let Some(mut message) = up(&octets) else { return Some(octets) };
-        self.talk = message.talk;
+        self.session = message.session;
         let cuts = self.fault == Fault::CutsLarge;
         match &mut message.body {
-            Up::Base { at, .. } => (self.parts, self.halves) = (0, (100..2_000).contains(&at.0)),
+            FromOrigin::Snapshot { at, .. } => (self.parts, self.halves) = (0, (100..2_000).contains(&at.0)),
             // All but the first are left out.
-            Up::Part(_) if self.fault == Fault::HalfBook && self.halves => {
+            FromOrigin::SnapshotEntries(_) if self.fault == Fault::HalfBook && self.halves => {
                 self.parts += 1;
                 if self.parts > 1 {
                     return self.poll(now);
                 }
             }
-            Up::BaseEnd { count } if self.fault == Fault::HalfBook && self.halves && self.parts > 1 => {
+            FromOrigin::SnapshotEnd { count }
+                if self.fault == Fault::HalfBook && self.halves && self.parts > 1 =>
+            {
                 *count = self.first_part;
             }
-            Up::Run(e) if cuts && e.more => return self.poll(now),
+            FromOrigin::Run(e) if cuts && e.more => return self.poll(now),
             _ => {}
         }
-        if let Up::Part(e) = &message.body {
+        if let FromOrigin::SnapshotEntries(e) = &message.body {
             self.first_part = e.count;
         }
         wire::write(&message)
@@ -165,7 +176,7 @@
         (next, stands || self.fault == Fault::StandsCut && self.stood)
     }
     fn notice(&mut self) -> Option<Notice> {
-        let hides = |n: &Notice| self.fault == Fault::HidesOld && matches!(n, Notice::OldCopy { .. });
+        let hides = |n: &Notice| self.fault == Fault::HidesOld && matches!(n, Notice::CopyLostEntries { .. });
         loop {
             match self.inner.notice() {
                 Some(n) if hides(&n) => {}
@@ -176,37 +187,40 @@
     fn held(&self) -> usize {
         self.inner.held()
     }
-    fn wake(&self) -> Option<i64> {
-        self.inner.wake()
+    fn next_wakeup(&self) -> Option<i64> {
+        self.inner.next_wakeup()
     }
 }
 
 struct WrongReceiver {
-    inner: Box<dyn Receiver>,
+    inner: Box<dyn ReplicationTarget>,
     fault: Fault,
     shelf: Shelf,
     said: VecDeque<Vec<u8>>,
     next: u64,
     newest: Option<Origin>,
-    talk: u32,
+    session: u32,
 }
 
 impl WrongReceiver {
-    fn say(&mut self, origin: Origin, talk: u32, body: Down) {
-        self.said.extend(wire::write(&Message { origin, talk, body }));
+    fn say(&mut self, origin: Origin, session: u32, body: FromPartner) {
+        self.said.extend(wire::write(&Message { origin, session, body }));
     }
 }
 
-impl Receiver for WrongReceiver {
-    fn heard(&mut self, now: i64, payload: &[u8]) {
-        let Some(mut message) = up(payload) else { return self.inner.heard(now, payload) };
-        let aside = matches!(message.body, Up::Aside { copy: (50, _), .. });
-        if let Up::Run(e) = &message.body
+impl ReplicationTarget for WrongReceiver {
+    fn handle_message(&mut self, now: i64, payload: &[u8]) {
+        let Some(mut message) = up(payload) else { return self.inner.handle_message(now, payload) };
+        let aside = matches!(message.body, FromOrigin::SetAside { copy: (50, _), .. });
+        if let FromOrigin::Run(e) = &message.body
             && !e.more
         {
             self.next = e.first + e.count;
-            if self.fault == Fault::Early && self.talk == message.talk && message.origin.life.start.0 == 1 {
-                self.say(message.origin.clone(), message.talk, Down::Durable { next: self.next });
+            if self.fault == Fault::Early
+                && self.session == message.session
+                && message.origin.life.start.0 == 1
+            {
+                self.say(message.origin.clone(), message.session, FromPartner::Durable { next: self.next });
             }
         }
         if self.fault == Fault::AnyLife {
@@ -215,12 +229,12 @@
                 *newest = message.origin.clone();
             } else if message.origin != *newest {
                 message.origin = newest.clone();
-                message.talk += 1_000;
+                message.session += 1_000;
             }
         }
-        self.talk = message.talk;
+        self.session = message.session;
         let before = self.shelf.borrow().read("copy-of").ok();
-        self.inner.heard(now, &wire::write(&message).unwrap_or_default());
+        self.inner.handle_message(now, &wire::write(&message).unwrap_or_default());
         if let (Some(before), Fault::ForgetsLife) = (before, self.fault) {
             let mut shelf = self.shelf.borrow_mut();
             if shelf.read("copy-of").is_ok_and(|now| now != before) {
@@ -247,8 +261,8 @@
         }
         let octets = self.inner.poll(now)?;
         match down(&octets) {
-            Some(m) if m.body == Down::Full && self.fault == Fault::FullIsDone => {
-                wire::write(&Message { body: Down::Durable { next: self.next }, ..m })
+            Some(m) if m.body == FromPartner::Full && self.fault == Fault::FullIsDone => {
+                wire::write(&Message { body: FromPartner::Durable { next: self.next }, ..m })
             }
             _ => Some(octets),
         }
@@ -262,7 +276,7 @@
     fn held(&self) -> usize {
         self.inner.held()
     }
-    fn wake(&self) -> Option<i64> {
-        self.inner.wake()
+    fn next_wakeup(&self) -> Option<i64> {
+        self.inner.next_wakeup()
     }
 }
--- a/crates/drill/src/bad_day.rs
+++ b/crates/drill/src/bad_day.rs
@@ -2,7 +2,7 @@
 
 use crate::setup::{ClassSpec, ClientSpec, Day, Destination, Listed, Rules};
 use heronroute_audit::Effect;
-use heronroute_config::{parse_span, raw};
+use heronroute_config::{parse_duration, raw};
 use heronroute_smpp::server::Mode;
 use heronroute_smpp::submission::{Submission, Wanted};
 use heronroute_standins::Micros;
@@ -257,7 +257,7 @@
         return Err(wrong("rate", "above 0, at most 20,000"));
     }
     let length = if script.length.is_empty() { "12s" } else { &script.length };
-    let length = parse_span(length).map_err(|e| ("length".to_string(), e))?;
+    let length = parse_duration(length).map_err(|e| ("length".to_string(), e))?;
     if length > 600 * S {
         return Err(wrong("length", "at most 10 minutes"));
     }
@@ -269,7 +269,7 @@
     let mut troubles = Vec::new();
     for (i, t) in script.trouble.iter().enumerate() {
         let path = |field: &str| format!("trouble[{i}].{field}");
-        let span = |field: &str, text: &str| parse_span(text).map_err(|e| (path(field), e));
+        let span = |field: &str, text: &str| parse_duration(text).map_err(|e| (path(field), e));
         let (from, to) = (span("from", &t.from)?, span("to", &t.to)?);
         if to <= from {
             return Err((path("to"), "must lie after from".into()));
--- a/crates/drill/src/setup.rs
+++ b/crates/drill/src/setup.rs
@@ -1,7 +1,7 @@
 //! Sets a day up, lets it pass, collects what was recorded.
 
 use heronroute_audit::{Breach, Class, Effect, Record, Slack, check, trails};
-use heronroute_config::{Config, parse, raw, show_span};
+use heronroute_config::{Config, format_duration, parse, raw};
 use heronroute_engine::Stats;
 use heronroute_net::{Clock, Service, StartError};
 use heronroute_standins::Micros;
@@ -130,7 +130,7 @@
 pub enum DrillError {
     /// Its own settings are wrong.
     #[error("the day's settings: {0}")]
-    Settings(#[from] heronroute_config::Faults),
+    Settings(#[from] heronroute_config::FileErrors),
     /// The service did not start.
     #[error(transparent)]
     Start(#[from] StartError),
@@ -343,12 +343,12 @@
         t,
         "rules {{ drain_grace: \"{}\" order_settle: \"{}\" cold_from: {} warm_up: \"{}\" fall_multiple: {} \
          fall_window: \"{}\" }}",
-        show_span(r.drain_grace),
-        show_span(r.order_settle),
+        format_duration(r.drain_grace),
+        format_duration(r.order_settle),
         r.cold_from,
-        show_span(r.warm_up),
+        format_duration(r.warm_up),
         r.fall_multiple,
-        show_span(r.fall_window)
+        format_duration(r.fall_window)
     );
     _ = writeln!(t, "directory {{ address: \"{directory}\" poll: \"2s\" }}");
     for c in &day.clients {
@@ -357,15 +357,15 @@
     for c in &day.classes {
         let (effect, window) = match c.effect {
             Effect::Free => ("free", String::new()),
-            Effect::Guarded(w) => ("guarded", format!(" window: \"{}\"", show_span(w))),
+            Effect::Guarded(w) => ("guarded", format!(" window: \"{}\"", format_duration(w))),
             Effect::SingleShot => ("single_shot", String::new()),
         };
         _ = writeln!(
             t,
             "class {{ name: \"{}\" effect: \"{effect}\"{window} aim: \"{}\" deadline: \"{}\" ordered: {} worth: {} }}",
             c.name,
-            show_span(c.aim),
-            show_span(c.deadline),
+            format_duration(c.aim),
+            format_duration(c.deadline),
             c.ordered,
             c.worth
         );
--- a/crates/ship/benches/ship.rs
+++ b/crates/ship/benches/ship.rs
@@ -8,7 +8,10 @@
 use heronroute_journal::disk::Disk;
 use heronroute_journal::entry::{Accepted, Answer, Entry, Intent, Taken, What};
 use heronroute_journal::{Journal, Limits};
-use heronroute_ship::{Bounds, Copying, Cursors, Origin, Receiver, Sender, Shipper, serve};
+use heronroute_ship::{
+    Cursors, JournalCopy, JournalReplicator, Origin, ReplicationLimits, ReplicationSource, ReplicationTarget,
+    serve,
+};
 use std::hint::black_box;
 
 const COMMIT: usize = 400;
@@ -45,32 +48,42 @@
     (0..COMMITS).map(one).collect()
 }
 
-fn sender(journal: &Journal<Disk>) -> Sender {
+fn sender(journal: &Journal<Disk>) -> JournalReplicator {
     let origin = Origin { life: Life { name: name(), start: Start(1) }, sender: 0 };
     // Fewer than the lag below, so that entries have to be read from the log again.
-    Sender::new(origin, Bounds { entries: 20_000, ..Bounds::default() }, journal, 0)
+    JournalReplicator::new(
+        origin,
+        ReplicationLimits { entries: 20_000, ..ReplicationLimits::default() },
+        journal,
+        0,
+    )
 }
 
-fn copying() -> Copying<Disk> {
-    Copying::open(Disk::default(), name(), 0, Limits::default(), 4 << 20).expect("copy")
+fn copying() -> JournalCopy<Disk> {
+    JournalCopy::open(Disk::default(), name(), 0, Limits::default(), 4 << 20).expect("copy")
 }
 
 /// Exchanges messages until both sides are idle. Returns the maximum number of bytes that they buffered
 /// together.
-fn settle(journal: &Journal<Disk>, s: &mut Sender, cursors: &mut Cursors, r: &mut Copying<Disk>) -> usize {
+fn settle(
+    journal: &Journal<Disk>,
+    s: &mut JournalReplicator,
+    cursors: &mut Cursors,
+    r: &mut JournalCopy<Disk>,
+) -> usize {
     let mut most = 0;
     loop {
         let mut moved = false;
-        while let Some(want) = s.wants() {
-            s.gave(0, serve(journal, cursors, want).expect("the log"));
+        while let Some(want) = s.pending_read() {
+            s.read_finished(0, serve(journal, cursors, want).expect("the log"));
         }
         while let Some(octets) = s.poll(0) {
-            r.heard(0, &octets);
+            r.handle_message(0, &octets);
             moved = true;
         }
         most = most.max(s.held() + r.held());
         while let Some(octets) = r.poll(0) {
-            s.heard(0, &octets);
+            s.handle_message(0, &octets);
             moved = true;
         }
         if !moved {
@@ -80,14 +93,14 @@
 }
 
 /// Returns an origin that is `times * COMMITS` commits ahead of an empty copy.
-fn lagging(times: u64, limits: Limits) -> (Journal<Disk>, Sender) {
+fn lagging(times: u64, limits: Limits) -> (Journal<Disk>, JournalReplicator) {
     let mut journal = Journal::open_chained(Disk::default(), limits).expect("journal");
     let mut s = sender(&journal);
     for _ in 0..times {
         for b in &commit_batches() {
             let first = journal.durable();
             journal.commit(b).expect("commit");
-            s.wrote(0, first, b);
+            s.entries_written(0, first, b);
         }
     }
     (journal, s)
@@ -115,7 +128,7 @@
         let fresh = || {
             let journal = Journal::open_chained(Disk::default(), Limits::default()).expect("journal");
             let (mut s, mut r, mut cursors) = (sender(&journal), copying(), Cursors::default());
-            s.linked(0, true);
+            s.connected(0, true);
             settle(&journal, &mut s, &mut cursors, &mut r);
             (journal, s, r, cursors)
         };
@@ -125,7 +138,7 @@
                 for b in &commit_batches {
                     let first = journal.durable();
                     journal.commit(b).expect("commit");
-                    s.wrote(0, first, b);
+                    s.entries_written(0, first, b);
                     settle(&journal, &mut s, &mut cursors, &mut r);
                 }
                 assert_eq!(s.durable(0), (COMMIT as u64 * COMMITS, true));
@@ -146,7 +159,7 @@
                 || lagging(10, limits),
                 |(journal, mut s)| {
                     let mut r = copying();
-                    s.linked(0, true);
+                    s.connected(0, true);
                     held = settle(&journal, &mut s, &mut Cursors::default(), &mut r);
                     assert_eq!(s.durable(0), (100_000, true));
                     black_box((journal, s, r))
--- a/crates/ship/src/copy/mod.rs
+++ b/crates/ship/src/copy/mod.rs
@@ -5,8 +5,8 @@
 
 pub use folder::CopyError;
 
-use crate::wire::{self, Down, Message, Up};
-use crate::{Micros, Notice, Notices, Origin, Receiver};
+use crate::wire::{self, FromOrigin, FromPartner, Message};
+use crate::{Micros, Notice, Notices, Origin, ReplicationTarget};
 use heronroute_fleet::{Life, Name, Start};
 use heronroute_journal::{Base, Book, Entry, Journal, JournalError, Limits, Mark, Storage};
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
 
 /// The copy of one sender's journal, with the receiving side of its replication.
 #[derive(Debug)]
-pub struct Copying<S> {
+pub struct JournalCopy<S> {
     name: Name,
     sender: u32,
     limits: Limits,
@@ -27,7 +27,7 @@
     journal: Option<Journal<S>>,
     /// The newest life that wrote, which is recorded durably, and its session.
     life: Option<Start>,
-    talk: u32,
+    session: u32,
     /// Received entries that are not durable, their bytes, and the position after them.
     uncommitted: Vec<Entry>,
     uncommitted_bytes: usize,
@@ -42,15 +42,15 @@
     position_resent: bool,
     commit_retry_at: Option<Micros>,
     failed: bool,
-    replies: VecDeque<Down>,
+    replies: VecDeque<FromPartner>,
     /// The latest reply to an older life.
-    old_life_reply: Option<Message<Down>>,
+    old_life_reply: Option<Message<FromPartner>>,
     notices: Notices,
     /// The number of invalid messages.
     invalid_messages: u64,
 }
 
-impl<S: Storage> Copying<S> {
+impl<S: Storage> JournalCopy<S> {
     /// Opens the copy of a member's sender in a folder, or creates one. `limits.most` bounds the folder,
     /// except for one copy that is set aside and, while a snapshot is received, the previous copy; each is at
     /// most as large. `window` is the number of bytes of entries that may be in flight or wait for their
@@ -71,14 +71,14 @@
             return Err(CopyError::OtherOrigin(o.life.name.to_string(), o.sender));
         }
         let journal = Journal::open_chained(storage, limits)?;
-        let mut copy = Copying {
+        let mut copy = JournalCopy {
             name,
             sender,
             limits,
             window,
             journal: Some(journal),
             life: origin.map(|o| o.life.start),
-            talk: 0,
+            session: 0,
             uncommitted: Vec::new(),
             uncommitted_bytes: 0,
             next_mark: Mark::default(),
@@ -126,7 +126,7 @@
         self.journal.as_ref().and_then(Journal::chain).map(|c| c.at()).unwrap_or_default()
     }
 
-    fn reply(&mut self, down: Down) {
+    fn reply(&mut self, down: FromPartner) {
         if self.replies.len() < MAX_QUEUED_REPLIES {
             self.replies.push_back(down);
         }
@@ -134,9 +134,9 @@
 
     fn reply_position(&mut self) {
         let Some(chain) = self.journal.as_ref().and_then(Journal::chain) else { return };
-        let marks = chain.marks().iter().copied().map(wire::point).collect();
+        let marks = chain.marks().iter().copied().map(wire::to_position).collect();
         let window = u32::try_from(self.window).unwrap_or(u32::MAX);
-        let reply = Down::Have { at: wire::point(chain.at()), marks, window };
+        let reply = FromPartner::Position { at: wire::to_position(chain.at()), marks, window };
         self.reply(reply);
     }
 
@@ -147,10 +147,10 @@
             self.notices.push(Notice::Failed);
         }
         (self.uncommitted, self.uncommitted_bytes, self.partial_entry) = (Vec::new(), 0, Vec::new());
-        self.reply(Down::Failed);
+        self.reply(FromPartner::Failed);
     }
 
-    fn hello(&mut self, origin: &Origin, talk: u32, acked: u64) {
+    fn hello(&mut self, origin: &Origin, session: u32, acked: u64) {
         if self.life != Some(origin.life.start) {
             // Recorded durably first, so that messages of an older life are still rejected after a restart of
             // this process.
@@ -160,18 +160,18 @@
                 return self.fail_storage();
             }
             self.life = Some(origin.life.start);
-        } else if talk <= self.talk {
+        } else if session <= self.session {
             return;
         }
-        self.talk = talk;
+        self.session = session;
         self.replies.clear();
         self.discard_uncommitted();
         if self.failed {
-            return self.reply(Down::Failed);
+            return self.reply(FromPartner::Failed);
         }
         let found = self.position().number;
         if found < acked {
-            self.notices.push(Notice::OldCopy { acked, found });
+            self.notices.push(Notice::CopyLostEntries { acked, found });
         }
         self.reply_position();
     }
@@ -182,13 +182,13 @@
             return;
         }
         self.discard_uncommitted();
-        self.notices.push(Notice::Parted { copy: copy.number, origin });
+        self.notices.push(Notice::Diverged { copy: copy.number, origin });
         let Some(mut journal) = self.journal.take() else { return };
         // Only one copy is kept, as the folder's space is limited.
         if folder::has_set_aside_copy(journal.storage()).unwrap_or(true) {
             self.journal = Some(journal);
-            self.notices.push(Notice::Blocked);
-            return self.reply(Down::Blocked);
+            self.notices.push(Notice::SetAsideExists);
+            return self.reply(FromPartner::SetAsideExists);
         }
         let mut storage = journal.into_storage();
         let opened = match folder::set_aside(&mut storage) {
@@ -221,13 +221,13 @@
         match result {
             Ok(next) => {
                 (self.uncommitted, self.uncommitted_bytes, self.commit_retry_at) = (Vec::new(), 0, None);
-                self.replies.retain(|d| !matches!(d, Down::Durable { .. } | Down::Full));
-                self.reply(Down::Durable { next });
+                self.replies.retain(|d| !matches!(d, FromPartner::Durable { .. } | FromPartner::Full));
+                self.reply(FromPartner::Durable { next });
             }
             Err(JournalError::Full) => {
                 if self.commit_retry_at.is_none() {
                     self.notices.push(Notice::Full);
-                    self.reply(Down::Full);
+                    self.reply(FromPartner::Full);
                 }
                 self.commit_retry_at = Some(now.saturating_add(FULL_RETRY_DELAY));
             }
@@ -236,9 +236,9 @@
     }
 }
 
-impl<S: Storage> Receiver for Copying<S> {
-    fn heard(&mut self, _now: Micros, payload: &[u8]) {
-        let Some(Message { origin, talk, body }) = wire::read::<Up>(payload) else {
+impl<S: Storage> ReplicationTarget for JournalCopy<S> {
+    fn handle_message(&mut self, _now: Micros, payload: &[u8]) {
+        let Some(Message { origin, session, body }) = wire::read::<FromOrigin>(payload) else {
             self.invalid_messages += 1;
             return;
         };
@@ -248,20 +248,20 @@
         }
         // Rejects a life that was paused or disconnected and has been superseded by another.
         if let Some(known) = self.life.filter(|known| origin.life.start < *known) {
-            self.notices.push(Notice::OldLife { known: known.0 });
+            self.notices.push(Notice::NewerLife { known: known.0 });
             // Sent in that life's own session, whichever session is current.
-            let old = Message { origin, talk, body: Down::NewerLife { start: known.0 } };
+            let old = Message { origin, session, body: FromPartner::NewerLife { start: known.0 } };
             self.old_life_reply = Some(old);
             return;
         }
-        if let Up::Hello { acked, .. } = body {
-            return self.hello(&origin, talk, acked);
+        if let FromOrigin::Hello { acked, .. } = body {
+            return self.hello(&origin, session, acked);
         }
-        if self.life != Some(origin.life.start) || self.talk != talk {
+        if self.life != Some(origin.life.start) || self.session != session {
             return;
         }
         if self.failed {
-            return self.reply(Down::Failed);
+            return self.reply(FromPartner::Failed);
         }
         self.handle(body);
     }
@@ -274,7 +274,7 @@
         let life = Life { name: self.name.clone(), start: self.life? };
         let origin = Origin { life, sender: self.sender };
         let body = self.replies.pop_front()?;
-        wire::write(&Message { origin, talk: self.talk, body })
+        wire::write(&Message { origin, session: self.session, body })
     }
 
     fn book(&self) -> Option<(&Book, u64)> {
@@ -290,7 +290,7 @@
         self.uncommitted_bytes + self.partial_entry.len()
     }
 
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         self.commit_retry_at.filter(|_| !self.uncommitted.is_empty() && !self.failed)
     }
 }
--- a/crates/ship/src/copy/take.rs
+++ b/crates/ship/src/copy/take.rs
@@ -1,8 +1,8 @@
 //! Handles the messages of the origin at the receiving side.
 
-use super::Copying;
+use super::JournalCopy;
 use crate::Notice;
-use crate::wire::{self, Down, Entries, MAX_CHUNK_BYTES, MAX_ENTRY_BYTES, Up};
+use crate::wire::{self, Entries, FromOrigin, FromPartner, MAX_CHUNK_BYTES, MAX_ENTRY_BYTES};
 use heronroute_journal::entry::What;
 use heronroute_journal::{Chain, Entry, JournalError, Mark, Storage, frame};
 use prost::Message as _;
@@ -47,18 +47,18 @@
     Ok(list)
 }
 
-impl<S: Storage> Copying<S> {
-    pub(super) fn handle(&mut self, up: Up) {
+impl<S: Storage> JournalCopy<S> {
+    pub(super) fn handle(&mut self, up: FromOrigin) {
         match up {
-            Up::Run(entries) => {
+            FromOrigin::Run(entries) => {
                 let (first, result) = (entries.first, self.receive_log_entries(&entries));
                 self.finish(first, result);
             }
-            Up::Part(entries) => {
+            FromOrigin::SnapshotEntries(entries) => {
                 let result = self.receive_snapshot_entries(&entries);
                 self.finish(entries.first, result);
             }
-            Up::Base { at, marks } => {
+            FromOrigin::Snapshot { at, marks } => {
                 self.discard_uncommitted();
                 let chain = Chain::new(wire::to_mark(at), marks.into_iter().map(wire::to_mark));
                 if at.0 < self.position().number {
@@ -72,7 +72,7 @@
                     None => {}
                 }
             }
-            Up::BaseEnd { count } => {
+            FromOrigin::SnapshotEnd { count } => {
                 let Some(replacement) = self.replacement.take() else { return };
                 if count != self.snapshot_mark.number || !self.partial_entry.is_empty() {
                     self.replacement = Some(replacement);
@@ -88,8 +88,8 @@
                     None => {}
                 }
             }
-            Up::Aside { copy, origin } => self.set_aside_copy(wire::to_mark(copy), origin),
-            Up::Hello { .. } => {}
+            FromOrigin::SetAside { copy, origin } => self.set_aside_copy(wire::to_mark(copy), origin),
+            FromOrigin::Hello { .. } => {}
         }
     }
 
@@ -106,7 +106,7 @@
             Err(Rejection::Invalid) => {
                 self.discard_uncommitted();
                 self.notices.push(Notice::EntryRejected { number });
-                self.reply(Down::EntryRejected { number });
+                self.reply(FromPartner::EntryRejected { number });
             }
         }
     }
@@ -146,8 +146,8 @@
         match result {
             Ok(()) => {
                 let count = self.snapshot_mark.number;
-                self.replies.retain(|d| !matches!(d, Down::SnapshotReceived { .. }));
-                self.reply(Down::SnapshotReceived { count });
+                self.replies.retain(|d| !matches!(d, FromPartner::SnapshotReceived { .. }));
+                self.reply(FromPartner::SnapshotReceived { count });
             }
             Err(JournalError::Full) => self.reject_snapshot_for_space(),
             Err(e) => self.handle_storage_error(&e),
@@ -159,7 +159,7 @@
     fn reject_snapshot_for_space(&mut self) {
         self.discard_uncommitted();
         self.notices.push(Notice::Full);
-        self.reply(Down::Full);
+        self.reply(FromPartner::Full);
     }
 
     fn handle_storage_error(&mut self, e: &JournalError) {
--- a/crates/ship/src/lib.rs
+++ b/crates/ship/src/lib.rs
@@ -20,8 +20,8 @@
 mod serve;
 pub mod wire;
 
-pub use copy::{CopyError, Copying};
-pub use send::{Bounds, Sender};
+pub use copy::{CopyError, JournalCopy};
+pub use send::{JournalReplicator, ReplicationLimits};
 pub use serve::{Cursors, serve};
 
 use heronroute_fleet::Life;
@@ -42,7 +42,7 @@
 
 /// A read of the journal that the sending side requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum ReadRequest {
     /// Reads entries of the log.
     Log {
         /// The number of the first entry.
@@ -51,7 +51,7 @@
         most: usize,
     },
     /// Reads entries of the newest snapshot.
-    Base {
+    Snapshot {
         /// The snapshot that the first read returned, by the log position that it represents; none for the
         /// first read.
         of: Option<u64>,
@@ -64,11 +64,11 @@
 
 /// The result of a requested read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Given {
+pub enum ReadResult {
     /// Entries of the log.
     Log(Run),
     /// Entries of the snapshot.
-    Base(BasePart),
+    Snapshot(BasePart),
     /// The log does not reach back that far, the snapshot was replaced by another, or there is none.
     Unavailable {
         /// The position at which the log begins now.
@@ -80,13 +80,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The buffer limit was reached: unsent entries are dropped, and read from the log again later.
-    Behind {
+    BufferLimitReached {
         /// The number of the first entry that was dropped.
         from: u64,
     },
     /// The copy has fewer entries than it acknowledged: an old folder was restored, or the disk lost synced
     /// writes.
-    OldCopy {
+    CopyLostEntries {
         /// The number of entries that were acknowledged.
         acked: u64,
         /// The number of entries that the copy has.
@@ -94,14 +94,14 @@
     },
     /// Copy and origin have different entries, or the copy has more, because a disk was restored. The copy is
     /// set aside.
-    Parted {
+    Diverged {
         /// The number of entries in the copy.
         copy: u64,
         /// The number of entries at the origin.
         origin: u64,
     },
     /// The copy is rebuilt from a snapshot of the origin.
-    Anew {
+    RebuildStarted {
         /// The number of entries that the origin has written.
         number: u64,
         /// The number of entries in the old copy that could not be verified, as no digest is left at that
@@ -117,31 +117,31 @@
         number: u64,
     },
     /// A newer life of the origin writes the journal.
-    OldLife {
+    NewerLife {
         /// The start number of that life.
         known: u64,
     },
     /// The logs have diverged, and another copy is set aside already. An operator has to resolve that one
     /// first.
-    Blocked,
+    SetAsideExists,
     /// The storage of the copy or the journal of the origin failed.
     Failed,
 }
 
 /// The sending side of replication. Each sender of a process has one.
-pub trait Shipper {
+pub trait ReplicationSource {
     /// Handles entries that became durable at the origin. They come in order; `first` is the number of the
     /// first one.
-    fn wrote(&mut self, now: Micros, first: u64, entries: &[heronroute_journal::Entry]);
+    fn entries_written(&mut self, now: Micros, first: u64, entries: &[heronroute_journal::Entry]);
     /// Returns the journal read that is needed now, if any. The caller passes in its result.
-    fn wants(&self) -> Option<Want>;
+    fn pending_read(&self) -> Option<ReadRequest>;
     /// Handles the result of the requested read.
-    fn gave(&mut self, now: Micros, given: Given);
+    fn read_finished(&mut self, now: Micros, given: ReadResult);
     /// Handles a message from the partner.
-    fn heard(&mut self, now: Micros, payload: &[u8]);
+    fn handle_message(&mut self, now: Micros, payload: &[u8]);
     /// Handles that the connection to the partner was established or lost. Late messages of an old connection
     /// are ignored.
-    fn linked(&mut self, now: Micros, connected: bool);
+    fn connected(&mut self, now: Micros, connected: bool);
     /// Returns the next message to the partner, if any. Its size is within the limit of the [`wire`] module.
     fn poll(&mut self, now: Micros) -> Option<Vec<u8>>;
     /// Returns the number before which all entries are durable at the partner, and whether the copy is
@@ -152,13 +152,13 @@
     /// Returns the bytes of entries that are buffered.
     fn held(&self) -> usize;
     /// Returns the time at which it has to be polled again.
-    fn wake(&self) -> Option<Micros>;
+    fn next_wakeup(&self) -> Option<Micros>;
 }
 
 /// The receiving side of replication. A member has one for each origin that it is the partner of.
-pub trait Receiver {
+pub trait ReplicationTarget {
     /// Handles a message from the origin.
-    fn heard(&mut self, now: Micros, payload: &[u8]);
+    fn handle_message(&mut self, now: Micros, payload: &[u8]);
     /// Returns the next message to the origin, if any. Commits the buffered entries first, so call it once
     /// all received messages were handled. Entries that a crash could lose are never acknowledged as durable.
     fn poll(&mut self, now: Micros) -> Option<Vec<u8>>;
@@ -170,7 +170,7 @@
     /// Returns the bytes of entries that are buffered and not durable yet.
     fn held(&self) -> usize;
     /// Returns the time at which it has to be polled again.
-    fn wake(&self) -> Option<Micros>;
+    fn next_wakeup(&self) -> Option<Micros>;
 }
 
 /// A bounded queue of unread notices. New ones are dropped when it is full.
--- a/crates/ship/src/send/mod.rs
+++ b/crates/ship/src/send/mod.rs
@@ -4,15 +4,15 @@
 mod queue;
 mod replies;
 
-use crate::wire::{self, MAX_ENTRY_BYTES, Message, Up};
-use crate::{Given, Micros, Notice, Notices, Origin, Shipper, Want};
+use crate::wire::{self, FromOrigin, MAX_ENTRY_BYTES, Message};
+use crate::{Micros, Notice, Notices, Origin, ReadRequest, ReadResult, ReplicationSource};
 use heronroute_journal::{Chain, Entry, Journal, Mark, Run, Storage, frame};
 use lag::Lag;
 use queue::Queue;
 
 /// Limits and timeouts of the sending side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ReplicationLimits {
     /// The bytes that may be in flight. The partner may allow fewer.
     pub window: usize,
     /// The maximum bytes of buffered entries, sent or not. Beyond this limit or `entries`, unsent entries are
@@ -31,9 +31,9 @@
     pub retry: Micros,
 }
 
-impl Default for Bounds {
+impl Default for ReplicationLimits {
     fn default() -> Self {
-        Bounds {
+        ReplicationLimits {
             window: 4 << 20,
             octets: 16 << 20,
             entries: 100_000,
@@ -61,23 +61,23 @@
     /// A snapshot is sent. `read` is the position after the entries that were read from it, `fully_read`
     /// whether that is all of them, and `begin_sent` and `end_sent` whether the messages before and after its
     /// entries were sent.
-    Base { chain: Option<Chain>, read: Mark, fully_read: bool, end_sent: bool, begin_sent: bool },
+    Snapshot { chain: Option<Chain>, read: Mark, fully_read: bool, end_sent: bool, begin_sent: bool },
     /// Nothing more is sent in this session, as the partner can't or must not store it.
     Halted,
 }
 
 /// The sending side of replication for one sender's journal.
 #[derive(Debug)]
-pub struct Sender {
+pub struct JournalReplicator {
     origin: Origin,
-    bounds: Bounds,
+    bounds: ReplicationLimits,
     window: usize,
     connected: bool,
-    talk: u32,
+    session: u32,
     hello_pending: bool,
     state: State,
     /// The next message that is not an entry.
-    control_message: Option<Up>,
+    control_message: Option<FromOrigin>,
     /// The last known position of the own log with earlier marks, and the position of the newest snapshot
     /// that was sent.
     chain: Chain,
@@ -103,19 +103,24 @@
     notices: Notices,
 }
 
-impl Sender {
+impl JournalReplicator {
     /// Creates the sending side of a journal that was opened chained. `highest_acked` is the number of
     /// entries that the copy is known to have acknowledged to an earlier process, or 0 if that is unknown.
-    pub fn new<S: Storage>(origin: Origin, bounds: Bounds, journal: &Journal<S>, highest_acked: u64) -> Self {
+    pub fn new<S: Storage>(
+        origin: Origin,
+        bounds: ReplicationLimits,
+        journal: &Journal<S>,
+        highest_acked: u64,
+    ) -> Self {
         // A journal without a chain has no digests, so nothing in it can be verified.
         let chain = journal.chain().cloned().unwrap_or_else(|| Chain::begin(journal.durable(), b"none"));
         let base = journal.snap_chain().map(Chain::at);
-        Sender {
+        JournalReplicator {
             origin,
             bounds,
             window: bounds.window,
             connected: false,
-            talk: 0,
+            session: 0,
             hello_pending: false,
             state: State::AwaitingPosition,
             control_message: None,
@@ -218,36 +223,36 @@
         self.new_session_at = Some(now.saturating_add(self.bounds.retry));
     }
 
-    fn next_entries(&mut self) -> Option<Up> {
+    fn next_entries(&mut self) -> Option<FromOrigin> {
         let base = match &mut self.state {
             State::Streaming => false,
-            State::Base { chain: Some(chain), begin_sent, .. } => {
+            State::Snapshot { chain: Some(chain), begin_sent, .. } => {
                 if !*begin_sent {
                     *begin_sent = true;
-                    let marks = chain.marks().iter().copied().map(wire::point).collect();
-                    return Some(Up::Base { at: wire::point(chain.at()), marks });
+                    let marks = chain.marks().iter().copied().map(wire::to_position).collect();
+                    return Some(FromOrigin::Snapshot { at: wire::to_position(chain.at()), marks });
                 }
                 true
             }
             _ => return None,
         };
         if let Some(entries) = self.queue.send(self.window) {
-            return Some(if base { Up::Part(entries) } else { Up::Run(entries) });
+            return Some(if base { FromOrigin::SnapshotEntries(entries) } else { FromOrigin::Run(entries) });
         }
         match &mut self.state {
-            State::Base { read, fully_read: true, end_sent, .. }
+            State::Snapshot { read, fully_read: true, end_sent, .. }
                 if !*end_sent && !self.queue.has_unsent() =>
             {
                 *end_sent = true;
-                Some(Up::BaseEnd { count: read.number })
+                Some(FromOrigin::SnapshotEnd { count: read.number })
             }
             _ => None,
         }
     }
 }
 
-impl Shipper for Sender {
-    fn wrote(&mut self, now: Micros, first: u64, entries: &[Entry]) {
+impl ReplicationSource for JournalReplicator {
+    fn entries_written(&mut self, now: Micros, first: u64, entries: &[Entry]) {
         let next = first + entries.len() as u64;
         // Skips entries that were passed in before; entries that were left out are read from the log.
         if next <= self.written || first > self.written {
@@ -256,12 +261,12 @@
             let new = (self.written - first) as usize;
             self.written = next;
             let appendable = self.tail.number == first + new as u64
-                && !matches!(self.state, State::Verifying { .. } | State::Base { .. } | State::Halted);
+                && !matches!(self.state, State::Verifying { .. } | State::Snapshot { .. } | State::Halted);
             let mut raw = Vec::new();
             for e in entries.iter().skip(new).filter(|_| appendable) {
                 if self.buffer_full() {
                     self.catching_up = true;
-                    self.notices.push(Notice::Behind { from: self.tail.number });
+                    self.notices.push(Notice::BufferLimitReached { from: self.tail.number });
                     self.tail = self.queue.drop_unsent().unwrap_or(self.acked);
                     break;
                 }
@@ -275,7 +280,7 @@
         self.update_lag(now);
     }
 
-    fn wants(&self) -> Option<Want> {
+    fn pending_read(&self) -> Option<ReadRequest> {
         if !self.connected || self.superseded {
             return None;
         }
@@ -284,23 +289,25 @@
         let room = self.queue.bytes() < self.window.saturating_add(most) && !self.buffer_full();
         match &self.state {
             State::Verifying { copy } if self.tail.number < copy.number => {
-                Some(Want::Log { from: self.tail.number, most })
+                Some(ReadRequest::Log { from: self.tail.number, most })
             }
             State::Streaming if room && self.tail.number < self.written => {
-                Some(Want::Log { from: self.tail.number, most })
-            }
-            State::Base { chain, read, fully_read: false, .. } if room => {
-                Some(Want::Base { of: chain.as_ref().map(|c| c.at().number), from: read.number, most })
+                Some(ReadRequest::Log { from: self.tail.number, most })
             }
+            State::Snapshot { chain, read, fully_read: false, .. } if room => Some(ReadRequest::Snapshot {
+                of: chain.as_ref().map(|c| c.at().number),
+                from: read.number,
+                most,
+            }),
             _ => None,
         }
     }
 
-    fn gave(&mut self, now: Micros, given: Given) {
+    fn read_finished(&mut self, now: Micros, given: ReadResult) {
         match given {
-            Given::Log(run) => self.append_log_entries(&run),
-            Given::Base(part) => {
-                if let State::Base { chain, read, fully_read, .. } = &mut self.state
+            ReadResult::Log(run) => self.append_log_entries(&run),
+            ReadResult::Snapshot(part) => {
+                if let State::Snapshot { chain, read, fully_read, .. } = &mut self.state
                     && part.run.first == read.number
                 {
                     if chain.is_none() {
@@ -317,7 +324,7 @@
                     *fully_read = part.end;
                 }
             }
-            Given::Unavailable { base } => match &self.state {
+            ReadResult::Unavailable { base } => match &self.state {
                 State::Verifying { copy } => {
                     let copy = *copy;
                     match base.filter(|b| b.number > self.tail.number && b.number <= copy.number) {
@@ -333,8 +340,8 @@
                 }
                 State::Streaming => self.begin_snapshot(0),
                 // The snapshot was replaced by a newer one, which is sent instead.
-                State::Base { read, .. } if read.number > 0 => self.begin_snapshot(0),
-                State::Base { .. } => {
+                State::Snapshot { read, .. } if read.number > 0 => self.begin_snapshot(0),
+                State::Snapshot { .. } => {
                     self.notices.push(Notice::Failed);
                     self.halt();
                 }
@@ -344,16 +351,16 @@
         self.update_lag(now);
     }
 
-    fn heard(&mut self, now: Micros, payload: &[u8]) {
+    fn handle_message(&mut self, now: Micros, payload: &[u8]) {
         let Some(message) = wire::read(payload) else { return };
-        if self.connected && message.origin == self.origin && message.talk == self.talk {
+        if self.connected && message.origin == self.origin && message.session == self.session {
             self.restart_reply_timeout(now);
             self.handle(now, message.body);
             self.update_lag(now);
         }
     }
 
-    fn linked(&mut self, now: Micros, connected: bool) {
+    fn connected(&mut self, now: Micros, connected: bool) {
         self.connected = connected;
         if connected {
             self.begin_session(now);
@@ -377,7 +384,7 @@
             }
         }
         let body = if std::mem::take(&mut self.hello_pending) {
-            Up::Hello { next: self.written, acked: self.highest_acked }
+            FromOrigin::Hello { next: self.written, acked: self.highest_acked }
         } else {
             match self.control_message.take() {
                 Some(up) => up,
@@ -387,7 +394,7 @@
         if self.new_session_at.is_none() {
             self.restart_reply_timeout(now);
         }
-        wire::write(&Message { origin: self.origin.clone(), talk: self.talk, body })
+        wire::write(&Message { origin: self.origin.clone(), session: self.session, body })
     }
 
     fn durable(&self, now: Micros) -> (u64, bool) {
@@ -404,7 +411,7 @@
         self.queue.bytes()
     }
 
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         self.new_session_at.filter(|_| self.connected && !self.superseded)
     }
 }
--- a/crates/ship/src/send/replies.rs
+++ b/crates/ship/src/send/replies.rs
@@ -1,15 +1,15 @@
 //! Sessions with the partner, and the handling of its replies at the sending side.
 
-use super::{Sender, State};
-use crate::wire::{self, Down, Position, Up};
+use super::{JournalReplicator, State};
+use crate::wire::{self, FromOrigin, FromPartner, Position};
 use crate::{Micros, Notice};
 use heronroute_journal::Mark;
 
-impl Sender {
+impl JournalReplicator {
     /// Begins a session.
     pub(super) fn begin_session(&mut self, now: Micros) {
         // A life never has that many sessions; the last number would be used again.
-        self.talk = self.talk.saturating_add(1);
+        self.session = self.session.saturating_add(1);
         (self.hello_pending, self.control_message, self.copy_full) = (true, None, false);
         self.end_session();
         self.restart_reply_timeout(now);
@@ -36,14 +36,14 @@
         self.is_streaming() && !self.queue.in_flight() && !self.copy_full
     }
 
-    pub(super) fn handle(&mut self, now: Micros, down: Down) {
+    pub(super) fn handle(&mut self, now: Micros, down: FromPartner) {
         match down {
-            Down::Have { at, marks, window } => {
+            FromPartner::Position { at, marks, window } => {
                 self.window = self.bounds.window.min(window as usize);
                 self.copy_full = false;
                 self.compare_position(wire::to_mark(at), &marks);
             }
-            Down::Durable { next } => {
+            FromPartner::Durable { next } => {
                 if self.is_streaming() && next <= self.tail.number {
                     self.copy_full = false;
                     if let Some(mark) = self.queue.acked(next) {
@@ -54,35 +54,35 @@
                     self.new_session_at = None;
                 }
             }
-            Down::SnapshotReceived { count } => {
-                if matches!(self.state, State::Base { .. }) {
+            FromPartner::SnapshotReceived { count } => {
+                if matches!(self.state, State::Snapshot { .. }) {
                     self.queue.acked(count);
                 }
             }
-            Down::Full => {
+            FromPartner::Full => {
                 self.copy_full = true;
                 self.notices.push(Notice::Full);
                 // The partner dropped the snapshot; entries of the log wait there.
-                if matches!(self.state, State::Base { .. }) {
+                if matches!(self.state, State::Snapshot { .. }) {
                     self.halt();
                 }
             }
-            Down::EntryRejected { number } => {
+            FromPartner::EntryRejected { number } => {
                 self.notices.push(Notice::EntryRejected { number });
                 self.halt();
             }
-            Down::NewerLife { start } => {
+            FromPartner::NewerLife { start } => {
                 if start > self.origin.life.start.0 {
                     self.superseded = true;
-                    self.notices.push(Notice::OldLife { known: start });
+                    self.notices.push(Notice::NewerLife { known: start });
                     self.halt();
                 }
             }
-            Down::Blocked => {
-                self.notices.push(Notice::Blocked);
+            FromPartner::SetAsideExists => {
+                self.notices.push(Notice::SetAsideExists);
                 self.halt();
             }
-            Down::Failed => {
+            FromPartner::Failed => {
                 self.notices.push(Notice::Failed);
                 self.halt();
             }
@@ -101,7 +101,7 @@
     /// Compares the copy's position with the own log.
     fn compare_position(&mut self, copy: Mark, marks: &[Position]) {
         // Buffered snapshot entries are numbered differently.
-        if matches!(self.state, State::Base { .. }) {
+        if matches!(self.state, State::Snapshot { .. }) {
             self.queue = super::Queue::default();
             self.tail = self.acked;
         }
@@ -131,7 +131,7 @@
 
     fn resume_from(&mut self, copy: Mark) {
         if copy.number < self.highest_acked {
-            self.notices.push(Notice::OldCopy { acked: self.highest_acked, found: copy.number });
+            self.notices.push(Notice::CopyLostEntries { acked: self.highest_acked, found: copy.number });
         }
         if !self.queue.restart(copy.number, self.tail.number) {
             self.tail = copy;
@@ -141,20 +141,21 @@
     }
 
     fn report_diverged(&mut self, copy: Mark) {
-        self.notices.push(Notice::Parted { copy: copy.number, origin: self.written });
+        self.notices.push(Notice::Diverged { copy: copy.number, origin: self.written });
         // The other region has no valid entries any more, so no acknowledgement counts.
         (self.acked, self.highest_acked) = (Mark::default(), 0);
         self.halt();
-        self.control_message = Some(Up::Aside { copy: wire::point(copy), origin: self.written });
+        self.control_message =
+            Some(FromOrigin::SetAside { copy: wire::to_position(copy), origin: self.written });
     }
 
     /// Sends a snapshot, as the log does not reach back far enough.
     pub(super) fn begin_snapshot(&mut self, unverified: u64) {
-        if !matches!(self.state, State::Base { .. }) {
-            self.notices.push(Notice::Anew { number: self.written, unverified });
+        if !matches!(self.state, State::Snapshot { .. }) {
+            self.notices.push(Notice::RebuildStarted { number: self.written, unverified });
         }
         self.queue = super::Queue::default();
-        self.state = State::Base {
+        self.state = State::Snapshot {
             chain: None,
             read: Mark::default(),
             fully_read: false,
--- a/crates/ship/src/serve.rs
+++ b/crates/ship/src/serve.rs
@@ -1,6 +1,6 @@
 //! Performs the journal reads that the sending side requests.
 
-use crate::{Given, Want};
+use crate::{ReadRequest, ReadResult};
 use heronroute_journal::{Cursor, Journal, JournalError, Storage};
 
 /// The read positions in the log and in the snapshot.
@@ -17,13 +17,15 @@
 pub fn serve<S: Storage>(
     journal: &Journal<S>,
     cursors: &mut Cursors,
-    want: Want,
-) -> Result<Given, JournalError> {
-    let gone = Given::Unavailable { base: journal.snap_chain().map(|c| c.at()) };
+    want: ReadRequest,
+) -> Result<ReadResult, JournalError> {
+    let gone = ReadResult::Unavailable { base: journal.snap_chain().map(|c| c.at()) };
     Ok(match want {
-        Want::Log { from, most } => journal.read(&mut cursors.log, from, most)?.map_or(gone, Given::Log),
-        Want::Base { of, from, most } => {
-            journal.read_base(&mut cursors.base, of, from, most)?.map_or(gone, Given::Base)
+        ReadRequest::Log { from, most } => {
+            journal.read(&mut cursors.log, from, most)?.map_or(gone, ReadResult::Log)
+        }
+        ReadRequest::Snapshot { of, from, most } => {
+            journal.read_base(&mut cursors.base, of, from, most)?.map_or(gone, ReadResult::Snapshot)
         }
     })
 }
--- a/crates/ship/src/wire.rs
+++ b/crates/ship/src/wire.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The maximum size of a message in bytes.
-pub const MOST: usize = 64 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
 /// The maximum size of the entries in one message, in bytes.
 pub const MAX_CHUNK_BYTES: usize = 60 << 10;
 /// The maximum size of an entry in bytes. A larger one can't be replicated.
@@ -24,7 +24,7 @@
 }
 
 /// Converts a position from the journal's form to its wire form.
-pub fn point(mark: Mark) -> Position {
+pub fn to_position(mark: Mark) -> Position {
     (mark.number, mark.digest)
 }
 
@@ -34,7 +34,7 @@
     /// The origin of the journal.
     pub origin: Origin,
     /// The session number, from 1. A later session has a higher one.
-    pub talk: u32,
+    pub session: u32,
     /// The content.
     pub body: B,
 }
@@ -56,7 +56,7 @@
 
 /// The content of a message from the origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Up {
+pub enum FromOrigin {
     /// Begins a session. The partner replies with its position.
     Hello {
         /// The number of the origin's next entry.
@@ -67,21 +67,21 @@
     /// Entries of the log.
     Run(Entries),
     /// Begins a snapshot, which replaces the copy.
-    Base {
+    Snapshot {
         /// The position that the snapshot represents.
         at: Position,
         /// Earlier positions.
         marks: Vec<Position>,
     },
     /// Entries of the snapshot.
-    Part(Entries),
+    SnapshotEntries(Entries),
     /// Ends the snapshot. The partner replies with its position once the copy is replaced.
-    BaseEnd {
+    SnapshotEnd {
         /// The number of entries in the snapshot.
         count: u64,
     },
     /// Asks to set aside a copy that has diverged from the origin. The partner replies with its position.
-    Aside {
+    SetAside {
         /// The position of the copy.
         copy: Position,
         /// The number of the origin's next entry.
@@ -91,9 +91,9 @@
 
 /// The content of a message from the partner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Down {
+pub enum FromPartner {
     /// Reports the position of the copy, from which entries are to be sent.
-    Have {
+    Position {
         /// The position. All entries before it are durable.
         at: Position,
         /// Earlier positions of the copy.
@@ -124,19 +124,19 @@
         start: u64,
     },
     /// Another copy is set aside already.
-    Blocked,
+    SetAsideExists,
     /// The storage of the copy failed.
     Failed,
 }
 
 /// Encodes a message. Returns none if it would be too large.
 pub fn write<B: Serialize>(message: &Message<B>) -> Option<Vec<u8>> {
-    postcard::to_stdvec(message).ok().filter(|octets| octets.len() <= MOST)
+    postcard::to_stdvec(message).ok().filter(|octets| octets.len() <= MAX_MESSAGE_BYTES)
 }
 
 /// Decodes a message. Returns none if the input is malformed, too large, or has trailing bytes.
 pub fn read<B: DeserializeOwned>(octets: &[u8]) -> Option<Message<B>> {
-    if octets.len() > MOST {
+    if octets.len() > MAX_MESSAGE_BYTES {
         return None;
     }
     postcard::take_from_bytes(octets).ok().filter(|(_, rest)| rest.is_empty()).map(|(message, _)| message)
