--- a/crates/engine/tests/answer_copies.rs
+++ b/crates/engine/tests/answer_copies.rs
@@ -1,5 +1,6 @@
-//! Second copies of answers in every order beside the next call and its own answer. Whatever comes: a message that may not be
-//! repeated runs once, a keyed one is repeated only while its receiver remembers it, and each is delivered or has an end.
+//! Plays duplicate answers in every order with the next call and its own answer. In each order a message that
+//! may not be repeated runs at most once, a keyed one is repeated only within its window, and each is
+//! delivered or reported.
 
 mod sender;
 
@@ -9,35 +10,35 @@
 use sender::*;
 
 const REFUSED: &str = "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n";
-const LIMITED: &str = "HTTP/1.1 429 No\r\nretry-after: 0.2\r\ncontent-length: 0\r\n\r\n";
+const RATE_LIMITED: &str = "HTTP/1.1 429 No\r\nretry-after: 0.2\r\ncontent-length: 0\r\n\r\n";
 const FAILED: &str = "HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n";
-const NO_ATTEMPTS: &str = "HTTP/1.1 504 No\r\ncontent-length: 0\r\n\r\n";
-/// Answers of which a copy may come.
-const ANSWERS: [&str; 5] = [OK, REFUSED, LIMITED, FAILED, NO_ATTEMPTS];
+const GATEWAY_TIMEOUT: &str = "HTTP/1.1 504 No\r\ncontent-length: 0\r\n\r\n";
+/// Answers that may be duplicated.
+const ANSWERS: [&str; 5] = [OK, REFUSED, RATE_LIMITED, FAILED, GATEWAY_TIMEOUT];
 /// How long a call runs before its own answer comes.
-const RUNS_FOR: [i64; 3] = [5 * MS, 60 * MS, 180 * MS];
-/// The window of the keyed class.
+const RUN_TIMES: [i64; 3] = [5 * MS, 60 * MS, 180 * MS];
+/// The idempotency window of the keyed class.
 const WINDOW: i64 = 4_000 * MS;
 
-/// When the copy comes.
+/// When the duplicate is received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Moment {
-    /// While nothing is in flight.
+    /// While no call is open.
     BeforeTheCall,
-    /// As ten octets of the call have left.
+    /// When ten bytes of the call are written.
     HalfWritten,
-    /// As the call's last octet has left.
+    /// When the whole call is written.
     Written,
-    /// Half of it as the call's last octet has left, the rest 20 ms later.
+    /// Its first 20 bytes when the whole call is written, the rest 20 ms later.
     InTwoReads,
-    /// Twice.
+    /// Twice, when the whole call is written.
     Twice,
-    /// Octet by octet.
-    OctetByOctet,
+    /// Byte by byte, when the whole call is written.
+    ByteByByte,
     /// In one read with the call's own answer.
     WithTheAnswer,
-    /// Behind the call's own answer.
-    BehindTheAnswer,
+    /// After the call's own answer.
+    AfterTheAnswer,
 }
 
 const MOMENTS: [Moment; 8] = [
@@ -46,153 +47,163 @@
     Moment::Written,
     Moment::InTwoReads,
     Moment::Twice,
-    Moment::OctetByOctet,
+    Moment::ByteByByte,
     Moment::WithTheAnswer,
-    Moment::BehindTheAnswer,
+    Moment::AfterTheAnswer,
 ];
 
-fn ran(answer: &str) -> bool {
+/// Returns whether an answer says that the call ran.
+fn means_run(answer: &str) -> bool {
     [OK, FAILED].contains(&answer)
 }
 
-/// One order: an earlier answer, its copy, and the next call's own answer.
-struct Play {
-    w: World,
-    /// Calls with the message, whether each ran, and when.
+/// One order of an earlier answer, its duplicate, and the next call's own answer.
+struct Scenario {
+    harness: Harness,
+    /// The times at which calls with the message ran.
     runs: Vec<i64>,
     delivered: bool,
     notices: String,
 }
 
-impl Play {
+impl Scenario {
     fn new() -> Self {
-        Play { w: world(), runs: Vec::new(), delivered: false, notices: String::new() }
+        Scenario { harness: new_harness(), runs: Vec::new(), delivered: false, notices: String::new() }
     }
 
-    /// A connection to e1 on which a call was answered so, and a 200 after it where that was no 200.
-    fn answered_before(&mut self, client: ConnId, answer: &str) -> Option<ConnId> {
-        self.w.add(client, "before", SAFE);
-        let (conn, _) = self.w.came(1001).remove(0);
-        self.w.says(conn, answer);
+    /// Returns a connection to e1 on which a call got this answer, followed by a call answered 200 if this
+    /// one was not.
+    fn connection_answered_with(&mut self, client: ConnId, answer: &str) -> Option<ConnId> {
+        self.harness.submit(client, "before", SAFE);
+        let (conn, _) = self.harness.take_received(1001).remove(0);
+        self.harness.peer_sends(conn, answer);
         if answer == OK {
             return Some(conn);
         }
         for _ in 0..800 {
-            self.w.pass(5 * MS);
-            if let Some((again, _)) = self.w.came(1001).pop() {
-                self.w.says(again, OK);
+            self.harness.advance(5 * MS);
+            if let Some((again, _)) = self.harness.take_received(1001).pop() {
+                self.harness.peer_sends(again, OK);
                 return (again == conn).then_some(conn);
             }
         }
         None
     }
 
-    fn calls_with(&mut self, id: &str) -> Option<ConnId> {
-        let name = format!("X-Call-Id: {id}\r\n");
-        let came = self.w.came(1001);
-        came.into_iter().find(|(_, text)| text.contains(&name)).map(|(conn, _)| conn)
+    /// Returns the connection of a call with the message since the last look.
+    fn take_call_with(&mut self, id: &str) -> Option<ConnId> {
+        let header = format!("X-Call-Id: {id}\r\n");
+        let calls = self.harness.take_received(1001);
+        calls.into_iter().find(|(_, text)| text.contains(&header)).map(|(conn, _)| conn)
     }
 
-    /// Answers a call on a connection that still stands; whether it does.
+    /// Answers a call if its connection is still open; returns whether it is.
     fn answer(&mut self, conn: ConnId, text: &str) -> bool {
-        let stands = self.w.ours.contains_key(&conn);
-        if stands {
-            self.w.says(conn, text);
+        let is_open = self.harness.node_connections.contains_key(&conn);
+        if is_open {
+            self.harness.peer_sends(conn, text);
         }
-        stands
+        is_open
     }
 
-    fn note_run(&mut self, answer: &str) {
-        if ran(answer) {
-            self.runs.push(self.w.now);
+    /// Records that an endpoint answered a call with the message.
+    fn record_answer(&mut self, answer: &str) {
+        if means_run(answer) {
+            self.runs.push(self.harness.now);
         }
         self.delivered |= answer == OK;
     }
 
-    /// Lets time pass until the message is over; each further call with it is answered 200.
-    fn play_to_the_end(&mut self) {
+    /// Advances the clock beyond the message's deadline; each further call with it is answered 200.
+    fn run_to_deadline(&mut self) {
         for _ in 0..2_000 {
-            self.w.pass(5 * MS);
-            if let Some(conn) = self.calls_with("m") {
-                self.note_run(OK);
+            self.harness.advance(5 * MS);
+            if let Some(conn) = self.take_call_with("m") {
+                self.record_answer(OK);
                 self.answer(conn, OK);
             }
-            for (conn, text) in self.w.came(2) {
+            for (conn, text) in self.harness.take_received(2) {
                 if text.starts_with("POST") {
                     self.notices += &text;
-                    self.w.says(conn, TAKEN);
+                    self.harness.peer_sends(conn, NO_CONTENT);
                 }
             }
         }
     }
 }
 
-fn play(class: &str, answer: &str, own: &str, runs_for: i64, moment: Moment) {
-    let what = format!("{class}: copy of {answer:?} {moment:?}, own answer {own:?} after {runs_for}");
-    let mut p = Play::new();
-    let client = p.w.client();
-    let Some(conn) = p.answered_before(client, answer) else { return };
-    p.w.pass(40 * MS);
+fn run_order(class: &str, answer: &str, own_answer: &str, run_time: i64, moment: Moment) {
+    let label =
+        format!("{class}: duplicate of {answer:?} {moment:?}, own answer {own_answer:?} after {run_time}");
+    let mut scenario = Scenario::new();
+    let client = scenario.harness.connect_client();
+    let Some(conn) = scenario.connection_answered_with(client, answer) else { return };
+    scenario.harness.advance(40 * MS);
     if moment == Moment::BeforeTheCall {
-        p.w.says(conn, answer);
+        scenario.harness.peer_sends(conn, answer);
     }
     if moment == Moment::HalfWritten {
-        p.w.stuck = Some(conn);
+        scenario.harness.stalled = Some(conn);
     }
-    p.w.add(client, "m", &format!("c={class},t=t,d=7000,k=abc,dest=1"));
-    if moment == Moment::HalfWritten && p.w.node.pending(conn).len() > 10 {
-        p.w.node.wrote(conn, 10);
-        p.w.node.received(p.w.now, conn, answer.as_bytes());
-        p.w.stuck = None;
-        p.w.pass(5 * MS);
+    scenario.harness.submit(client, "m", &format!("c={class},t=t,d=7000,k=abc,dest=1"));
+    if moment == Moment::HalfWritten && scenario.harness.node.pending(conn).len() > 10 {
+        scenario.harness.node.wrote(conn, 10);
+        scenario.harness.node.received(scenario.harness.now, conn, answer.as_bytes());
+        scenario.harness.stalled = None;
+        scenario.harness.advance(5 * MS);
     }
-    if let Some(called) = p.calls_with("m") {
+    if let Some(called_conn) = scenario.take_call_with("m") {
         let (first, rest) = answer.split_at(20);
         match moment {
-            Moment::Written => _ = p.answer(called, answer),
+            Moment::Written => _ = scenario.answer(called_conn, answer),
             Moment::InTwoReads => {
-                p.answer(called, first);
-                p.w.pass(20 * MS);
-                p.answer(called, rest);
+                scenario.answer(called_conn, first);
+                scenario.harness.advance(20 * MS);
+                scenario.answer(called_conn, rest);
             }
-            Moment::Twice => _ = p.answer(called, answer) && p.answer(called, answer),
-            Moment::OctetByOctet => answer.chars().for_each(|octet| {
-                p.answer(called, &octet.to_string());
+            Moment::Twice => _ = scenario.answer(called_conn, answer) && scenario.answer(called_conn, answer),
+            Moment::ByteByByte => answer.chars().for_each(|byte| {
+                scenario.answer(called_conn, &byte.to_string());
             }),
             _ => {}
         }
-        // What the endpoint has read it runs, whether its connection still stands or not.
-        p.w.pass(runs_for);
-        p.note_run(own);
+        // The endpoint runs the call that it has read, whether its connection is still open or not.
+        scenario.harness.advance(run_time);
+        scenario.record_answer(own_answer);
         match moment {
-            Moment::WithTheAnswer => _ = p.answer(called, &format!("{answer}{own}")),
-            Moment::BehindTheAnswer => _ = p.answer(called, own) && p.answer(called, answer),
-            _ => _ = p.answer(called, own),
+            Moment::WithTheAnswer => _ = scenario.answer(called_conn, &format!("{answer}{own_answer}")),
+            Moment::AfterTheAnswer => {
+                _ = scenario.answer(called_conn, own_answer) && scenario.answer(called_conn, answer)
+            }
+            _ => _ = scenario.answer(called_conn, own_answer),
         }
     }
-    p.play_to_the_end();
+    scenario.run_to_deadline();
     match class {
-        "once" => assert!(p.runs.len() <= 1, "{what}: ran at {:?}", p.runs),
+        "once" => assert!(scenario.runs.len() <= 1, "{label}: ran at {:?}", scenario.runs),
         "keyed" => {
-            let (first, last) = (p.runs.first(), p.runs.last());
+            let (first, last) = (scenario.runs.first(), scenario.runs.last());
             let span = last.zip(first).map_or(0, |(last, first)| last - first);
-            assert!(span <= WINDOW, "{what}: ran at {:?}", p.runs);
+            assert!(span <= WINDOW, "{label}: ran at {:?}", scenario.runs);
         }
         _ => {}
     }
-    assert!(p.delivered || p.notices.contains("\"id\":\"m\""), "{what}: lost");
-    assert_eq!(p.w.node.open(), 0, "{what}: not over");
+    assert!(
+        scenario.delivered || scenario.notices.contains("\"id\":\"m\""),
+        "{label}: neither delivered nor reported"
+    );
+    assert_eq!(scenario.harness.node.open(), 0, "{label}: still open");
 }
 
-/// Guards against an outcome that is recorded for a call from another call's answer.
+/// Guards against an outcome that is recorded from the answer to another call.
 #[test]
-fn no_order_of_a_copy_runs_a_message_twice_or_loses_it() {
+fn a_duplicate_answer_never_repeats_or_loses_a_message() {
     for class in ["safe", "keyed", "once"] {
         for answer in ANSWERS {
-            for own in ANSWERS {
-                for runs_for in RUNS_FOR {
+            for own_answer in ANSWERS {
+                for run_time in RUN_TIMES {
                     for moment in MOMENTS {
-                        play(class, answer, own, runs_for, moment);
+                        run_order(class, answer, own_answer, run_time, moment);
                     }
                 }
             }
@@ -200,93 +211,101 @@
     }
 }
 
-/// Guards against the next call's message that is freed by the answer to the call before it, which a copy had pushed back.
+/// Guards against a message that may be sent again because of the answer to the call before it: after a
+/// duplicate, each answer is read one call too late.
 #[test]
-fn an_answer_that_a_copy_pushed_back_is_not_the_call_after_nexts() {
+fn an_answer_delayed_by_a_duplicate_does_not_count_for_a_later_call() {
     for class in ["safe", "keyed", "once"] {
-        let mut p = Play::new();
-        let client = p.w.client();
-        let conn = p.answered_before(client, OK).unwrap();
-        p.w.add(client, "a", SAFE);
-        assert!(p.w.came(1001).remove(0).1.contains("X-Call-Id: a\r\n"));
-        p.w.says(conn, OK);
-        p.w.add(client, "m", &format!("c={class},t=t,d=7000,k=abc,dest=1"));
-        assert_eq!(p.calls_with("m"), Some(conn));
-        // The first call's own answer, then the second's.
-        p.w.says(conn, REFUSED);
-        p.w.pass(60 * MS);
-        p.note_run(OK);
-        p.answer(conn, OK);
+        let mut scenario = Scenario::new();
+        let client = scenario.harness.connect_client();
+        let conn = scenario.connection_answered_with(client, OK).unwrap();
+        scenario.harness.submit(client, "a", SAFE);
+        assert!(scenario.harness.take_received(1001).remove(0).1.contains("X-Call-Id: a\r\n"));
+        scenario.harness.peer_sends(conn, OK);
+        scenario.harness.submit(client, "m", &format!("c={class},t=t,d=7000,k=abc,dest=1"));
+        assert_eq!(scenario.take_call_with("m"), Some(conn));
+        // The first call's own answer comes, then the second's.
+        scenario.harness.peer_sends(conn, REFUSED);
+        scenario.harness.advance(60 * MS);
+        scenario.record_answer(OK);
+        scenario.answer(conn, OK);
         let mut called_again = false;
         for _ in 0..2_000 {
-            p.w.pass(5 * MS);
-            for (again, text) in p.w.came(1001) {
+            scenario.harness.advance(5 * MS);
+            for (again, text) in scenario.harness.take_received(1001) {
                 called_again |= text.contains("X-Call-Id: a\r\n");
-                assert!(class != "once" || !text.contains("X-Call-Id: m\r\n"), "run twice");
-                p.w.says(again, OK);
+                assert!(
+                    class != "once" || !text.contains("X-Call-Id: m\r\n"),
+                    "sent again, though it may have run"
+                );
+                scenario.harness.peer_sends(again, OK);
             }
         }
-        assert!(called_again, "{class}: the first message was turned away, and is lost");
-        assert_eq!(p.w.node.open(), 0);
+        assert!(called_again, "{class}: the first message was refused, and was not sent again");
+        assert_eq!(scenario.harness.node.open(), 0);
     }
 }
 
-/// Guards against messages of a shared call that are freed by a copied refusal, which names none of them.
+/// Guards against messages of a shared call that are sent again after a duplicate refusal, which names none
+/// of them.
 #[test]
-fn a_copied_refusal_frees_no_message_of_a_shared_call() {
-    for refusal in [REFUSED, LIMITED] {
-        let mut w = world();
-        let client = w.client();
-        let add = |w: &mut World, class: &str, ids: [&str; 2]| {
+fn a_duplicate_refusal_repeats_no_message_of_a_shared_call() {
+    for refusal in [REFUSED, RATE_LIMITED] {
+        let mut harness = new_harness();
+        let client = harness.connect_client();
+        let add = |harness: &mut Harness, class: &str, ids: [&str; 2]| {
             let pairs = format!("c={class},t=t,d=7000,k=abc,dest=2");
-            let text: String = ids.iter().map(|id| out_add(id, &pairs, "body")).collect();
-            w.node.received(w.now, client, text.as_bytes());
-            w.pass(5 * MS);
+            let text: String = ids.iter().map(|id| out_add_command(id, &pairs, "body")).collect();
+            harness.node.received(harness.now, client, text.as_bytes());
+            harness.advance(5 * MS);
         };
-        let ends = |ids: [&str; 2]| {
+        let ok_answer = |ids: [&str; 2]| {
             let body = format!(r#"[{{"id":"{}","state":"ok"}},{{"id":"{}","state":"ok"}}]"#, ids[0], ids[1]);
             format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())
         };
-        add(&mut w, "safe", ["a1", "a2"]);
-        let (conn, _) = w.came(1002).remove(0);
-        w.says(conn, refusal);
+        add(&mut harness, "safe", ["a1", "a2"]);
+        let (conn, _) = harness.take_received(1002).remove(0);
+        harness.peer_sends(conn, refusal);
         let mut again = None;
         while again.is_none() {
-            w.pass(5 * MS);
-            again = w.came(1002).pop();
+            harness.advance(5 * MS);
+            again = harness.take_received(1002).pop();
         }
         assert_eq!(again.unwrap().0, conn);
-        w.says(conn, &ends(["a1", "a2"]));
-        add(&mut w, "once", ["b1", "b2"]);
-        assert_eq!(w.came(1002).remove(0).0, conn);
-        w.says(conn, refusal);
-        w.pass(180 * MS);
-        w.says(conn, &ends(["b1", "b2"]));
-        w.pass(3_000 * MS);
-        let calls = w.came(1002);
+        harness.peer_sends(conn, &ok_answer(["a1", "a2"]));
+        add(&mut harness, "once", ["b1", "b2"]);
+        assert_eq!(harness.take_received(1002).remove(0).0, conn);
+        harness.peer_sends(conn, refusal);
+        harness.advance(180 * MS);
+        harness.peer_sends(conn, &ok_answer(["b1", "b2"]));
+        harness.advance(3_000 * MS);
+        let calls = harness.take_received(1002);
         assert!(calls.iter().all(|(_, t)| !t.contains("b1") && !t.contains("b2")), "{refusal:?}: {calls:?}");
     }
 }
 
-/// Guards against a doubtful delivery that nothing can contradict any more, as the sender itself closes the connection: told of a
-/// full table, it lets go of those that rest.
+/// Guards against an uncertain delivery that counts because its connection is closed before the real answer
+/// comes: a sender that is refused for a full connection table closes its idle connections.
 #[test]
-fn a_doubtful_delivery_does_not_count_once_its_connection_is_let_go() {
-    let many = START.replace("\"Balancers\":1", "\"Balancers\":300");
-    let mut w = begin_with(&many, Journal::open(Disk::default(), LIMITS).unwrap(), 0);
-    w.pass(50 * MS);
-    let client = w.client();
-    w.add(client, "before", SAFE);
-    let (conn, _) = w.came(1001).remove(0);
-    w.says(conn, OK);
-    w.add(client, "doubtful", SAFE);
-    assert_eq!(w.came(1001).remove(0).0, conn);
-    w.add(client, "turned-away", SAFE);
-    let (fresh, _) = w.came(1001).remove(0);
-    w.says(conn, OK);
-    w.says(fresh, "HTTP/1.1 503 No\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
-    assert!(w.ended.contains(&conn), "let go at once");
-    w.pass(50 * MS);
-    let notices: String = w.came(2).into_iter().map(|(_, text)| text).collect();
-    assert!(notices.contains("{\"id\":\"doubtful\",\"state\":"), "its own answer was never heard: {notices}");
+fn an_uncertain_delivery_does_not_count_once_its_connection_is_closed() {
+    let many = START_CONFIG.replace("\"Balancers\":1", "\"Balancers\":300");
+    let mut harness = start_harness_with(&many, Journal::open(Disk::default(), JOURNAL_LIMITS).unwrap(), 0);
+    harness.advance(50 * MS);
+    let client = harness.connect_client();
+    harness.submit(client, "before", SAFE);
+    let (conn, _) = harness.take_received(1001).remove(0);
+    harness.peer_sends(conn, OK);
+    harness.submit(client, "doubtful", SAFE);
+    assert_eq!(harness.take_received(1001).remove(0).0, conn);
+    harness.submit(client, "turned-away", SAFE);
+    let (fresh, _) = harness.take_received(1001).remove(0);
+    harness.peer_sends(conn, OK);
+    harness.peer_sends(fresh, "HTTP/1.1 503 No\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
+    assert!(harness.closed.contains(&conn), "the idle connection is closed at once");
+    harness.advance(50 * MS);
+    let notices: String = harness.take_received(2).into_iter().map(|(_, text)| text).collect();
+    assert!(
+        notices.contains("{\"id\":\"doubtful\",\"state\":"),
+        "its own answer was never received: {notices}"
+    );
 }
--- a/crates/engine/tests/client_orders.rs
+++ b/crates/engine/tests/client_orders.rs
@@ -1,5 +1,5 @@
-//! Every order of two events at each state of a client's connection. Guards against a request that was read whole and
-//! hears nothing, hears twice, or is taken on after the sender stopped taking on.
+//! Plays every order of two events in each state of a client's connection. Guards against a request that was
+//! read whole and gets no reply or two replies, or is accepted after the sender stopped accepting messages.
 
 mod sender;
 
@@ -8,345 +8,379 @@
 use heronroute_engine::{CloseReason, ConnId};
 use sender::*;
 
-/// SIGTERM to the moment from which nothing is taken on.
-const GOES_ON: i64 = 2_900 * MS;
-/// Longer than a connection without a request is kept.
-const IDLE: i64 = 8_100 * MS;
+/// The time from SIGTERM to the freeze, from which no message is accepted.
+const LEAVE_TO_FREEZE: i64 = 2_900 * MS;
+/// Longer than the time for which a connection without a request is kept.
+const BEYOND_IDLE_TIMEOUT: i64 = 8_100 * MS;
 
+/// The state of the client's connection when the first event happens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     New,
-    Begun,
-    HandedIn,
+    PartOfRequest,
+    Submitted,
     Pipelined,
-    Rests,
-    RestsAndBegun,
+    Idle,
+    IdleThenPart,
 }
 
 const STATES: [State; 6] =
-    [State::New, State::Begun, State::HandedIn, State::Pipelined, State::Rests, State::RestsAndBegun];
+    [State::New, State::PartOfRequest, State::Submitted, State::Pipelined, State::Idle, State::IdleThenPart];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Happens {
-    /// The rest of a request that has begun, else a whole one.
+enum Event {
+    /// The rest of a partly received request is received, or else a whole one.
     Whole,
-    /// Half of what is left of a request.
+    /// Half of what is missing of a request is received.
     Part,
-    /// The same as `Whole`, and another.
+    /// The same as `Whole`, and then another whole request.
     Two,
-    /// The next round: answers that are due are given.
+    /// The node runs its next round and sends the replies that are due.
     Round,
-    /// The peer ends its side.
+    /// The client closes its side.
     End,
-    Break,
+    Reset,
     Freeze,
     SecondLeave,
     IdleTimeOut,
-    MakeWay,
+    CloseIdlest,
 }
 
-const EVENTS: [Happens; 10] = [
-    Happens::Whole,
-    Happens::Part,
-    Happens::Two,
-    Happens::Round,
-    Happens::End,
-    Happens::Break,
-    Happens::Freeze,
-    Happens::SecondLeave,
-    Happens::IdleTimeOut,
-    Happens::MakeWay,
+const EVENTS: [Event; 10] = [
+    Event::Whole,
+    Event::Part,
+    Event::Two,
+    Event::Round,
+    Event::End,
+    Event::Reset,
+    Event::Freeze,
+    Event::SecondLeave,
+    Event::IdleTimeOut,
+    Event::CloseIdlest,
 ];
 
-struct Play {
-    w: World,
+struct Scenario {
+    harness: Harness,
     conn: ConnId,
-    /// What is left of a request that has begun.
-    left: String,
+    /// The missing rest of a partly received request.
+    missing_rest: String,
     requests: usize,
-    /// Whole requests that were read, and those read before the sender stopped taking on.
+    /// Whole requests that were read, and those of them read before the freeze.
     read: usize,
     read_in_time: usize,
-    gone: bool,
-    freezes_at: Option<i64>,
+    client_closed: bool,
+    freeze_at: Option<i64>,
 }
 
-impl Play {
-    fn new(state: State, leaves: bool) -> Self {
-        let mut w = world();
-        let freezes_at = leaves.then(|| w.now + GOES_ON);
-        if leaves {
-            w.node.leave(w.now);
-            w.pass(GOES_ON - 100 * MS);
+impl Scenario {
+    fn new(state: State, is_leaving: bool) -> Self {
+        let mut harness = new_harness();
+        let freeze_at = is_leaving.then(|| harness.now + LEAVE_TO_FREEZE);
+        if is_leaving {
+            harness.node.leave(harness.now);
+            harness.advance(LEAVE_TO_FREEZE - 100 * MS);
         }
-        let conn = w.client();
-        let mut p = Play {
-            w,
+        let conn = harness.connect_client();
+        let mut scenario = Scenario {
+            harness,
             conn,
-            left: String::new(),
+            missing_rest: String::new(),
             requests: 0,
             read: 0,
             read_in_time: 0,
-            gone: false,
-            freezes_at,
+            client_closed: false,
+            freeze_at,
         };
-        p.w.pass(10 * MS);
+        scenario.harness.advance(10 * MS);
         match state {
             State::New => {}
-            State::Begun => p.part(),
-            State::HandedIn => p.whole(),
+            State::PartOfRequest => scenario.receive_part(),
+            State::Submitted => scenario.receive_whole(),
             State::Pipelined => {
-                p.whole();
-                p.whole();
-                p.part();
+                scenario.receive_whole();
+                scenario.receive_whole();
+                scenario.receive_part();
             }
-            State::Rests => {
-                p.whole();
-                p.w.pass(20 * MS);
+            State::Idle => {
+                scenario.receive_whole();
+                scenario.harness.advance(20 * MS);
             }
-            State::RestsAndBegun => {
-                p.whole();
-                p.w.pass(20 * MS);
-                p.part();
+            State::IdleThenPart => {
+                scenario.receive_whole();
+                scenario.harness.advance(20 * MS);
+                scenario.receive_part();
             }
         }
-        p
+        scenario
     }
 
-    /// Nothing of the connection is read any more.
-    fn over(&self) -> bool {
-        self.gone || self.w.ended.contains(&self.conn) || !self.w.node.wants_read(self.conn)
+    /// Returns whether the node no longer reads from the connection.
+    fn no_longer_read(&self) -> bool {
+        self.client_closed
+            || self.harness.closed.contains(&self.conn)
+            || !self.harness.node.wants_read(self.conn)
     }
 
-    fn comes(&mut self, octets: &str, whole: bool) {
+    /// Delivers bytes of the client; `whole` says that they complete a request.
+    fn deliver(&mut self, bytes: &str, whole: bool) {
         if whole {
             self.read += 1;
-            self.read_in_time += usize::from(!self.w.node.refuses_connections());
+            self.read_in_time += usize::from(!self.harness.node.refuses_connections());
         }
-        self.w.node.received(self.w.now, self.conn, octets.as_bytes());
+        self.harness.node.received(self.harness.now, self.conn, bytes.as_bytes());
     }
 
-    fn next(&mut self) -> String {
-        if self.left.is_empty() {
+    /// Returns the missing rest of the current request, or else a new request.
+    fn next_bytes(&mut self) -> String {
+        if self.missing_rest.is_empty() {
             self.requests += 1;
-            self.left = out_add(&format!("m{}", self.requests), SAFE, "body");
+            self.missing_rest = out_add_command(&format!("m{}", self.requests), SAFE, "body");
         }
-        std::mem::take(&mut self.left)
+        std::mem::take(&mut self.missing_rest)
     }
 
-    fn whole(&mut self) {
-        if self.over() {
+    fn receive_whole(&mut self) {
+        if self.no_longer_read() {
             return;
         }
-        let octets = self.next();
-        self.comes(&octets, true);
+        let bytes = self.next_bytes();
+        self.deliver(&bytes, true);
     }
 
-    fn part(&mut self) {
-        if self.over() {
+    fn receive_part(&mut self) {
+        if self.no_longer_read() {
             return;
         }
-        let mut octets = self.next();
-        self.left = octets.split_off(octets.len() / 2);
-        self.comes(&octets, false);
+        let mut bytes = self.next_bytes();
+        self.missing_rest = bytes.split_off(bytes.len() / 2);
+        self.deliver(&bytes, false);
     }
 
-    fn happens(&mut self, event: Happens) {
+    fn apply(&mut self, event: Event) {
         match event {
-            Happens::Whole => self.whole(),
-            Happens::Part => self.part(),
-            Happens::Two => {
-                self.whole();
-                self.whole();
+            Event::Whole => self.receive_whole(),
+            Event::Part => self.receive_part(),
+            Event::Two => {
+                self.receive_whole();
+                self.receive_whole();
             }
-            Happens::Round => self.w.pass(5 * MS),
-            Happens::End | Happens::Break if self.gone || self.w.ended.contains(&self.conn) => {}
-            Happens::End | Happens::Break => {
-                self.gone = true;
-                let how = if event == Happens::End { CloseReason::Ended } else { CloseReason::Broken };
-                self.w.node.closed(self.w.now, self.conn, how);
+            Event::Round => self.harness.advance(5 * MS),
+            Event::End | Event::Reset if self.client_closed || self.harness.closed.contains(&self.conn) => {}
+            Event::End | Event::Reset => {
+                self.client_closed = true;
+                let reason = if event == Event::End { CloseReason::Ended } else { CloseReason::Broken };
+                self.harness.node.closed(self.harness.now, self.conn, reason);
             }
-            Happens::Freeze => {
-                // Time passes at once: a request that was read in this turn has seen no round yet.
-                self.w.now = self.w.now.max(self.freezes_at.unwrap());
-                self.w.node.settle(self.w.now);
+            Event::Freeze => {
+                // The clock jumps, so that a request read in this turn has not been handled by any round yet.
+                self.harness.now = self.harness.now.max(self.freeze_at.unwrap());
+                self.harness.node.settle(self.harness.now);
             }
-            Happens::SecondLeave => self.w.node.leave(self.w.now),
-            Happens::IdleTimeOut => self.w.pass(IDLE),
-            Happens::MakeWay => _ = self.w.node.close_idlest_client(),
+            Event::SecondLeave => self.harness.node.leave(self.harness.now),
+            Event::IdleTimeOut => self.harness.advance(BEYOND_IDLE_TIMEOUT),
+            Event::CloseIdlest => _ = self.harness.node.close_idlest_client(),
         }
     }
 }
 
-fn play(state: State, events: [Happens; 2]) -> Result<(), String> {
-    let leaves = events.iter().any(|e| matches!(e, Happens::Freeze | Happens::SecondLeave));
-    let mut p = Play::new(state, leaves);
+fn run_order(state: State, events: [Event; 2]) -> Result<(), String> {
+    let is_leaving = events.iter().any(|e| matches!(e, Event::Freeze | Event::SecondLeave));
+    let mut scenario = Scenario::new(state, is_leaving);
     let mut calls_at_freeze = None;
     for event in events {
-        p.happens(event);
-        if event == Happens::Freeze && calls_at_freeze.is_none() {
-            calls_at_freeze = Some(p.w.node.stats().calls);
+        scenario.apply(event);
+        if event == Event::Freeze && calls_at_freeze.is_none() {
+            calls_at_freeze = Some(scenario.harness.node.stats().calls);
         }
     }
-    let frozen = p.w.node.refuses_connections();
-    let accepted = p.w.node.stats().accepted;
-    p.w.pass(30 * MS);
-    if frozen && p.w.node.stats().accepted != accepted {
-        return Err("a message was taken on after the freeze".into());
+    let is_frozen = scenario.harness.node.refuses_connections();
+    let accepted = scenario.harness.node.stats().accepted;
+    scenario.harness.advance(30 * MS);
+    if is_frozen && scenario.harness.node.stats().accepted != accepted {
+        return Err("a message was accepted after the freeze".into());
     }
-    if calls_at_freeze.is_some_and(|calls| calls != p.w.node.stats().calls) {
-        return Err("a call was begun after the freeze".into());
+    if calls_at_freeze.is_some_and(|calls| calls != scenario.harness.node.stats().calls) {
+        return Err("a call was started after the freeze".into());
     }
-    p.w.pass(if leaves { 4_000 * MS } else { 50 * MS });
-    let said = p.w.told(p.conn);
-    let answers = said.lines().count();
-    let half = said.lines().last().is_some_and(|l| l.contains("not finished") || l.starts_with("-BUSY"));
-    let (taken, ended) = (said.matches("+OK").count(), p.w.ended.contains(&p.conn));
-    if p.gone {
-        let many = answers > p.read;
-        return if many { Err(format!("{answers} answers to {}: {said:?}", p.read)) } else { Ok(()) };
+    scenario.harness.advance(if is_leaving { 4_000 * MS } else { 50 * MS });
+    let replies = scenario.harness.take_replies(scenario.conn);
+    let answers = replies.lines().count();
+    let unfinished_error =
+        replies.lines().last().is_some_and(|l| l.contains("not finished") || l.starts_with("-BUSY"));
+    let (accepted_replies, closed) =
+        (replies.matches("+OK").count(), scenario.harness.closed.contains(&scenario.conn));
+    if scenario.client_closed {
+        let too_many = answers > scenario.read;
+        return if too_many {
+            Err(format!("{answers} answers to {}: {replies:?}", scenario.read))
+        } else {
+            Ok(())
+        };
     }
-    // A request that was not finished may hear so, on a connection that then ends.
-    if answers != p.read && !(answers == p.read + 1 && half && ended && !p.left.is_empty()) {
-        return Err(format!("{} requests were read, {answers} answered: {said:?}", p.read));
+    // An unfinished request may get an error, on a connection that is then closed.
+    if answers != scenario.read
+        && !(answers == scenario.read + 1 && unfinished_error && closed && !scenario.missing_rest.is_empty())
+    {
+        return Err(format!("{} requests were read, {answers} answered: {replies:?}", scenario.read));
     }
-    if taken > p.read_in_time {
-        return Err(format!("{taken} taken on, {} read in time", p.read_in_time));
+    if accepted_replies > scenario.read_in_time {
+        return Err(format!("{accepted_replies} accepted, {} read in time", scenario.read_in_time));
     }
-    if leaves && !(ended && p.w.node.is_shut_down()) {
-        return Err("the connection outlives the sender's service".into());
+    if is_leaving && !(closed && scenario.harness.node.is_shut_down()) {
+        return Err("the connection or the node did not end after the shutdown".into());
     }
     Ok(())
 }
 
 #[test]
-fn each_request_read_whole_is_answered_once_whatever_comes_between() {
-    let mut wrong = Vec::new();
-    let mut plays = 0;
+fn each_whole_request_is_answered_once_in_every_order_of_events() {
+    let mut failures = Vec::new();
+    let mut orders = 0;
     for state in STATES {
         for first in EVENTS {
             for second in EVENTS {
-                plays += 1;
-                if let Err(e) = play(state, [first, second]) {
-                    wrong.push(format!("{state:?}: {first:?}, {second:?}: {e}"));
+                orders += 1;
+                if let Err(e) = run_order(state, [first, second]) {
+                    failures.push(format!("{state:?}: {first:?}, {second:?}: {e}"));
                 }
             }
         }
     }
-    assert!(wrong.is_empty(), "{} of {plays} orders:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(failures.is_empty(), "{} of {orders} orders:\n{}", failures.len(), failures.join("\n"));
 }
 
 #[test]
 fn a_request_read_in_the_turn_of_the_freeze_is_refused() {
-    let mut p = Play::new(State::HandedIn, true);
-    p.happens(Happens::Freeze);
-    p.w.pass(5 * MS);
-    assert!(p.w.told(p.conn).starts_with("-BUSY"), "read, and answered before the process ends");
-    assert!(p.w.ended.contains(&p.conn) && p.w.came(1001).is_empty());
+    let mut scenario = Scenario::new(State::Submitted, true);
+    scenario.apply(Event::Freeze);
+    scenario.harness.advance(5 * MS);
+    assert!(
+        scenario.harness.take_replies(scenario.conn).starts_with("-BUSY"),
+        "a request that was read must be answered before the process ends"
+    );
+    assert!(
+        scenario.harness.closed.contains(&scenario.conn) && scenario.harness.take_received(1001).is_empty()
+    );
 }
 
 #[test]
-fn half_a_request_at_the_freeze_may_come_whole_and_is_refused() {
-    let mut p = Play::new(State::Begun, true);
-    p.happens(Happens::Freeze);
-    p.w.pass(50 * MS);
-    assert!(!p.w.ended.contains(&p.conn) && !p.w.node.is_shut_down(), "its rest may be on its way");
-    p.whole();
-    p.w.pass(5 * MS);
-    assert!(p.w.told(p.conn).starts_with("-BUSY") && p.w.ended.contains(&p.conn));
+fn a_request_completed_after_the_freeze_is_refused() {
+    let mut scenario = Scenario::new(State::PartOfRequest, true);
+    scenario.apply(Event::Freeze);
+    scenario.harness.advance(50 * MS);
+    assert!(
+        !scenario.harness.closed.contains(&scenario.conn) && !scenario.harness.node.is_shut_down(),
+        "the rest of the request may still come"
+    );
+    scenario.receive_whole();
+    scenario.harness.advance(5 * MS);
+    assert!(
+        scenario.harness.take_replies(scenario.conn).starts_with("-BUSY")
+            && scenario.harness.closed.contains(&scenario.conn)
+    );
 }
 
 #[test]
-fn a_client_that_never_finishes_its_request_does_not_hold_up_the_end() {
-    let mut p = Play::new(State::Begun, true);
-    p.happens(Happens::Freeze);
-    p.w.pass(500 * MS);
-    assert!(p.w.told(p.conn).starts_with("-BUSY") && p.w.ended.contains(&p.conn));
-    assert!(p.w.node.is_shut_down());
+fn an_unfinished_request_does_not_delay_the_shutdown() {
+    let mut scenario = Scenario::new(State::PartOfRequest, true);
+    scenario.apply(Event::Freeze);
+    scenario.harness.advance(500 * MS);
+    assert!(
+        scenario.harness.take_replies(scenario.conn).starts_with("-BUSY")
+            && scenario.harness.closed.contains(&scenario.conn)
+    );
+    assert!(scenario.harness.node.is_shut_down());
 }
 
+/// Guards against a shutdown that takes too long: the process is killed 3.7 s after the first request to
+/// leave.
 #[test]
-fn a_second_leave_puts_nothing_off_and_the_end_comes_before_the_kill() {
-    // Killed 3.7 s after the first.
-    let mut w = world();
-    w.node.leave(w.now);
-    let half = w.client();
-    w.pass(1_000 * MS);
-    let call = w.client();
-    w.add(call, "m1", SAFE);
-    w.node.leave(w.now);
-    w.pass(1_900 * MS - 10 * MS);
-    w.node.received(w.now, half, b"*1\r\n$4\r\nPI");
-    assert!(!w.node.refuses_connections());
-    w.pass(20 * MS);
-    assert!(w.node.refuses_connections() && !w.node.is_shut_down());
-    w.pass(700 * MS);
-    assert!(w.node.is_shut_down(), "with a call out and half a request");
+fn a_second_leave_does_not_delay_the_shutdown() {
+    let mut harness = new_harness();
+    harness.node.leave(harness.now);
+    let unfinished = harness.connect_client();
+    harness.advance(1_000 * MS);
+    let call = harness.connect_client();
+    harness.submit(call, "m1", SAFE);
+    harness.node.leave(harness.now);
+    harness.advance(1_900 * MS - 10 * MS);
+    harness.node.received(harness.now, unfinished, b"*1\r\n$4\r\nPI");
+    assert!(!harness.node.refuses_connections());
+    harness.advance(20 * MS);
+    assert!(harness.node.refuses_connections() && !harness.node.is_shut_down());
+    harness.advance(700 * MS);
+    assert!(harness.node.is_shut_down(), "must shut down despite an open call and half a request");
 }
 
 #[test]
-fn an_id_that_is_open_is_not_taken_on_again() {
-    let mut p = Play::new(State::Rests, false);
-    // Its client gave up, and comes again under the same id.
-    p.w.node.closed(p.w.now, p.conn, CloseReason::Ended);
-    p.w.told(p.conn);
-    let again = p.w.client();
-    p.w.add(again, "m1", SAFE);
-    assert_eq!(p.w.told(again), "-ERR the id is open already\r\n");
-    assert_eq!((p.w.node.open(), p.w.came(1001).len()), (1, 1));
+fn a_message_with_an_open_id_is_rejected() {
+    let mut scenario = Scenario::new(State::Idle, false);
+    // The client closes its connection, and submits again with the same id.
+    scenario.harness.node.closed(scenario.harness.now, scenario.conn, CloseReason::Ended);
+    scenario.harness.take_replies(scenario.conn);
+    let second_client = scenario.harness.connect_client();
+    scenario.harness.submit(second_client, "m1", SAFE);
+    assert_eq!(scenario.harness.take_replies(second_client), "-ERR the id is open already\r\n");
+    assert_eq!((scenario.harness.node.open(), scenario.harness.take_received(1001).len()), (1, 1));
 }
 
 #[test]
 fn a_request_is_read_alike_wherever_it_is_split() {
-    let text = out_add("m1", SAFE, "b\r\n$");
-    for at in 0..=text.len() {
-        let mut w = world();
-        let c = w.client();
-        w.node.received(w.now, c, &text.as_bytes()[..at]);
-        w.pass(5 * MS);
-        w.node.received(w.now, c, &text.as_bytes()[at..]);
-        w.pass(5 * MS);
-        assert_eq!((w.told(c).as_str(), w.node.open()), ("+OK\r\n", 1), "split at {at}");
+    let text = out_add_command("m1", SAFE, "b\r\n$");
+    for split in 0..=text.len() {
+        let mut harness = new_harness();
+        let client = harness.connect_client();
+        harness.node.received(harness.now, client, &text.as_bytes()[..split]);
+        harness.advance(5 * MS);
+        harness.node.received(harness.now, client, &text.as_bytes()[split..]);
+        harness.advance(5 * MS);
+        assert_eq!(
+            (harness.take_replies(client).as_str(), harness.node.open()),
+            ("+OK\r\n", 1),
+            "split at {split}"
+        );
     }
 }
 
-/// What one connection is given, and when it is to be turned to next.
-fn given(front: &mut RespFront, text: &str) -> (Vec<ClientRequest>, i64) {
-    let (mut out, mut asks) = (BytesMut::new(), Vec::new());
-    front.receive(0, 0, text.as_bytes(), &mut out, &mut asks);
-    (asks, front.wake())
+/// Passes text to a front; returns its requests and the time at which it wants to be called next.
+fn receive(front: &mut RespFront, text: &str) -> (Vec<ClientRequest>, i64) {
+    let (mut output, mut requests) = (BytesMut::new(), Vec::new());
+    front.receive(0, 0, text.as_bytes(), &mut output, &mut requests);
+    (requests, front.wake())
 }
 
 #[test]
-fn what_can_not_be_read_behind_an_open_request_does_not_turn_without_end() {
+fn unreadable_bytes_after_an_open_request_cause_no_busy_loop() {
     let mut front = RespFront::new(0);
-    let (asks, wake) = given(&mut front, &(out_add("m1", SAFE, "body") + "*1\r\n$60000000\r\nxxxx"));
-    assert_eq!(asks.len(), 1);
-    // A front that is to be turned to at once, and has nothing to do, keeps the thread for good.
-    assert_eq!(wake, i64::MAX, "nothing is to be done before the first is answered");
+    let (requests, wake) =
+        receive(&mut front, &(out_add_command("m1", SAFE, "body") + "*1\r\n$60000000\r\nxxxx"));
+    assert_eq!(requests.len(), 1);
+    // A front that asks to be called at once, with nothing to do, would keep the thread busy for ever.
+    assert_eq!(wake, i64::MAX, "there is nothing to do before the first request is answered");
 }
 
 #[test]
-fn a_batch_goes_on_at_once_when_all_before_it_are_answered() {
-    let mut w = world();
-    let c = w.client();
+fn a_batch_continues_at_once_when_all_earlier_requests_are_answered() {
+    let mut harness = new_harness();
+    let client = harness.connect_client();
     let pings = 1_000;
-    w.node.received(w.now, c, "*1\r\n$4\r\nPING\r\n".repeat(pings).as_bytes());
-    w.pass(0);
-    assert_eq!(w.told(c).matches("+PONG").count(), pings);
-    let adds = 100;
-    let text: String = (0..adds).map(|i| out_add(&format!("m{i}"), SAFE, "body")).collect();
-    w.node.received(w.now, c, text.as_bytes());
-    w.pass(100 * MS);
-    assert_eq!(w.told(c).lines().count(), adds);
-    assert!(!w.ended.contains(&c));
+    harness.node.received(harness.now, client, "*1\r\n$4\r\nPING\r\n".repeat(pings).as_bytes());
+    harness.advance(0);
+    assert_eq!(harness.take_replies(client).matches("+PONG").count(), pings);
+    let messages = 100;
+    let text: String = (0..messages).map(|i| out_add_command(&format!("m{i}"), SAFE, "body")).collect();
+    harness.node.received(harness.now, client, text.as_bytes());
+    harness.advance(100 * MS);
+    assert_eq!(harness.take_replies(client).lines().count(), messages);
+    assert!(!harness.closed.contains(&client));
 }
 
 #[test]
-fn ends_of_a_side_behind_a_request_are_a_client_that_went() {
-    // A client ends by ending its sending (the protocol has no half-closed clients): nothing is owed, nothing is sent.
-    let mut p = Play::new(State::HandedIn, false);
-    p.happens(Happens::End);
-    p.w.pass(50 * MS);
-    assert!(p.w.came(1001).is_empty() && p.w.node.open() == 0);
+fn a_client_that_closes_its_side_after_a_request_is_gone() {
+    // The protocol has no half-closed clients: a client that closes its sending side is gone, and its message
+    // is dropped.
+    let mut scenario = Scenario::new(State::Submitted, false);
+    scenario.apply(Event::End);
+    scenario.harness.advance(50 * MS);
+    assert!(scenario.harness.take_received(1001).is_empty() && scenario.harness.node.open() == 0);
 }
--- a/crates/engine/tests/sender/mod.rs
+++ b/crates/engine/tests/sender/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's sender in memory: what its clients, endpoints and discovery say is written by hand by the tests, and
-//! what the node answers is read from its octets.
-#![allow(dead_code)] // not every test file uses all of it
+//! A test harness that runs the platform's sender in memory. The tests write the bytes of clients, endpoints
+//! and discovery, and read what the node answers from its output buffers.
+#![allow(dead_code)] // not every test file uses every item
 
 use heronroute_engine::front::Speaks;
 use heronroute_engine::platform::config;
@@ -13,7 +13,8 @@
 use std::sync::Arc;
 
 pub const MS: i64 = 1_000;
-pub const START: &str = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7",
+/// The start-up configuration of the node: two endpoints, one of them for batches, and three classes.
+pub const START_CONFIG: &str = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7",
  "limits":{"memory_mb":32,"sockets":32,"disk_mb":1},
  "known":{"version":4,"full":true,"servers":[
   {"id":"e1","addr":"127.0.0.1:1001","zone":"a","kind":"one","cell":1,"state":"SERVING","weight":50.0},
@@ -26,73 +27,79 @@
    {"Name":"keyed","Effect":"guarded","WindowUs":4000000,"HardLimitUs":8000000,"ObjectiveUs":2500000,"Worth":1.0},
    {"Name":"once","Effect":"single_shot","HardLimitUs":8000000,"ObjectiveUs":2500000,"Worth":5.0}]}}"#;
 
-pub struct World {
+/// A node with its journal, its connections and a simulated clock.
+pub struct Harness {
     pub start: StartUp,
     pub node: Node,
     pub journal: Journal<Disk>,
-    pub count: u64,
+    /// Entries committed to the journal.
+    pub journal_entries: u64,
     pub now: i64,
-    /// The node's own connections: where to, and what came there.
-    pub ours: BTreeMap<ConnId, (SocketAddr, String)>,
-    /// What came on connections that have ended since, and nobody has looked at.
-    pub past: Vec<(ConnId, SocketAddr, String)>,
-    /// What clients heard.
-    pub heard: BTreeMap<ConnId, String>,
-    pub ended: Vec<ConnId>,
-    /// The journal writes.
-    pub writes: bool,
-    /// Connections there don't stand at once: those that are coming.
-    pub silent: Option<u16>,
-    pub coming: Vec<ConnId>,
-    /// What the node writes there stays with it.
-    pub stuck: Option<ConnId>,
+    /// The connections that the node opened: the address, and the bytes received there that no test has read.
+    pub node_connections: BTreeMap<ConnId, (SocketAddr, String)>,
+    /// Unread bytes of the node's connections that have closed since.
+    pub closed_with_data: Vec<(ConnId, SocketAddr, String)>,
+    /// Unread replies to the clients.
+    pub replies: BTreeMap<ConnId, String>,
+    /// Connections that have closed, in the order of closing.
+    pub closed: Vec<ConnId>,
+    /// Whether entries are committed to the journal; if not, they never become durable.
+    pub journal_enabled: bool,
+    /// Connections to this port aren't established at once, but are kept in `connecting`.
+    pub slow_port: Option<u16>,
+    pub connecting: Vec<ConnId>,
+    /// A connection that accepts no bytes from the node.
+    pub stalled: Option<ConnId>,
 }
 
-pub fn begin(journal: Journal<Disk>, now: i64) -> World {
-    begin_with(START, journal, now)
+/// Starts a node with the default configuration on a journal.
+pub fn start_harness(journal: Journal<Disk>, now: i64) -> Harness {
+    start_harness_with(START_CONFIG, journal, now)
 }
 
-pub fn begin_with(start: &str, journal: Journal<Disk>, now: i64) -> World {
+/// Starts a node with a given configuration on a journal.
+pub fn start_harness_with(start: &str, journal: Journal<Disk>, now: i64) -> Harness {
     let start = read(start).unwrap();
     let state = Some(journal.state().clone());
     let at =
         Start { index: 0, seed: 7, now, wall: (1 << 50) + now, list: 4, kept: None, state, fleet: false };
     let node = Node::new(Arc::new(config(&start)), at).unwrap();
-    let (ours, heard, ended) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-    let mut w = World {
+    let (node_connections, replies, closed) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+    let mut harness = Harness {
         start,
         node,
         journal,
-        count: 0,
+        journal_entries: 0,
         now,
-        ours,
-        past: Vec::new(),
-        heard,
-        ended,
-        writes: true,
-        silent: None,
-        coming: vec![],
-        stuck: None,
+        node_connections,
+        closed_with_data: Vec::new(),
+        replies,
+        closed,
+        journal_enabled: true,
+        slow_port: None,
+        connecting: vec![],
+        stalled: None,
     };
-    w.pass(0);
-    w
+    harness.advance(0);
+    harness
 }
 
-pub fn world() -> World {
-    begin(Journal::open(Disk::new(Faults::default()), LIMITS).unwrap(), 0)
+/// Starts a node with the default configuration on an empty journal.
+pub fn new_harness() -> Harness {
+    start_harness(Journal::open(Disk::new(Faults::default()), JOURNAL_LIMITS).unwrap(), 0)
 }
 
-/// A hand-in as a client writes it.
-pub fn out_add(id: &str, pairs: &str, body: &str) -> String {
+/// Returns an `OUT.ADD` command as a client writes it.
+pub fn out_add_command(id: &str, pairs: &str, body: &str) -> String {
     "*5\r\n".to_string()
         + &["OUT.ADD", "0000", id, pairs, body].map(|a| format!("${}\r\n{a}\r\n", a.len())).concat()
 }
 
-pub const LIMITS: Limits = Limits { segment: 20_000, growth: 2, least: 20_000, most: 400_000 };
+pub const JOURNAL_LIMITS: Limits = Limits { segment: 20_000, growth: 2, least: 20_000, most: 400_000 };
 
-impl World {
-    /// Time passes, a quantum at a time, and all that the node asks for is done.
-    pub fn pass(&mut self, span: i64) {
+impl Harness {
+    /// Advances the clock in steps of 5 ms and handles all outputs of the node.
+    pub fn advance(&mut self, span: i64) {
         let end = self.now + span;
         loop {
             self.node.settle(self.now);
@@ -102,7 +109,7 @@
                     break;
                 }
                 for output in outputs {
-                    self.obey(output);
+                    self.handle_output(output);
                 }
                 self.node.settle(self.now);
             }
@@ -113,98 +120,114 @@
         }
     }
 
-    pub fn obey(&mut self, output: Output) {
+    /// Does what one output of the node asks for.
+    pub fn handle_output(&mut self, output: Output) {
         match output {
             Output::Connect { conn, address } => {
-                self.ours.insert(conn, (address, String::new()));
-                if self.silent == Some(address.port()) {
-                    self.coming.push(conn);
+                self.node_connections.insert(conn, (address, String::new()));
+                if self.slow_port == Some(address.port()) {
+                    self.connecting.push(conn);
                 } else {
                     self.node.connected(self.now, conn);
                 }
             }
-            Output::Write(conn) if self.stuck == Some(conn) => {}
+            Output::Write(conn) if self.stalled == Some(conn) => {}
             Output::Write(conn) | Output::Finish(conn) => {
-                let octets = String::from_utf8_lossy(self.node.pending(conn)).into_owned();
-                let n = self.node.pending(conn).len();
-                match self.ours.get_mut(&conn) {
-                    Some((_, text)) => text.push_str(&octets),
-                    None => self.heard.entry(conn).or_default().push_str(&octets),
+                let text = String::from_utf8_lossy(self.node.pending(conn)).into_owned();
+                let length = self.node.pending(conn).len();
+                match self.node_connections.get_mut(&conn) {
+                    Some((_, received)) => received.push_str(&text),
+                    None => self.replies.entry(conn).or_default().push_str(&text),
                 }
-                if self.node.wrote(conn, n) {
-                    self.gone(conn);
+                if self.node.wrote(conn, length) {
+                    self.connection_closed(conn);
                 }
             }
-            Output::Drop(conn) => self.gone(conn),
-            Output::Journal(entries) if self.writes => {
-                // As the reactor does it.
+            Output::Drop(conn) => self.connection_closed(conn),
+            Output::Journal(entries) if self.journal_enabled => {
+                // A full journal is replaced by a snapshot, as in the reactor.
                 let mut result = self.journal.commit(&entries);
                 if matches!(result, Err(JournalError::Full)) {
                     result = self.journal.snapshot().and_then(|()| self.journal.commit(&entries));
                 }
                 result.unwrap();
-                self.count += entries.len() as u64;
-                self.node.durable(self.now, self.count, self.journal.usage());
+                self.journal_entries += entries.len() as u64;
+                self.node.durable(self.now, self.journal_entries, self.journal.usage());
             }
             Output::Journal(_) | Output::SaveList(_) | Output::Live(_) | Output::ClientRequest(_) => {}
             Output::Copying | Output::Inherited(_) => {}
         }
     }
 
-    /// One more endpoint of e1's destination is listed, at port 1003.
+    /// Lists one more endpoint of e1's destination, at port 1003.
     pub fn add_endpoint_like_e1(&mut self) {
-        let (watch, _) = self.came(2).into_iter().find(|(_, t)| t.starts_with("GET /catalog")).unwrap();
+        let (watch, _) =
+            self.take_received(2).into_iter().find(|(_, t)| t.starts_with("GET /catalog")).unwrap();
         let line = r#"{"version":5,"full":false,"servers":[{"id":"e3","addr":"127.0.0.1:1003","zone":"a","kind":"one","cell":1,"state":"SERVING","weight":50.0}]}"#;
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-        self.says(watch, &format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1));
+        self.peer_sends(watch, &format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1));
     }
 
-    pub fn gone(&mut self, conn: ConnId) {
-        if let Some((address, text)) = self.ours.remove(&conn).filter(|(_, text)| !text.is_empty()) {
-            self.past.push((conn, address, text));
+    /// Records that a connection has closed.
+    pub fn connection_closed(&mut self, conn: ConnId) {
+        if let Some((address, text)) =
+            self.node_connections.remove(&conn).filter(|(_, text)| !text.is_empty())
+        {
+            self.closed_with_data.push((conn, address, text));
         }
-        self.ended.push(conn);
+        self.closed.push(conn);
     }
 
-    pub fn client(&mut self) -> ConnId {
+    /// Accepts the connection of a new client.
+    pub fn connect_client(&mut self) -> ConnId {
         self.node.accepted(self.now, Speaks::Resp, b"").unwrap()
     }
 
-    pub fn add(&mut self, conn: ConnId, id: &str, pairs: &str) {
-        self.node.received(self.now, conn, out_add(id, pairs, "body").as_bytes());
-        self.pass(5 * MS);
+    /// Submits a message on a client's connection.
+    pub fn submit(&mut self, conn: ConnId, id: &str, pairs: &str) {
+        self.node.received(self.now, conn, out_add_command(id, pairs, "body").as_bytes());
+        self.advance(5 * MS);
     }
 
-    /// What the client heard since the last call.
-    pub fn told(&mut self, conn: ConnId) -> String {
-        self.heard.remove(&conn).unwrap_or_default()
+    /// Returns what was sent to the client since the last call.
+    pub fn take_replies(&mut self, conn: ConnId) -> String {
+        self.replies.remove(&conn).unwrap_or_default()
     }
 
-    /// Connections to an address on which something has come since the last call, with what.
-    pub fn came(&mut self, port: u16) -> Vec<(ConnId, String)> {
-        let at = self.ours.iter_mut().filter(|(_, (a, text))| a.port() == port && !text.is_empty());
-        at.map(|(conn, (_, text))| (*conn, std::mem::take(text))).collect()
+    /// Returns the open connections to a port on which bytes were received since the last call, with these
+    /// bytes.
+    pub fn take_received(&mut self, port: u16) -> Vec<(ConnId, String)> {
+        let connections = self
+            .node_connections
+            .iter_mut()
+            .filter(|(_, (address, text))| address.port() == port && !text.is_empty());
+        connections.map(|(conn, (_, text))| (*conn, std::mem::take(text))).collect()
     }
 
-    /// What came at an address on connections that have ended since, by connection.
-    pub fn came_before_an_end(&self, port: u16) -> Vec<(ConnId, String)> {
-        let there = self.past.iter().filter(|(_, address, _)| address.port() == port);
-        there.map(|(conn, _, text)| (*conn, text.clone())).collect()
+    /// Returns what was received at a port on connections that have closed since, by connection.
+    pub fn received_before_close(&self, port: u16) -> Vec<(ConnId, String)> {
+        let closed_there = self.closed_with_data.iter().filter(|(_, address, _)| address.port() == port);
+        closed_there.map(|(conn, _, text)| (*conn, text.clone())).collect()
     }
 
-    pub fn says(&mut self, conn: ConnId, text: &str) {
+    /// Delivers bytes from the peer of a connection to the node.
+    pub fn peer_sends(&mut self, conn: ConnId, text: &str) {
         self.node.received(self.now, conn, text.as_bytes());
-        self.pass(5 * MS);
+        self.advance(5 * MS);
     }
 
-    /// The process is killed, and starts again with its folder.
-    pub fn restart(self) -> World {
-        begin(Journal::open(self.journal.into_storage(), LIMITS).unwrap(), self.now)
+    /// Simulates a killed process that starts again on the same journal.
+    pub fn restart(self) -> Harness {
+        start_harness(Journal::open(self.journal.into_storage(), JOURNAL_LIMITS).unwrap(), self.now)
     }
 }
 
 pub const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-pub const TAKEN: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// Discovery's answer that accepts a notice.
+pub const NO_CONTENT: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// The fields of a message that may be repeated freely.
 pub const SAFE: &str = "c=safe,t=t,d=4000,dest=1";
+/// The fields of a message that may be repeated within its idempotency window.
 pub const KEYED: &str = "c=keyed,t=t,d=7000,k=abc,dest=1";
+/// The fields of a message that may not be repeated once it may have run.
 pub const ONCE: &str = "c=once,t=t,d=7000,dest=1";
--- a/crates/engine/tests/watch_orders.rs
+++ b/crates/engine/tests/watch_orders.rs
@@ -1,6 +1,6 @@
-//! The watch on the platform's discovery under every order of two events at each of its states. Discovery is a model
-//! here: it has a catalogue that changes, and each connection fares as the order says. Behind the order discovery
-//! serves well again, and a connection on which something was left unfinished says nothing more.
+//! Plays every order of two events in each state of the watch on the platform's discovery. Discovery is a
+//! model with a catalogue that changes, and the order decides what happens to each connection. After the
+//! order discovery works again, except that a connection on which data was left unfinished stays silent.
 
 mod sender;
 
@@ -11,16 +11,16 @@
 use std::net::SocketAddr;
 
 const MS: Micros = 1_000;
-/// Within this a change has to be known.
-const TOLD: Micros = 6_000 * MS;
-/// Within this after SIGHUP.
-const TOLD_AFTER_MOVE: Micros = 4_000 * MS;
-/// A lost watch is sought again within this.
-const NEXT_ATTEMPT: Micros = 400 * MS;
-/// The longest time without any look at the clock.
-const LONGEST_WAIT: Micros = 2_600 * MS;
-/// Connections in a second at most, whatever discovery does.
-const MOST_A_SECOND: usize = 9;
+/// The watch must receive a change within this time.
+const CHANGE_LIMIT: Micros = 6_000 * MS;
+/// The same limit after a move of discovery by SIGHUP.
+const CHANGE_LIMIT_AFTER_MOVE: Micros = 4_000 * MS;
+/// A lost watch is reconnected within this time.
+const RECONNECT_LIMIT: Micros = 400 * MS;
+/// The longest time between two ticks, or between two connection attempts.
+const TICK_LIMIT: Micros = 2_600 * MS;
+/// The most connection attempts within a second, whatever discovery does.
+const MOST_CONNECTS_A_SECOND: usize = 9;
 const HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 const END: &str = "0\r\n\r\n";
 
@@ -39,7 +39,7 @@
     HalfList,
     WholeList,
     IndentedList,
-    SpoiltOctets,
+    InvalidBytes,
     End,
     Break,
     ConnectRefused,
@@ -55,7 +55,7 @@
     Event::HalfList,
     Event::WholeList,
     Event::IndentedList,
-    Event::SpoiltOctets,
+    Event::InvalidBytes,
     Event::End,
     Event::Break,
     Event::ConnectRefused,
@@ -65,12 +65,13 @@
     Event::Tick,
 ];
 
+/// The state of the watch when the first event happens.
 #[derive(Clone, Copy, Debug)]
-enum At {
+enum WatchState {
     Due,
     Connecting,
     Asked,
-    HeadSaid,
+    HeadSent,
     HalfFirstList,
     Open,
     OpenIdle,
@@ -79,22 +80,22 @@
     AskedWhole,
 }
 
-const STATES: [At; 10] = [
-    At::Due,
-    At::Connecting,
-    At::Asked,
-    At::HeadSaid,
-    At::HalfFirstList,
-    At::Open,
-    At::OpenIdle,
-    At::HalfChange,
-    At::Retry,
-    At::AskedWhole,
+const STATES: [WatchState; 10] = [
+    WatchState::Due,
+    WatchState::Connecting,
+    WatchState::Asked,
+    WatchState::HeadSent,
+    WatchState::HalfFirstList,
+    WatchState::Open,
+    WatchState::OpenIdle,
+    WatchState::HalfChange,
+    WatchState::Retry,
+    WatchState::AskedWhole,
 ];
 
-/// How a connection that is still to be made fares.
+/// The outcome of a future connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum ConnectOutcome {
     Refused,
     Hangs,
 }
@@ -102,40 +103,41 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Connection {
     None,
-    /// Under way, and never to stand.
+    /// It is being established, and never succeeds.
     Hangs,
-    /// Under way.
-    Coming,
-    /// It stands, the whole list is asked for, and nothing was said.
+    /// It is being established.
+    Connecting,
+    /// It is established, and the full list is requested; no byte of the answer was sent.
     AskedWhole,
-    /// It stands, and nothing was said.
+    /// It is established, and changes since a version are requested; no byte of the answer was sent.
     Asked(u64),
-    /// The head was said.
-    Begun(u64),
-    /// Lists up to that version were said, whole.
-    Good(u64),
-    /// Something was left unfinished, or the peer has fallen silent.
-    Lost,
+    /// The head of the answer was sent.
+    HeadSent(u64),
+    /// Complete lists up to this version were sent.
+    UpToDate(u64),
+    /// Data was left unfinished, or the peer has fallen silent.
+    Stalled,
 }
 
-struct World {
+/// A watch on a model of discovery, with a simulated clock.
+struct Harness {
     watch: Watched,
     stream: Stream,
     now: Micros,
     connection: Connection,
-    fates: VecDeque<Fate>,
-    /// Discovery's own: the standing of each endpoint and the version that brought it.
+    connect_outcomes: VecDeque<ConnectOutcome>,
+    /// Discovery's catalogue: the status of each endpoint and the version that set it.
     catalogue: BTreeMap<String, (Status, u64)>,
     version: u64,
-    /// As the sender holds it.
-    held: BTreeMap<String, Status>,
+    /// The status of each endpoint as the watch reported it.
+    reported: BTreeMap<String, Status>,
     connects: Vec<Micros>,
     next_empty_line: Micros,
-    /// The form in which discovery writes each of its lists.
-    form: fn(&str) -> String,
+    /// Formats each list that discovery sends.
+    format_list: fn(&str) -> String,
 }
 
-fn word(status: Status) -> &'static str {
+fn status_word(status: Status) -> &'static str {
     match status {
         Status::Up => "SERVING",
         Status::Draining => "DRAINING",
@@ -147,7 +149,7 @@
     let row = |(id, status): &(&str, Status)| {
         format!(
             r#"{{"id":"{id}","addr":"127.0.0.1:9","zone":"{{\"}}","kind":"m","cell":3,"state":"{}"}}"#,
-            word(*status)
+            status_word(*status)
         )
     };
     let rows: Vec<String> = rows.iter().map(row).collect();
@@ -159,25 +161,25 @@
     serde_json::to_string_pretty(&value).unwrap()
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let catalogue = BTreeMap::from([("a".to_string(), (Status::Up, 1))]);
-        World {
+        Harness {
             watch: Watched::new(0, at(2)),
             stream: Stream::default(),
             now: 0,
             connection: Connection::None,
-            fates: VecDeque::new(),
+            connect_outcomes: VecDeque::new(),
             catalogue,
             version: 1,
-            held: BTreeMap::new(),
+            reported: BTreeMap::new(),
             connects: Vec::new(),
             next_empty_line: 0,
-            form: str::to_string,
+            format_list: str::to_string,
         }
     }
 
-    /// Something changes at discovery.
+    /// Changes the catalogue of discovery.
     fn change(&mut self) {
         self.version += 1;
         let status = if self.version.is_multiple_of(2) { Status::Draining } else { Status::Up };
@@ -191,249 +193,250 @@
         list(self.version, since == 0, &rows)
     }
 
-    fn heard(&mut self, heard: Vec<DirectoryEvent>) {
-        for one in heard {
-            let DirectoryEvent::List(listing) = one else { continue };
+    fn record(&mut self, events: Vec<DirectoryEvent>) {
+        for event in events {
+            let DirectoryEvent::List(listing) = event else { continue };
             if listing.whole {
-                self.held.clear();
+                self.reported.clear();
             }
             for endpoint in listing.endpoints {
-                self.held.insert(endpoint.name, endpoint.status);
+                self.reported.insert(endpoint.name, endpoint.status);
             }
         }
     }
 
-    fn say(&mut self, text: &str) {
-        if matches!(self.connection, Connection::None | Connection::Hangs | Connection::Coming) {
+    fn send(&mut self, text: &str) {
+        if matches!(self.connection, Connection::None | Connection::Hangs | Connection::Connecting) {
             return;
         }
-        let mut heard = Vec::new();
-        let goes_on = self.watch.receive(self.now, text.as_bytes(), &mut self.stream, &mut heard);
-        self.heard(heard);
-        if !goes_on {
+        let mut events = Vec::new();
+        let keep_open = self.watch.receive(self.now, text.as_bytes(), &mut self.stream, &mut events);
+        self.record(events);
+        if !keep_open {
             self.connection = Connection::None;
         }
     }
 
-    fn connected(&mut self) {
+    fn establish(&mut self) {
         self.stream = Stream::default();
         self.watch.connected(self.now, &mut self.stream);
-        self.asked();
+        self.read_request();
     }
 
-    /// Reads what is asked.
-    fn asked(&mut self) {
-        let said = String::from_utf8_lossy(&self.stream.out.split()).into_owned();
-        self.connection = match said.split("since=").nth(1).and_then(|t| t.split(' ').next()) {
+    /// Reads the request that the watch wrote.
+    fn read_request(&mut self) {
+        let request = String::from_utf8_lossy(&self.stream.out.split()).into_owned();
+        self.connection = match request.split("since=").nth(1).and_then(|t| t.split(' ').next()) {
             Some(since) => Connection::Asked(since.parse().unwrap()),
             None => {
-                assert!(said.starts_with("GET /catalog/members HTTP/1.1\r\n"), "{said}");
+                assert!(request.starts_with("GET /catalog/members HTTP/1.1\r\n"), "{request}");
                 Connection::AskedWhole
             }
         };
     }
 
-    /// Answers the question for the whole list.
-    fn say_whole(&mut self, text: &str) {
+    /// Answers the request for the full list.
+    fn send_full_list(&mut self, text: &str) {
         assert_eq!(self.connection, Connection::AskedWhole);
-        self.say(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len()));
+        self.send(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len()));
         if self.connection != Connection::None {
-            self.asked();
+            self.read_request();
         }
     }
 
-    fn ended(&mut self) {
-        let mut heard = Vec::new();
-        self.watch.ended(self.now, &mut heard);
-        self.heard(heard);
+    fn connection_closed(&mut self) {
+        let mut events = Vec::new();
+        self.watch.ended(self.now, &mut events);
+        self.record(events);
         self.connection = Connection::None;
     }
 
     fn tick(&mut self) {
-        let mut heard = Vec::new();
-        let want = self.watch.tick(self.now, &mut heard);
-        self.heard(heard);
-        match want {
+        let mut events = Vec::new();
+        let action = self.watch.tick(self.now, &mut events);
+        self.record(events);
+        match action {
             ConnectionAction::Nothing => {}
             ConnectionAction::Drop => self.connection = Connection::None,
             ConnectionAction::Connect(_) => {
                 self.connects.push(self.now);
-                match self.fates.pop_front() {
-                    None => self.connection = Connection::Coming,
-                    Some(Fate::Hangs) => self.connection = Connection::Hangs,
-                    Some(Fate::Refused) => {
-                        self.connection = Connection::Coming;
-                        self.ended();
+                match self.connect_outcomes.pop_front() {
+                    None => self.connection = Connection::Connecting,
+                    Some(ConnectOutcome::Hangs) => self.connection = Connection::Hangs,
+                    Some(ConnectOutcome::Refused) => {
+                        self.connection = Connection::Connecting;
+                        self.connection_closed();
                     }
                 }
             }
         }
     }
 
-    /// On to when the watch wants to act next.
-    fn act_next(&mut self) {
+    /// Advances the clock to the next wake time of the watch, and runs its tick.
+    fn run_next_tick(&mut self) {
         self.now = self.now.max(self.watch.wake());
         self.tick();
     }
 
-    /// Says a list whole, in the form that `form` gives it, with all that is to be said before it.
-    fn tell(&mut self, form: fn(&str) -> String) {
+    /// Sends a complete list in the format of `format_list`, with the head of the answer where it is missing.
+    fn send_list(&mut self, format_list: fn(&str) -> String) {
         let (head, since) = match self.connection {
             Connection::Asked(since) => (HEAD, since),
-            Connection::Begun(since) | Connection::Good(since) => ("", since),
-            Connection::Lost => {
-                // Behind half a list: it can't be told from its rest.
-                let text = chunk(&format!("{}\n", form(&self.changes(0))));
-                return self.say(&text);
+            Connection::HeadSent(since) | Connection::UpToDate(since) => ("", since),
+            Connection::Stalled => {
+                // After half a list, this one can't be distinguished from the rest of that one.
+                let text = chunk(&format!("{}\n", format_list(&self.changes(0))));
+                return self.send(&text);
             }
             _ => return,
         };
-        let text = format!("{}\n", form(&self.changes(since)));
-        // In two chunks, each octet by itself where it is short.
+        let text = format!("{}\n", format_list(&self.changes(since)));
+        // Sent as two chunks, in pieces of 7 bytes.
         let (a, b) = text.split_at(text.len() / 3);
-        let octets = format!("{head}{}{}", chunk(a), chunk(b));
-        for piece in octets.as_bytes().chunks(7) {
-            self.say(std::str::from_utf8(piece).unwrap());
+        let bytes = format!("{head}{}{}", chunk(a), chunk(b));
+        for piece in bytes.as_bytes().chunks(7) {
+            self.send(std::str::from_utf8(piece).unwrap());
         }
         if self.connection != Connection::None {
-            self.connection = Connection::Good(self.version);
+            self.connection = Connection::UpToDate(self.version);
             self.next_empty_line = self.now + 2_000 * MS;
         }
     }
 
-    fn half(&mut self) {
+    fn send_half_list(&mut self) {
         let (head, since) = match self.connection {
             Connection::Asked(since) => (HEAD, since),
-            Connection::Begun(since) | Connection::Good(since) => ("", since),
+            Connection::HeadSent(since) | Connection::UpToDate(since) => ("", since),
             _ => ("", 0),
         };
         self.change();
         let line = self.changes(since);
         let text = format!("{head}{}", chunk(&line[..line.len() / 2]));
-        self.say(&text);
-        self.lose();
+        self.send(&text);
+        self.stop_answering();
     }
 
-    fn lose(&mut self) {
-        if !matches!(self.connection, Connection::None | Connection::Hangs | Connection::Coming) {
-            self.connection = Connection::Lost;
+    fn stop_answering(&mut self) {
+        if !matches!(self.connection, Connection::None | Connection::Hangs | Connection::Connecting) {
+            self.connection = Connection::Stalled;
         }
     }
 
-    fn happens(&mut self, event: Event) {
-        let stands = !matches!(self.connection, Connection::None | Connection::Hangs | Connection::Coming);
+    fn apply(&mut self, event: Event) {
+        let established =
+            !matches!(self.connection, Connection::None | Connection::Hangs | Connection::Connecting);
         match event {
-            Event::Head if stands => {
+            Event::Head if established => {
                 let first = matches!(self.connection, Connection::Asked(_));
-                self.say(HEAD);
+                self.send(HEAD);
                 match self.connection {
-                    Connection::Asked(since) if first => self.connection = Connection::Begun(since),
-                    _ => self.lose(),
+                    Connection::Asked(since) if first => self.connection = Connection::HeadSent(since),
+                    _ => self.stop_answering(),
                 }
             }
-            Event::EmptyLine if stands => {
+            Event::EmptyLine if established => {
                 let head = if matches!(self.connection, Connection::Asked(_)) { HEAD } else { "" };
-                self.say(&format!("{head}{}", chunk("\n")));
+                self.send(&format!("{head}{}", chunk("\n")));
                 if let Connection::Asked(since) = self.connection {
-                    self.connection = Connection::Begun(since);
+                    self.connection = Connection::HeadSent(since);
                 }
             }
-            Event::HalfList => self.half(),
+            Event::HalfList => self.send_half_list(),
             Event::WholeList => {
                 self.change();
-                self.tell(str::to_string);
+                self.send_list(str::to_string);
             }
             Event::IndentedList => {
                 self.change();
-                self.tell(indented);
+                self.send_list(indented);
             }
-            Event::SpoiltOctets if stands => {
+            Event::InvalidBytes if established => {
                 let head = if matches!(self.connection, Connection::Asked(_)) { HEAD } else { "" };
-                self.say(&format!("{head}{}", chunk("}\u{1}{{\"]\n")));
-                self.lose();
+                self.send(&format!("{head}{}", chunk("}\u{1}{{\"]\n")));
+                self.stop_answering();
             }
-            Event::End if stands => {
+            Event::End if established => {
                 let head = if matches!(self.connection, Connection::Asked(_)) { HEAD } else { "" };
-                self.say(&format!("{head}{END}"));
+                self.send(&format!("{head}{END}"));
             }
-            Event::Break if self.connection != Connection::None => self.ended(),
-            Event::ConnectRefused => self.fates.push_back(Fate::Refused),
-            Event::ConnectHangs => self.fates.push_back(Fate::Hangs),
-            Event::Silence => self.lose(),
+            Event::Break if self.connection != Connection::None => self.connection_closed(),
+            Event::ConnectRefused => self.connect_outcomes.push_back(ConnectOutcome::Refused),
+            Event::ConnectHangs => self.connect_outcomes.push_back(ConnectOutcome::Hangs),
+            Event::Silence => self.stop_answering(),
             Event::Move => {
                 self.watch.moved(self.now, at(3));
                 self.connection = Connection::None;
             }
-            Event::Tick => self.act_next(),
+            Event::Tick => self.run_next_tick(),
             _ => {}
         }
     }
 
-    fn reach(&mut self, state: At) {
-        if matches!(state, At::Due) {
+    fn reach(&mut self, state: WatchState) {
+        if matches!(state, WatchState::Due) {
             return;
         }
         self.tick();
-        if matches!(state, At::Connecting) {
+        if matches!(state, WatchState::Connecting) {
             return;
         }
-        self.connected();
+        self.establish();
         match state {
-            At::Asked => return,
-            At::HeadSaid => return self.happens(Event::Head),
-            At::HalfFirstList => return self.half(),
-            _ => self.tell(str::to_string),
+            WatchState::Asked => return,
+            WatchState::HeadSent => return self.apply(Event::Head),
+            WatchState::HalfFirstList => return self.send_half_list(),
+            _ => self.send_list(str::to_string),
         }
         match state {
-            At::OpenIdle => {
+            WatchState::OpenIdle => {
                 self.now += 2_000 * MS;
-                self.happens(Event::EmptyLine);
+                self.apply(Event::EmptyLine);
                 self.next_empty_line = self.now + 2_000 * MS;
                 self.now += 1_900 * MS;
             }
-            At::HalfChange => {
+            WatchState::HalfChange => {
                 self.now += 500 * MS;
-                self.half();
+                self.send_half_list();
             }
-            At::Retry => self.happens(Event::Break),
-            At::AskedWhole => {
+            WatchState::Retry => self.apply(Event::Break),
+            WatchState::AskedWhole => {
                 self.change();
                 let line = self.changes(self.version - 1).replacen("SERVING", "ASLEEP", 1);
-                self.say(&chunk(&format!("{line}\n")));
-                self.asks_whole();
+                self.send(&chunk(&format!("{line}\n")));
+                self.await_full_list_request();
             }
             _ => {}
         }
     }
 
-    fn knows(&self) -> bool {
+    fn is_up_to_date(&self) -> bool {
         let own = self.catalogue.iter().map(|(id, (status, _))| (id, *status));
-        self.held.iter().map(|(id, status)| (id, *status)).eq(own)
+        self.reported.iter().map(|(id, status)| (id, *status)).eq(own)
     }
 
-    /// Discovery serves well from now on: each connection that comes stands, and is told all that changed.
-    fn serve(&mut self, until: Micros) {
+    /// Runs discovery without faults from now on: each connection succeeds, and receives all changes.
+    fn serve_until(&mut self, until: Micros) {
         loop {
             match self.connection {
-                Connection::Coming => self.connected(),
+                Connection::Connecting => self.establish(),
                 Connection::AskedWhole => {
                     let whole = self.changes(0);
-                    self.say_whole(&(self.form)(&whole));
+                    self.send_full_list(&(self.format_list)(&whole));
                 }
-                Connection::Asked(_) | Connection::Begun(_) => self.tell(self.form),
-                Connection::Good(version) if version < self.version => self.tell(self.form),
-                Connection::Good(_) if self.next_empty_line <= self.now => {
-                    self.say(&chunk("\n"));
+                Connection::Asked(_) | Connection::HeadSent(_) => self.send_list(self.format_list),
+                Connection::UpToDate(version) if version < self.version => self.send_list(self.format_list),
+                Connection::UpToDate(_) if self.next_empty_line <= self.now => {
+                    self.send(&chunk("\n"));
                     self.next_empty_line = self.now + 2_000 * MS;
                 }
                 _ => {
                     let wake = self.watch.wake();
-                    assert!(wake - self.now <= LONGEST_WAIT, "it waits for {} us", wake - self.now);
+                    assert!(wake - self.now <= TICK_LIMIT, "the next tick is in {} us", wake - self.now);
                     if self.connection == Connection::None {
-                        assert!(wake - self.now <= NEXT_ATTEMPT, "next attempt in {} us", wake - self.now);
+                        assert!(wake - self.now <= RECONNECT_LIMIT, "next attempt in {} us", wake - self.now);
                     }
                     let line = match self.connection {
-                        Connection::Good(_) => self.next_empty_line,
+                        Connection::UpToDate(_) => self.next_empty_line,
                         _ => Micros::MAX,
                     };
                     let next = wake.min(line).max(self.now);
@@ -451,9 +454,10 @@
         }
     }
 
-    fn most_in_a_second(&self) -> usize {
-        let within =
-            |from: Micros| self.connects.iter().filter(|c| (from..from + 1_000 * MS).contains(c)).count();
+    fn most_connects_in_a_second(&self) -> usize {
+        let within = |from: Micros| {
+            self.connects.iter().filter(|client| (from..from + 1_000 * MS).contains(client)).count()
+        };
         self.connects.iter().map(|from| within(*from)).max().unwrap_or(0)
     }
 }
@@ -464,425 +468,459 @@
     every_order_of_two("indented", indented);
 }
 
-fn every_order_of_two(name: &str, form: fn(&str) -> String) {
-    let mut wrong = Vec::new();
+fn every_order_of_two(name: &str, format_list: fn(&str) -> String) {
+    let mut failures = Vec::new();
     let mut orders = 0;
     for state in STATES {
         for first in EVENTS {
             for second in EVENTS {
                 orders += 1;
                 let played = std::panic::catch_unwind(|| {
-                    let mut w = World::new();
-                    w.form = form;
-                    w.reach(state);
-                    w.happens(first);
-                    w.happens(second);
-                    w.change();
-                    let from = w.now;
-                    w.serve(from + TOLD);
-                    let held = w.held.clone();
-                    let known = w.knows();
-                    // And it stays so, with a further change.
-                    w.change();
-                    w.serve(w.now + TOLD);
-                    (known, w.knows(), held, w.connects.clone(), w.most_in_a_second())
+                    let mut harness = Harness::new();
+                    harness.format_list = format_list;
+                    harness.reach(state);
+                    harness.apply(first);
+                    harness.apply(second);
+                    harness.change();
+                    let from = harness.now;
+                    harness.serve_until(from + CHANGE_LIMIT);
+                    let reported = harness.reported.clone();
+                    let was_up_to_date = harness.is_up_to_date();
+                    // A further change is received as well.
+                    harness.change();
+                    harness.serve_until(harness.now + CHANGE_LIMIT);
+                    (
+                        was_up_to_date,
+                        harness.is_up_to_date(),
+                        reported,
+                        harness.connects.clone(),
+                        harness.most_connects_in_a_second(),
+                    )
                 });
                 match played {
-                    Ok((true, true, _, _, most)) if most <= MOST_A_SECOND => {}
-                    Ok(other) => wrong.push(format!("{state:?}, {first:?}, {second:?}: {other:?}")),
-                    Err(_) => wrong.push(format!("{state:?}, {first:?}, {second:?}: an assertion failed")),
+                    Ok((true, true, _, _, most)) if most <= MOST_CONNECTS_A_SECOND => {}
+                    Ok(other) => failures.push(format!("{state:?}, {first:?}, {second:?}: {other:?}")),
+                    Err(_) => failures.push(format!("{state:?}, {first:?}, {second:?}: an assertion failed")),
                 }
             }
         }
     }
     assert!(
-        wrong.is_empty(),
+        failures.is_empty(),
         "lists {name}: {} of {orders} orders, among them:\n{}",
-        wrong.len(),
-        wrong[..wrong.len().min(12)].join("\n")
+        failures.len(),
+        failures[..failures.len().min(12)].join("\n")
     );
 }
 
-/// What a connection does to a watch, again and again.
+/// A fault that affects every connection of the watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Down {
+enum Fault {
     Refuses,
     Hangs,
-    SaysNothing,
+    Silent,
     HeadOnly,
     HalfList,
-    ListAndEnd,
-    Spoilt,
-    Breaks,
+    ListThenEnd,
+    InvalidBytes,
+    Resets,
 }
 
-const DOWN: [Down; 8] = [
-    Down::Refuses,
-    Down::Hangs,
-    Down::SaysNothing,
-    Down::HeadOnly,
-    Down::HalfList,
-    Down::ListAndEnd,
-    Down::Spoilt,
-    Down::Breaks,
+const FAULTS: [Fault; 8] = [
+    Fault::Refuses,
+    Fault::Hangs,
+    Fault::Silent,
+    Fault::HeadOnly,
+    Fault::HalfList,
+    Fault::ListThenEnd,
+    Fault::InvalidBytes,
+    Fault::Resets,
 ];
 
-impl World {
-    fn attempt(&mut self, down: Down) {
+impl Harness {
+    fn attempt(&mut self, fault: Fault) {
         while self.connection == Connection::None {
-            match down {
-                Down::Refuses => self.fates.push_back(Fate::Refused),
-                Down::Hangs => self.fates.push_back(Fate::Hangs),
+            match fault {
+                Fault::Refuses => self.connect_outcomes.push_back(ConnectOutcome::Refused),
+                Fault::Hangs => self.connect_outcomes.push_back(ConnectOutcome::Hangs),
                 _ => {}
             }
-            self.act_next();
-            if down == Down::Refuses {
+            self.run_next_tick();
+            if fault == Fault::Refuses {
                 return;
             }
         }
-        if self.connection == Connection::Coming {
-            self.connected();
-            match down {
-                Down::HeadOnly => self.happens(Event::Head),
-                Down::HalfList => self.half(),
-                Down::ListAndEnd => {
-                    self.tell(str::to_string);
-                    self.happens(Event::End);
+        if self.connection == Connection::Connecting {
+            self.establish();
+            match fault {
+                Fault::HeadOnly => self.apply(Event::Head),
+                Fault::HalfList => self.send_half_list(),
+                Fault::ListThenEnd => {
+                    self.send_list(str::to_string);
+                    self.apply(Event::End);
                 }
-                Down::Spoilt => self.happens(Event::SpoiltOctets),
-                Down::Breaks => self.happens(Event::Break),
+                Fault::InvalidBytes => self.apply(Event::InvalidBytes),
+                Fault::Resets => self.apply(Event::Break),
                 _ => {}
             }
-            self.lose();
+            self.stop_answering();
         }
         while self.connection != Connection::None {
-            self.act_next();
+            self.run_next_tick();
         }
     }
 }
 
 #[test]
-fn a_watch_that_falls_silent_and_two_attempts_that_fail_in_any_way_stay_within_the_time() {
-    let mut wrong = Vec::new();
-    for first in DOWN {
-        for second in DOWN {
-            let mut w = World::new();
-            w.reach(At::Open);
-            let fell_silent = w.now;
-            w.lose();
-            while w.connection != Connection::None {
-                w.act_next();
+fn a_change_is_received_in_time_after_a_silent_watch_and_two_failed_attempts() {
+    let mut failures = Vec::new();
+    for first in FAULTS {
+        for second in FAULTS {
+            let mut harness = Harness::new();
+            harness.reach(WatchState::Open);
+            let fell_silent = harness.now;
+            harness.stop_answering();
+            while harness.connection != Connection::None {
+                harness.run_next_tick();
             }
-            w.attempt(first);
-            w.attempt(second);
-            w.change();
-            w.serve(fell_silent + TOLD);
-            if !w.knows() {
-                wrong.push(format!("{first:?}, {second:?}"));
+            harness.attempt(first);
+            harness.attempt(second);
+            harness.change();
+            harness.serve_until(fell_silent + CHANGE_LIMIT);
+            if !harness.is_up_to_date() {
+                failures.push(format!("{first:?}, {second:?}"));
             }
         }
     }
-    assert!(wrong.is_empty(), "{} of {}: {wrong:?}", wrong.len(), DOWN.len() * DOWN.len());
+    assert!(failures.is_empty(), "{} of {}: {failures:?}", failures.len(), FAULTS.len() * FAULTS.len());
 }
 
 #[test]
-fn while_discovery_is_down_attempts_are_bounded_and_never_cease() {
-    for down in DOWN {
-        let mut w = World::new();
-        while w.now < 30_000 * MS {
-            w.attempt(down);
+fn reconnect_attempts_are_limited_and_continue_while_discovery_is_down() {
+    for fault in FAULTS {
+        let mut harness = Harness::new();
+        while harness.now < 30_000 * MS {
+            harness.attempt(fault);
         }
-        assert!(w.most_in_a_second() <= MOST_A_SECOND, "{down:?}: {} in a second", w.most_in_a_second());
-        let gaps = w.connects.windows(2).map(|c| c[1] - c[0]);
+        assert!(
+            harness.most_connects_in_a_second() <= MOST_CONNECTS_A_SECOND,
+            "{fault:?}: {} in a second",
+            harness.most_connects_in_a_second()
+        );
+        let gaps = harness.connects.windows(2).map(|pair| pair[1] - pair[0]);
         let longest = gaps.max().unwrap();
-        assert!(longest <= LONGEST_WAIT, "{down:?}: {longest} us between two attempts");
-        // And it is back in time.
-        w.change();
-        w.serve(w.now + TOLD_AFTER_MOVE);
-        assert!(w.knows(), "{down:?}");
+        assert!(longest <= TICK_LIMIT, "{fault:?}: {longest} us between two attempts");
+        // The watch recovers in time.
+        harness.change();
+        harness.serve_until(harness.now + CHANGE_LIMIT_AFTER_MOVE);
+        assert!(harness.is_up_to_date(), "{fault:?}");
     }
 }
 
 #[test]
-fn while_discovery_says_nothing_an_attempt_is_under_way_nearly_always() {
-    // At its return what the agent gets counts at once.
-    for down in [Down::Hangs, Down::SaysNothing, Down::HeadOnly] {
-        let mut w = World::new();
-        while w.now < 30_000 * MS {
-            w.attempt(down);
-            let apart = w.watch.wake() - w.now;
-            assert!(apart <= 100 * MS, "{down:?}: none for {apart} us");
+fn an_attempt_is_nearly_always_open_while_discovery_is_silent() {
+    // This way a list is received at once when discovery works again.
+    for fault in [Fault::Hangs, Fault::Silent, Fault::HeadOnly] {
+        let mut harness = Harness::new();
+        while harness.now < 30_000 * MS {
+            harness.attempt(fault);
+            let apart = harness.watch.wake() - harness.now;
+            assert!(apart <= 100 * MS, "{fault:?}: no attempt for {apart} us");
         }
     }
 }
 
 #[test]
-fn octets_that_complete_no_line_are_no_sign_of_life() {
-    // One octet of a list a second; and white space without an end of line.
+fn bytes_that_complete_no_line_do_not_keep_the_watch_open() {
+    // One byte of a list a second, and white space without an end of line.
     for text in [list(2, false, &[("a", Status::Draining)]), " ".repeat(300)] {
-        let mut w = World::new();
-        w.reach(At::Open);
-        let from = w.now;
-        for octet in text.chars() {
-            w.now += 1_000 * MS;
-            while w.connection != Connection::None && w.watch.wake() <= w.now {
-                w.tick();
+        let mut harness = Harness::new();
+        harness.reach(WatchState::Open);
+        let from = harness.now;
+        for byte in text.chars() {
+            harness.now += 1_000 * MS;
+            while harness.connection != Connection::None && harness.watch.wake() <= harness.now {
+                harness.tick();
             }
-            if w.connection == Connection::None {
+            if harness.connection == Connection::None {
                 break;
             }
-            w.say(&chunk(&octet.to_string()));
+            harness.send(&chunk(&byte.to_string()));
         }
-        assert!(w.connection == Connection::None, "it lives on such octets");
-        assert!(w.now - from <= 3_000 * MS, "given up after {} us", w.now - from);
+        assert!(harness.connection == Connection::None, "such bytes keep the watch open");
+        assert!(harness.now - from <= 3_000 * MS, "closed after {} us", harness.now - from);
     }
 }
 
 #[test]
-fn an_agent_that_says_only_empty_lines_while_nothing_changes_is_followed() {
-    // The first line may be the empty one that is promised every 2 s.
-    let mut w = World::new();
-    w.reach(At::Open);
-    w.happens(Event::Break);
-    let from = w.now;
-    let mut stood_since = None;
-    while w.now < from + 20_000 * MS {
-        match w.connection {
-            Connection::Coming => {
-                w.connected();
-                w.happens(Event::Head);
-                stood_since = Some(w.now);
-                w.next_empty_line = w.now + 2_000 * MS;
+fn a_watch_that_receives_only_empty_lines_stays_open() {
+    // The first line may be the empty line that discovery sends every 2 s.
+    let mut harness = Harness::new();
+    harness.reach(WatchState::Open);
+    harness.apply(Event::Break);
+    let from = harness.now;
+    let mut established_at = None;
+    while harness.now < from + 20_000 * MS {
+        match harness.connection {
+            Connection::Connecting => {
+                harness.establish();
+                harness.apply(Event::Head);
+                established_at = Some(harness.now);
+                harness.next_empty_line = harness.now + 2_000 * MS;
             }
-            Connection::Begun(_) if w.next_empty_line <= w.watch.wake() => {
-                w.now = w.next_empty_line;
-                w.happens(Event::EmptyLine);
-                w.next_empty_line = w.now + 2_000 * MS;
+            Connection::HeadSent(_) if harness.next_empty_line <= harness.watch.wake() => {
+                harness.now = harness.next_empty_line;
+                harness.apply(Event::EmptyLine);
+                harness.next_empty_line = harness.now + 2_000 * MS;
             }
-            _ => w.act_next(),
+            _ => harness.run_next_tick(),
         }
     }
-    assert!(stood_since.is_some_and(|at| at < from + 3_000 * MS), "it is opened anew again and again");
+    assert!(
+        established_at.is_some_and(|at| at < from + 3_000 * MS),
+        "the watch is reconnected again and again"
+    );
 }
 
-fn version_two() -> World {
-    let mut w = World::new();
-    w.change();
-    w.reach(At::Open);
-    assert!(w.knows() && w.held["a"] == Status::Draining);
-    w
+fn version_two() -> Harness {
+    let mut harness = Harness::new();
+    harness.change();
+    harness.reach(WatchState::Open);
+    assert!(harness.is_up_to_date() && harness.reported["a"] == Status::Draining);
+    harness
 }
 
 #[test]
-fn a_list_from_before_changes_nothing_and_what_is_new_behind_it_does() {
-    let mut w = version_two();
-    w.happens(Event::Break);
-    w.act_next();
-    w.connected();
+fn an_old_list_changes_nothing_and_a_newer_one_after_it_does() {
+    let mut harness = version_two();
+    harness.apply(Event::Break);
+    harness.run_next_tick();
+    harness.establish();
     let old = list(1, true, &[("a", Status::Up)]);
-    w.say(&format!("{HEAD}{}", chunk(&format!("{old}\n"))));
-    assert!(w.knows(), "an old list takes back what was told: {:?}", w.held);
-    // Known already, and then new.
+    harness.send(&format!("{HEAD}{}", chunk(&format!("{old}\n"))));
+    assert!(harness.is_up_to_date(), "an old list reverts a newer one: {:?}", harness.reported);
+    // First a list with a known version, then one with a new version.
     for version in [2, 3] {
         if version == 3 {
-            w.change();
+            harness.change();
         }
-        let line = w.changes(version - 1);
-        w.say(&chunk(&format!("{line}\n")));
-        assert!(w.knows(), "{:?}", w.held);
+        let line = harness.changes(version - 1);
+        harness.send(&chunk(&format!("{line}\n")));
+        assert!(harness.is_up_to_date(), "{:?}", harness.reported);
     }
 }
 
 #[test]
-fn a_numbering_that_began_anew_is_believed_in_time() {
+fn a_restarted_version_counter_is_accepted_in_time() {
     for moves in [false, true] {
-        let mut w = version_two();
-        let from = w.now;
-        w.happens(if moves { Event::Move } else { Event::Break });
-        // Discovery has lost its count: another list under the first number.
-        w.version = 1;
-        w.catalogue = BTreeMap::from([("n".to_string(), (Status::Up, 1))]);
-        let told = |full| list(1, full, &[("n", Status::Up)]);
-        while !w.knows() && w.now < from + TOLD_AFTER_MOVE {
-            match w.connection {
-                Connection::Coming => w.connected(),
-                Connection::AskedWhole => w.say_whole(&indented(&told(true))),
+        let mut harness = version_two();
+        let from = harness.now;
+        harness.apply(if moves { Event::Move } else { Event::Break });
+        // Discovery has lost its version counter: another list has the first version.
+        harness.version = 1;
+        harness.catalogue = BTreeMap::from([("n".to_string(), (Status::Up, 1))]);
+        let list_text = |full| list(1, full, &[("n", Status::Up)]);
+        while !harness.is_up_to_date() && harness.now < from + CHANGE_LIMIT_AFTER_MOVE {
+            match harness.connection {
+                Connection::Connecting => harness.establish(),
+                Connection::AskedWhole => harness.send_full_list(&indented(&list_text(true))),
                 Connection::Asked(since) => {
-                    assert_eq!(since, 2, "the whole is asked for by itself");
-                    w.say(&format!("{HEAD}{}", chunk(&format!("{}\n", told(true)))));
-                    w.connection = Connection::Good(1);
-                    w.next_empty_line = w.now + 2_000 * MS;
+                    assert_eq!(since, 2, "the full list is requested separately");
+                    harness.send(&format!("{HEAD}{}", chunk(&format!("{}\n", list_text(true)))));
+                    harness.connection = Connection::UpToDate(1);
+                    harness.next_empty_line = harness.now + 2_000 * MS;
                 }
-                Connection::Good(_) if w.next_empty_line <= w.watch.wake() => {
-                    w.now = w.next_empty_line;
-                    w.say(&chunk("\n"));
-                    w.next_empty_line += 2_000 * MS;
+                Connection::UpToDate(_) if harness.next_empty_line <= harness.watch.wake() => {
+                    harness.now = harness.next_empty_line;
+                    harness.send(&chunk("\n"));
+                    harness.next_empty_line += 2_000 * MS;
                 }
-                _ => w.act_next(),
+                _ => harness.run_next_tick(),
             }
         }
-        assert!(w.knows() && w.now - from <= TOLD_AFTER_MOVE, "{} us: {:?}", w.now - from, w.held);
-        assert_eq!(w.connection, Connection::Asked(1), "and followed from there");
+        assert!(
+            harness.is_up_to_date() && harness.now - from <= CHANGE_LIMIT_AFTER_MOVE,
+            "{} us: {:?}",
+            harness.now - from,
+            harness.reported
+        );
+        assert_eq!(harness.connection, Connection::Asked(1), "changes are requested from that version");
     }
 }
 
 #[test]
-fn a_whole_list_in_the_place_of_changes_is_the_list() {
-    let mut w = version_two();
-    w.happens(Event::Break);
-    w.act_next();
-    w.connected();
-    assert_eq!(w.connection, Connection::Asked(2));
-    w.say(&format!("{HEAD}{}", chunk(&format!("{}\n", list(7, true, &[("z", Status::Up)])))));
-    assert_eq!(w.held.keys().collect::<Vec<_>>(), ["z"]);
-    w.happens(Event::Break);
-    w.act_next();
-    w.connected();
-    assert_eq!(w.connection, Connection::Asked(7));
+fn a_full_list_sent_in_place_of_changes_replaces_the_list() {
+    let mut harness = version_two();
+    harness.apply(Event::Break);
+    harness.run_next_tick();
+    harness.establish();
+    assert_eq!(harness.connection, Connection::Asked(2));
+    harness.send(&format!("{HEAD}{}", chunk(&format!("{}\n", list(7, true, &[("z", Status::Up)])))));
+    assert_eq!(harness.reported.keys().collect::<Vec<_>>(), ["z"]);
+    harness.apply(Event::Break);
+    harness.run_next_tick();
+    harness.establish();
+    assert_eq!(harness.connection, Connection::Asked(7));
 }
 
 #[test]
-fn the_rest_of_half_a_list_is_not_read_as_the_new_watchs() {
-    let mut w = version_two();
+fn the_rest_of_a_list_is_not_read_on_the_next_connection() {
+    let mut harness = version_two();
     let line = list(3, false, &[("a", Status::Up)]);
     let (half, rest) = line.split_at(line.len() / 2);
-    w.say(&chunk(half));
-    w.happens(Event::Move);
-    w.tick();
-    w.connected();
-    w.say(&format!("{HEAD}{}", chunk(&format!("{rest}\n"))));
-    assert!(w.knows() && w.connection == Connection::None, "{:?}", w.held);
-    w.change();
-    w.serve(w.now + TOLD_AFTER_MOVE);
-    assert!(w.knows());
+    harness.send(&chunk(half));
+    harness.apply(Event::Move);
+    harness.tick();
+    harness.establish();
+    harness.send(&format!("{HEAD}{}", chunk(&format!("{rest}\n"))));
+    assert!(harness.is_up_to_date() && harness.connection == Connection::None, "{:?}", harness.reported);
+    harness.change();
+    harness.serve_until(harness.now + CHANGE_LIMIT_AFTER_MOVE);
+    assert!(harness.is_up_to_date());
 }
 
 #[test]
-fn what_comes_on_the_old_connection_after_a_move_is_not_heard() {
+fn bytes_on_the_old_connection_after_a_move_are_ignored() {
     let drains = list(5, false, &[("e1", Status::Draining)]).replace("\"{\\\"}\"", "\"a\"");
     let drains = drains.replace("\"m\"", "\"one\"").replace("\"cell\":3", "\"cell\":1");
     let drains = drains.replace("127.0.0.1:9", "127.0.0.1:1001");
     let whole = format!("{HEAD}{}", chunk(&format!("{drains}\n")));
     for moves in [false, true] {
-        let mut w = sender::world();
-        let (old, _) = w.came(2).into_iter().find(|(_, t)| t.starts_with("GET /catalog")).unwrap();
+        let mut harness = sender::new_harness();
+        let (old, _) =
+            harness.take_received(2).into_iter().find(|(_, t)| t.starts_with("GET /catalog")).unwrap();
         if moves {
-            w.node.discovery_moved(w.now, at(3));
-            w.pass(5 * MS);
-            assert!(w.ended.contains(&old));
+            harness.node.discovery_moved(harness.now, at(3));
+            harness.advance(5 * MS);
+            assert!(harness.closed.contains(&old));
         }
-        w.says(old, &whole);
-        let c = w.client();
-        w.add(c, "m1", sender::SAFE);
-        w.pass(100 * MS);
-        assert_eq!(w.came(1001).len(), usize::from(moves), "a drain is heard, but not on the old connection");
-    }
-    // One that was on its way, and comes up after the move.
-    let mut w = sender::world();
-    let (watch, _) = w.came(2).into_iter().find(|(_, t)| t.starts_with("GET /catalog")).unwrap();
-    w.silent = Some(2);
-    w.gone(watch);
-    w.node.closed(w.now, watch, heronroute_engine::CloseReason::Broken);
-    w.pass(500 * MS);
-    let coming = w.coming.pop().expect("it connects anew");
-    w.node.discovery_moved(w.now, at(3));
-    w.pass(5 * MS);
-    w.node.connected(w.now, coming);
-    w.pass(5 * MS);
-    assert!(w.came(2).is_empty(), "nothing is asked there");
-    let watches: Vec<_> = w.came(3).into_iter().filter(|(_, t)| t.starts_with("GET /catalog")).collect();
+        harness.peer_sends(old, &whole);
+        let client = harness.connect_client();
+        harness.submit(client, "m1", sender::SAFE);
+        harness.advance(100 * MS);
+        assert_eq!(
+            harness.take_received(1001).len(),
+            usize::from(moves),
+            "a drain counts, but not on the old connection"
+        );
+    }
+    // A connection that was being established during the move.
+    let mut harness = sender::new_harness();
+    let (watch, _) =
+        harness.take_received(2).into_iter().find(|(_, t)| t.starts_with("GET /catalog")).unwrap();
+    harness.slow_port = Some(2);
+    harness.connection_closed(watch);
+    harness.node.closed(harness.now, watch, heronroute_engine::CloseReason::Broken);
+    harness.advance(500 * MS);
+    let pending = harness.connecting.pop().expect("the watch reconnects");
+    harness.node.discovery_moved(harness.now, at(3));
+    harness.advance(5 * MS);
+    harness.node.connected(harness.now, pending);
+    harness.advance(5 * MS);
+    assert!(harness.take_received(2).is_empty(), "no request is sent there");
+    let watches: Vec<_> =
+        harness.take_received(3).into_iter().filter(|(_, t)| t.starts_with("GET /catalog")).collect();
     assert_eq!(watches.len(), 1);
 }
 
-fn opened_anew(w: &mut World) {
-    w.happens(Event::Break);
-    w.act_next();
-    w.connected();
+fn reconnect(harness: &mut Harness) {
+    harness.apply(Event::Break);
+    harness.run_next_tick();
+    harness.establish();
 }
 
-impl World {
-    /// The watch is given up for the whole list, within a second or so.
-    fn asks_whole(&mut self) {
+impl Harness {
+    /// Waits until the watch requests the full list, which takes at most 1.5 s.
+    fn await_full_list_request(&mut self) {
         let from = self.now;
         while self.connection != Connection::AskedWhole {
-            assert_ne!(self.connection, Connection::Lost);
-            if self.connection == Connection::Coming {
-                self.connected();
+            assert_ne!(self.connection, Connection::Stalled);
+            if self.connection == Connection::Connecting {
+                self.establish();
             } else {
-                self.act_next();
+                self.run_next_tick();
             }
-            assert!(self.now - from <= 1_500 * MS, "the whole is not asked for");
+            assert!(self.now - from <= 1_500 * MS, "the full list is not requested");
         }
     }
 }
 
 #[test]
-fn behind_lines_that_could_not_be_read_the_whole_is_asked_for() {
+fn the_full_list_is_requested_after_unreadable_lines() {
     let bad = list(3, false, &[("a", Status::Up), ("c", Status::Up)]).replacen("SERVING", "ASLEEP", 1);
-    let mut w = version_two();
-    w.say(&chunk(&format!("{bad}\n")));
-    assert!(w.held["a"] == Status::Draining && w.held["c"] == Status::Up, "{:?}", w.held);
-    assert_ne!(w.connection, Connection::None, "the watch goes on");
-    w.asks_whole();
-    w.say_whole(&list(4, true, &[("a", Status::Up)]));
-    assert_eq!((w.connection, &w.held), (Connection::Asked(4), &BTreeMap::from([("a".into(), Status::Up)])));
-    // That ends it, also with a line that can't be read: a whole list stands as it is.
-    opened_anew(&mut w);
-    assert_eq!(w.connection, Connection::Asked(4));
-    w.say(&format!("{HEAD}{}", chunk(&format!("{}\n", bad.replace("\"version\":3", "\"version\":5")))));
-    w.asks_whole();
-    w.say_whole(&bad.replace("\"version\":3,\"full\":false", "\"version\":5,\"full\":true"));
+    let mut harness = version_two();
+    harness.send(&chunk(&format!("{bad}\n")));
+    assert!(
+        harness.reported["a"] == Status::Draining && harness.reported["c"] == Status::Up,
+        "{:?}",
+        harness.reported
+    );
+    assert_ne!(harness.connection, Connection::None, "the watch is not closed");
+    harness.await_full_list_request();
+    harness.send_full_list(&list(4, true, &[("a", Status::Up)]));
+    assert_eq!(
+        (harness.connection, &harness.reported),
+        (Connection::Asked(4), &BTreeMap::from([("a".into(), Status::Up)]))
+    );
+    // A full list is accepted as it is, even with an unreadable entry, and isn't requested again.
+    reconnect(&mut harness);
+    assert_eq!(harness.connection, Connection::Asked(4));
+    harness
+        .send(&format!("{HEAD}{}", chunk(&format!("{}\n", bad.replace("\"version\":3", "\"version\":5")))));
+    harness.await_full_list_request();
+    harness.send_full_list(&bad.replace("\"version\":3,\"full\":false", "\"version\":5,\"full\":true"));
     for _ in 0..3 {
-        assert_eq!(w.connection, Connection::Asked(5));
-        w.say(&format!("{HEAD}{}", chunk("\n")));
-        w.now += 1_500 * MS;
-        assert!(w.watch.wake() > w.now, "it is left in peace");
-        opened_anew(&mut w);
-    }
-    // An old whole list takes nothing back either.
-    w.say(&format!("{HEAD}{}", chunk(&format!("{}\n", bad.replace("\"version\":3", "\"version\":6")))));
-    w.asks_whole();
-    let held = w.held.clone();
-    w.say_whole(&list(1, true, &[]));
-    assert_eq!((w.connection, &w.held), (Connection::Asked(6), &held));
+        assert_eq!(harness.connection, Connection::Asked(5));
+        harness.send(&format!("{HEAD}{}", chunk("\n")));
+        harness.now += 1_500 * MS;
+        assert!(harness.watch.wake() > harness.now, "the full list is not requested again");
+        reconnect(&mut harness);
+    }
+    // An old full list reverts nothing either.
+    harness
+        .send(&format!("{HEAD}{}", chunk(&format!("{}\n", bad.replace("\"version\":3", "\"version\":6")))));
+    harness.await_full_list_request();
+    let reported = harness.reported.clone();
+    harness.send_full_list(&list(1, true, &[]));
+    assert_eq!((harness.connection, &harness.reported), (Connection::Asked(6), &reported));
 }
 
 #[test]
-fn where_changes_or_the_whole_cannot_be_read_the_other_is_asked_for() {
+fn unreadable_changes_and_full_lists_are_requested_in_turn() {
     let no_list = format!("{HEAD}{}", chunk("{\"version\":9}\n"));
-    let mut w = version_two();
-    opened_anew(&mut w);
-    w.say(&no_list);
-    opened_anew(&mut w);
-    // The whole is asked for behind the second, and where it can't be had the changes again, and so on.
+    let mut harness = version_two();
+    reconnect(&mut harness);
+    harness.send(&no_list);
+    reconnect(&mut harness);
+    // The full list is requested after the second failure, then the changes again if it fails, and so on.
     let mut asked = Vec::new();
     for _ in 0..20 {
-        asked.push(w.connection);
-        match w.connection {
-            Connection::AskedWhole => w.say("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"),
-            _ => w.say(&no_list),
+        asked.push(harness.connection);
+        match harness.connection {
+            Connection::AskedWhole => harness.send("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"),
+            _ => harness.send(&no_list),
         }
-        assert_eq!(w.connection, Connection::None);
-        w.act_next();
-        w.connected();
+        assert_eq!(harness.connection, Connection::None);
+        harness.run_next_tick();
+        harness.establish();
     }
     assert_eq!(asked[..3], [Connection::Asked(2), Connection::AskedWhole, Connection::Asked(2)]);
     assert!(asked.iter().filter(|a| **a == Connection::AskedWhole).count() >= 4, "{asked:?}");
     assert!(asked.iter().filter(|a| **a == Connection::Asked(2)).count() >= 4, "{asked:?}");
     for broken in ["x\r\n\r\n", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}", ""] {
-        let mut w = version_two();
-        w.say(&chunk(&format!("{}\n", list(3, false, &[("a", Status::Up)]).replace("SERVING", "?"))));
-        w.asks_whole();
-        w.say(broken);
+        let mut harness = version_two();
+        harness.send(&chunk(&format!("{}\n", list(3, false, &[("a", Status::Up)]).replace("SERVING", "?"))));
+        harness.await_full_list_request();
+        harness.send(broken);
         if broken.is_empty() {
-            // Silence.
-            w.act_next();
+            // Discovery does not answer.
+            harness.run_next_tick();
         }
-        assert_eq!(w.connection, Connection::None, "{broken:?}");
-        w.act_next();
-        w.connected();
-        assert_eq!(w.connection, Connection::Asked(3), "{broken:?}");
-        w.say(&format!("{HEAD}{}", chunk("\n")));
-        w.asks_whole();
+        assert_eq!(harness.connection, Connection::None, "{broken:?}");
+        harness.run_next_tick();
+        harness.establish();
+        assert_eq!(harness.connection, Connection::Asked(3), "{broken:?}");
+        harness.send(&format!("{HEAD}{}", chunk("\n")));
+        harness.await_full_list_request();
     }
 }
