--- a/crates/engine/tests/pause.rs
+++ b/crates/engine/tests/pause.rs
@@ -1,4 +1,5 @@
-//! A node whose process was paused, beside one whose disk is slow: the first refuses nothing for it, the second sheds.
+//! Tests with a paused process and with a slow disk: a node must not refuse messages because it was paused,
+//! but must shed them when its disk is slow.
 
 use bytes::BytesMut;
 use heronroute_config::parse;
@@ -20,19 +21,20 @@
     max_pdu: 70_000,
 };
 const MS: i64 = 1_000;
-/// What the journal may lag, in these settings.
-const LAG: i64 = 1_000 * MS;
+/// The journal lag from which the node sheds messages (`most_lag` in the settings).
+const LAG_LIMIT: i64 = 1_000 * MS;
 
-struct Rig {
+/// A node with one SMPP client and a journal that becomes durable only when a test says so.
+struct Harness {
     node: Node,
     conn: ConnId,
     session: Session,
-    /// Entries handed over, and of them durable.
-    handed: u64,
+    /// Entries that the node passed to the journal.
+    journalled: u64,
 }
 
-impl Rig {
-    /// With one message handed in, on its way to the disk at nought.
+impl Harness {
+    /// Starts a node with one submitted message, whose entries are passed to the journal at time 0.
     fn new() -> Self {
         let text = "service { quantum: \"0s\" } smpp { enquire_every: \"1h\" inactivity: \"8h\" } \
             client { system_id: \"c\" password: \"p\" } journal { most_lag: \"1s\" } \
@@ -42,120 +44,134 @@
         let start =
             Start { index: 0, seed: 3, now: 0, wall: 1 << 50, list: 0, kept: None, state, fleet: false };
         let mut node = Node::new(Arc::new(parse("test", text).unwrap()), start).unwrap();
-        let mut out = BytesMut::new();
-        let session = Session::bind(0, LIMITS, Mode::Transceiver, "c", "p", &mut out);
-        let conn = node.accepted(0, Speaks::Smpp, &out).unwrap();
-        let mut rig = Rig { node, conn, session, handed: 0 };
-        rig.hear(0);
-        rig.hand_in(0);
-        assert!(rig.handed > 0 && rig.hear(0).is_empty(), "accepted, and not told before it is durable");
-        rig
+        let mut output = BytesMut::new();
+        let session = Session::bind(0, LIMITS, Mode::Transceiver, "c", "p", &mut output);
+        let conn = node.accepted(0, Speaks::Smpp, &output).unwrap();
+        let mut harness = Harness { node, conn, session, journalled: 0 };
+        harness.take_responses(0);
+        harness.submit_message(0);
+        assert!(
+            harness.journalled > 0 && harness.take_responses(0).is_empty(),
+            "must be accepted, and not answered before it is durable"
+        );
+        harness
     }
 
+    /// Runs one turn of the node, and counts its journal entries.
     fn settle(&mut self, now: i64) {
         self.node.settle(now);
         for output in self.node.outputs() {
             if let Output::Journal(entries) = output {
-                self.handed += entries.len() as u64;
+                self.journalled += entries.len() as u64;
             }
         }
     }
 
-    /// What lay in its socket is read, and the turn ends.
-    fn hand_in(&mut self, now: i64) {
-        let s = Submission {
+    /// Reads one submission from the client's socket, and ends the turn.
+    fn submit_message(&mut self, now: i64) {
+        let submission = Submission {
             service: "PAY".into(),
             destination: "234".into(),
             wanted: Wanted::Never,
             body: b"pay".to_vec(),
             ..Submission::default()
         };
-        let mut out = BytesMut::new();
-        self.session.request(now, s.submit(None), &mut out);
-        self.node.received(now, self.conn, &out);
+        let mut output = BytesMut::new();
+        self.session.request(now, submission.submit(None), &mut output);
+        self.node.received(now, self.conn, &output);
         self.settle(now);
     }
 
-    /// What the client is told.
-    fn hear(&mut self, now: i64) -> Vec<CommandStatus> {
-        let octets = self.node.pending(self.conn).to_vec();
-        self.node.wrote(self.conn, octets.len());
-        let (mut out, mut events) = (BytesMut::new(), Vec::new());
-        self.session.receive(now, &octets, &mut out, &mut events);
-        let each = |e| if let Event::Response { status, .. } = e { Some(status) } else { None };
-        events.into_iter().filter_map(each).collect()
+    /// Returns the status of each response that the client received.
+    fn take_responses(&mut self, now: i64) -> Vec<CommandStatus> {
+        let bytes = self.node.pending(self.conn).to_vec();
+        self.node.wrote(self.conn, bytes.len());
+        let (mut output, mut events) = (BytesMut::new(), Vec::new());
+        self.session.receive(now, &bytes, &mut output, &mut events);
+        let response_status =
+            |event| if let Event::Response { status, .. } = event { Some(status) } else { None };
+        events.into_iter().filter_map(response_status).collect()
     }
 
-    fn durable(&mut self, now: i64) {
-        self.node.durable(now, self.handed, Usage::default());
+    /// Reports all entries as durable.
+    fn mark_durable(&mut self, now: i64) {
+        self.node.durable(now, self.journalled, Usage::default());
         self.settle(now);
     }
 
-    /// The process runs, and nothing comes: it is called when it asks to be, `late` after that.
-    fn idle(&mut self, to: i64, late: i64) {
-        while let Some(at) = self.node.wake().map(|at| at + late).filter(|at| *at <= to) {
+    /// Runs an idle process: the node is called `late` after each of its wake times.
+    fn run_idle(&mut self, until: i64, late: i64) {
+        while let Some(at) = self.node.wake().map(|at| at + late).filter(|at| *at <= until) {
             self.settle(at);
         }
     }
 }
 
+/// Guards against refusals after a pause of the process: the time of the pause must not count as a lag of the
+/// disk.
 #[test]
-fn what_lay_in_the_sockets_during_a_pause_is_taken_on() {
-    let mut rig = Rig::new();
-    rig.idle(100 * MS, 0);
-    let awake = 100 * MS + 2_300 * MS;
-    // Read before word of the disk, which may come later in the same turn or the next.
-    rig.hand_in(awake);
-    rig.hand_in(awake + MS);
-    assert_eq!(rig.hear(awake), [], "neither refused, nor told before it is durable");
-    rig.durable(awake + 2 * MS);
-    assert_eq!(rig.hear(awake), [CommandStatus::EsmeRok; 3]);
-    // Paused between a look and reading.
-    rig.hand_in(awake + 10 * MS);
-    rig.settle(awake + 5_000 * MS);
-    rig.hand_in(awake + 5_001 * MS);
-    rig.durable(awake + 5_002 * MS);
-    assert_eq!(rig.hear(awake + 5_002 * MS), [CommandStatus::EsmeRok; 2]);
+fn messages_received_during_a_pause_are_accepted() {
+    let mut harness = Harness::new();
+    harness.run_idle(100 * MS, 0);
+    let resumed_at = 100 * MS + 2_300 * MS;
+    // Read before the node learns of durable entries, which may be later in the same turn or in the next one.
+    harness.submit_message(resumed_at);
+    harness.submit_message(resumed_at + MS);
+    assert_eq!(
+        harness.take_responses(resumed_at),
+        [],
+        "must be neither refused, nor answered before it is durable"
+    );
+    harness.mark_durable(resumed_at + 2 * MS);
+    assert_eq!(harness.take_responses(resumed_at), [CommandStatus::EsmeRok; 3]);
+    // The process is paused between a settle and reading from the socket.
+    harness.submit_message(resumed_at + 10 * MS);
+    harness.settle(resumed_at + 5_000 * MS);
+    harness.submit_message(resumed_at + 5_001 * MS);
+    harness.mark_durable(resumed_at + 5_002 * MS);
+    assert_eq!(harness.take_responses(resumed_at + 5_002 * MS), [CommandStatus::EsmeRok; 2]);
 }
 
+/// Guards against a slow disk that isn't noticed because an idle node is called late.
 #[test]
-fn a_slow_disk_sheds_also_where_the_node_is_idle_and_called_late() {
+fn a_slow_disk_sheds_messages_even_if_an_idle_node_is_called_late() {
     for late in [0, 20 * MS, 90 * MS] {
-        let mut rig = Rig::new();
-        rig.idle(LAG - 200 * MS, late);
-        rig.hand_in(LAG - 200 * MS);
-        assert_eq!(rig.hear(0), [], "not slow enough, called {late} late");
-        rig.idle(LAG, late);
-        rig.hand_in(LAG);
-        assert_eq!(rig.hear(0), [CommandStatus::EsmeRmsgqful], "called {late} late");
+        let mut harness = Harness::new();
+        harness.run_idle(LAG_LIMIT - 200 * MS, late);
+        harness.submit_message(LAG_LIMIT - 200 * MS);
+        assert_eq!(harness.take_responses(0), [], "the lag is still below the limit, called {late} us late");
+        harness.run_idle(LAG_LIMIT, late);
+        harness.submit_message(LAG_LIMIT);
+        assert_eq!(harness.take_responses(0), [CommandStatus::EsmeRmsgqful], "called {late} us late");
     }
 }
 
+/// Guards against a pause that hides a slow disk: the lag counts again from the end of the pause.
 #[test]
-fn a_disk_that_is_slow_after_a_pause_sheds_a_lag_later() {
-    let mut rig = Rig::new();
-    let awake = 10_000 * MS;
-    rig.settle(awake);
-    rig.idle(awake + LAG / 2, 0);
-    rig.hand_in(awake + LAG / 2);
-    assert_eq!(rig.hear(0), []);
-    rig.idle(awake + LAG, 0);
-    rig.hand_in(awake + LAG);
-    assert_eq!(rig.hear(0), [CommandStatus::EsmeRmsgqful]);
-    // And takes on again once the disk is done.
-    rig.durable(awake + LAG + MS);
-    rig.hand_in(awake + LAG + 2 * MS);
-    rig.durable(awake + LAG + 3 * MS);
-    assert_eq!(rig.hear(0), [CommandStatus::EsmeRok; 3]);
+fn a_disk_that_is_slow_after_a_pause_sheds_messages_after_the_lag_limit() {
+    let mut harness = Harness::new();
+    let resumed_at = 10_000 * MS;
+    harness.settle(resumed_at);
+    harness.run_idle(resumed_at + LAG_LIMIT / 2, 0);
+    harness.submit_message(resumed_at + LAG_LIMIT / 2);
+    assert_eq!(harness.take_responses(0), []);
+    harness.run_idle(resumed_at + LAG_LIMIT, 0);
+    harness.submit_message(resumed_at + LAG_LIMIT);
+    assert_eq!(harness.take_responses(0), [CommandStatus::EsmeRmsgqful]);
+    // Messages are accepted again once the entries are durable.
+    harness.mark_durable(resumed_at + LAG_LIMIT + MS);
+    harness.submit_message(resumed_at + LAG_LIMIT + 2 * MS);
+    harness.mark_durable(resumed_at + LAG_LIMIT + 3 * MS);
+    assert_eq!(harness.take_responses(0), [CommandStatus::EsmeRok; 3]);
 }
 
 #[test]
-fn a_node_that_waits_for_no_disk_is_not_called_for_it() {
-    let mut rig = Rig::new();
-    rig.durable(MS);
-    rig.hear(MS);
-    // What else it waits for: the message's deadline, and sessions that are asked whether they live.
-    let before = rig.node.wake();
-    rig.settle(2 * MS);
-    assert!(before.is_none_or(|at| at > LAG), "{before:?}");
+fn a_node_without_pending_entries_has_no_wake_time_for_the_disk() {
+    let mut harness = Harness::new();
+    harness.mark_durable(MS);
+    harness.take_responses(MS);
+    // The remaining wake times are the message's deadline and the enquire_link of sessions.
+    let before = harness.node.wake();
+    harness.settle(2 * MS);
+    assert!(before.is_none_or(|at| at > LAG_LIMIT), "{before:?}");
 }
--- a/crates/engine/tests/platform.rs
+++ b/crates/engine/tests/platform.rs
@@ -10,6 +10,8 @@
 use sender::*;
 use std::net::SocketAddr;
 
+/// Guards against an accepted message that is lost in a crash, because its reply or call is sent before it is
+/// durable.
 #[test]
 fn no_reply_or_call_is_sent_before_the_acceptance_is_durable() {
     let mut harness = new_harness();
@@ -66,6 +68,8 @@
     assert_eq!(journalled, harness.node.open(), "a refused message must leave nothing in the journal");
 }
 
+/// Guards against the delivery of a message whose client closed before it got a reply and may submit it
+/// again.
 #[test]
 fn a_message_whose_client_closes_before_the_reply_is_dropped() {
     let mut harness = new_harness();
@@ -82,6 +86,7 @@
     );
 }
 
+/// Guards against a lost notice when the process restarts or discovery moves before the notice is accepted.
 #[test]
 fn a_notice_is_repeated_until_accepted_across_a_restart_and_a_move() {
     let mut harness = new_harness();
@@ -113,6 +118,7 @@
     assert!(notice(&mut harness, 2).is_empty(), "accepted already");
 }
 
+/// Guards against messages that run twice or are lost after a kill: all three classes have an open call.
 #[test]
 fn after_a_kill_only_messages_that_may_be_repeated_are_sent_again() {
     let mut harness = new_harness();
@@ -140,6 +146,7 @@
     assert!(notices.contains("{\"id\":\"o\",\"state\":\"failed\"}"), "{notices}");
 }
 
+/// Guards against a duplicate answer that stays in the connection and is read as the answer to the next call.
 #[test]
 fn a_duplicate_answer_does_not_count_for_the_next_call() {
     let mut harness = new_harness();
@@ -330,8 +337,12 @@
     harness.submit(client, "m3", ONCE);
     assert!(!harness.connecting.is_empty(), "the call waits for a connection");
     harness.advance(probed + 3_050 * MS - harness.now);
-    let wrong: Vec<ConnId> = harness.take_received(1001).into_iter().map(|(conn, _)| conn).collect();
-    assert!(!wrong.contains(&probe), "a late answer to the probe would be read as the call's answer");
+    let used_connections: Vec<ConnId> =
+        harness.take_received(1001).into_iter().map(|(conn, _)| conn).collect();
+    assert!(
+        !used_connections.contains(&probe),
+        "a late answer to the probe would be read as the call's answer"
+    );
     assert!(harness.closed.contains(&probe));
 }
 
@@ -361,6 +372,8 @@
     }
 }
 
+/// Guards against a duplicate answer that is read when the next call is assigned to the connection but not
+/// written yet.
 #[test]
 fn a_duplicate_answer_before_a_call_is_written_is_not_its_answer() {
     for copy in [OK, "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n", "HTTP"] {
@@ -450,6 +463,8 @@
     assert!(harness.take_received(2_005).is_empty(), "an endpoint that a full list does not name is removed");
 }
 
+/// Guards against a node that doesn't start, or loses earlier messages, after a crash cut the last journal
+/// entry.
 #[test]
 fn a_journal_cut_at_its_last_bytes_keeps_the_earlier_messages() {
     for cut in 1..40 {
