--- a/crates/engine/benches/node.rs
+++ b/crates/engine/benches/node.rs
@@ -1,6 +1,7 @@
-//! What one message costs a node, without sockets: whole path from submit_sm to acknowledged receipt, with the
-//! octets of both sides, on a virtual clock. By destinations, sessions and connections; memory by session and by
-//! held message. Figures are for one core of the machine at hand; compare them within one run.
+//! Measures the cost of one message in a node without sockets: the whole path from submit_sm to the
+//! acknowledged receipt, with the bytes of both sides, on a virtual clock, by number of destinations,
+//! sessions and rules. Also measures the memory of a session and of a held message. Figures are for one core
+//! of the machine used; compare them within one run.
 //!
 //! `cargo bench -p heronroute-engine --bench node`
 
@@ -28,18 +29,18 @@
     max_pdu: 70_000,
 };
 
-/// A node with receivers that answer at once and clients in memory.
-struct Rig {
+/// A node with in-memory clients and receivers that respond at once.
+struct Harness {
     node: Node,
     now: i64,
     receivers: BTreeMap<u64, Session>,
     clients: BTreeMap<u64, client::Session>,
     answered: usize,
-    answers: bool,
+    receivers_respond: bool,
 }
 
 fn settings(destinations: usize, slots: usize, room: usize) -> String {
-    let mut t = format!(
+    let mut text = format!(
         "service {{ slots: {slots} room: {room} owed_room: {room} quantum: \"0s\" }} \
          smpp {{ sessions: 1000000 window: 60000 enquire_every: \"8000h\" inactivity: \"8000h\" \
          response: \"8000h\" }} \
@@ -48,31 +49,31 @@
          kind {{ name: \"k\" protocol: \"smpp\" window: 32 }}\n"
     );
     for d in 1..=destinations {
-        _ = writeln!(t, "route {{ prefix: \"{d:06}\" destination: {d} }}");
+        _ = writeln!(text, "route {{ prefix: \"{d:06}\" destination: {d} }}");
         _ = writeln!(
-            t,
+            text,
             "endpoint {{ name: \"e{d}\" address: \"127.0.0.1:{}\" destination: {d} kind: \"k\" }}",
             1_000 + d
         );
     }
-    t
+    text
 }
 
-impl Rig {
+impl Harness {
     fn new(destinations: usize, slots: usize, room: usize) -> Self {
-        Rig::with(destinations, slots, room, "", false)
+        Harness::with_settings(destinations, slots, room, "", false)
     }
 
-    fn with(destinations: usize, slots: usize, room: usize, more: &str, fleet: bool) -> Self {
+    fn with_settings(destinations: usize, slots: usize, room: usize, more: &str, fleet: bool) -> Self {
         let text = format!("{} {more}", settings(destinations, slots, room));
         let cfg = Arc::new(parse("bench", &text).expect("settings"));
         let start =
             Start { index: 0, seed: 1, now: 0, wall: 1 << 50, list: 0, kept: None, state: None, fleet };
         let node = Node::new(cfg, start).expect("node");
         let (receivers, clients) = (BTreeMap::new(), BTreeMap::new());
-        let mut rig = Rig { node, now: 0, receivers, clients, answered: 0, answers: true };
-        rig.settle();
-        rig
+        let mut harness = Harness { node, now: 0, receivers, clients, answered: 0, receivers_respond: true };
+        harness.settle();
+        harness
     }
 
     fn connect(&mut self, n: usize) -> Vec<u64> {
@@ -104,7 +105,7 @@
         self.node.received(self.now, conn, &out);
     }
 
-    /// Carries octets to and fro until nothing moves.
+    /// Transfers bytes in both directions until there is nothing left to transfer.
     fn settle(&mut self) {
         loop {
             self.now += 100;
@@ -119,7 +120,7 @@
                         self.receivers.insert(conn, Session::new(0, LIMITS));
                         self.node.connected(self.now, conn);
                     }
-                    Output::Write(conn) => self.carry(conn),
+                    Output::Write(conn) => self.transfer(conn),
                     Output::Finish(conn) | Output::Drop(conn) => {
                         self.receivers.remove(&conn);
                         self.clients.remove(&conn);
@@ -136,67 +137,68 @@
         }
     }
 
-    fn carry(&mut self, conn: u64) {
-        let octets = self.node.pending(conn).to_vec();
-        self.node.wrote(conn, octets.len());
-        let mut back = BytesMut::new();
+    fn transfer(&mut self, conn: u64) {
+        let bytes = self.node.pending(conn).to_vec();
+        self.node.wrote(conn, bytes.len());
+        let mut reply = BytesMut::new();
         if let Some(session) = self.clients.get_mut(&conn) {
             let mut events = Vec::new();
-            session.receive(self.now, &octets, &mut back, &mut events);
+            session.receive(self.now, &bytes, &mut reply, &mut events);
             self.answered += events.iter().filter(|e| matches!(e, client::Event::Delivered(_))).count();
         } else if let Some(session) = self.receivers.get_mut(&conn) {
             let mut events = Vec::new();
-            session.receive(self.now, 0, &octets, &mut back, &mut events);
+            session.receive(self.now, 0, &bytes, &mut reply, &mut events);
             for event in events {
                 match event {
-                    Event::Bind { sequence, .. } => session.accept(0, sequence, "r", &mut back),
-                    Event::Submit { sequence, .. } if self.answers => {
-                        session.submitted(sequence, "1", CommandStatus::EsmeRok, vec![], &mut back);
+                    Event::Bind { sequence, .. } => session.accept(0, sequence, "r", &mut reply),
+                    Event::Submit { sequence, .. } if self.receivers_respond => {
+                        session.submitted(sequence, "1", CommandStatus::EsmeRok, vec![], &mut reply);
                     }
                     _ => {}
                 }
             }
         }
-        if !back.is_empty() {
-            self.node.received(self.now, conn, &back);
+        if !reply.is_empty() {
+            self.node.received(self.now, conn, &reply);
         }
     }
 }
 
-/// Resident octets of this process.
-fn resident() -> f64 {
+/// Returns the resident memory of this process in bytes.
+fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|p| p.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
 
-/// Microseconds a message, and how many a round trip carries at once.
-fn cost(destinations: usize, sessions: usize, messages: usize) -> f64 {
-    let mut rig = Rig::new(destinations, 256, 20_000);
-    let conns = rig.connect(sessions);
+/// Returns the microseconds for one message, submitted in groups of 16.
+fn message_cost(destinations: usize, sessions: usize, messages: usize) -> f64 {
+    let mut harness = Harness::new(destinations, 256, 20_000);
+    let conns = harness.connect(sessions);
     let mut n = 0;
-    let mut go = |rig: &mut Rig, count: usize| {
+    let mut run_messages = |harness: &mut Harness, count: usize| {
         let until = n + count;
         while n < until {
             for _ in 0..16 {
                 n += 1;
-                rig.submit(conns[n % sessions], 1 + n * 7 % destinations, n % 1_000_000);
+                harness.submit(conns[n % sessions], 1 + n * 7 % destinations, n % 1_000_000);
             }
-            rig.settle();
+            harness.settle();
         }
     };
-    go(&mut rig, messages / 4);
-    let before = rig.answered;
+    run_messages(&mut harness, messages / 4);
+    let before = harness.answered;
     let start = Instant::now();
-    go(&mut rig, messages);
+    run_messages(&mut harness, messages);
     let spent = start.elapsed().as_secs_f64();
-    spent * 1e6 / (rig.answered - before).max(1) as f64
+    spent * 1e6 / (harness.answered - before).max(1) as f64
 }
 
-/// Microseconds to take a message on, before any decision: of a client with so many rules, or on a node that is in no
-/// fleet. A quarter of the rules match by the address prefix of a destination, the others by longer ones.
-fn take_on(rules: Option<usize>) -> f64 {
-    let mut rig = Rig::with(20, 16, 400_000, "held { }", rules.is_some());
-    rig.answers = false;
+/// Returns the microseconds to accept a message, before any decision, for a client with `rules` rules; `None`
+/// is a node in no fleet. A quarter of the rules match by the address prefix of a destination, the others by
+/// longer prefixes.
+fn acceptance_cost(rules: Option<usize>) -> f64 {
+    let mut harness = Harness::with_settings(20, 16, 400_000, "held { }", rules.is_some());
+    harness.receivers_respond = false;
     let rule = |i: usize| {
         let (d, more) =
             (1 + i % 20, if i.is_multiple_of(4) { String::new() } else { format!("{:03}", i % 1_000) });
@@ -216,26 +218,26 @@
         plan: Arc::new(Plan::default()),
         certain: true,
     };
-    rig.node.apply(rig.now, apply);
-    let conns = rig.connect(10);
+    harness.node.apply(harness.now, apply);
+    let conns = harness.connect(10);
     let n = 60_000;
     let start = Instant::now();
     for i in 0..n {
-        rig.submit(conns[i % 10], 1 + i % 20, i);
+        harness.submit(conns[i % 10], 1 + i % 20, i);
     }
     start.elapsed().as_secs_f64() * 1e6 / n as f64
 }
 
-/// The same in turns: the least of each, and of each round's ratio to its own first case the median. What disturbs one run
-/// disturbs another.
-fn rules() {
+/// Measures the cases in turns, and prints for each the least cost and the median of its ratio to the first
+/// case of the same round: a disturbance then affects all cases of a round alike.
+fn compare_rule_counts() {
     let cases = [None, Some(0), Some(10), Some(1_000)];
-    let rounds: Vec<[f64; 4]> = (0..9).map(|_| cases.map(take_on)).collect();
+    let rounds: Vec<[f64; 4]> = (0..9).map(|_| cases.map(acceptance_cost)).collect();
     println!("cost of a hand-in in microseconds by rules of its client, beside a node in no fleet:");
     for (at, case) in cases.iter().enumerate() {
         let name = case.map_or("no fleet".to_string(), |n| format!("{n} rules"));
-        let least = |at: usize| rounds.iter().map(|r| r[at]).fold(f64::INFINITY, f64::min);
-        let mut ratios: Vec<f64> = rounds.iter().map(|r| r[at] / r[0]).collect();
+        let least = |at: usize| rounds.iter().map(|round| round[at]).fold(f64::INFINITY, f64::min);
+        let mut ratios: Vec<f64> = rounds.iter().map(|round| round[at] / round[0]).collect();
         ratios.sort_by(f64::total_cmp);
         let (cost, ratio) = (least(at), least(at) / least(0));
         println!("  {name:>10}: {cost:>6.2}, {ratio:.3} of that without, median of rounds {:.3}", ratios[4]);
@@ -244,42 +246,45 @@
 
 fn main() {
     if std::env::args().any(|a| a == "rules") {
-        return rules();
+        return compare_rule_counts();
     }
-    // A number as argument: so many messages, once, and nothing else; for profilers.
+    // With a number as argument, runs that many messages once and nothing else, for profilers.
     if let Some(n) = std::env::args().find_map(|a| a.parse().ok()) {
-        return println!("{:.1}", cost(200, 100, n));
+        return println!("{:.1}", message_cost(200, 100, n));
     }
-    // Memory first: what others have freed would be used again unseen.
-    let mut rig = Rig::new(20, 256, 200_000);
-    rig.connect(1_000);
-    let before = resident();
-    rig.connect(20_000);
+    // Memory is measured first: later, memory that other cases freed would be reused and not show.
+    let mut harness = Harness::new(20, 256, 200_000);
+    harness.connect(1_000);
+    let before = resident_bytes();
+    harness.connect(20_000);
     println!(
         "memory of one idle session: {:.0} octets (our in-memory client included)",
-        (resident() - before) / 2e4
+        (resident_bytes() - before) / 2e4
     );
-    drop(rig);
-    let mut rig = Rig::new(20, 16, 400_000);
-    rig.answers = false;
-    let conns = rig.connect(10);
-    let before = resident();
+    drop(harness);
+    let mut harness = Harness::new(20, 16, 400_000);
+    harness.receivers_respond = false;
+    let conns = harness.connect(10);
+    let before = resident_bytes();
     let n = 100_000;
     let start = Instant::now();
     for i in 0..n {
-        rig.submit(conns[i % 10], 1 + i % 20, i);
+        harness.submit(conns[i % 10], 1 + i % 20, i);
     }
     let took = start.elapsed().as_secs_f64() * 1e6 / n as f64;
     println!(
         "memory of one held message: {:.0} octets, {took:.1} us to take it on (before any decision)",
-        (resident() - before) / n as f64
+        (resident_bytes() - before) / n as f64
     );
     println!("cost of one message in microseconds, whole path in memory:");
     for destinations in [20, 200, 2_000] {
-        println!("  {destinations:>5} destinations, 100 sessions: {:>7.1}", cost(destinations, 100, 40_000));
+        println!(
+            "  {destinations:>5} destinations, 100 sessions: {:>7.1}",
+            message_cost(destinations, 100, 40_000)
+        );
     }
     for sessions in [10, 100, 1_000, 10_000] {
-        println!("  {sessions:>5} sessions, 200 destinations:  {:>7.1}", cost(200, sessions, 40_000));
+        println!("  {sessions:>5} sessions, 200 destinations:  {:>7.1}", message_cost(200, sessions, 40_000));
     }
-    rules();
+    compare_rule_counts();
 }
--- a/crates/engine/benches/release.rs
+++ b/crates/engine/benches/release.rs
@@ -1,5 +1,6 @@
-//! 100,000 held messages let go into one destination that returns, beside live traffic, on a virtual clock: time to
-//! empty, what the destination had to turn away, and live traffic's timeliness beside the same without a backlog.
+//! Releases 100,000 held messages to one destination that has recovered, beside live traffic, on a virtual
+//! clock. Reports the time to empty the backlog, the messages that the destination rejected, and the
+//! timeliness of live traffic with and without a backlog.
 //!
 //! `cargo bench -p heronroute-engine --bench release`
 
@@ -29,27 +30,30 @@
     window: 100_000,
     max_pdu: 70_000,
 };
-/// The destination serves so many at once, each in this time: 500 a second. What comes beyond waits there, up to a
-/// hundred; the rest is turned away.
-const WIDTH: usize = 10;
-const QUEUE: usize = 100;
-const PACE: i64 = 20 * MS;
+/// The destination serves 10 messages at a time, each in 20 ms: 500 a second. Up to 100 more are queued
+/// there; the rest are rejected.
+const PARALLEL_SERVERS: usize = 10;
+const MAX_QUEUED: usize = 100;
+const SERVICE_TIME: i64 = 20 * MS;
 
 #[derive(Default)]
-struct World {
+struct Observed {
     receivers: BTreeMap<ConnId, Session>,
-    due: BTreeSet<(i64, ConnId, u32)>,
-    /// When each of its servers is free.
-    free: [i64; WIDTH],
+    pending_responses: BTreeSet<(i64, ConnId, u32)>,
+    /// The time at which each of the destination's servers is free.
+    free_at: [i64; PARALLEL_SERVERS],
     served: u64,
-    turned_away: u64,
-    worst_second: u64,
-    this_second: u64,
-    took: Vec<i64>,
-    live: u64,
+    rejected: u64,
+    most_rejected_in_a_second: u64,
+    rejected_this_second: u64,
+    /// The latencies of live messages that were delivered, in microseconds.
+    latencies: Vec<i64>,
+    live_submitted: u64,
     refused: u64,
-    sent: BTreeMap<String, i64>,
-    asked: BTreeMap<u32, i64>,
+    /// When each accepted message was sent, by identity.
+    sent_at: BTreeMap<String, i64>,
+    /// When each request was sent, by sequence number.
+    submitted_at: BTreeMap<u32, i64>,
 }
 
 fn start(held: u64, now: i64) -> Node {
@@ -88,49 +92,54 @@
     .expect("node")
 }
 
-/// Runs until the backlog is gone, or so many seconds have passed. Live messages a second beside it.
-fn run(held: u64, live: i64, seconds: i64) -> (World, i64, f64) {
-    let began = Instant::now();
+/// Runs until the backlog is gone or `seconds` have passed, with `live` live messages a second. Returns what
+/// was observed, the span on the virtual clock in microseconds, and the seconds taken.
+fn run(held: u64, live: i64, seconds: i64) -> (Observed, i64, f64) {
+    let wall_start = Instant::now();
     let mut now = 1 << 50;
     let first = now;
     let mut node = start(held, now);
-    let mut w = World::default();
+    let mut observed = Observed::default();
     let mut out = BytesMut::new();
     let mut client = Client::bind(now, LIMITS, Mode::Transceiver, "d", "secret", &mut out);
     let smpp = node.accepted(now, Speaks::Smpp, &out).expect("room");
-    // The owner takes its answers: else it would be let in no more, and its backlog with it.
+    // The owner acknowledges its answers; otherwise its messages, and with them its backlog, would be
+    // refused.
     out.clear();
     let mut owner = Client::bind(now, LIMITS, Mode::Receiver, "c", "secret", &mut out);
-    let owners = node.accepted(now, Speaks::Smpp, &out).expect("room");
-    let mut clerk = MqttClient::new(Who::new(true, "c", "clerk"));
+    let owner_conn = node.accepted(now, Speaks::Smpp, &out).expect("room");
+    let mut mqtt_client = MqttClient::new(Who::new(true, "c", "clerk"));
     out.clear();
-    clerk.connect(&mut out);
+    mqtt_client.connect(&mut out);
     let mqtt = node.accepted(now, Speaks::Mqtt, &out).expect("room");
-    let (mut written, mut next, mut asked) = (0, now + 100 * MS, held == 0);
+    let (mut committed_entries, mut next, mut release_requested) = (0, now + 100 * MS, held == 0);
     while (now - first) / 1_000_000 < seconds {
         now += MS;
         if (now - first) % 1_000_000 == 0 {
-            w.worst_second = w.worst_second.max(w.this_second);
-            w.this_second = 0;
+            observed.most_rejected_in_a_second =
+                observed.most_rejected_in_a_second.max(observed.rejected_this_second);
+            observed.rejected_this_second = 0;
         }
         while live > 0 && next <= now && client.bound() {
             next += 1_000_000 / live;
             let s = Submission {
                 service: "PAY".into(),
-                destination: format!("1{:06}", w.live),
+                destination: format!("1{:06}", observed.live_submitted),
                 wanted: Wanted::Always,
                 body: vec![b'y'; 60],
                 ..Submission::default()
             };
-            w.live += 1;
+            observed.live_submitted += 1;
             out.clear();
-            w.asked.insert(client.request(now, s.submit(None), &mut out), now);
+            observed.submitted_at.insert(client.request(now, s.submit(None), &mut out), now);
             node.received(now, smpp, &out);
         }
-        while let Some((_, conn, sequence)) = w.due.first().copied().filter(|d| d.0 <= now) {
-            w.due.pop_first();
+        while let Some((_, conn, sequence)) =
+            observed.pending_responses.first().copied().filter(|d| d.0 <= now)
+        {
+            observed.pending_responses.pop_first();
             out.clear();
-            if let Some(session) = w.receivers.get_mut(&conn) {
+            if let Some(session) = observed.receivers.get_mut(&conn) {
                 session.submitted(sequence, "r", CommandStatus::EsmeRok, vec![], &mut out);
                 node.received(now, conn, &out);
             }
@@ -144,66 +153,77 @@
             for output in outputs {
                 match output {
                     Output::Connect { conn, .. } => {
-                        w.receivers.insert(conn, Session::new(0, LIMITS));
+                        observed.receivers.insert(conn, Session::new(0, LIMITS));
                         node.connected(now, conn);
                     }
                     Output::Write(conn) => {
-                        let octets = node.pending(conn).to_vec();
-                        node.wrote(conn, octets.len());
-                        let mut back = BytesMut::new();
+                        let bytes = node.pending(conn).to_vec();
+                        node.wrote(conn, bytes.len());
+                        let mut reply = BytesMut::new();
                         if conn == mqtt {
                             let mut heard = Vec::new();
-                            clerk.receive(&octets, &mut back, &mut heard);
-                            if !asked {
-                                asked = true;
-                                let hand = Hand { topic: "held/release".into(), qos: 1, ..Hand::default() };
-                                clerk.publish(&hand, &mut back);
+                            mqtt_client.receive(&bytes, &mut reply, &mut heard);
+                            if !release_requested {
+                                release_requested = true;
+                                let message =
+                                    Hand { topic: "held/release".into(), qos: 1, ..Hand::default() };
+                                mqtt_client.publish(&message, &mut reply);
                             }
-                        } else if conn == owners {
-                            owner.receive(now, &octets, &mut back, &mut Vec::new());
+                        } else if conn == owner_conn {
+                            owner.receive(now, &bytes, &mut reply, &mut Vec::new());
                         } else if conn == smpp {
-                            client_heard(now, &mut client, &octets, &mut back, &mut w);
+                            client_received(now, &mut client, &bytes, &mut reply, &mut observed);
                         } else {
-                            receiver_heard(now, conn, &octets, &mut back, &mut w);
+                            receiver_received(now, conn, &bytes, &mut reply, &mut observed);
                         }
-                        if !back.is_empty() {
-                            node.received(now, conn, &back);
+                        if !reply.is_empty() {
+                            node.received(now, conn, &reply);
                         }
                     }
                     Output::Journal(entries) => {
-                        written += entries.len() as u64;
-                        node.durable(now, written, heronroute_journal::Usage::default());
+                        committed_entries += entries.len() as u64;
+                        node.durable(now, committed_entries, heronroute_journal::Usage::default());
                     }
                     _ => {}
                 }
             }
             node.settle(now);
         }
-        if held > 0 && w.served >= held && (now - first) % 1_000_000 == 0 && node.held_for_clients() == 0 {
+        if held > 0
+            && observed.served >= held
+            && (now - first) % 1_000_000 == 0
+            && node.held_for_clients() == 0
+        {
             break;
         }
     }
-    (w, now - first, began.elapsed().as_secs_f64())
+    (observed, now - first, wall_start.elapsed().as_secs_f64())
 }
 
-fn client_heard(now: i64, client: &mut Client, octets: &[u8], back: &mut BytesMut, w: &mut World) {
+fn client_received(
+    now: i64,
+    client: &mut Client,
+    bytes: &[u8],
+    reply: &mut BytesMut,
+    observed: &mut Observed,
+) {
     let mut events = Vec::new();
-    client.receive(now, octets, back, &mut events);
+    client.receive(now, bytes, reply, &mut events);
     for event in events {
         match event {
             Event::Response { sequence, status, id, .. } => {
-                let sent = w.asked.remove(&sequence).unwrap_or(now);
+                let sent = observed.submitted_at.remove(&sequence).unwrap_or(now);
                 if status == CommandStatus::EsmeRok {
-                    w.sent.insert(id, sent);
+                    observed.sent_at.insert(id, sent);
                 } else {
-                    w.refused += 1;
+                    observed.refused += 1;
                 }
             }
             Event::Delivered(sm) => {
                 let (id, answer) = Receipt::read(&sm).expect("a receipt");
-                let sent = w.sent.remove(&id).unwrap_or(now);
+                let sent = observed.sent_at.remove(&id).unwrap_or(now);
                 if answer == heronroute_smpp::receipt::Answer::Delivered {
-                    w.took.push(now - sent);
+                    observed.latencies.push(now - sent);
                 }
             }
             _ => {}
@@ -211,23 +231,25 @@
     }
 }
 
-fn receiver_heard(now: i64, conn: ConnId, octets: &[u8], back: &mut BytesMut, w: &mut World) {
-    let Some(session) = w.receivers.get_mut(&conn) else { return };
+fn receiver_received(now: i64, conn: ConnId, bytes: &[u8], reply: &mut BytesMut, observed: &mut Observed) {
+    let Some(session) = observed.receivers.get_mut(&conn) else { return };
     let mut events = Vec::new();
-    session.receive(now, 0, octets, back, &mut events);
+    session.receive(now, 0, bytes, reply, &mut events);
     for event in events {
         match event {
-            server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", back),
-            server::Event::Submit { sequence, .. } if w.due.len() >= WIDTH + QUEUE => {
-                w.turned_away += 1;
-                w.this_second += 1;
-                session.submitted(sequence, "", CommandStatus::EsmeRthrottled, vec![], back);
+            server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", reply),
+            server::Event::Submit { sequence, .. }
+                if observed.pending_responses.len() >= PARALLEL_SERVERS + MAX_QUEUED =>
+            {
+                observed.rejected += 1;
+                observed.rejected_this_second += 1;
+                session.submitted(sequence, "", CommandStatus::EsmeRthrottled, vec![], reply);
             }
             server::Event::Submit { sequence, .. } => {
-                w.served += 1;
-                w.free.sort_unstable();
-                w.free[0] = w.free[0].max(now) + PACE;
-                w.due.insert((w.free[0], conn, sequence));
+                observed.served += 1;
+                observed.free_at.sort_unstable();
+                observed.free_at[0] = observed.free_at[0].max(now) + SERVICE_TIME;
+                observed.pending_responses.insert((observed.free_at[0], conn, sequence));
             }
             _ => {}
         }
@@ -236,23 +258,25 @@
 
 fn main() {
     for (held, live) in [(0, 100), (100_000, 0), (100_000, 100), (100_000, 300)] {
-        let (mut w, span, took) = run(held, live, if held == 0 { 60 } else { 3_000 });
-        w.took.sort_unstable();
+        let (mut observed, span, took) = run(held, live, if held == 0 { 60 } else { 3_000 });
+        observed.latencies.sort_unstable();
         let at = |q: f64| {
-            let at = ((w.took.len() as f64 * q) as usize).min(w.took.len().saturating_sub(1));
-            w.took.get(at).map_or(0.0, |t| *t as f64 / 1e3)
+            let at = ((observed.latencies.len() as f64 * q) as usize)
+                .min(observed.latencies.len().saturating_sub(1));
+            observed.latencies.get(at).map_or(0.0, |t| *t as f64 / 1e3)
         };
-        let timely = w.took.iter().filter(|t| **t <= 1_000_000).count() as f64 / w.live.max(1) as f64;
+        let timely = observed.latencies.iter().filter(|t| **t <= 1_000_000).count() as f64
+            / observed.live_submitted.max(1) as f64;
         println!(
             "held {held}, live {live}/s: {:.0} s of its clock ({took:.0} s here), served {} ({:.0}/s), turned away {} \
              (most in a second {}); live in time {:.1} %, refused {}, p50 {:.0} ms, p99 {:.0} ms",
             span as f64 / 1e6,
-            w.served,
-            w.served as f64 / (span as f64 / 1e6),
-            w.turned_away,
-            w.worst_second,
+            observed.served,
+            observed.served as f64 / (span as f64 / 1e6),
+            observed.rejected,
+            observed.most_rejected_in_a_second,
             timely * 100.0,
-            w.refused,
+            observed.refused,
             at(0.5),
             at(0.99)
         );
--- a/crates/engine/benches/routes.rs
+++ b/crates/engine/benches/routes.rs
@@ -1,4 +1,4 @@
-//! The trie of routes against a sorted map that is asked for each prefix of an address, longest first.
+//! Compares the routing trie with a sorted map that is queried for each prefix of an address, longest first.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use heronroute_engine::routes::Trie;
@@ -17,13 +17,13 @@
             map.insert(prefix(i), i);
         }
         let addresses: Vec<String> = (0..1_024).map(|i| format!("{}0001234", prefix(i * 31 % n))).collect();
-        let slow = |a: &str| (0..=a.len()).rev().find_map(|l| map.get(&a[..l]).copied());
-        assert!(addresses.iter().all(|a| trie.find(a) == slow(a)), "both find the same");
+        let find_in_map = |a: &str| (0..=a.len()).rev().find_map(|l| map.get(&a[..l]).copied());
+        assert!(addresses.iter().all(|a| trie.find(a) == find_in_map(a)), "both find the same");
         group.bench_with_input(BenchmarkId::new("trie", n), &n, |b, _| {
             b.iter(|| addresses.iter().filter_map(|a| trie.find(black_box(a))).sum::<u64>());
         });
         group.bench_with_input(BenchmarkId::new("sorted map", n), &n, |b, _| {
-            b.iter(|| addresses.iter().filter_map(|a| slow(black_box(a))).sum::<u64>());
+            b.iter(|| addresses.iter().filter_map(|a| find_in_map(black_box(a))).sum::<u64>());
         });
     }
     group.finish();
--- a/crates/engine/tests/crash.rs
+++ b/crates/engine/tests/crash.rs
@@ -1,7 +1,6 @@
-//! The node and its journal on a faulty disk, on a virtual clock: power is lost at every step that the disk takes,
-//! everything in memory is gone, the node starts again from what the disk kept, and at the end all that was told
-//! and all that arrived is checked. Octets are carried before the journal commits, so that whatever is told or
-//! sent too early is seen.
+//! Power loss at steps of the disk, on a virtual clock: everything in memory is lost, the node restarts from
+//! the data that is durable, and at the end all answers and all arrivals at receivers are checked. Bytes are
+//! transferred before the journal commits, so that an answer or a message that is sent too early is seen.
 
 mod rig;
 
@@ -15,7 +14,7 @@
 use heronroute_smpp::receipt::{Answer, Receipt};
 use heronroute_smpp::server::{self, Mode, Session};
 use heronroute_smpp::submission::{Submission, Wanted};
-use rig::{Dice, LIMITS, SMALL, commit};
+use rig::{LIMITS, SMALL, TestRng, commit};
 use rusmpp_core::CommandStatus;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -37,30 +36,30 @@
     Arc::new(parse("crash", text).unwrap())
 }
 
-/// What the world outside knows; it survives the sender.
+/// What clients and receivers have seen; it survives a crash of the sender.
 #[derive(Default)]
-struct World {
-    /// Accepted messages with their class.
+struct Observed {
+    /// The class of each accepted message.
     accepted: BTreeMap<String, usize>,
     answers: BTreeMap<String, Vec<Answer>>,
-    /// Arrivals that were not turned away, with when.
-    ran: BTreeMap<String, Vec<i64>>,
+    /// The times at which receivers got each message without rejecting it.
+    arrivals: BTreeMap<String, Vec<i64>>,
     submitted: usize,
 }
 
-/// One life of a sender.
-struct Life {
+/// A sender's process from a start to a crash.
+struct Process {
     node: Node,
     journal: Journal<Disk>,
-    count: u64,
-    waiting: Vec<Vec<Entry>>,
+    committed_entries: u64,
+    uncommitted: Vec<Vec<Entry>>,
     client: Option<(ConnId, Client, BTreeMap<u32, usize>)>,
     receivers: BTreeMap<ConnId, Session>,
-    /// Responses to come: when, connection, sequence, status.
-    due: BTreeSet<(i64, ConnId, u32, u32)>,
+    /// Responses that receivers have yet to send: time, connection, sequence number, status.
+    pending_responses: BTreeSet<(i64, ConnId, u32, u32)>,
 }
 
-fn start(cfg: &Arc<Config>, disk: Disk, now: i64) -> Option<Life> {
+fn start(cfg: &Arc<Config>, disk: Disk, now: i64) -> Option<Process> {
     let journal = Journal::open(disk, SMALL).ok()?;
     let start = Start {
         index: 0,
@@ -73,23 +72,39 @@
         fleet: false,
     };
     let node = Node::new(cfg.clone(), start).unwrap();
-    let (client, receivers, due) = (None, BTreeMap::new(), BTreeSet::new());
-    Some(Life { node, journal, count: 0, waiting: Vec::new(), client, receivers, due })
+    let (client, receivers, pending_responses) = (None, BTreeMap::new(), BTreeSet::new());
+    Some(Process {
+        node,
+        journal,
+        committed_entries: 0,
+        uncommitted: Vec::new(),
+        client,
+        receivers,
+        pending_responses,
+    })
 }
 
-impl Life {
-    /// A millisecond passes. False once power is lost.
-    fn step(&mut self, now: i64, world: &mut World, dice: &mut Dice, handing_in: bool) -> bool {
+impl Process {
+    /// Advances the clock by one millisecond. Returns false once the disk has lost power.
+    fn advance_one_ms(
+        &mut self,
+        now: i64,
+        observed: &mut Observed,
+        rng: &mut TestRng,
+        submitting: bool,
+    ) -> bool {
         if self.client.is_none() {
             let mut out = BytesMut::new();
             let session = Client::bind(now, LIMITS, Mode::Transceiver, "c", "p", &mut out);
             let conn = self.node.accepted(now, Speaks::Smpp, &out).unwrap();
             self.client = Some((conn, session, BTreeMap::new()));
-        } else if handing_in && dice.below(3) == 0 {
-            self.submit(now, world, dice);
+        } else if submitting && rng.below(3) == 0 {
+            self.submit(now, observed, rng);
         }
-        while let Some((_, conn, sequence, status)) = self.due.first().copied().filter(|d| d.0 <= now) {
-            self.due.pop_first();
+        while let Some((_, conn, sequence, status)) =
+            self.pending_responses.first().copied().filter(|d| d.0 <= now)
+        {
+            self.pending_responses.pop_first();
             let mut out = BytesMut::new();
             if let Some(session) = self.receivers.get_mut(&conn) {
                 session.submitted(sequence, "r", CommandStatus::from(status), vec![], &mut out);
@@ -108,7 +123,7 @@
                         self.receivers.insert(conn, Session::new(0, LIMITS));
                         self.node.connected(now, conn);
                     }
-                    Output::Write(conn) => self.carry(now, conn, world, dice),
+                    Output::Write(conn) => self.transfer(now, conn, observed, rng),
                     Output::Finish(conn) | Output::Drop(conn) => {
                         self.receivers.remove(&conn);
                         self.node.closed(now, conn, CloseReason::Ended);
@@ -118,72 +133,72 @@
                     | Output::ClientRequest(_)
                     | Output::Copying
                     | Output::Inherited(_) => {}
-                    Output::Journal(entries) => self.waiting.push(entries),
+                    Output::Journal(entries) => self.uncommitted.push(entries),
                 }
             }
             self.node.settle(now);
         }
-        // The journal comes last, and takes all that waits in one commit.
-        commit(&mut self.node, &mut self.journal, &mut self.waiting, &mut self.count, now)
+        // The journal commits last, all waiting entries at once.
+        commit(&mut self.node, &mut self.journal, &mut self.uncommitted, &mut self.committed_entries, now)
     }
 
-    fn submit(&mut self, now: i64, world: &mut World, dice: &mut Dice) {
-        let Some((conn, session, asked)) = &mut self.client else { return };
+    fn submit(&mut self, now: i64, observed: &mut Observed, rng: &mut TestRng) {
+        let Some((conn, session, submitted_classes)) = &mut self.client else { return };
         if !session.bound() {
             return;
         }
-        let class = dice.below(3) as usize;
-        world.submitted += 1;
+        let class = rng.below(3) as usize;
+        observed.submitted += 1;
         let s = Submission {
             service: ["PAY", "RESP", "STAT"][class].into(),
-            destination: format!("{}{:06}", 1 + dice.below(2), world.submitted),
+            destination: format!("{}{:06}", 1 + rng.below(2), observed.submitted),
             wanted: Wanted::Always,
             body: vec![1; 20],
             ..Submission::default()
         };
         let mut out = BytesMut::new();
-        asked.insert(session.request(now, s.submit(None), &mut out), class);
+        submitted_classes.insert(session.request(now, s.submit(None), &mut out), class);
         let conn = *conn;
         self.node.received(now, conn, &out);
     }
 
-    fn carry(&mut self, now: i64, conn: ConnId, world: &mut World, dice: &mut Dice) {
-        let octets = self.node.pending(conn).to_vec();
-        self.node.wrote(conn, octets.len());
-        let mut back = BytesMut::new();
-        if let Some((mine, session, asked)) = &mut self.client
-            && *mine == conn
+    fn transfer(&mut self, now: i64, conn: ConnId, observed: &mut Observed, rng: &mut TestRng) {
+        let bytes = self.node.pending(conn).to_vec();
+        self.node.wrote(conn, bytes.len());
+        let mut reply = BytesMut::new();
+        if let Some((client_conn, session, submitted_classes)) = &mut self.client
+            && *client_conn == conn
         {
             let mut events = Vec::new();
-            session.receive(now, &octets, &mut back, &mut events);
+            session.receive(now, &bytes, &mut reply, &mut events);
             for event in events {
                 match event {
                     Event::Response { sequence, status: CommandStatus::EsmeRok, id, .. } => {
-                        let class = asked.remove(&sequence).unwrap();
-                        world.accepted.insert(id, class);
+                        let class = submitted_classes.remove(&sequence).unwrap();
+                        observed.accepted.insert(id, class);
                     }
                     Event::Delivered(sm) => {
                         let (id, answer) = Receipt::read(&sm).unwrap();
-                        world.answers.entry(id).or_default().push(answer);
+                        observed.answers.entry(id).or_default().push(answer);
                     }
                     _ => {}
                 }
             }
         } else if let Some(session) = self.receivers.get_mut(&conn) {
             let mut events = Vec::new();
-            session.receive(now, 0, &octets, &mut back, &mut events);
+            session.receive(now, 0, &bytes, &mut reply, &mut events);
             for event in events {
                 match event {
-                    server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", &mut back),
+                    server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", &mut reply),
                     server::Event::Submit { sequence, submission, .. } => {
                         let id = submission.identity.clone().unwrap();
-                        let after = now + (1 + dice.below(30) as i64) * MS;
-                        match dice.below(12) {
-                            0 => _ = self.due.insert((after, conn, sequence, 0x58)),
-                            1 => world.ran.entry(id).or_default().push(now),
+                        let after = now + (1 + rng.below(30) as i64) * MS;
+                        match rng.below(12) {
+                            0 => _ = self.pending_responses.insert((after, conn, sequence, 0x58)),
+                            1 => observed.arrivals.entry(id).or_default().push(now),
                             _ => {
-                                world.ran.entry(id).or_default().push(now);
-                                self.due.insert((after, conn, sequence, 0));
+                                observed.arrivals.entry(id).or_default().push(now);
+                                self.pending_responses.insert((after, conn, sequence, 0));
                             }
                         }
                     }
@@ -191,61 +206,62 @@
                 }
             }
         }
-        if !back.is_empty() {
-            self.node.received(now, conn, &back);
+        if !reply.is_empty() {
+            self.node.received(now, conn, &reply);
         }
     }
 }
 
-/// What is wrong at the end, if anything is.
-fn verdict(world: &World) -> Result<(), String> {
-    for (id, class) in &world.accepted {
-        let answers = world.answers.get(id).ok_or(format!("{id} was accepted and never answered"))?;
+/// Returns the first broken guarantee as an error.
+fn check_outcomes(observed: &Observed) -> Result<(), String> {
+    for (id, class) in &observed.accepted {
+        let answers = observed.answers.get(id).ok_or(format!("{id} was accepted and never answered"))?;
         if answers.iter().any(|a| a != &answers[0]) {
             return Err(format!("{id} got different answers: {answers:?}"));
         }
         let none = Vec::new();
-        let ran = world.ran.get(id).unwrap_or(&none);
-        if *class == 0 && ran.len() > 1 {
-            return Err(format!("{id} is unsafe and ran {} times", ran.len()));
+        let arrivals = observed.arrivals.get(id).unwrap_or(&none);
+        if *class == 0 && arrivals.len() > 1 {
+            return Err(format!("{id} is single-shot and arrived {} times", arrivals.len()));
         }
-        if *class == 1 && ran.iter().any(|t| t - ran[0] > 2_000 * MS) {
+        if *class == 1 && arrivals.iter().any(|t| t - arrivals[0] > 2_000 * MS) {
             return Err(format!("{id} was repeated after its window"));
         }
         match answers[0] {
-            Answer::Delivered if ran.is_empty() => {
-                return Err(format!("{id} is told delivered and never ran"));
+            Answer::Delivered if arrivals.is_empty() => {
+                return Err(format!("{id} was reported delivered and never arrived"));
             }
             Answer::Delivered | Answer::Unknown { .. } => {}
-            _ if !ran.is_empty() => return Err(format!("{id} is told as not run and ran")),
+            _ if !arrivals.is_empty() => return Err(format!("{id} was reported as not run and arrived")),
             _ => {}
         }
     }
     Ok(())
 }
 
-/// A workload with power lost at a step of the disk; gives the steps taken and what was seen.
-fn run(cfg: &Arc<Config>, seed: u64, power: u64) -> Result<(u64, World), String> {
-    let mut dice = Dice(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
-    let mut world = World::default();
+/// Runs a workload with a power loss at step `power` of the disk (0: none), and returns the disk's steps and
+/// what was seen.
+fn run(cfg: &Arc<Config>, seed: u64, power: u64) -> Result<(u64, Observed), String> {
+    let mut rng = TestRng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
+    let mut observed = Observed::default();
     let mut disk = Disk::new(Faults { power, ..Faults::default() });
     let (mut now, mut losses, mut steps) = (1 << 40, 0, 0);
     let end = now + 6_000 * MS;
     while now < end {
-        let Some(mut life) = start(cfg, disk.clone(), now) else {
-            // Power went while opening: once more, from what that left.
+        let Some(mut process) = start(cfg, disk.clone(), now) else {
+            // Power was lost while the journal opened: retry with the data that is left.
             disk = disk.after_loss(seed + losses);
             losses += 1;
             continue;
         };
         while now < end {
-            let handing_in = now < end - 5_500 * MS;
-            now += if handing_in { MS } else { 4 * MS };
-            if !life.step(now, &mut world, &mut dice, handing_in) {
+            let submitting = now < end - 5_500 * MS;
+            now += if submitting { MS } else { 4 * MS };
+            if !process.advance_one_ms(now, &mut observed, &mut rng, submitting) {
                 break;
             }
         }
-        disk = life.journal.into_storage();
+        disk = process.journal.into_storage();
         steps = disk.steps;
         if now < end {
             losses += 1;
@@ -253,16 +269,18 @@
             now += 20 * MS;
         }
     }
-    verdict(&world).map(|()| (steps, world))
+    check_outcomes(&observed).map(|()| (steps, observed))
 }
 
+/// Guards against an answer or a message that leaves before its journal entry is durable: a power loss in
+/// between then loses an accepted message, changes its answer, or runs it twice.
 #[test]
-fn power_lost_at_any_step_breaks_no_promise() {
+fn power_loss_at_any_disk_step_keeps_every_guarantee() {
     let cfg = settings();
     let mut runs = 0;
     for seed in 1..=3 {
-        let (steps, world) = run(&cfg, seed, 0).unwrap();
-        assert!(world.accepted.len() > 80 && world.answers.len() == world.accepted.len());
+        let (steps, observed) = run(&cfg, seed, 0).unwrap();
+        assert!(observed.accepted.len() > 80 && observed.answers.len() == observed.accepted.len());
         for power in (1..steps.min(1_200)).step_by(19) {
             if let Err(e) = run(&cfg, seed, power) {
                 panic!("seed {seed}, power lost at step {power}: {e}");
--- a/crates/engine/tests/kept/mod.rs
+++ b/crates/engine/tests/kept/mod.rs
@@ -1,4 +1,5 @@
-//! A node of a fleet with clients, receivers and its journal on a faulty disk, on a virtual clock.
+//! A test harness: one node of a fleet with MQTT clients and SMPP receivers, on a virtual clock, with its
+//! journal on a disk with injected faults.
 #![allow(dead_code)]
 
 use crate::rig::{LIMITS, SMALL, commit};
@@ -36,90 +37,94 @@
 }
 
 pub struct Client {
-    pub core: MqttClient,
+    pub mqtt: MqttClient,
     pub conn: Option<ConnId>,
-    pub heard: Vec<Heard>,
+    pub events: Vec<Heard>,
 }
 
-pub struct Rig {
+pub struct Harness {
     pub cfg: Arc<Config>,
     pub fleet: bool,
-    /// Which of its process's senders it is.
+    /// The index of this sender in its process.
     pub index: usize,
     pub now: i64,
-    pub life: Option<(Node, Journal<Disk>)>,
-    pub count: u64,
-    pub waiting: Vec<Vec<Entry>>,
+    pub running: Option<(Node, Journal<Disk>)>,
+    /// The number of journal entries committed since the start.
+    pub committed_entries: u64,
+    /// Journal entries that wait for the next commit.
+    pub uncommitted: Vec<Vec<Entry>>,
     pub receivers: BTreeMap<ConnId, Session>,
     pub clients: Vec<Client>,
-    pub lives: Vec<Live>,
-    pub asks: Vec<ClientRequest>,
-    /// Bodies that arrived.
-    pub ran: Vec<String>,
-    /// Receivers can't be reached.
-    pub down: bool,
-    /// Clients acknowledge nothing.
-    pub deaf: bool,
-    /// Receivers answer so many milliseconds late.
-    pub slow: i64,
-    /// Octets to receivers are not written.
-    pub paused: bool,
-    /// Answers of receivers on their way, with when they arrive.
-    late: Vec<(i64, ConnId, BytesMut)>,
-    /// Whose work the node said that it took over.
-    pub taken_over: Vec<String>,
+    /// The node's reports of the live rules.
+    pub live_reports: Vec<Live>,
+    /// The client requests that the node forwarded.
+    pub client_requests: Vec<ClientRequest>,
+    /// The bodies of the messages that receivers got, in order of arrival.
+    pub received_bodies: Vec<String>,
+    /// Whether connections to receivers fail.
+    pub receivers_down: bool,
+    /// Whether clients acknowledge nothing.
+    pub withhold_acks: bool,
+    /// The delay of receivers' responses in milliseconds.
+    pub response_delay_ms: i64,
+    /// Whether bytes to receivers stay unwritten.
+    pub receiver_writes_paused: bool,
+    /// Delayed responses of receivers, with their arrival time.
+    delayed_responses: Vec<(i64, ConnId, BytesMut)>,
+    /// The members whose work the node reported as taken over.
+    pub takeovers: Vec<String>,
 }
 
-impl Rig {
-    pub fn with(cfg: Arc<Config>, fleet: bool, faults: Faults) -> Self {
+impl Harness {
+    pub fn with_config(cfg: Arc<Config>, fleet: bool, faults: Faults) -> Self {
         let client = |user, id| Client {
-            core: MqttClient::new(Who::new(true, user, id)),
+            mqtt: MqttClient::new(Who::new(true, user, id)),
             conn: None,
-            heard: Vec::new(),
+            events: Vec::new(),
         };
         let clients = vec![client("c", "one"), client("c", "two"), client("d", "x")];
-        let mut r = Rig {
+        let mut harness = Harness {
             cfg,
             fleet,
             index: 0,
             now: 1 << 40,
-            life: None,
-            count: 0,
-            waiting: Vec::new(),
+            running: None,
+            committed_entries: 0,
+            uncommitted: Vec::new(),
             receivers: BTreeMap::new(),
             clients,
-            lives: Vec::new(),
-            asks: Vec::new(),
-            ran: Vec::new(),
-            down: false,
-            deaf: false,
-            slow: 0,
-            paused: false,
-            late: Vec::new(),
-            taken_over: Vec::new(),
+            live_reports: Vec::new(),
+            client_requests: Vec::new(),
+            received_bodies: Vec::new(),
+            receivers_down: false,
+            withhold_acks: false,
+            response_delay_ms: 0,
+            receiver_writes_paused: false,
+            delayed_responses: Vec::new(),
+            takeovers: Vec::new(),
         };
-        r.start(Disk::new(faults));
-        r
+        harness.start(Disk::new(faults));
+        harness
     }
 
     pub fn new(held: &str) -> Self {
-        Rig::at(held, 0)
+        Harness::for_sender(held, 0)
     }
 
-    /// The same, of one of its process's senders.
-    pub fn at(held: &str, index: usize) -> Self {
-        let mut r = Rig::with(settings(held), true, Faults::default());
-        r.index = index;
-        assert!(r.start(Disk::new(Faults::default())));
-        r.enter();
-        r
+    /// Starts the sender with the given index in its process, with its clients connected.
+    pub fn for_sender(held: &str, index: usize) -> Self {
+        let mut harness = Harness::with_config(settings(held), true, Faults::default());
+        harness.index = index;
+        assert!(harness.start(Disk::new(Faults::default())));
+        harness.connect_clients();
+        harness
     }
 
     pub fn node(&mut self) -> &mut Node {
-        &mut self.life.as_mut().unwrap().0
+        &mut self.running.as_mut().unwrap().0
     }
 
-    /// False where power goes at once.
+    /// Starts the node on the disk. Returns false if power is lost during the start.
     pub fn start(&mut self, disk: Disk) -> bool {
         let Ok(journal) = Journal::open(disk, SMALL) else { return false };
         let (now, state) = (self.now, Some(journal.state().clone()));
@@ -134,17 +139,17 @@
             fleet: self.fleet,
         };
         let node = Node::new(self.cfg.clone(), start).unwrap();
-        (self.life, self.count) = (Some((node, journal)), 0);
-        self.waiting.clear();
+        (self.running, self.committed_entries) = (Some((node, journal)), 0);
+        self.uncommitted.clear();
         self.receivers.clear();
         true
     }
 
-    /// Power is lost, and all start anew from what the disk kept.
+    /// Simulates a power loss and a restart from the data that is durable on the disk.
     pub fn crash(&mut self) {
-        let disk = self.life.take().unwrap().1.into_storage();
+        let disk = self.running.take().unwrap().1.into_storage();
         for c in &mut self.clients {
-            c.core.closed();
+            c.mqtt.closed();
             c.conn = None;
         }
         self.now += MS;
@@ -153,157 +158,165 @@
         assert!(self.start(after));
     }
 
-    pub fn enter(&mut self) {
+    /// Connects all clients and subscribes them to their answers.
+    pub fn connect_clients(&mut self) {
         for i in 0..self.clients.len() {
             let (now, mut out) = (self.now, BytesMut::new());
-            self.clients[i].core.connect(&mut out);
+            self.clients[i].mqtt.connect(&mut out);
             self.clients[i].conn = self.node().accepted(now, Speaks::Mqtt, &out);
-            self.pass(1);
+            self.advance(1);
             let mut out = BytesMut::new();
-            self.clients[i].core.subscribe("answers/#", 1, &mut out);
-            self.say(i, &out);
+            self.clients[i].mqtt.subscribe("answers/#", 1, &mut out);
+            self.send(i, &out);
         }
-        self.pass(3);
+        self.advance(3);
     }
 
-    pub fn say(&mut self, i: usize, octets: &[u8]) {
+    /// Passes a client's bytes to the node.
+    pub fn send(&mut self, i: usize, bytes: &[u8]) {
         let (now, conn) = (self.now, self.clients[i].conn.unwrap());
-        self.node().received(now, conn, octets);
+        self.node().received(now, conn, bytes);
     }
 
-    /// Milliseconds pass. False once power is lost.
-    pub fn pass(&mut self, ms: i64) -> bool {
+    /// Advances the clock by `ms` milliseconds. Returns false once the disk has lost power.
+    pub fn advance(&mut self, ms: i64) -> bool {
         for _ in 0..ms {
             self.now += MS;
             let now = self.now;
-            let (came, late) = std::mem::take(&mut self.late).into_iter().partition(|(at, ..)| *at <= now);
-            self.late = late;
-            let came: Vec<_> = came;
-            came.into_iter().for_each(|(_, conn, octets)| self.node().received(now, conn, &octets));
+            let (arrived, still_delayed) =
+                std::mem::take(&mut self.delayed_responses).into_iter().partition(|(at, ..)| *at <= now);
+            self.delayed_responses = still_delayed;
+            let arrived: Vec<_> = arrived;
+            arrived.into_iter().for_each(|(_, conn, bytes)| self.node().received(now, conn, &bytes));
             self.node().settle(now);
             for _ in 0..20 {
                 let outputs = self.node().outputs();
                 if outputs.is_empty() {
                     break;
                 }
-                outputs.into_iter().for_each(|o| self.output(o));
+                outputs.into_iter().for_each(|o| self.handle_output(o));
                 self.node().settle(now);
             }
-            let Some((node, journal)) = &mut self.life else { return false };
-            if !commit(node, journal, &mut self.waiting, &mut self.count, now) {
+            let Some((node, journal)) = &mut self.running else { return false };
+            if !commit(node, journal, &mut self.uncommitted, &mut self.committed_entries, now) {
                 return false;
             }
         }
         true
     }
 
-    pub fn output(&mut self, output: Output) {
+    pub fn handle_output(&mut self, output: Output) {
         let now = self.now;
         match output {
-            Output::Connect { conn, .. } if self.down => self.node().closed(now, conn, CloseReason::Broken),
+            Output::Connect { conn, .. } if self.receivers_down => {
+                self.node().closed(now, conn, CloseReason::Broken)
+            }
             Output::Connect { conn, .. } => {
                 self.receivers.insert(conn, Session::new(0, LIMITS));
                 self.node().connected(now, conn);
             }
-            Output::Write(conn) => self.carry(conn),
+            Output::Write(conn) => self.transfer(conn),
             Output::Finish(conn) | Output::Drop(conn) => {
-                self.carry(conn);
+                self.transfer(conn);
                 self.receivers.remove(&conn);
                 if let Some(c) = self.clients.iter_mut().find(|c| c.conn == Some(conn)) {
-                    c.core.closed();
+                    c.mqtt.closed();
                     c.conn = None;
                 }
                 self.node().closed(now, conn, CloseReason::Ended);
             }
             Output::SaveList(_) => {}
-            Output::Journal(entries) => self.waiting.push(entries),
-            Output::Live(live) => self.lives.push(live),
-            Output::ClientRequest(ask) => self.asks.push(ask),
+            Output::Journal(entries) => self.uncommitted.push(entries),
+            Output::Live(live) => self.live_reports.push(live),
+            Output::ClientRequest(request) => self.client_requests.push(request),
             Output::Copying => {}
-            Output::Inherited(origin) => self.taken_over.push(origin),
+            Output::Inherited(origin) => self.takeovers.push(origin),
         }
     }
 
-    pub fn carry(&mut self, conn: ConnId) {
+    /// Takes the node's pending bytes of a connection to its peer, and the peer's reply back.
+    pub fn transfer(&mut self, conn: ConnId) {
         let now = self.now;
-        if self.paused && self.receivers.contains_key(&conn) {
+        if self.receiver_writes_paused && self.receivers.contains_key(&conn) {
             return;
         }
-        let octets = self.node().pending(conn).to_vec();
-        self.node().wrote(conn, octets.len());
-        let mut back = BytesMut::new();
+        let bytes = self.node().pending(conn).to_vec();
+        self.node().wrote(conn, bytes.len());
+        let mut reply = BytesMut::new();
         if let Some(c) = self.clients.iter_mut().find(|c| c.conn == Some(conn)) {
-            c.core.receive(&octets, &mut back, &mut c.heard);
-            if self.deaf {
-                back.clear();
+            c.mqtt.receive(&bytes, &mut reply, &mut c.events);
+            if self.withhold_acks {
+                reply.clear();
             }
         } else if let Some(session) = self.receivers.get_mut(&conn) {
             let mut events = Vec::new();
-            session.receive(now, 0, &octets, &mut back, &mut events);
+            session.receive(now, 0, &bytes, &mut reply, &mut events);
             for event in events {
                 match event {
-                    server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", &mut back),
+                    server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", &mut reply),
                     server::Event::Submit { sequence, submission, .. } => {
-                        self.ran.push(String::from_utf8_lossy(&submission.body).into_owned());
-                        session.submitted(sequence, "r", CommandStatus::EsmeRok, vec![], &mut back);
+                        self.received_bodies.push(String::from_utf8_lossy(&submission.body).into_owned());
+                        session.submitted(sequence, "r", CommandStatus::EsmeRok, vec![], &mut reply);
                     }
                     _ => {}
                 }
             }
         }
-        if self.slow > 0 && self.receivers.contains_key(&conn) {
-            self.late.push((now + self.slow * MS, conn, back));
-        } else if !back.is_empty() {
-            self.node().received(now, conn, &back);
+        if self.response_delay_ms > 0 && self.receivers.contains_key(&conn) {
+            self.delayed_responses.push((now + self.response_delay_ms * MS, conn, reply));
+        } else if !reply.is_empty() {
+            self.node().received(now, conn, &reply);
         }
     }
 
-    /// Publishes, and gives the code of the acknowledgement and the answers heard under the same correlation data.
-    pub fn hand(&mut self, i: usize, topic: &str, ms: i64) -> (u8, Vec<String>) {
-        self.clients[i].heard.clear();
+    /// Publishes a message, and returns the acknowledgement's code and the answers with the same correlation
+    /// data.
+    pub fn publish(&mut self, i: usize, topic: &str, ms: i64) -> (u8, Vec<String>) {
+        self.clients[i].events.clear();
         let mut out = BytesMut::new();
         let (correlation, payload) = (self.now.to_string().into_bytes(), topic.as_bytes().to_vec());
-        let hand = Hand { topic: topic.into(), payload, qos: 1, correlation, ..Hand::default() };
-        let packet = self.clients[i].core.publish(&hand, &mut out);
-        self.say(i, &out);
-        self.pass(ms);
-        let heard = &self.clients[i].heard;
-        let code = heard.iter().find_map(|h| match h {
+        let message = Hand { topic: topic.into(), payload, qos: 1, correlation, ..Hand::default() };
+        let packet = self.clients[i].mqtt.publish(&message, &mut out);
+        self.send(i, &out);
+        self.advance(ms);
+        let events = &self.clients[i].events;
+        let code = events.iter().find_map(|h| match h {
             Heard::Acked(p, code, _) if *p == packet => Some(*code),
             _ => None,
         });
-        let told = heard.iter().filter_map(|h| match h {
-            Heard::Told(_, text, c, ..) if *c == hand.correlation => Some(text.clone()),
+        let answers = events.iter().filter_map(|h| match h {
+            Heard::Told(_, text, c, ..) if *c == message.correlation => Some(text.clone()),
             _ => None,
         });
-        (code.unwrap_or(0xFF), told.collect())
+        (code.unwrap_or(0xFF), answers.collect())
     }
 
-    pub fn held(&mut self, i: usize) -> usize {
-        let (_, told) = self.hand(i, "held/list", 3);
-        told[0].split([':', ' ']).nth(1).unwrap().parse().unwrap()
+    /// Returns the number of held messages that a client is shown.
+    pub fn held_count(&mut self, i: usize) -> usize {
+        let (_, answers) = self.publish(i, "held/list", 3);
+        answers[0].split([':', ' ']).nth(1).unwrap().parse().unwrap()
     }
 
-    /// Applies, and gives what is told of it.
-    pub fn apply(&mut self, version: u64, rules: &[Rule], certain: bool) -> Live {
-        self.lives.clear();
+    /// Applies a version of the rules and returns the report of what is live afterwards.
+    pub fn apply_rules(&mut self, version: u64, rules: &[Rule], certain: bool) -> Live {
+        self.live_reports.clear();
         let (now, apply) = (self.now, apply(version, rules, certain));
         self.node().apply(now, apply);
-        self.pass(2);
-        self.lives.pop().expect("it is told")
+        self.advance(2);
+        self.live_reports.pop().expect("a report of what is live")
     }
 
-    /// What is approved while changes are fenced off; none: lifted.
+    /// Fences changes off under the approved rules; `None` lifts the fence.
     pub fn fence(&mut self, approved: Option<&[Rule]>) {
         let under = approved.map(|rules| Arc::new(set(9, rules)));
         let now = self.now;
         self.node().fence(now, Fence { client: "c".into(), under, turn: Turn::default() });
-        self.pass(2);
+        self.advance(2);
     }
 
-    /// A version that must be applied.
-    pub fn rules(&mut self, version: u64, rules: &[Rule]) {
-        let live = self.apply(version, rules, true);
+    /// Applies a version and asserts that it is live without trouble.
+    pub fn apply_certain(&mut self, version: u64, rules: &[Rule]) {
+        let live = self.apply_rules(version, rules, true);
         assert_eq!((live.trouble, live.set), (None, set(version, rules)));
     }
 }
--- a/crates/engine/tests/mqtt.rs
+++ b/crates/engine/tests/mqtt.rs
@@ -1,6 +1,7 @@
-//! The MQTT front on a node with its journal on a faulty disk, on a virtual clock: connections are cut in the middle
-//! of packets, power is lost at steps of the disk, and clients (another's state machine) resume and send again. What
-//! is handed in once must be one message, whatever is lost on the way.
+//! Tests the MQTT front of a node with its journal on a disk with injected faults, on a virtual clock.
+//! Connections are cut in the middle of packets, power is lost at steps of the disk, and clients (an
+//! independent state machine) resume and resend. A message that is submitted once must stay one message,
+//! whatever is lost on the way.
 
 mod rig;
 
@@ -14,7 +15,7 @@
 use heronroute_smpp::server::{self, Mode, Session};
 use heronroute_smpp::submission::{Submission, Wanted};
 use heronroute_standins::mqtt::{Hand, Heard, MqttClient, Who, field};
-use rig::{Dice, LIMITS, SMALL, commit};
+use rig::{LIMITS, SMALL, TestRng, commit};
 use rusmpp_core::CommandStatus;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,10 +23,10 @@
 const MS: i64 = 1_000;
 
 fn settings(more: &str) -> Arc<Config> {
-    Arc::new(parse("mqtt", &text(more)).unwrap())
+    Arc::new(parse("mqtt", &settings_text(more)).unwrap())
 }
 
-fn text(more: &str) -> String {
+fn settings_text(more: &str) -> String {
     format!(
         "service {{ slots: 16 room: 500 max_attempts: 6 quantum: \"1ms\" }} \
         smpp {{ enquire_every: \"1h\" inactivity: \"8h\" response: \"1h\" }} \
@@ -40,21 +41,21 @@
     )
 }
 
-/// One client and what it knows; it survives the sender.
+/// A client and what it has received; it survives a crash of the sender.
 struct Client {
-    core: MqttClient,
+    mqtt: MqttClient,
     conn: Option<ConnId>,
-    /// Heard since the last look.
-    heard: Vec<Heard>,
-    /// Let in on this connection.
-    inside: bool,
+    /// The events received since the list was last cleared.
+    events: Vec<Heard>,
+    /// Whether the current connection was accepted (CONNACK received).
+    session_open: bool,
     subscribed: bool,
-    /// It acknowledges no answer.
-    deaf: bool,
-    /// Messages by packet identifier.
-    asked: BTreeMap<u16, u64>,
+    /// Whether it leaves answers unacknowledged.
+    withhold_acks: bool,
+    /// The numbers of published messages by packet identifier.
+    published: BTreeMap<u16, u64>,
     acked: BTreeSet<u64>,
-    /// Answers by message, with the identity.
+    /// The answers by message number, each as identity and state.
     answers: BTreeMap<u64, Vec<(String, String)>>,
 }
 
@@ -62,30 +63,30 @@
     fn new(five: bool, user: &str, id: &str) -> Self {
         let who = Who { window: 5, ..Who::new(five, user, id) };
         Client {
-            core: MqttClient::new(who),
+            mqtt: MqttClient::new(who),
             conn: None,
-            heard: Vec::new(),
-            inside: false,
+            events: Vec::new(),
+            session_open: false,
             subscribed: false,
-            deaf: false,
-            asked: BTreeMap::new(),
+            withhold_acks: false,
+            published: BTreeMap::new(),
             acked: BTreeSet::new(),
             answers: BTreeMap::new(),
         }
     }
 
-    fn digest(&mut self, heard: Vec<Heard>) {
-        for h in &heard {
+    fn record_events(&mut self, events: Vec<Heard>) {
+        for h in &events {
             match h {
                 Heard::In(present) => {
-                    self.inside = true;
+                    self.session_open = true;
                     if !present {
-                        self.asked.clear();
+                        self.published.clear();
                         self.subscribed = false;
                     }
                 }
                 Heard::Acked(packet, code, _) if *code < 0x80 => {
-                    self.acked.extend(self.asked.get(packet));
+                    self.acked.extend(self.published.get(packet));
                 }
                 Heard::Told(_, text, correlation, ..) => {
                     let id = field(text, "id").unwrap_or_default().to_string();
@@ -99,35 +100,36 @@
                 _ => {}
             }
         }
-        self.heard.extend(heard);
+        self.events.extend(events);
     }
 }
 
-/// One life of a sender, with its receivers.
-struct Life {
+/// A sender's process from a start to a crash, with its receivers.
+struct Process {
     node: Node,
     journal: Journal<Disk>,
-    count: u64,
-    waiting: Vec<Vec<Entry>>,
+    committed_entries: u64,
+    uncommitted: Vec<Vec<Entry>>,
     receivers: BTreeMap<ConnId, Session>,
-    due: BTreeSet<(i64, ConnId, u32)>,
-    /// Of a hundred exchanges of a client so many are cut.
-    cuts: u64,
-    /// The connection is cut before this kind of packet is carried, up (from a client) or down.
-    lose: Option<(bool, u8)>,
-    /// One in so many steps commits.
-    commits: u64,
-    /// Receivers answer.
-    answering: bool,
-    /// They take messages and never answer; they can't be reached.
-    silent: bool,
-    down: bool,
+    pending_responses: BTreeSet<(i64, ConnId, u32)>,
+    /// The percentage of a client's exchanges in which the connection is cut.
+    cut_percent: u64,
+    /// Cuts the connection before the next packet of this type; the flag is true for packets from the client.
+    cut_before: Option<(bool, u8)>,
+    /// On average one in this many steps commits the journal.
+    commit_interval: u64,
+    /// Whether receivers respond to every message.
+    always_respond: bool,
+    /// Whether receivers accept messages and never respond.
+    never_respond: bool,
+    /// Whether connections to receivers fail.
+    unreachable: bool,
 }
 
-/// What the world outside knows: bodies that ran, with the identities under which they came.
-type Ran = BTreeMap<u64, Vec<String>>;
+/// The messages that reached receivers: the identities with which each message number arrived.
+type Arrivals = BTreeMap<u64, Vec<String>>;
 
-fn start(cfg: &Arc<Config>, disk: Disk, now: i64, cuts: u64) -> Option<Life> {
+fn start(cfg: &Arc<Config>, disk: Disk, now: i64, cut_percent: u64) -> Option<Process> {
     let journal = Journal::open(disk, SMALL).ok()?;
     let start = Start {
         index: 0,
@@ -140,80 +142,86 @@
         fleet: false,
     };
     let node = Node::new(cfg.clone(), start).unwrap();
-    let (receivers, due) = (BTreeMap::new(), BTreeSet::new());
-    Some(Life {
+    let (receivers, pending_responses) = (BTreeMap::new(), BTreeSet::new());
+    Some(Process {
         node,
         journal,
-        count: 0,
-        waiting: Vec::new(),
+        committed_entries: 0,
+        uncommitted: Vec::new(),
         receivers,
-        due,
-        cuts,
-        lose: None,
-        commits: 3,
-        answering: false,
-        silent: false,
-        down: false,
+        pending_responses,
+        cut_percent,
+        cut_before: None,
+        commit_interval: 3,
+        always_respond: false,
+        never_respond: false,
+        unreachable: false,
     })
 }
 
-impl Life {
-    fn cut(&mut self, now: i64, c: &mut Client) {
-        if let Some(conn) = c.conn.take() {
+impl Process {
+    fn cut(&mut self, now: i64, client: &mut Client) {
+        if let Some(conn) = client.conn.take() {
             self.node.closed(now, conn, CloseReason::Broken);
-            c.core.closed();
-            // What was not heard of a subscription is asked for again.
-            (c.inside, c.subscribed) = (false, false);
+            client.mqtt.closed();
+            // A subscription whose acknowledgement may be lost is requested again.
+            (client.session_open, client.subscribed) = (false, false);
         }
     }
 
-    /// Octets of a client, of which some may be lost with the connection.
-    fn send(&mut self, now: i64, c: &mut Client, octets: &[u8], dice: &mut Dice) {
-        let Some(conn) = c.conn else { return };
-        if octets.is_empty() {
+    /// Sends a client's bytes, of which some may be lost with the connection.
+    fn send(&mut self, now: i64, client: &mut Client, bytes: &[u8], rng: &mut TestRng) {
+        let Some(conn) = client.conn else { return };
+        if bytes.is_empty() {
             return;
         }
-        if self.lose == Some((true, octets[0] >> 4)) {
-            self.lose = None;
-            return self.cut(now, c);
+        if self.cut_before == Some((true, bytes[0] >> 4)) {
+            self.cut_before = None;
+            return self.cut(now, client);
         }
-        if dice.below(100) < self.cuts {
-            let some = dice.below(octets.len() as u64 + 1) as usize;
-            self.node.received(now, conn, &octets[..some]);
-            return self.cut(now, c);
+        if rng.below(100) < self.cut_percent {
+            let some = rng.below(bytes.len() as u64 + 1) as usize;
+            self.node.received(now, conn, &bytes[..some]);
+            return self.cut(now, client);
         }
-        self.node.received(now, conn, octets);
+        self.node.received(now, conn, bytes);
     }
 
-    fn connect(&mut self, now: i64, c: &mut Client) -> bool {
+    fn connect(&mut self, now: i64, client: &mut Client) -> bool {
         let mut out = BytesMut::new();
-        c.core.connect(&mut out);
-        c.conn = self.node.accepted(now, Speaks::Mqtt, &out);
-        if c.conn.is_none() {
-            c.core.closed();
+        client.mqtt.connect(&mut out);
+        client.conn = self.node.accepted(now, Speaks::Mqtt, &out);
+        if client.conn.is_none() {
+            client.mqtt.closed();
         }
-        c.conn.is_some()
+        client.conn.is_some()
     }
 
-    fn subscribe(&mut self, now: i64, c: &mut Client, dice: &mut Dice) {
+    fn subscribe(&mut self, now: i64, client: &mut Client, rng: &mut TestRng) {
         let mut out = BytesMut::new();
-        c.core.subscribe("answers/#", 1, &mut out);
-        c.subscribed = true;
-        self.send(now, c, &out, dice);
+        client.mqtt.subscribe("answers/#", 1, &mut out);
+        client.subscribed = true;
+        self.send(now, client, &out, rng);
     }
 
-    fn publish(&mut self, now: i64, c: &mut Client, n: u64, hand: &Hand, dice: &mut Dice) -> u16 {
+    fn publish(&mut self, now: i64, client: &mut Client, n: u64, message: &Hand, rng: &mut TestRng) -> u16 {
         let mut out = BytesMut::new();
-        let packet = c.core.publish(hand, &mut out);
-        c.asked.insert(packet, n);
-        self.send(now, c, &out, dice);
+        let packet = client.mqtt.publish(message, &mut out);
+        client.published.insert(packet, n);
+        self.send(now, client, &out, rng);
         packet
     }
 
-    /// A millisecond passes. False once power is lost.
-    fn step(&mut self, now: i64, clients: &mut [Client], ran: &mut Ran, dice: &mut Dice) -> bool {
-        while let Some((_, conn, sequence)) = self.due.first().copied().filter(|d| d.0 <= now) {
-            self.due.pop_first();
+    /// Advances the clock by one millisecond. Returns false once the disk has lost power.
+    fn advance_one_ms(
+        &mut self,
+        now: i64,
+        clients: &mut [Client],
+        arrivals: &mut Arrivals,
+        rng: &mut TestRng,
+    ) -> bool {
+        while let Some((_, conn, sequence)) = self.pending_responses.first().copied().filter(|d| d.0 <= now) {
+            self.pending_responses.pop_first();
             let mut out = BytesMut::new();
             if let Some(session) = self.receivers.get_mut(&conn) {
                 session.submitted(sequence, "r", CommandStatus::EsmeRok, vec![], &mut out);
@@ -228,20 +236,20 @@
             }
             for output in outputs {
                 match output {
-                    Output::Connect { conn, .. } if self.down => {
+                    Output::Connect { conn, .. } if self.unreachable => {
                         self.node.closed(now, conn, CloseReason::Broken);
                     }
                     Output::Connect { conn, .. } => {
                         self.receivers.insert(conn, Session::new(0, LIMITS));
                         self.node.connected(now, conn);
                     }
-                    Output::Write(conn) => self.carry(now, conn, clients, ran, dice),
+                    Output::Write(conn) => self.transfer(now, conn, clients, arrivals, rng),
                     Output::Finish(conn) | Output::Drop(conn) => {
-                        self.carry(now, conn, clients, ran, dice);
+                        self.transfer(now, conn, clients, arrivals, rng);
                         self.receivers.remove(&conn);
-                        if let Some(c) = clients.iter_mut().find(|c| c.conn == Some(conn)) {
-                            c.core.closed();
-                            (c.conn, c.inside) = (None, false);
+                        if let Some(client) = clients.iter_mut().find(|client| client.conn == Some(conn)) {
+                            client.mqtt.closed();
+                            (client.conn, client.session_open) = (None, false);
                         }
                         self.node.closed(now, conn, CloseReason::Ended);
                     }
@@ -250,173 +258,186 @@
                     | Output::ClientRequest(_)
                     | Output::Copying
                     | Output::Inherited(_) => {}
-                    Output::Journal(entries) => self.waiting.push(entries),
+                    Output::Journal(entries) => self.uncommitted.push(entries),
                 }
             }
             self.node.settle(now);
         }
-        // The journal comes last and not always, and takes all that waits in one commit.
-        if dice.below(self.commits) > 0 {
+        // The journal commits last, in some steps only, all waiting entries at once.
+        if rng.below(self.commit_interval) > 0 {
             return true;
         }
-        commit(&mut self.node, &mut self.journal, &mut self.waiting, &mut self.count, now)
+        commit(&mut self.node, &mut self.journal, &mut self.uncommitted, &mut self.committed_entries, now)
     }
 
-    fn carry(&mut self, now: i64, conn: ConnId, clients: &mut [Client], ran: &mut Ran, dice: &mut Dice) {
-        let octets = self.node.pending(conn).to_vec();
-        self.node.wrote(conn, octets.len());
-        let mut back = BytesMut::new();
-        if let Some(c) = clients.iter_mut().find(|c| c.conn == Some(conn)) {
-            let named = !octets.is_empty() && self.lose == Some((false, octets[0] >> 4));
-            let lost = named || dice.below(100) < self.cuts;
+    fn transfer(
+        &mut self,
+        now: i64,
+        conn: ConnId,
+        clients: &mut [Client],
+        arrivals: &mut Arrivals,
+        rng: &mut TestRng,
+    ) {
+        let bytes = self.node.pending(conn).to_vec();
+        self.node.wrote(conn, bytes.len());
+        let mut reply = BytesMut::new();
+        if let Some(client) = clients.iter_mut().find(|client| client.conn == Some(conn)) {
+            let named = !bytes.is_empty() && self.cut_before == Some((false, bytes[0] >> 4));
+            let lost = named || rng.below(100) < self.cut_percent;
             let some = if named {
-                self.lose = None;
+                self.cut_before = None;
                 0
             } else if lost {
-                dice.below(octets.len() as u64 + 1) as usize
+                rng.below(bytes.len() as u64 + 1) as usize
             } else {
-                octets.len()
+                bytes.len()
             };
-            let mut heard = Vec::new();
-            c.core.receive(&octets[..some], &mut back, &mut heard);
-            assert!(!heard.iter().any(|h| matches!(h, Heard::Wrong(_))), "{heard:?}");
-            c.digest(heard);
+            let mut events = Vec::new();
+            client.mqtt.receive(&bytes[..some], &mut reply, &mut events);
+            assert!(!events.iter().any(|h| matches!(h, Heard::Wrong(_))), "{events:?}");
+            client.record_events(events);
             if lost {
-                return self.cut(now, c);
+                return self.cut(now, client);
             }
-            if c.deaf {
-                back.clear();
+            if client.withhold_acks {
+                reply.clear();
             }
-            return self.send(now, c, &back, dice);
+            return self.send(now, client, &reply, rng);
         }
         if let Some(session) = self.receivers.get_mut(&conn) {
             let mut events = Vec::new();
-            session.receive(now, 0, &octets, &mut back, &mut events);
+            session.receive(now, 0, &bytes, &mut reply, &mut events);
             for event in events {
                 match event {
-                    server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", &mut back),
+                    server::Event::Bind { sequence, .. } => session.accept(now, sequence, "r", &mut reply),
                     server::Event::Submit { sequence, submission, .. } => {
                         let n = String::from_utf8_lossy(&submission.body).parse().unwrap();
-                        ran.entry(n).or_default().push(submission.identity.clone().unwrap());
-                        // A few answers of receivers are lost, too.
-                        if self.silent {
+                        arrivals.entry(n).or_default().push(submission.identity.clone().unwrap());
+                        // A few responses of receivers are lost, too.
+                        if self.never_respond {
                             continue;
                         }
-                        if self.answering || dice.below(20) > 0 {
-                            self.due.insert((now + (1 + dice.below(20) as i64) * MS, conn, sequence));
+                        if self.always_respond || rng.below(20) > 0 {
+                            self.pending_responses.insert((
+                                now + (1 + rng.below(20) as i64) * MS,
+                                conn,
+                                sequence,
+                            ));
                         }
                     }
                     _ => {}
                 }
             }
         }
-        if !back.is_empty() {
-            self.node.received(now, conn, &back);
+        if !reply.is_empty() {
+            self.node.received(now, conn, &reply);
         }
     }
 }
 
-fn hand(n: u64, five: bool, qos: u8, class: &str) -> Hand {
+fn message(n: u64, five: bool, qos: u8, class: &str) -> Hand {
     let address = format!("1{n:06}");
-    // Version 3.1.1 tells its answers apart by the name it gave.
+    // A version 3.1.1 client tells its answers apart by the name in the topic.
     let topic = if five { format!("to/{address}/{class}") } else { format!("to/{address}/{class}//{n}") };
     let correlation = if five { n.to_string().into_bytes() } else { Vec::new() };
     Hand { topic, payload: n.to_string().into_bytes(), qos, correlation, ..Hand::default() }
 }
 
-fn verdict(clients: &[Client], ran: &Ran) -> Result<(), String> {
-    for c in clients {
-        for n in &c.acked {
-            let answers = c.answers.get(n).ok_or(format!("{n} was acknowledged and never answered"))?;
+fn check_outcomes(clients: &[Client], arrivals: &Arrivals) -> Result<(), String> {
+    for client in clients {
+        for n in &client.acked {
+            let answers = client.answers.get(n).ok_or(format!("{n} was acknowledged and never answered"))?;
             if answers.iter().any(|a| a != &answers[0]) {
                 return Err(format!("{n} got different answers: {answers:?}"));
             }
             let none = Vec::new();
-            let arrived = ran.get(n).unwrap_or(&none);
+            let arrived = arrivals.get(n).unwrap_or(&none);
             match answers[0].1.as_str() {
                 "DELIVRD" if arrived.is_empty() => {
-                    return Err(format!("{n} is told delivered and never ran"));
+                    return Err(format!("{n} was reported delivered and never arrived"));
                 }
                 "DELIVRD" | "UNKNOWN" => {}
-                other if !arrived.is_empty() => return Err(format!("{n} is told {other} and ran")),
+                other if !arrived.is_empty() => return Err(format!("{n} was reported {other} and arrived")),
                 _ => {}
             }
         }
     }
-    for (n, ids) in ran {
-        // Unsafe messages have odd numbers.
+    for (n, ids) in arrivals {
+        // Single-shot messages have odd numbers.
         if ids.iter().any(|id| id != &ids[0]) || (n % 2 == 1 && ids.len() > 1) {
-            return Err(format!("{n} was handed in once and ran as {ids:?}"));
+            return Err(format!("{n} was submitted once and arrived as {ids:?}"));
         }
     }
     Ok(())
 }
 
-fn run(seed: u64, power: u64, cuts: u64) -> Result<(u64, Vec<Client>), String> {
+fn run(seed: u64, power: u64, cut_percent: u64) -> Result<(u64, Vec<Client>), String> {
     let cfg = settings("");
-    let mut dice = Dice(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
+    let mut rng = TestRng(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1);
     let mut clients =
         vec![Client::new(true, "c", "one"), Client::new(true, "c", "two"), Client::new(false, "d", "one")];
-    let mut ran = Ran::new();
+    let mut arrivals = Arrivals::new();
     let mut disk = Disk::new(Faults { power, ..Faults::default() });
     let (mut now, mut losses, mut steps, mut next) = (1 << 40, 0, 0, 0);
     let end = now + 6_000 * MS;
     while now < end {
-        let Some(mut life) = start(&cfg, disk.clone(), now, cuts) else {
+        let Some(mut process) = start(&cfg, disk.clone(), now, cut_percent) else {
             disk = disk.after_loss(seed + losses);
             losses += 1;
             continue;
         };
         let mut alive = true;
         while now < end && alive {
-            let handing_in = now < end - 5_500 * MS;
-            if !handing_in {
-                life.cuts = 0;
+            let submitting = now < end - 5_500 * MS;
+            if !submitting {
+                process.cut_percent = 0;
             }
-            now += if handing_in { MS } else { 4 * MS };
-            for c in &mut clients {
-                if c.conn.is_none() && dice.below(4) == 0 {
-                    life.connect(now, c);
-                } else if c.inside && !c.subscribed {
-                    life.subscribe(now, c, &mut dice);
-                } else if c.inside && handing_in && dice.below(6) == 0 && c.core.room() > 0 {
+            now += if submitting { MS } else { 4 * MS };
+            for client in &mut clients {
+                if client.conn.is_none() && rng.below(4) == 0 {
+                    process.connect(now, client);
+                } else if client.session_open && !client.subscribed {
+                    process.subscribe(now, client, &mut rng);
+                } else if client.session_open && submitting && rng.below(6) == 0 && client.mqtt.room() > 0 {
                     next += 1;
-                    let five = c.core.who().five;
-                    let qos = 1 + dice.below(2) as u8;
+                    let five = client.mqtt.who().five;
+                    let qos = 1 + rng.below(2) as u8;
                     let class = if next % 2 == 1 { "PAY" } else { "RESP" };
-                    life.publish(now, c, next, &hand(next, five, qos, class), &mut dice);
+                    process.publish(now, client, next, &message(next, five, qos, class), &mut rng);
                 }
             }
-            alive = life.step(now, &mut clients, &mut ran, &mut dice);
+            alive = process.advance_one_ms(now, &mut clients, &mut arrivals, &mut rng);
         }
-        disk = life.journal.into_storage();
+        disk = process.journal.into_storage();
         steps = disk.steps;
         if now < end {
             losses += 1;
             disk = disk.after_loss(seed * 31 + power);
             now += 20 * MS;
-            for c in &mut clients {
-                if c.conn.take().is_some() {
-                    c.core.closed();
-                    (c.inside, c.subscribed) = (false, false);
+            for client in &mut clients {
+                if client.conn.take().is_some() {
+                    client.mqtt.closed();
+                    (client.session_open, client.subscribed) = (false, false);
                 }
             }
         }
     }
-    verdict(&clients, &ran).map(|()| (steps, clients))
+    check_outcomes(&clients, &arrivals).map(|()| (steps, clients))
 }
 
+/// Guards against a lost or duplicated message when a connection is cut or power is lost while a client waits
+/// for an acknowledgement, and the client then sends again.
 #[test]
-fn what_is_handed_in_once_is_one_message_through_cuts_and_losses_of_power() {
+fn a_message_submitted_once_stays_one_message_despite_cuts_and_power_loss() {
     let mut runs = 0;
     for seed in 1..=4 {
-        let cuts = 5 * (seed - 1);
-        let (steps, clients) = run(seed, 0, cuts).unwrap();
-        let acked: usize = clients.iter().map(|c| c.acked.len()).sum();
+        let cut_percent = 5 * (seed - 1);
+        let (steps, clients) = run(seed, 0, cut_percent).unwrap();
+        let acked: usize = clients.iter().map(|client| client.acked.len()).sum();
         assert!(acked > 60, "{acked}");
         for power in (1..steps.min(1_200)).step_by(37) {
-            if let Err(e) = run(seed, power, cuts) {
-                panic!("seed {seed}, power lost at step {power}, {cuts} % cut: {e}");
+            if let Err(e) = run(seed, power, cut_percent) {
+                panic!("seed {seed}, power lost at step {power}, {cut_percent} % cut: {e}");
             }
             runs += 1;
         }
@@ -424,180 +445,192 @@
     assert!(runs > 50, "{runs}");
 }
 
-/// A sender with its clients, to be led by hand.
-struct Rig {
+/// A sender with its clients, controlled step by step by a test.
+struct Harness {
     cfg: Arc<Config>,
-    life: Option<Life>,
+    process: Option<Process>,
     clients: Vec<Client>,
-    ran: Ran,
-    dice: Dice,
+    arrivals: Arrivals,
+    rng: TestRng,
     now: i64,
 }
 
-impl Rig {
+impl Harness {
     fn new(more: &str, clients: Vec<Client>) -> Self {
         let cfg = settings(more);
         let now = 1 << 40;
-        let mut life = start(&cfg, Disk::new(Faults::default()), now, 0).unwrap();
-        (life.commits, life.answering) = (1, true);
-        Rig { cfg, life: Some(life), clients, ran: Ran::new(), dice: Dice(5), now }
+        let mut process = start(&cfg, Disk::new(Faults::default()), now, 0).unwrap();
+        (process.commit_interval, process.always_respond) = (1, true);
+        Harness { cfg, process: Some(process), clients, arrivals: Arrivals::new(), rng: TestRng(5), now }
     }
 
-    fn life(&mut self) -> &mut Life {
-        self.life.as_mut().unwrap()
+    fn process(&mut self) -> &mut Process {
+        self.process.as_mut().unwrap()
     }
 
-    /// Milliseconds pass.
-    fn pass(&mut self, ms: i64) {
+    /// Advances the clock by `ms` milliseconds.
+    fn advance(&mut self, ms: i64) {
         for _ in 0..ms {
             self.now += MS;
-            let life = self.life.as_mut().unwrap();
-            assert!(life.step(self.now, &mut self.clients, &mut self.ran, &mut self.dice));
+            let process = self.process.as_mut().unwrap();
+            assert!(process.advance_one_ms(self.now, &mut self.clients, &mut self.arrivals, &mut self.rng));
         }
     }
 
-    /// A client connects and subscribes; gives whether its session goes on.
-    fn enter(&mut self, i: usize) -> Option<bool> {
+    /// Connects a client and subscribes it if its session is new. Returns whether the session was resumed;
+    /// `None` if the connection was not accepted.
+    fn connect_client(&mut self, i: usize) -> Option<bool> {
         let now = self.now;
-        self.clients[i].heard.clear();
-        self.life.as_mut().unwrap().connect(now, &mut self.clients[i]);
-        self.pass(3);
-        let present = self.clients[i].heard.iter().find_map(|h| match h {
+        self.clients[i].events.clear();
+        self.process.as_mut().unwrap().connect(now, &mut self.clients[i]);
+        self.advance(3);
+        let present = self.clients[i].events.iter().find_map(|h| match h {
             Heard::In(present) => Some(*present),
             _ => None,
         })?;
         if !present {
-            self.life.as_mut().unwrap().subscribe(now, &mut self.clients[i], &mut self.dice);
-            self.pass(3);
+            self.process.as_mut().unwrap().subscribe(now, &mut self.clients[i], &mut self.rng);
+            self.advance(3);
         }
         Some(present)
     }
 
-    fn hand_in(&mut self, i: usize, n: u64, hand: &Hand) -> u16 {
+    fn publish(&mut self, i: usize, n: u64, message: &Hand) -> u16 {
         let now = self.now;
-        self.life.as_mut().unwrap().publish(now, &mut self.clients[i], n, hand, &mut self.dice)
+        self.process.as_mut().unwrap().publish(now, &mut self.clients[i], n, message, &mut self.rng)
     }
 
     fn cut(&mut self, i: usize) {
         let now = self.now;
-        self.life.as_mut().unwrap().cut(now, &mut self.clients[i]);
+        self.process.as_mut().unwrap().cut(now, &mut self.clients[i]);
     }
 
-    /// The process dies, and starts again from its journal.
+    /// Simulates a crash and a restart from the journal.
     fn crash(&mut self) {
-        let life = self.life.take().unwrap();
-        let disk = life.journal.into_storage().after_loss(1);
-        self.clients.iter_mut().for_each(|c| {
-            if c.conn.take().is_some() {
-                c.core.closed();
-                c.inside = false;
+        let process = self.process.take().unwrap();
+        let disk = process.journal.into_storage().after_loss(1);
+        self.clients.iter_mut().for_each(|client| {
+            if client.conn.take().is_some() {
+                client.mqtt.closed();
+                client.session_open = false;
             }
         });
         self.now += 20 * MS;
-        let mut life = start(&self.cfg, disk, self.now, 0).unwrap();
-        (life.commits, life.answering) = (1, true);
-        self.life = Some(life);
+        let mut process = start(&self.cfg, disk, self.now, 0).unwrap();
+        (process.commit_interval, process.always_respond) = (1, true);
+        self.process = Some(process);
     }
 
     fn stats(&mut self) -> heronroute_engine::Stats {
-        self.life().node.stats().clone()
+        self.process().node.stats().clone()
     }
 }
 
+/// Guards against a second message when a QoS 2 client resends after its connection was cut, also when the
+/// sender crashed in between.
 #[test]
-fn a_qos_2_exchange_cut_at_each_step_is_one_message() {
+fn a_qos_2_exchange_cut_at_any_step_delivers_one_message() {
     // PUBLISH up, PUBREC down, PUBREL up, PUBCOMP down.
     for (up, kind) in [(true, 3), (false, 5), (true, 6), (false, 7)] {
         for crash in [false, true] {
             for five in [true, false] {
-                let mut r = Rig::new("", vec![Client::new(five, "c", "one")]);
-                assert_eq!(r.enter(0), Some(false));
-                r.life().lose = Some((up, kind));
-                let h = hand(1, five, 2, "PAY");
-                r.hand_in(0, 1, &h);
-                r.pass(30);
-                assert_eq!(r.life().lose, None, "the step {kind} was cut");
-                assert!(r.clients[0].conn.is_none());
+                let mut harness = Harness::new("", vec![Client::new(five, "c", "one")]);
+                assert_eq!(harness.connect_client(0), Some(false));
+                harness.process().cut_before = Some((up, kind));
+                let h = message(1, five, 2, "PAY");
+                harness.publish(0, 1, &h);
+                harness.advance(30);
+                assert_eq!(harness.process().cut_before, None, "the step {kind} was cut");
+                assert!(harness.clients[0].conn.is_none());
                 if crash {
-                    r.crash();
+                    harness.crash();
                 }
-                assert_eq!(r.enter(0), Some(true), "its session goes on");
-                r.pass(60);
-                let ran = r.ran.get(&1).cloned().unwrap_or_default();
-                assert_eq!(ran.len(), 1, "step {kind}, crash {crash}, version 5 {five}: {ran:?}");
-                assert!(r.clients[0].acked.contains(&1));
-                let answers = r.clients[0].answers[&1].clone();
+                assert_eq!(harness.connect_client(0), Some(true), "its session is resumed");
+                harness.advance(60);
+                let arrivals = harness.arrivals.get(&1).cloned().unwrap_or_default();
+                assert_eq!(arrivals.len(), 1, "step {kind}, crash {crash}, version 5 {five}: {arrivals:?}");
+                assert!(harness.clients[0].acked.contains(&1));
+                let answers = harness.clients[0].answers[&1].clone();
                 assert!(answers.iter().all(|a| a.1 == "DELIVRD"), "{answers:?}");
-                assert!(r.clients[0].heard.contains(&Heard::Completed(1)), "{:?}", r.clients[0].heard);
+                assert!(
+                    harness.clients[0].events.contains(&Heard::Completed(1)),
+                    "{:?}",
+                    harness.clients[0].events
+                );
             }
         }
     }
 }
 
+/// Guards against an answer that is lost because the connection was cut before the client's PUBACK.
 #[test]
-fn answers_that_were_not_heard_come_again_under_their_number() {
-    let mut r = Rig::new("", vec![Client::new(true, "c", "one")]);
-    r.enter(0);
-    // Its PUBACKs to the answers are lost with its connection.
-    r.life().lose = Some((true, 4));
-    r.hand_in(0, 1, &hand(1, true, 1, "RESP"));
-    r.pass(60);
-    assert!(r.clients[0].conn.is_none());
-    assert_eq!(r.clients[0].answers[&1].len(), 1);
-    r.enter(0);
-    r.pass(10);
-    let again: Vec<bool> = r.clients[0]
-        .heard
+fn unacknowledged_answers_are_sent_again_with_their_packet_identifier() {
+    let mut harness = Harness::new("", vec![Client::new(true, "c", "one")]);
+    harness.connect_client(0);
+    // The connection is cut before the client's PUBACK to the answer.
+    harness.process().cut_before = Some((true, 4));
+    harness.publish(0, 1, &message(1, true, 1, "RESP"));
+    harness.advance(60);
+    assert!(harness.clients[0].conn.is_none());
+    assert_eq!(harness.clients[0].answers[&1].len(), 1);
+    harness.connect_client(0);
+    harness.advance(10);
+    let again: Vec<bool> = harness.clients[0]
+        .events
         .iter()
         .filter_map(|h| if let Heard::Told(.., dup) = h { Some(*dup) } else { None })
         .collect();
-    assert_eq!((again, r.life().node.owed()), (vec![true], 0));
-    // A clean start has new numbers, and the answers that are still owed.
-    r.life().lose = Some((true, 4));
-    r.hand_in(0, 2, &hand(2, true, 1, "RESP"));
-    r.pass(60);
-    r.clients[0].core.who().clean = true;
-    assert_eq!(r.enter(0), Some(false));
-    r.pass(10);
-    let again: Vec<bool> = r.clients[0]
-        .heard
+    assert_eq!((again, harness.process().node.owed()), (vec![true], 0));
+    // After a clean start the unacknowledged answer comes again as a new packet, without the DUP flag.
+    harness.process().cut_before = Some((true, 4));
+    harness.publish(0, 2, &message(2, true, 1, "RESP"));
+    harness.advance(60);
+    harness.clients[0].mqtt.who().clean = true;
+    assert_eq!(harness.connect_client(0), Some(false));
+    harness.advance(10);
+    let again: Vec<bool> = harness.clients[0]
+        .events
         .iter()
         .filter_map(|h| if let Heard::Told(.., dup) = h { Some(*dup) } else { None })
         .collect();
-    assert_eq!((again, r.life().node.owed()), (vec![false], 0));
+    assert_eq!((again, harness.process().node.owed()), (vec![false], 0));
 }
 
 #[test]
-fn the_same_client_from_two_places_in_turns() {
+fn a_session_moves_between_two_connections_in_turns() {
     let (a, b) = (Client::new(true, "c", "one"), Client::new(true, "c", "one"));
-    let mut r = Rig::new("", vec![a, b, Client::new(true, "d", "one")]);
-    r.enter(0);
-    r.enter(2);
+    let mut harness = Harness::new("", vec![a, b, Client::new(true, "d", "one")]);
+    harness.connect_client(0);
+    harness.connect_client(2);
     for n in 1..=10 {
         let (here, there) = (n as usize % 2, (n as usize + 1) % 2);
-        assert_eq!(r.enter(here), Some(true), "the session goes over");
-        assert!(r.clients[there].conn.is_none());
-        assert!(r.clients[there].heard.contains(&Heard::Bye(0x8E)), "{:?}", r.clients[there].heard);
-        r.hand_in(here, n, &hand(n, true, 1, "RESP"));
+        assert_eq!(harness.connect_client(here), Some(true), "the session moves to the new connection");
+        assert!(harness.clients[there].conn.is_none());
+        assert!(
+            harness.clients[there].events.contains(&Heard::Bye(0x8E)),
+            "{:?}",
+            harness.clients[there].events
+        );
+        harness.publish(here, n, &message(n, true, 1, "RESP"));
         if n % 3 == 0 {
-            // The other place takes over before the answer is there.
-            r.enter(there);
-            r.enter(here);
+            // The other connection takes the session over before the answer is there.
+            harness.connect_client(there);
+            harness.connect_client(here);
         }
-        r.pass(60);
+        harness.advance(60);
     }
-    let told: usize = r.clients.iter().map(|c| c.answers.len()).sum();
-    assert_eq!((told, r.life().node.owed()), (10, 0));
-    assert!(r.clients[2].conn.is_some(), "another client of the same name has nothing to do with it");
+    let told: usize = harness.clients.iter().map(|client| client.answers.len()).sum();
+    assert_eq!((told, harness.process().node.owed()), (10, 0));
+    assert!(harness.clients[2].conn.is_some(), "another client's session of the same name is unaffected");
 }
 
 #[test]
-fn a_message_handed_in_over_smpp_is_asked_about_over_mqtt() {
-    let mut r = Rig::new("", vec![Client::new(true, "c", "one"), Client::new(true, "d", "two")]);
+fn a_message_submitted_over_smpp_can_be_queried_over_mqtt() {
+    let mut harness = Harness::new("", vec![Client::new(true, "c", "one"), Client::new(true, "d", "two")]);
     let mut out = BytesMut::new();
-    let mut smpp = SmppClient::bind(r.now, LIMITS, Mode::Transceiver, "c", "secret", &mut out);
-    let now = r.now;
-    let conn = r.life().node.accepted(now, Speaks::Smpp, &out).unwrap();
+    let mut smpp = SmppClient::bind(harness.now, LIMITS, Mode::Transceiver, "c", "secret", &mut out);
+    let now = harness.now;
+    let conn = harness.process().node.accepted(now, Speaks::Smpp, &out).unwrap();
     out.clear();
     let s = Submission {
         service: "PAY".into(),
@@ -607,19 +640,19 @@
         ..Submission::default()
     };
     smpp.request(now, s.submit(None), &mut out);
-    r.life().node.received(now, conn, &out);
-    r.pass(2);
-    let octets = r.life().node.pending(conn).to_vec();
+    harness.process().node.received(now, conn, &out);
+    harness.advance(2);
+    let bytes = harness.process().node.pending(conn).to_vec();
     let mut events = Vec::new();
-    smpp.receive(now, &octets, &mut BytesMut::new(), &mut events);
+    smpp.receive(now, &bytes, &mut BytesMut::new(), &mut events);
     let id = events.iter().find_map(|e| match e {
         heronroute_smpp::client::Event::Response { id, .. } if !id.is_empty() => Some(id.clone()),
         _ => None,
     });
-    let id = id.unwrap_or_else(|| r.ran[&7][0].clone());
-    r.enter(0);
-    r.enter(1);
-    let ask = |topic: &str| Hand {
+    let id = id.unwrap_or_else(|| harness.arrivals[&7][0].clone());
+    harness.connect_client(0);
+    harness.connect_client(1);
+    let request = |topic: &str| Hand {
         topic: format!("{topic}/{id}"),
         qos: 1,
         response: Some("answers/of/mine".into()),
@@ -627,495 +660,548 @@
         ..Hand::default()
     };
     for i in [0, 1] {
-        r.hand_in(i, 0, &ask("ask"));
+        harness.publish(i, 0, &request("ask"));
     }
-    r.pass(40);
-    r.hand_in(0, 0, &ask("ask"));
-    r.hand_in(0, 0, &ask("withdraw"));
-    r.pass(5);
-    let told = |c: &Client| -> Vec<String> {
+    harness.advance(40);
+    harness.publish(0, 0, &request("ask"));
+    harness.publish(0, 0, &request("withdraw"));
+    harness.advance(5);
+    let told = |client: &Client| -> Vec<String> {
         let each = |h: &Heard| match h {
-            Heard::Told(topic, text, c, ..) if topic == "answers/of/mine" && c == b"q" => Some(text.clone()),
+            Heard::Told(topic, text, correlation, ..)
+                if topic == "answers/of/mine" && correlation == b"q" =>
+            {
+                Some(text.clone())
+            }
             _ => None,
         };
-        c.heard.iter().filter_map(each).collect()
+        client.events.iter().filter_map(each).collect()
     };
-    let mine = told(&r.clients[0]);
+    let mine = told(&harness.clients[0]);
     assert_eq!(mine[1..], [format!("id:{id} stat:DELIVRD"), "stat:NOTFOUND".to_string()], "{mine:?}");
     assert!(mine[0].ends_with("stat:ENROUTE") || mine[0].ends_with("stat:DELIVRD"));
-    assert_eq!(told(&r.clients[1]), ["stat:NOTFOUND"], "another's message does not exist");
+    assert_eq!(
+        told(&harness.clients[1]),
+        ["stat:NOTFOUND"],
+        "another client's message is reported as not found"
+    );
 }
 
 #[test]
-fn what_is_refused_is_said_in_the_words_of_the_version() {
-    let mut r = Rig::new("", vec![Client::new(true, "c", "five"), Client::new(false, "c", "three")]);
-    r.enter(0);
-    r.enter(1);
-    // Class and address are unknown.
-    let wrong = |five: bool, qos: u8| Hand { topic: "to/9/WHAT//9".into(), ..hand(9, five, qos, "") };
+fn a_refusal_is_reported_in_the_form_of_the_protocol_version() {
+    let mut harness =
+        Harness::new("", vec![Client::new(true, "c", "five"), Client::new(false, "c", "three")]);
+    harness.connect_client(0);
+    harness.connect_client(1);
+    // The class and the address are unknown.
+    let wrong = |five: bool, qos: u8| Hand { topic: "to/9/WHAT//9".into(), ..message(9, five, qos, "") };
     for qos in [1, 2] {
-        r.hand_in(0, 9, &wrong(true, qos));
-        r.hand_in(1, 9, &wrong(false, qos));
-        r.pass(5);
+        harness.publish(0, 9, &wrong(true, qos));
+        harness.publish(1, 9, &wrong(false, qos));
+        harness.advance(5);
     }
-    let five: Vec<&Heard> = r.clients[0].heard.iter().filter(|h| matches!(h, Heard::Acked(..))).collect();
+    let five: Vec<&Heard> =
+        harness.clients[0].events.iter().filter(|h| matches!(h, Heard::Acked(..))).collect();
     assert!(five.iter().all(|h| matches!(h, Heard::Acked(_, 0x90, None))) && five.len() == 2, "{five:?}");
-    assert!(r.clients[0].answers.is_empty());
-    // Version 3.1.1 has no refusal: it is acknowledged and answered; each was handed in as a message of its own.
-    assert_eq!(r.clients[1].answers[&9].len(), 2);
-    assert!(r.clients[1].answers[&9].iter().all(|a| a.1 == "UNDELIV"), "{:?}", r.clients[1].answers);
-    // And stays refused after a restart, under the same identity.
-    r.life().lose = Some((false, 4));
-    r.hand_in(1, 9, &wrong(false, 1));
-    r.pass(5);
-    r.crash();
-    r.enter(1);
-    r.pass(10);
-    let ids: BTreeSet<&String> = r.clients[1].answers[&9].iter().map(|a| &a.0).collect();
-    assert_eq!((ids.len(), r.life().node.owed()), (3, 0));
-    assert!(r.ran.is_empty());
+    assert!(harness.clients[0].answers.is_empty());
+    // Version 3.1.1 has no refusal: a message is acknowledged, then answered. Each was submitted as a message
+    // of its own.
+    assert_eq!(harness.clients[1].answers[&9].len(), 2);
+    assert!(
+        harness.clients[1].answers[&9].iter().all(|a| a.1 == "UNDELIV"),
+        "{:?}",
+        harness.clients[1].answers
+    );
+    // After a restart the message stays refused, with the same identity.
+    harness.process().cut_before = Some((false, 4));
+    harness.publish(1, 9, &wrong(false, 1));
+    harness.advance(5);
+    harness.crash();
+    harness.connect_client(1);
+    harness.advance(10);
+    let ids: BTreeSet<&String> = harness.clients[1].answers[&9].iter().map(|a| &a.0).collect();
+    assert_eq!((ids.len(), harness.process().node.owed()), (3, 0));
+    assert!(harness.arrivals.is_empty());
 }
 
-/// A session that goes on has what its client was told that it has.
+/// Guards against a resumed session without the subscription that its client has an acknowledgement for: a
+/// crash comes between the acknowledgement and the journal's commit.
 #[test]
-fn a_subscription_is_acknowledged_once_it_outlives_a_crash() {
+fn a_subscription_is_acknowledged_only_once_it_is_durable() {
     for five in [true, false] {
-        let mut r = Rig::new("", vec![Client::new(five, "c", "one")]);
-        let told = |r: &Rig| r.clients[0].heard.iter().any(|h| matches!(h, Heard::Subscribed(_)));
-        let subscribe = |r: &mut Rig| {
-            let now = r.now;
-            r.life.as_mut().unwrap().subscribe(now, &mut r.clients[0], &mut r.dice);
-            r.pass(5);
+        let mut harness = Harness::new("", vec![Client::new(five, "c", "one")]);
+        let told =
+            |harness: &Harness| harness.clients[0].events.iter().any(|h| matches!(h, Heard::Subscribed(_)));
+        let subscribe = |harness: &mut Harness| {
+            let now = harness.now;
+            harness.process.as_mut().unwrap().subscribe(now, &mut harness.clients[0], &mut harness.rng);
+            harness.advance(5);
         };
-        let now = r.now;
-        r.life.as_mut().unwrap().connect(now, &mut r.clients[0]);
-        r.pass(3);
-        // The journal is slow.
-        r.life().commits = u64::MAX;
-        subscribe(&mut r);
-        assert!(!told(&r), "told before it is durable");
-        r.crash();
-        assert_eq!(r.enter(0), Some(true), "the session is there, and has no subscription");
-        subscribe(&mut r);
-        assert!(told(&r));
-        r.crash();
-        assert_eq!(r.enter(0), Some(true));
-        r.hand_in(0, 7, &hand(7, five, 1, "PAY"));
-        r.pass(40);
-        assert_eq!(r.clients[0].answers[&7].len(), 1, "it hears its answer");
+        let now = harness.now;
+        harness.process.as_mut().unwrap().connect(now, &mut harness.clients[0]);
+        harness.advance(3);
+        // The journal does not commit.
+        harness.process().commit_interval = u64::MAX;
+        subscribe(&mut harness);
+        assert!(!told(&harness), "acknowledged before it is durable");
+        harness.crash();
+        assert_eq!(harness.connect_client(0), Some(true), "the session is resumed without the subscription");
+        subscribe(&mut harness);
+        assert!(told(&harness));
+        harness.crash();
+        assert_eq!(harness.connect_client(0), Some(true));
+        harness.publish(0, 7, &message(7, five, 1, "PAY"));
+        harness.advance(40);
+        assert_eq!(harness.clients[0].answers[&7].len(), 1, "it receives its answer");
     }
 }
 
+/// Guards against unbounded memory, and against delays of other clients, when a client never acknowledges its
+/// answers.
 #[test]
-fn a_client_that_takes_no_answers_is_held_to_its_room_and_harms_nobody() {
-    let (mute, old, well) =
+fn a_client_that_acknowledges_no_answers_is_limited_and_affects_no_other() {
+    let (silent_five, old, well) =
         (Client::new(true, "c", "mute"), Client::new(false, "c", "old"), Client::new(true, "d", "well"));
-    let mut r = Rig::new("", vec![mute, old, well]);
-    let mut cfg = r.cfg.as_ref().clone();
+    let mut harness = Harness::new("", vec![silent_five, old, well]);
+    let mut cfg = harness.cfg.as_ref().clone();
     cfg.service.owed_room = 20;
-    r.cfg = Arc::new(cfg);
-    r.crash();
-    (0..3).for_each(|i| _ = r.enter(i));
-    // Two that never acknowledge an answer, of one client; and one of another client beside them.
+    harness.cfg = Arc::new(cfg);
+    harness.crash();
+    (0..3).for_each(|i| _ = harness.connect_client(i));
+    // Two sessions of one client never acknowledge an answer; a session of another client runs beside them.
     for i in [0, 1] {
-        r.clients[i].deaf = true;
+        harness.clients[i].withhold_acks = true;
     }
     let mut refused = 0;
     for n in 1..=40 {
         for (i, from) in [(0, 0), (1, 1_000), (2, 2_000)] {
-            if r.clients[i].conn.is_some() {
+            if harness.clients[i].conn.is_some() {
                 let five = i != 1;
-                r.hand_in(i, from + 2 * n, &hand(from + 2 * n, five, 1, "RESP"));
+                harness.publish(i, from + 2 * n, &message(from + 2 * n, five, 1, "RESP"));
             }
         }
-        r.pass(20);
-        assert!(r.life().node.owed() + r.life().node.open() <= 22);
-        refused += r.clients[0].heard.drain(..).filter(|h| matches!(h, Heard::Acked(_, 0x97, _))).count();
+        harness.advance(20);
+        assert!(harness.process().node.owed() + harness.process().node.open() <= 22);
+        refused +=
+            harness.clients[0].events.drain(..).filter(|h| matches!(h, Heard::Acked(_, 0x97, _))).count();
     }
     assert!(refused > 10, "{refused}");
-    assert!(r.clients[1].conn.is_none(), "what can be neither refused nor answered ends the connection");
-    assert_eq!(r.clients[2].answers.len(), 40, "the other client is served as ever");
-    // Once they listen, all that was acknowledged is answered.
+    assert!(
+        harness.clients[1].conn.is_none(),
+        "a message that can be neither refused nor answered ends the connection"
+    );
+    assert_eq!(harness.clients[2].answers.len(), 40, "the other client is served normally");
+    // Once they acknowledge answers, every acknowledged message is answered.
     for i in [0, 1] {
-        r.clients[i].deaf = false;
-        r.cut(i);
-        r.enter(i);
+        harness.clients[i].withhold_acks = false;
+        harness.cut(i);
+        harness.connect_client(i);
     }
-    r.pass(60);
-    r.pass(300);
-    assert_eq!(r.life().node.owed(), 0);
+    harness.advance(60);
+    harness.advance(300);
+    assert_eq!(harness.process().node.owed(), 0);
     for i in [0, 1] {
-        let c = &r.clients[i];
-        assert!(c.acked.iter().all(|n| c.answers.contains_key(n)));
+        let client = &harness.clients[i];
+        assert!(client.acked.iter().all(|n| client.answers.contains_key(n)));
     }
 }
 
 #[test]
-fn a_name_given_twice_is_one_message_also_from_another_session() {
-    let mut r = Rig::new(
+fn a_repeated_name_is_one_message_also_from_another_session() {
+    let mut harness = Harness::new(
         "remember: \"1s\"",
         vec![Client::new(true, "c", "one"), Client::new(false, "c", "two"), Client::new(true, "d", "x")],
     );
-    (0..3).for_each(|i| _ = r.enter(i));
-    let named = |five: bool| Hand { topic: "to/1000001/PAY//order-7".into(), ..hand(7, five, 1, "PAY") };
-    r.hand_in(0, 7, &named(true));
-    r.hand_in(1, 7, &named(false));
-    r.crash();
-    // Not everything was durable; what is handed in again now is one message again.
-    (0..3).for_each(|i| _ = r.enter(i));
-    r.hand_in(0, 7, &named(true));
-    r.hand_in(1, 7, &named(false));
-    r.pass(40);
-    assert_eq!(r.ran[&7].len(), 1, "{:?}", r.ran);
-    r.crash();
-    (0..3).for_each(|i| _ = r.enter(i));
-    r.hand_in(1, 7, &named(false));
-    r.hand_in(2, 7, &named(true));
-    r.pass(40);
-    assert_eq!(r.ran[&7].len(), 2, "another client's name is another message");
-    r.pass(1_100);
-    r.hand_in(0, 7, &named(true));
-    r.pass(40);
-    assert_eq!(r.ran[&7].len(), 3, "its span is over");
+    (0..3).for_each(|i| _ = harness.connect_client(i));
+    let named = |five: bool| Hand { topic: "to/1000001/PAY//order-7".into(), ..message(7, five, 1, "PAY") };
+    harness.publish(0, 7, &named(true));
+    harness.publish(1, 7, &named(false));
+    harness.crash();
+    // Not everything was durable: the messages submitted again are still one message.
+    (0..3).for_each(|i| _ = harness.connect_client(i));
+    harness.publish(0, 7, &named(true));
+    harness.publish(1, 7, &named(false));
+    harness.advance(40);
+    assert_eq!(harness.arrivals[&7].len(), 1, "{:?}", harness.arrivals);
+    harness.crash();
+    (0..3).for_each(|i| _ = harness.connect_client(i));
+    harness.publish(1, 7, &named(false));
+    harness.publish(2, 7, &named(true));
+    harness.advance(40);
+    assert_eq!(harness.arrivals[&7].len(), 2, "the same name of another client is another message");
+    harness.advance(1_100);
+    harness.publish(0, 7, &named(true));
+    harness.advance(40);
+    assert_eq!(harness.arrivals[&7].len(), 3, "the name has expired");
 }
 
 #[test]
-fn sessions_end_in_time_and_make_room() {
+fn sessions_expire_and_the_oldest_makes_room() {
     let many = (0..4).map(|i| Client::new(true, "c", &format!("s{i}"))).collect();
-    let mut r = Rig::new("sessions: 3 expiry: \"2s\"", many);
+    let mut harness = Harness::new("sessions: 3 expiry: \"2s\"", many);
     for i in 0..3 {
-        assert_eq!(r.enter(i), Some(false));
+        assert_eq!(harness.connect_client(i), Some(false));
     }
-    r.enter(3);
-    assert!(r.clients[3].conn.is_none(), "all are here: there is no room for a fourth connection");
-    r.cut(1);
-    r.pass(5);
-    r.cut(0);
-    assert_eq!(r.enter(3), Some(false), "the one left longest ago gives way");
-    r.cut(3);
-    assert_eq!(r.enter(0), Some(true));
-    assert_eq!(r.enter(1), Some(false));
-    r.cut(0);
-    r.pass(2_100);
-    assert_eq!(r.enter(0), Some(false), "its time is up");
-    assert_eq!(r.stats().accepted, 0);
+    harness.connect_client(3);
+    assert!(harness.clients[3].conn.is_none(), "three connected sessions leave no room for a fourth");
+    harness.cut(1);
+    harness.advance(5);
+    harness.cut(0);
+    assert_eq!(harness.connect_client(3), Some(false), "the session disconnected longest ago is dropped");
+    harness.cut(3);
+    assert_eq!(harness.connect_client(0), Some(true));
+    assert_eq!(harness.connect_client(1), Some(false));
+    harness.cut(0);
+    harness.advance(2_100);
+    assert_eq!(harness.connect_client(0), Some(false), "the session has expired");
+    assert_eq!(harness.stats().accepted, 0);
 }
 
 #[test]
-fn a_will_is_handed_in_for_a_client_that_is_gone_and_for_no_other() {
+fn a_will_is_submitted_only_for_a_client_that_is_gone() {
     let with = |delay| {
-        let mut c = Client::new(true, "c", "w");
-        c.core.who().will = Some(("to/1000077/PAY".into(), delay));
-        c
+        let mut client = Client::new(true, "c", "w");
+        client.mqtt.who().will = Some(("to/1000077/PAY".into(), delay));
+        client
     };
-    // Cut, and not back: after its delay.
-    let mut r = Rig::new("", vec![with(1), Client::new(true, "c", "w")]);
-    r.enter(0);
-    r.cut(0);
-    r.pass(900);
-    assert_eq!(r.ran.len(), 0);
-    r.pass(200);
-    assert_eq!(r.ran[&77].len(), 1);
-    // Back in time.
-    r.enter(0);
-    r.cut(0);
-    r.pass(500);
-    r.enter(0);
-    r.pass(1_500);
-    assert_eq!(r.ran[&77].len(), 1);
-    // Taken over from another place: the session goes on, so it is not sent.
-    r.enter(1);
-    r.pass(1_500);
-    assert_eq!(r.ran[&77].len(), 1);
-    // A clean start ends the session, and the will comes before its delay.
-    r.cut(1);
-    r.enter(0);
-    r.cut(0);
-    r.clients[0].core.who().clean = true;
-    r.enter(0);
-    r.pass(60);
-    assert_eq!(r.ran[&77].len(), 2);
+    // The connection is cut and not resumed: the will is sent after its delay.
+    let mut harness = Harness::new("", vec![with(1), Client::new(true, "c", "w")]);
+    harness.connect_client(0);
+    harness.cut(0);
+    harness.advance(900);
+    assert_eq!(harness.arrivals.len(), 0);
+    harness.advance(200);
+    assert_eq!(harness.arrivals[&77].len(), 1);
+    // The client reconnects before the delay is over.
+    harness.connect_client(0);
+    harness.cut(0);
+    harness.advance(500);
+    harness.connect_client(0);
+    harness.advance(1_500);
+    assert_eq!(harness.arrivals[&77].len(), 1);
+    // Another connection takes the session over: the session continues, so the will is not sent.
+    harness.connect_client(1);
+    harness.advance(1_500);
+    assert_eq!(harness.arrivals[&77].len(), 1);
+    // A clean start ends the session, and the will is sent before its delay is over.
+    harness.cut(1);
+    harness.connect_client(0);
+    harness.cut(0);
+    harness.clients[0].mqtt.who().clean = true;
+    harness.connect_client(0);
+    harness.advance(60);
+    assert_eq!(harness.arrivals[&77].len(), 2);
     assert_eq!(
-        r.clients[0].heard.iter().filter(|h| matches!(h, Heard::Told(..))).count(),
+        harness.clients[0].events.iter().filter(|h| matches!(h, Heard::Told(..))).count(),
         1,
         "and is answered"
     );
-    // Leave in good order.
+    // A normal disconnect discards the will.
     let mut out = BytesMut::new();
-    r.clients[0].core.disconnect(&mut out);
-    let (now, conn) = (r.now, r.clients[0].conn.unwrap());
-    r.life().node.received(now, conn, &out);
-    r.pass(1_500);
-    assert_eq!(r.ran[&77].len(), 2);
+    harness.clients[0].mqtt.disconnect(&mut out);
+    let (now, conn) = (harness.now, harness.clients[0].conn.unwrap());
+    harness.process().node.received(now, conn, &out);
+    harness.advance(1_500);
+    assert_eq!(harness.arrivals[&77].len(), 2);
 }
 
 #[test]
-fn whatever_one_connection_says_another_is_served() {
-    let mut r = Rig::new("", vec![Client::new(true, "c", "well")]);
-    r.enter(0);
-    // A good session as it is on the wire, of which each of these has some octets wrong.
+fn malformed_packets_on_one_connection_do_not_affect_another() {
+    let mut harness = Harness::new("", vec![Client::new(true, "c", "well")]);
+    harness.connect_client(0);
+    // The bytes of a valid session; each attempt replaces some of them with random values.
     let mut other = MqttClient::new(Who::new(true, "c", "odd"));
     let mut good = BytesMut::new();
     other.connect(&mut good);
     good.extend_from_slice(b"\x82\x0b\x00\x01\x00\x05a/b/#\x01");
     good.extend_from_slice(b"\x34\x13\x00\x0cto/1000001/A\x00\x07\x00hi\x62\x02\x00\x07\xc0\x00");
     for n in 0..400 {
-        let mut octets = good.to_vec();
-        for _ in 0..=r.dice.below(3) {
-            let at = r.dice.below(octets.len() as u64) as usize;
-            octets[at] = r.dice.below(256) as u8;
+        let mut bytes = good.to_vec();
+        for _ in 0..=harness.rng.below(3) {
+            let at = harness.rng.below(bytes.len() as u64) as usize;
+            bytes[at] = harness.rng.below(256) as u8;
         }
-        let now = r.now;
-        let cut = r.dice.below(octets.len() as u64) as usize;
-        if let Some(conn) = r.life().node.accepted(now, Speaks::Mqtt, &octets[..cut]) {
-            r.life().node.received(now, conn, &octets[cut..]);
-            r.life().node.closed(now, conn, CloseReason::Broken);
+        let now = harness.now;
+        let cut = harness.rng.below(bytes.len() as u64) as usize;
+        if let Some(conn) = harness.process().node.accepted(now, Speaks::Mqtt, &bytes[..cut]) {
+            harness.process().node.received(now, conn, &bytes[cut..]);
+            harness.process().node.closed(now, conn, CloseReason::Broken);
         }
         if n % 20 == 0 {
-            r.hand_in(0, 2 + n, &hand(2 + n, true, 2, "RESP"));
+            harness.publish(0, 2 + n, &message(2 + n, true, 2, "RESP"));
         }
-        r.pass(1);
+        harness.advance(1);
     }
-    r.pass(60);
-    assert_eq!(r.clients[0].answers.len(), 20);
-    assert!(r.clients[0].conn.is_some());
+    harness.advance(60);
+    assert_eq!(harness.clients[0].answers.len(), 20);
+    assert!(harness.clients[0].conn.is_some());
 }
 
-impl Rig {
-    /// Asks about what is held, and gives the answer.
-    fn ask(&mut self, i: usize, topic: &str) -> String {
-        self.clients[i].heard.clear();
+impl Harness {
+    /// Sends a request about held messages and returns the answer.
+    fn ask_held(&mut self, i: usize, topic: &str) -> String {
+        self.clients[i].events.clear();
         let topic = format!("held/{topic}");
-        self.hand_in(i, 0, &Hand { topic, qos: 1, correlation: b"held".to_vec(), ..Hand::default() });
-        self.pass(3);
+        self.publish(i, 0, &Hand { topic, qos: 1, correlation: b"held".to_vec(), ..Hand::default() });
+        self.advance(3);
         let each = |h: &Heard| match h {
-            Heard::Told(_, text, c, ..) if c == b"held" => Some(text.clone()),
+            Heard::Told(_, text, correlation, ..) if correlation == b"held" => Some(text.clone()),
             _ => None,
         };
-        self.clients[i].heard.iter().find_map(each).expect("an answer")
+        self.clients[i].events.iter().find_map(each).expect("an answer")
     }
 
-    /// Starts anew with messages held, and three clients: two sessions of one, one of another.
-    fn holding(more: &str) -> Rig {
+    /// Starts a sender that holds messages, with three sessions: two of one client, one of another.
+    fn with_held_settings(more: &str) -> Harness {
         let all =
             vec![Client::new(true, "c", "one"), Client::new(true, "c", "two"), Client::new(true, "d", "x")];
-        let mut r = Rig::new("", all);
-        let mut cfg = r.cfg.as_ref().clone();
-        let other = parse("held", &format!("{} held {{ {more} }}", text(""))).unwrap();
+        let mut harness = Harness::new("", all);
+        let mut cfg = harness.cfg.as_ref().clone();
+        let other = parse("held", &format!("{} held {{ {more} }}", settings_text(""))).unwrap();
         cfg.held = other.held;
-        r.cfg = Arc::new(cfg);
-        r.back();
-        r
+        harness.cfg = Arc::new(cfg);
+        harness.crash_and_reconnect();
+        harness
     }
 
-    /// Eight unsafe messages are handed in while no receiver can be reached; some wait until their time is up.
-    fn wait_in_vain(&mut self) {
+    /// Submits eight single-shot messages while no receiver can be reached; some wait until their deadline.
+    fn submit_and_let_expire(&mut self) {
         for n in 0..8 {
-            self.hand_in(0, 2 * n + 1, &hand(2 * n + 1, true, 1, "PAY"));
-            self.pass(5);
+            self.publish(0, 2 * n + 1, &message(2 * n + 1, true, 1, "PAY"));
+            self.advance(5);
         }
-        self.pass(4_500);
+        self.advance(4_500);
     }
 
-    /// After a crash all come back.
-    fn back(&mut self) {
+    /// Simulates a crash and a restart, then reconnects all clients.
+    fn crash_and_reconnect(&mut self) {
         self.crash();
-        (0..3).for_each(|i| _ = self.enter(i));
+        (0..3).for_each(|i| _ = self.connect_client(i));
     }
 }
 
+/// Guards against a single-shot message that runs twice because its client resubmits it after an UNKNOWN answer.
 #[test]
-fn what_may_have_run_is_held_and_not_handed_in_again() {
-    let mut r = Rig::holding("");
-    r.life().silent = true;
-    r.hand_in(0, 1, &hand(1, true, 1, "PAY"));
-    r.pass(4_500);
-    let (id, word) = r.clients[0].answers[&1][0].clone();
+fn a_held_message_that_may_have_run_is_not_resubmitted() {
+    let mut harness = Harness::with_held_settings("");
+    harness.process().never_respond = true;
+    harness.publish(0, 1, &message(1, true, 1, "PAY"));
+    harness.advance(4_500);
+    let (id, word) = harness.clients[0].answers[&1][0].clone();
     assert_eq!(word, "UNKNOWN");
     for crash in [false, true] {
         if crash {
-            r.back();
+            harness.crash_and_reconnect();
         }
-        assert!(r.ask(1, "list").ends_with(&format!("\n{id}")), "any session of its client sees it");
-        let trail = r.ask(0, &format!("show/{id}"));
+        assert!(
+            harness.ask_held(1, "list").ends_with(&format!("\n{id}")),
+            "every session of its client sees it"
+        );
+        let trail = harness.ask_held(0, &format!("show/{id}"));
         for part in ["by:mqtt/one", "attempt at a", "answer UNKNOWN", "\nmay have taken effect"] {
             assert!(trail.contains(part), "{part} in {trail}");
         }
-        assert_eq!(r.ask(0, &format!("again/{id}")), format!("id:{id} stat:MAYHAVERUN"));
-        assert_eq!(r.ask(0, &format!("again/{id}/new")), format!("id:{id} stat:MAYHAVERUN"));
+        assert_eq!(harness.ask_held(0, &format!("again/{id}")), format!("id:{id} stat:MAYHAVERUN"));
+        assert_eq!(harness.ask_held(0, &format!("again/{id}/new")), format!("id:{id} stat:MAYHAVERUN"));
         for deed in ["show", "again", "drop"] {
-            let strange = r.ask(2, &format!("{deed}/{id}"));
-            assert_eq!(strange, "stat:NOTFOUND", "a stranger hears the same as of what does not exist");
-            assert_eq!(r.ask(2, &format!("{deed}/00000000000000ff")), strange);
+            let strange = harness.ask_held(2, &format!("{deed}/{id}"));
+            assert_eq!(
+                strange, "stat:NOTFOUND",
+                "another client gets the reply for a message that does not exist"
+            );
+            assert_eq!(harness.ask_held(2, &format!("{deed}/00000000000000ff")), strange);
         }
     }
-    assert_eq!(r.ask(1, &format!("drop/{id}")), format!("id:{id} stat:DROPPED"));
-    assert!(r.ask(0, "list").starts_with("held:0 "));
-    r.back();
-    assert!(r.ask(0, "list").starts_with("held:0 "), "given up is given up, after a crash too");
-    assert_eq!(r.ran[&1].len(), 1);
+    assert_eq!(harness.ask_held(1, &format!("drop/{id}")), format!("id:{id} stat:DROPPED"));
+    assert!(harness.ask_held(0, "list").starts_with("held:0 "));
+    harness.crash_and_reconnect();
+    assert!(
+        harness.ask_held(0, "list").starts_with("held:0 "),
+        "a dropped message stays dropped after a crash"
+    );
+    assert_eq!(harness.arrivals[&1].len(), 1);
 }
 
+/// Guards against a second run when several sessions resubmit the same message and the sender crashes in
+/// between.
 #[test]
-fn what_never_ran_goes_again_once_however_often_it_is_asked_for() {
-    let mut r = Rig::holding("");
-    r.life().down = true;
-    r.wait_in_vain();
-    // Some were turned away at once, as their destination was down; one of those that waited in vain it is.
+fn a_held_message_that_never_ran_is_resubmitted_once() {
+    let mut harness = Harness::with_held_settings("");
+    harness.process().unreachable = true;
+    harness.submit_and_let_expire();
+    // Some messages were refused at once since their destination was down; take one that waited until its
+    // deadline.
     let waited = |a: &(&u64, &Vec<(String, String)>)| matches!(a.1[0].1.as_str(), "EXPIRED" | "UNDELIV");
-    let found = r.clients[0].answers.iter().find(waited).map(|(n, a)| (*n, a[0].0.clone()));
+    let found = harness.clients[0].answers.iter().find(waited).map(|(n, a)| (*n, a[0].0.clone()));
     let (n, id) = found.expect("one that waited");
-    assert!(r.ask(0, "list").contains(&id));
-    assert!(!r.ask(0, &format!("show/{id}")).contains("may have"));
-    // Asked for while all is still down: it is held as before.
-    assert_eq!(r.ask(0, &format!("again/{id}")), format!("id:{id} stat:ENROUTE"));
-    assert_eq!(r.ask(1, &format!("again/{id}")), format!("id:{id} stat:UNDERWAY"));
-    assert_eq!(r.ask(1, &format!("drop/{id}")), "stat:UNDERWAY");
-    r.pass(4_500);
-    assert!(r.ask(0, "list").contains(&id));
-    // A crash with a hand-in that was not durable: none; with one that was: one.
-    r.back();
-    r.hand_in(0, 0, &Hand { topic: format!("held/again/{id}"), qos: 1, ..Hand::default() });
-    r.back();
-    assert!(r.ask(0, "list").contains(&id), "the hand-in was lost with the crash, the message was not");
+    assert!(harness.ask_held(0, "list").contains(&id));
+    assert!(!harness.ask_held(0, &format!("show/{id}")).contains("may have"));
+    // Resubmitted while the receivers are still unreachable, it is held again afterwards.
+    assert_eq!(harness.ask_held(0, &format!("again/{id}")), format!("id:{id} stat:ENROUTE"));
+    assert_eq!(harness.ask_held(1, &format!("again/{id}")), format!("id:{id} stat:UNDERWAY"));
+    assert_eq!(harness.ask_held(1, &format!("drop/{id}")), "stat:UNDERWAY");
+    harness.advance(4_500);
+    assert!(harness.ask_held(0, "list").contains(&id));
+    // A crash loses a resubmission that was not durable and keeps one that was.
+    harness.crash_and_reconnect();
+    harness.publish(0, 0, &Hand { topic: format!("held/again/{id}"), qos: 1, ..Hand::default() });
+    harness.crash_and_reconnect();
+    assert!(
+        harness.ask_held(0, "list").contains(&id),
+        "the crash lost the resubmission and kept the message"
+    );
     let again = format!("held/again/{id}");
     for i in [0, 1] {
-        r.hand_in(i, 0, &Hand { topic: again.clone(), qos: 1, ..Hand::default() });
+        harness.publish(i, 0, &Hand { topic: again.clone(), qos: 1, ..Hand::default() });
     }
-    r.pass(2);
-    r.back();
-    let said = r.ask(1, &format!("again/{id}"));
-    assert!(!said.contains("ENROUTE"), "it is under way after the crash as well: {said}");
-    r.pass(300);
+    harness.advance(2);
+    harness.crash_and_reconnect();
+    let said = harness.ask_held(1, &format!("again/{id}"));
+    assert!(!said.contains("ENROUTE"), "it is under way after the crash, too: {said}");
+    harness.advance(300);
     assert_eq!(
-        r.ran[&n],
+        harness.arrivals[&n],
         std::slice::from_ref(&id),
-        "two sessions and a crash: it ran once, under its identity"
+        "despite two sessions and a crash it ran once, with its identity"
     );
-    assert!(!r.ask(0, "list").contains(&id));
-    let trail = r.ask(0, &format!("show/{id}"));
+    assert!(!harness.ask_held(0, "list").contains(&id));
+    let trail = harness.ask_held(0, &format!("show/{id}"));
     for part in ["handed in again by client c", "restart", "answer DELIVRD"] {
         assert!(trail.contains(part), "{part} in {trail}");
     }
-    assert_eq!(r.ask(0, &format!("again/{id}")), format!("id:{id} stat:DELIVRD"));
-    r.back();
-    assert!(!r.ask(0, "list").contains(&id));
+    assert_eq!(harness.ask_held(0, &format!("again/{id}")), format!("id:{id} stat:DELIVRD"));
+    harness.crash_and_reconnect();
+    assert!(!harness.ask_held(0, "list").contains(&id));
 }
 
 #[test]
-fn a_guarded_message_goes_again_while_it_is_remembered_and_then_only_as_a_new_one() {
-    let mut r = Rig::holding("");
-    r.life().silent = true;
-    r.hand_in(0, 2, &hand(2, true, 1, "RESP"));
-    r.pass(4_500);
-    let (id, word) = r.clients[0].answers[&2][0].clone();
+fn a_guarded_message_past_its_window_is_resubmitted_only_as_a_new_one() {
+    let mut harness = Harness::with_held_settings("");
+    harness.process().never_respond = true;
+    harness.publish(0, 2, &message(2, true, 1, "RESP"));
+    harness.advance(4_500);
+    let (id, word) = harness.clients[0].answers[&2][0].clone();
     assert_eq!(word, "UNKNOWN");
-    let before = r.ran[&2].len();
-    assert_eq!(r.ask(0, &format!("again/{id}")), format!("id:{id} stat:WINDOWOVER"));
-    r.life().silent = false;
-    let said = r.ask(0, &format!("again/{id}/new"));
+    let before = harness.arrivals[&2].len();
+    assert_eq!(harness.ask_held(0, &format!("again/{id}")), format!("id:{id} stat:WINDOWOVER"));
+    harness.process().never_respond = false;
+    let said = harness.ask_held(0, &format!("again/{id}/new"));
     let own = field(&said, "id").unwrap().to_string();
     assert!(own != id && said.ends_with("stat:ENROUTE"), "{said}");
-    r.pass(300);
-    assert_eq!(r.ran[&2].len(), before + 1);
-    assert_eq!(r.ran[&2].last(), Some(&own), "receivers can't take it for the old one");
-    assert!(r.ask(0, "list").starts_with("held:0 "));
-    r.back();
-    assert!(r.ask(0, "list").starts_with("held:0 "));
+    harness.advance(300);
+    assert_eq!(harness.arrivals[&2].len(), before + 1);
+    assert_eq!(harness.arrivals[&2].last(), Some(&own), "receivers can tell it from the old message");
+    assert!(harness.ask_held(0, "list").starts_with("held:0 "));
+    harness.crash_and_reconnect();
+    assert!(harness.ask_held(0, "list").starts_with("held:0 "));
 }
 
 #[test]
-fn an_owner_keeps_no_more_than_its_room() {
-    let mut r = Rig::holding("count: 5");
-    r.life().down = true;
+fn a_client_holds_no_more_messages_than_its_limit() {
+    let mut harness = Harness::with_held_settings("count: 5");
+    harness.process().unreachable = true;
     for n in 1..=8 {
-        r.hand_in(0, 2 * n + 1, &hand(2 * n + 1, true, 1, "PAY"));
-        r.pass(5);
+        harness.publish(0, 2 * n + 1, &message(2 * n + 1, true, 1, "PAY"));
+        harness.advance(5);
     }
-    r.hand_in(2, 99, &hand(99, true, 1, "PAY"));
-    r.pass(4_500);
-    let list = r.ask(0, "list");
+    harness.publish(2, 99, &message(99, true, 1, "PAY"));
+    harness.advance(4_500);
+    let list = harness.ask_held(0, "list");
     assert!(list.starts_with("held:5 ") && list.contains("dropped-many:3"), "{list}");
-    assert!(r.ask(2, "list").starts_with("held:1 "), "another's is another's");
-    r.back();
-    assert!(r.ask(0, "list").starts_with("held:5 "));
+    assert!(harness.ask_held(2, "list").starts_with("held:1 "), "the other client has its own limit");
+    harness.crash_and_reconnect();
+    assert!(harness.ask_held(0, "list").starts_with("held:5 "));
 }
 
 #[test]
-fn a_backlog_is_let_go_bounded_beside_live_traffic() {
-    let mut r = Rig::holding("");
-    r.life().down = true;
+fn a_backlog_is_released_with_bounded_load_beside_live_traffic() {
+    let mut harness = Harness::with_held_settings("");
+    harness.process().unreachable = true;
     for n in 0..400 {
-        r.hand_in(0, 2 * n + 1, &hand(2 * n + 1, true, 1, "PAY"));
-        r.pass(2);
+        harness.publish(0, 2 * n + 1, &message(2 * n + 1, true, 1, "PAY"));
+        harness.advance(2);
     }
-    r.pass(4_500);
-    let list = r.ask(0, "list");
+    harness.advance(4_500);
+    let list = harness.ask_held(0, "list");
     let held: usize = list.split([':', ' ']).nth(1).unwrap().parse().unwrap();
     assert!(held > 100, "{list}");
-    r.life().down = false;
-    assert_eq!(r.ask(0, "release"), format!("stat:RELEASING held:{held}"));
+    harness.process().unreachable = false;
+    assert_eq!(harness.ask_held(0, "release"), format!("stat:RELEASING held:{held}"));
     let (mut most, mut now, mut live) = (0, 0, 0);
-    while !r.ask(0, "list").starts_with("held:0 ") {
+    while !harness.ask_held(0, "list").starts_with("held:0 ") {
         for _ in 0..10 {
-            r.pass(3);
-            most = most.max(r.life().node.open());
+            harness.advance(3);
+            most = most.max(harness.process().node.open());
         }
         now += 1;
         live += 1;
-        r.hand_in(2, 1_000_000 + 2 * live, &hand(1_000_000 + 2 * live, true, 1, "RESP"));
-        assert!(now < 3_000, "never emptied: {}", r.ask(0, "list"));
+        harness.publish(2, 1_000_000 + 2 * live, &message(1_000_000 + 2 * live, true, 1, "RESP"));
+        assert!(now < 3_000, "never emptied: {}", harness.ask_held(0, "list"));
     }
-    r.pass(100);
-    assert!(most <= 50 + 10, "a tenth of the room, and what is live: {most}");
-    let told = r.clients[2].answers.values().filter(|a| a[0].1 == "DELIVRD").count() as u64;
+    harness.advance(100);
+    assert!(most <= 50 + 10, "a tenth of the room plus live messages: {most}");
+    let told = harness.clients[2].answers.values().filter(|a| a[0].1 == "DELIVRD").count() as u64;
     assert_eq!(told, live, "live traffic is served meanwhile");
-    assert!(r.ran.iter().all(|(n, ids)| n % 2 == 0 || ids.len() == 1));
-    assert_eq!(r.ask(0, "stop"), "stat:STOPPED went:0 passed-over:0", "it has ended by itself");
+    assert!(harness.arrivals.iter().all(|(n, ids)| n % 2 == 0 || ids.len() == 1));
+    assert_eq!(
+        harness.ask_held(0, "stop"),
+        "stat:STOPPED went:0 passed-over:0",
+        "the release has already ended"
+    );
 }
 
 #[test]
-fn what_may_be_lost_is_turned_away_first() {
-    let mut r = Rig::new("", vec![Client::new(true, "c", "one"), Client::new(true, "d", "two")]);
-    (0..2).for_each(|i| _ = r.enter(i));
-    r.life().silent = true;
-    // Room for 500, half of which one client holds: of quality 0 it may hold no more, of quality 1 it may.
+fn qos_0_messages_are_shed_before_qos_1() {
+    let mut harness = Harness::new("", vec![Client::new(true, "c", "one"), Client::new(true, "d", "two")]);
+    (0..2).for_each(|i| _ = harness.connect_client(i));
+    harness.process().never_respond = true;
+    // The room is 500. A client that holds half of it gets no more QoS 0 messages accepted, but more of QoS
+    // 1.
     let mut n = 0;
-    let mut some = |r: &mut Rig, qos: u8, count: usize| {
-        for _ in 0..count {
+    let mut some = |harness: &mut Harness, qos: u8, number: usize| {
+        for _ in 0..number {
             n += 2;
-            r.hand_in(0, n, &hand(n, true, qos, "RESP"));
-            r.pass(1);
+            harness.publish(0, n, &message(n, true, qos, "RESP"));
+            harness.advance(1);
         }
-        r.life().node.open()
+        harness.process().node.open()
     };
-    let held = some(&mut r, 0, 400);
-    assert!((225..=275).contains(&held), "half the worth, half the threshold: {held}");
-    let more = some(&mut r, 1, 40);
+    let held = some(&mut harness, 0, 400);
+    assert!((225..=275).contains(&held), "QoS 0 has half the worth, so half the threshold: {held}");
+    let more = some(&mut harness, 1, 40);
     assert!(more >= held + 35, "{more} after {held}");
-    assert!(r.clients[0].answers.is_empty() && r.clients[0].conn.is_some(), "and nothing is said of it");
+    assert!(
+        harness.clients[0].answers.is_empty() && harness.clients[0].conn.is_some(),
+        "shed QoS 0 messages get no reply"
+    );
 }
 
+/// Guards against a message that runs again although its client has not yet acknowledged the first answer.
 #[test]
-fn a_message_goes_again_only_once_its_answer_was_taken() {
-    let mut r = Rig::holding("");
-    (r.life().down, r.clients[0].deaf) = (true, true);
-    r.wait_in_vain();
-    let list = r.ask(1, "list");
+fn a_held_message_is_resubmitted_only_after_its_answer_was_acknowledged() {
+    let mut harness = Harness::with_held_settings("");
+    (harness.process().unreachable, harness.clients[0].withhold_acks) = (true, true);
+    harness.submit_and_let_expire();
+    let list = harness.ask_held(1, "list");
     let id = list.lines().nth(1).unwrap().to_string();
-    assert_eq!(r.ask(1, &format!("again/{id}")), format!("id:{id} stat:UNHEARD"));
-    r.back();
-    r.clients[0].deaf = true;
-    assert_eq!(r.ask(1, &format!("again/{id}")), format!("id:{id} stat:UNHEARD"), "after a crash, too");
-    // Once it is heard the hand-in goes, and what it does is known whatever happens.
-    r.clients[0].deaf = false;
-    r.cut(0);
-    r.enter(0);
-    r.life().silent = true;
-    assert_eq!(r.ask(1, &format!("again/{id}")), format!("id:{id} stat:ENROUTE"));
-    r.pass(1_500);
-    r.back();
-    let n: Vec<usize> = r.ran.values().map(Vec::len).collect();
+    assert_eq!(harness.ask_held(1, &format!("again/{id}")), format!("id:{id} stat:UNHEARD"));
+    harness.crash_and_reconnect();
+    harness.clients[0].withhold_acks = true;
+    assert_eq!(
+        harness.ask_held(1, &format!("again/{id}")),
+        format!("id:{id} stat:UNHEARD"),
+        "also after a crash"
+    );
+    // Once the answer is acknowledged the resubmission is accepted, and its effect is recorded despite a
+    // crash.
+    harness.clients[0].withhold_acks = false;
+    harness.cut(0);
+    harness.connect_client(0);
+    harness.process().never_respond = true;
+    assert_eq!(harness.ask_held(1, &format!("again/{id}")), format!("id:{id} stat:ENROUTE"));
+    harness.advance(1_500);
+    harness.crash_and_reconnect();
+    let n: Vec<usize> = harness.arrivals.values().map(Vec::len).collect();
     assert_eq!(n, [1], "it ran once");
-    assert!(r.ask(1, &format!("again/{id}")).ends_with("stat:MAYHAVERUN"));
+    assert!(harness.ask_held(1, &format!("again/{id}")).ends_with("stat:MAYHAVERUN"));
 }
--- a/crates/engine/tests/node.rs
+++ b/crates/engine/tests/node.rs
@@ -1,4 +1,5 @@
-//! A node by hand, without sockets: what leaves it, and what it says when the wire does not keep up.
+//! Tests a node without sockets: which bytes it sends, and what it answers when a connection takes bytes
+//! slowly.
 
 use bytes::BytesMut;
 use heronroute_config::parse;
@@ -21,9 +22,9 @@
     window: 100,
     max_pdu: 70_000,
 };
-const LIST: &str = "endpoint { name: \"a\" address: \"127.0.0.1:9001\" destination: 1 kind: \"k\" }";
+const ENDPOINT_LIST: &str = "endpoint { name: \"a\" address: \"127.0.0.1:9001\" destination: 1 kind: \"k\" }";
 
-fn node(more: &str, kept: Option<String>) -> Node {
+fn new_node(more: &str, kept: Option<String>) -> Node {
     let text = format!(
         "service {{ quantum: \"0s\" }} client {{ system_id: \"c\" password: \"p\" }} \
          class {{ name: \"PAY\" effect: \"single_shot\" deadline: \"2s\" }} \
@@ -33,8 +34,8 @@
     Node::new(Arc::new(parse("test", &text).unwrap()), start).unwrap()
 }
 
-/// Binds and hands in one message; gives the client's side.
-fn hand_in(node: &mut Node) -> (ConnId, Session) {
+/// Binds a client and submits one message; returns the client's side.
+fn submit_message(node: &mut Node) -> (ConnId, Session) {
     let mut out = BytesMut::new();
     let mut session = Session::bind(0, LIMITS, Mode::Transceiver, "c", "p", &mut out);
     let conn = node.accepted(0, Speaks::Smpp, &out).unwrap();
@@ -58,18 +59,18 @@
     outputs.iter().filter_map(each).collect()
 }
 
-/// What the client hears, of all that is written to it.
-fn heard(node: &mut Node, conn: ConnId, session: &mut Session) -> Vec<Answer> {
-    let octets = node.pending(conn).to_vec();
-    node.wrote(conn, octets.len());
+/// Returns the answers in all bytes that the node has for the client.
+fn received_answers(node: &mut Node, conn: ConnId, session: &mut Session) -> Vec<Answer> {
+    let bytes = node.pending(conn).to_vec();
+    node.wrote(conn, bytes.len());
     let (mut out, mut events) = (BytesMut::new(), Vec::new());
-    session.receive(0, &octets, &mut out, &mut events);
+    session.receive(0, &bytes, &mut out, &mut events);
     let each = |e: Event| if let Event::Delivered(sm) = e { Receipt::read(&sm).map(|r| r.1) } else { None };
     events.into_iter().filter_map(each).collect()
 }
 
-/// Runs the clock on, doing nothing else.
-fn pass(node: &mut Node, to: i64) {
+/// Advances the clock and discards the node's outputs.
+fn advance(node: &mut Node, to: i64) {
     while let Some(at) = node.wake().filter(|at| *at <= to) {
         node.settle(at);
         node.outputs();
@@ -77,45 +78,45 @@
 }
 
 #[test]
-fn a_kept_list_serves_while_the_directory_fails() {
+fn a_saved_endpoint_list_is_used_while_the_directory_fails() {
     let directory = "directory { address: \"127.0.0.1:9000\" }";
-    let mut n = node(directory, Some(LIST.to_string()));
-    let (conn, _) = connects(&n.outputs())[0];
-    n.closed(1_000, conn, CloseReason::Broken);
-    hand_in(&mut n);
-    let to: Vec<String> = connects(&n.outputs()).iter().map(|c| c.1.to_string()).collect();
-    assert_eq!(to, ["127.0.0.1:9001"], "the message goes out by the kept list");
-    // A list that can't be read is passed over, not fatal.
-    node(directory, Some("endpoint {".to_string()));
+    let mut node = new_node(directory, Some(ENDPOINT_LIST.to_string()));
+    let (conn, _) = connects(&node.outputs())[0];
+    node.closed(1_000, conn, CloseReason::Broken);
+    submit_message(&mut node);
+    let to: Vec<String> = connects(&node.outputs()).iter().map(|c| c.1.to_string()).collect();
+    assert_eq!(to, ["127.0.0.1:9001"], "the message is routed by the saved list");
+    // A saved list that can't be parsed is ignored and not fatal.
+    new_node(directory, Some("endpoint {".to_string()));
 }
 
 #[test]
-fn a_directory_that_must_be_asked_is_asked_again_after_a_failure() {
-    let mut n = node("directory { address: \"127.0.0.1:9000\" mode: \"ask\" poll: \"1s\" }", None);
-    let (conn, at) = connects(&n.outputs())[0];
+fn a_polled_directory_is_polled_again_after_a_failure() {
+    let mut node = new_node("directory { address: \"127.0.0.1:9000\" mode: \"ask\" poll: \"1s\" }", None);
+    let (conn, at) = connects(&node.outputs())[0];
     assert_eq!(at.to_string(), "127.0.0.1:9000", "the library subscribes at its start");
-    n.closed(0, conn, CloseReason::Broken);
-    n.settle(0);
-    assert!(connects(&n.outputs()).is_empty(), "not at once");
+    node.closed(0, conn, CloseReason::Broken);
+    node.settle(0);
+    assert!(connects(&node.outputs()).is_empty(), "not at once");
     let mut again = Vec::new();
-    while let Some(at) = n.wake().filter(|at| *at < 10_000_000 && again.is_empty()) {
-        n.settle(at);
-        again = connects(&n.outputs());
+    while let Some(at) = node.wake().filter(|at| *at < 10_000_000 && again.is_empty()) {
+        node.settle(at);
+        again = connects(&node.outputs());
     }
     let conn = again[0].0;
-    n.connected(6_000_000, conn);
-    assert!(n.pending(conn).starts_with(b"GET /endpoints?since=0&wait=1000 "));
+    node.connected(6_000_000, conn);
+    assert!(node.pending(conn).starts_with(b"GET /endpoints?since=0&wait=1000 "));
     let mut answer = BytesMut::new();
-    write_response(200, &[], format!("version: 5 whole: true {LIST}").as_bytes(), &mut answer);
-    n.wrote(conn, n.pending(conn).len());
-    n.received(6_000_000, conn, &answer);
-    n.settle(6_000_000);
-    assert!(n.pending(conn).starts_with(b"GET /endpoints?since=5&"), "the next poll is out");
-    assert!(n.outputs().iter().any(|o| matches!(o, Output::SaveList(text) if text.contains("9001"))));
+    write_response(200, &[], format!("version: 5 whole: true {ENDPOINT_LIST}").as_bytes(), &mut answer);
+    node.wrote(conn, node.pending(conn).len());
+    node.received(6_000_000, conn, &answer);
+    node.settle(6_000_000);
+    assert!(node.pending(conn).starts_with(b"GET /endpoints?since=5&"), "the next poll is sent");
+    assert!(node.outputs().iter().any(|o| matches!(o, Output::SaveList(text) if text.contains("9001"))));
 }
 
 #[test]
-fn a_wait_that_was_told_before_a_restart_is_kept_after_it() {
+fn a_receivers_retry_after_is_kept_across_a_restart() {
     use heronroute_journal::JournalState;
     use heronroute_journal::entry::{Accepted, Place, What};
     let wall = 1 << 50;
@@ -134,22 +135,22 @@
     let text = format!(
         "service {{ quantum: \"0s\" }} client {{ system_id: \"c\" password: \"p\" }} \
          class {{ name: \"PAY\" effect: \"single_shot\" deadline: \"2s\" }} \
-         kind {{ name: \"k\" protocol: \"http\" }} route {{ destination: 1 }} {LIST}"
+         kind {{ name: \"k\" protocol: \"http\" }} route {{ destination: 1 }} {ENDPOINT_LIST}"
     );
     let start =
         Start { index: 0, seed: 3, now: 0, wall, list: 0, kept: None, state: Some(state), fleet: false };
-    let mut n = Node::new(Arc::new(parse("test", &text).unwrap()), start).unwrap();
-    let (mut count, mut sent) = (0, None);
-    n.settle(0);
-    while let Some(at) = n.wake().filter(|at| *at < 2_000_000 && sent.is_none()) {
-        n.settle(at);
-        for o in n.outputs() {
+    let mut node = Node::new(Arc::new(parse("test", &text).unwrap()), start).unwrap();
+    let (mut committed_entries, mut sent) = (0, None);
+    node.settle(0);
+    while let Some(at) = node.wake().filter(|at| *at < 2_000_000 && sent.is_none()) {
+        node.settle(at);
+        for o in node.outputs() {
             match o {
                 Output::Journal(entries) => {
-                    count += entries.len() as u64;
-                    n.durable(at, count, heronroute_journal::Usage::default());
-                    n.settle(at);
-                    sent = connects(&n.outputs()).first().map(|_| at);
+                    committed_entries += entries.len() as u64;
+                    node.durable(at, committed_entries, heronroute_journal::Usage::default());
+                    node.settle(at);
+                    sent = connects(&node.outputs()).first().map(|_| at);
                 }
                 Output::Connect { .. } => sent = Some(at),
                 _ => {}
@@ -161,86 +162,86 @@
 }
 
 #[test]
-fn what_never_left_is_taken_back_and_called_unsent() {
-    let mut n = node(LIST, None);
-    let (client, mut session) = hand_in(&mut n);
-    let (conn, _) = connects(&n.outputs())[0];
-    n.connected(1_000, conn);
-    n.settle(1_000);
-    assert!(n.pending(conn).starts_with(b"POST / "), "written for the system to take");
-    pass(&mut n, 2_000_000);
-    assert_eq!(heard(&mut n, client, &mut session), [Answer::Expired]);
-    assert_eq!(n.pending(conn), b"", "and never sent after the answer");
+fn unwritten_bytes_are_withdrawn_and_the_message_expires() {
+    let mut node = new_node(ENDPOINT_LIST, None);
+    let (client, mut session) = submit_message(&mut node);
+    let (conn, _) = connects(&node.outputs())[0];
+    node.connected(1_000, conn);
+    node.settle(1_000);
+    assert!(node.pending(conn).starts_with(b"POST / "), "queued to be written");
+    advance(&mut node, 2_000_000);
+    assert_eq!(received_answers(&mut node, client, &mut session), [Answer::Expired]);
+    assert_eq!(node.pending(conn), b"", "and never sent after the answer");
 }
 
 #[test]
-fn what_has_begun_to_leave_may_have_run() {
-    let mut n = node(LIST, None);
-    let (client, mut session) = hand_in(&mut n);
-    let (conn, _) = connects(&n.outputs())[0];
-    n.connected(1_000, conn);
-    n.wrote(conn, 1);
-    pass(&mut n, 2_000_000);
-    assert_eq!(heard(&mut n, client, &mut session), [Answer::Unknown { retry_after: None }]);
+fn a_partly_written_message_is_reported_unknown() {
+    let mut node = new_node(ENDPOINT_LIST, None);
+    let (client, mut session) = submit_message(&mut node);
+    let (conn, _) = connects(&node.outputs())[0];
+    node.connected(1_000, conn);
+    node.wrote(conn, 1);
+    advance(&mut node, 2_000_000);
+    assert_eq!(received_answers(&mut node, client, &mut session), [Answer::Unknown { retry_after: None }]);
 }
 
 #[test]
-fn what_is_told_as_unsent_does_not_leave_with_a_closing_connection() {
-    let mut n = node(LIST, None);
-    hand_in(&mut n);
-    let (conn, _) = connects(&n.outputs())[0];
-    n.connected(1_000, conn);
-    // The receiver answers what nobody asked: the connection can't be read on.
-    n.received(2_000, conn, b"nonsense\r\n\r\n");
-    n.settle(2_000);
-    let outputs = n.outputs();
-    assert_eq!(n.pending(conn), b"", "nothing of the message is left to be written");
+fn a_closing_connection_sends_no_message_reported_as_unsent() {
+    let mut node = new_node(ENDPOINT_LIST, None);
+    submit_message(&mut node);
+    let (conn, _) = connects(&node.outputs())[0];
+    node.connected(1_000, conn);
+    // The receiver sends an unexpected response, so the connection can't be used any more.
+    node.received(2_000, conn, b"nonsense\r\n\r\n");
+    node.settle(2_000);
+    let outputs = node.outputs();
+    assert_eq!(node.pending(conn), b"", "no bytes of the message are left to be written");
     assert!(outputs.iter().any(|o| matches!(o, Output::Drop(c) | Output::Finish(c) if *c == conn)));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: prop::test_runner::RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever clients, receivers and the directory send, in whatever pieces: no panic, and nothing but what was
-    /// handed in is answered.
+    /// Whatever clients, receivers and the directory send, in pieces of any size, the node does not panic and
+    /// answers only submitted messages.
     #[test]
-    fn no_octets_harm_a_node(
-        noise in prop::collection::vec(any::<u8>(), 1..160),
+    fn arbitrary_bytes_do_not_harm_a_node(
+        random_bytes in prop::collection::vec(any::<u8>(), 1..160),
         smpp in any::<bool>(),
         step in 1usize..60,
-        real in any::<bool>(),
+        valid_head in any::<bool>(),
     ) {
         let kind = if smpp { "smpp" } else { "http" };
-        let list = LIST.replace("\"k\"", "\"x\"");
+        let list = ENDPOINT_LIST.replace("\"k\"", "\"x\"");
         let more = format!("directory {{ address: \"127.0.0.1:9000\" }} kind {{ name: \"x\" protocol: \"{kind}\" }} {list}");
-        let mut n = node(&more, None);
-        let mut noise = noise;
-        if real {
-            // Plausible heads reach further in.
+        let mut node = new_node(&more, None);
+        let mut random_bytes = random_bytes;
+        if valid_head {
+            // Valid heads take the parser further.
             let heads: [&[u8]; 3] = [
                 b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n",
                 &[0, 0, 0, 60, 0x80, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0, 2],
                 &[0, 0, 0, 40, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0, 9],
             ];
-            noise.splice(0..0, heads[noise[0] as usize % 3].iter().copied());
+            random_bytes.splice(0..0, heads[random_bytes[0] as usize % 3].iter().copied());
         }
-        let (client, mut session) = hand_in(&mut n);
+        let (client, mut session) = submit_message(&mut node);
         let mut now = 0;
-        for part in noise.chunks(step) {
-            for (conn, _) in connects(&n.outputs()) {
-                n.connected(now, conn);
-                n.received(now, conn, part);
+        for part in random_bytes.chunks(step) {
+            for (conn, _) in connects(&node.outputs()) {
+                node.connected(now, conn);
+                node.received(now, conn, part);
             }
-            n.received(now, client, part);
+            node.received(now, client, part);
             for conn in 1..12 {
-                n.received(now, conn, part);
+                node.received(now, conn, part);
             }
             now += 50_000;
-            n.settle(now);
+            node.settle(now);
         }
-        pass(&mut n, 6_000_000);
-        let answers = heard(&mut n, client, &mut session);
+        advance(&mut node, 6_000_000);
+        let answers = received_answers(&mut node, client, &mut session);
         assert!(answers.len() <= 2, "{answers:?}");
-        assert_eq!(n.open(), 0, "what was handed in has its answer");
+        assert_eq!(node.open(), 0, "every submitted message is answered");
     }
 }
--- a/crates/engine/tests/rig/mod.rs
+++ b/crates/engine/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of a node on a faulty disk share.
+//! Helpers shared by the tests of a node whose journal is on a disk with injected faults.
 
 use heronroute_engine::Node;
 use heronroute_journal::disk::Disk;
@@ -15,12 +15,12 @@
     max_pdu: 70_000,
 };
 
-/// Numbers that are the same in each run. Not all tests that share this file throw dice.
+/// A pseudorandom generator with a fixed seed. Not every test that includes this file uses it.
 #[allow(dead_code)]
-pub struct Dice(pub u64);
+pub struct TestRng(pub u64);
 
 #[allow(dead_code)]
-impl Dice {
+impl TestRng {
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -29,21 +29,21 @@
     }
 }
 
-/// Commits all that waits, and tells the node. False once power is lost.
+/// Commits all waiting entries and notifies the node. Returns false once the disk has lost power.
 pub fn commit(
     node: &mut Node,
     journal: &mut Journal<Disk>,
-    waiting: &mut Vec<Vec<Entry>>,
-    count: &mut u64,
+    uncommitted: &mut Vec<Vec<Entry>>,
+    committed_entries: &mut u64,
     now: i64,
 ) -> bool {
-    let entries: Vec<Entry> = std::mem::take(waiting).into_iter().flatten().collect();
+    let entries: Vec<Entry> = std::mem::take(uncommitted).into_iter().flatten().collect();
     if !entries.is_empty() {
         if journal.commit(&entries).is_err() {
             return false;
         }
-        *count += entries.len() as u64;
-        node.durable(now, *count, journal.usage());
+        *committed_entries += entries.len() as u64;
+        node.durable(now, *committed_entries, journal.usage());
     }
     true
 }
