--- a/crates/engine/tests/keeping.rs
+++ b/crates/engine/tests/keeping.rs
@@ -83,7 +83,7 @@
     harness.publish(0, topic, 3);
     harness.advance(1_500);
     let (_, answers) = harness.publish(0, topic, 3);
-    let again = format!("held/again/{}", id(&answers[0]));
+    let resubmit_topic = format!("held/again/{}", id(&answers[0]));
     // The answer is repeated once and not acknowledged: it is not repeated again, however often the message
     // is submitted.
     harness.withhold_acks = true;
@@ -92,12 +92,12 @@
     harness.withhold_acks = false;
     // An acknowledgement of that answer would close a resubmission of the same message, so none is allowed
     // before it.
-    let (_, said) = harness.publish(0, &again, 3);
+    let (_, said) = harness.publish(0, &resubmit_topic, 3);
     assert!(said[0].ends_with("UNHEARD"), "{said:?}");
     harness.crash();
     harness.connect_clients();
     harness.receivers_down = false;
-    let (_, said) = harness.publish(0, &again, 900);
+    let (_, said) = harness.publish(0, &resubmit_topic, 900);
     assert!(said[0].ends_with("ENROUTE"), "{said:?}");
     assert_eq!(harness.received_bodies.len(), 1);
     let (_, answers) = harness.publish(0, topic, 30);
@@ -119,7 +119,11 @@
         assert_eq!(harness.publish(0, &topic(n), 20).0, 0);
     }
     harness.publish(2, &topic("a"), 20);
-    assert_eq!(harness.publish(0, &topic("a"), 20).0, 0x97, "dropped: can't be told from a new message");
+    assert_eq!(
+        harness.publish(0, &topic("a"), 20).0,
+        0x97,
+        "dropped: can't be distinguished from a new message"
+    );
     for n in ["b", "c", "d"] {
         let (code, answers) = harness.publish(0, &topic(n), 20);
         assert_eq!((code, answers.len()), (0, 1), "{n}");
@@ -281,17 +285,17 @@
         (0, 0),
         "remembered; its answer is kept for the shorter time, here zero"
     );
-    let ran = harness.received_bodies.len();
+    let sent = harness.received_bodies.len();
     harness.advance(6_000);
     assert_eq!(republish(&mut harness, "f"), (0, 0), "remembered for 20 s, though the applied rule says 3 s");
-    assert_eq!(harness.received_bodies.len(), ran, "no message is sent twice");
+    assert_eq!(harness.received_bodies.len(), sent, "no message is sent twice");
     harness.fence(None);
     assert_eq!(
         (republish(&mut harness, "f"), republish(&mut harness, "d")),
         ((0, 0), (0x97, 0)),
         "nor after the fence is lifted"
     );
-    assert_eq!(harness.received_bodies.len(), ran);
+    assert_eq!(harness.received_bodies.len(), sent);
 }
 
 #[test]
@@ -501,7 +505,7 @@
     let outputs = harness.node().outputs();
     assert!(outputs.iter().all(|o| !matches!(o, Output::Live(_))), "{outputs:?}");
     assert_eq!(harness.node().live("c").unwrap().set.version, 0);
-    // Applying the same version again meanwhile makes no second entry and no report.
+    // Applying the same version again before that makes no second entry and no report.
     harness.node().apply(now, one);
     harness.node().settle(now);
     assert_eq!(harness.node().outputs(), []);
--- a/crates/engine/tests/mqtt.rs
+++ b/crates/engine/tests/mqtt.rs
@@ -180,8 +180,8 @@
             return self.cut(now, client);
         }
         if rng.below(100) < self.cut_percent {
-            let some = rng.below(bytes.len() as u64 + 1) as usize;
-            self.node.received(now, conn, &bytes[..some]);
+            let kept_len = rng.below(bytes.len() as u64 + 1) as usize;
+            self.node.received(now, conn, &bytes[..kept_len]);
             return self.cut(now, client);
         }
         self.node.received(now, conn, bytes);
@@ -284,7 +284,7 @@
         if let Some(client) = clients.iter_mut().find(|client| client.conn == Some(conn)) {
             let named = !bytes.is_empty() && self.cut_before == Some((false, bytes[0] >> 4));
             let lost = named || rng.below(100) < self.cut_percent;
-            let some = if named {
+            let kept_len = if named {
                 self.cut_before = None;
                 0
             } else if lost {
@@ -293,7 +293,7 @@
                 bytes.len()
             };
             let mut events = Vec::new();
-            client.mqtt.receive(&bytes[..some], &mut reply, &mut events);
+            client.mqtt.receive(&bytes[..kept_len], &mut reply, &mut events);
             assert!(!events.iter().any(|h| matches!(h, Heard::Wrong(_))), "{events:?}");
             client.record_events(events);
             if lost {
@@ -575,12 +575,12 @@
     assert_eq!(harness.clients[0].answers[&1].len(), 1);
     harness.connect_client(0);
     harness.advance(10);
-    let again: Vec<bool> = harness.clients[0]
+    let dup_flags: Vec<bool> = harness.clients[0]
         .events
         .iter()
         .filter_map(|h| if let Heard::Told(.., dup) = h { Some(*dup) } else { None })
         .collect();
-    assert_eq!((again, harness.process().node.owed()), (vec![true], 0));
+    assert_eq!((dup_flags, harness.process().node.owed()), (vec![true], 0));
     // After a clean start the unacknowledged answer comes again as a new packet, without the DUP flag.
     harness.process().cut_before = Some((true, 4));
     harness.publish(0, 2, &message(2, true, 1, "RESP"));
@@ -588,12 +588,12 @@
     harness.clients[0].mqtt.who().clean = true;
     assert_eq!(harness.connect_client(0), Some(false));
     harness.advance(10);
-    let again: Vec<bool> = harness.clients[0]
+    let dup_flags: Vec<bool> = harness.clients[0]
         .events
         .iter()
         .filter_map(|h| if let Heard::Told(.., dup) = h { Some(*dup) } else { None })
         .collect();
-    assert_eq!((again, harness.process().node.owed()), (vec![false], 0));
+    assert_eq!((dup_flags, harness.process().node.owed()), (vec![false], 0));
 }
 
 #[test]
@@ -619,8 +619,8 @@
         }
         harness.advance(60);
     }
-    let told: usize = harness.clients.iter().map(|client| client.answers.len()).sum();
-    assert_eq!((told, harness.process().node.owed()), (10, 0));
+    let answered: usize = harness.clients.iter().map(|client| client.answers.len()).sum();
+    assert_eq!((answered, harness.process().node.owed()), (10, 0));
     assert!(harness.clients[2].conn.is_some(), "another client's session of the same name is unaffected");
 }
 
@@ -666,7 +666,7 @@
     harness.publish(0, 0, &request("ask"));
     harness.publish(0, 0, &request("withdraw"));
     harness.advance(5);
-    let told = |client: &Client| -> Vec<String> {
+    let query_answers = |client: &Client| -> Vec<String> {
         let each = |h: &Heard| match h {
             Heard::Told(topic, text, correlation, ..)
                 if topic == "answers/of/mine" && correlation == b"q" =>
@@ -677,11 +677,11 @@
         };
         client.events.iter().filter_map(each).collect()
     };
-    let mine = told(&harness.clients[0]);
+    let mine = query_answers(&harness.clients[0]);
     assert_eq!(mine[1..], [format!("id:{id} stat:DELIVRD"), "stat:NOTFOUND".to_string()], "{mine:?}");
     assert!(mine[0].ends_with("stat:ENROUTE") || mine[0].ends_with("stat:DELIVRD"));
     assert_eq!(
-        told(&harness.clients[1]),
+        query_answers(&harness.clients[1]),
         ["stat:NOTFOUND"],
         "another client's message is reported as not found"
     );
@@ -730,7 +730,7 @@
 fn a_subscription_is_acknowledged_only_once_it_is_durable() {
     for five in [true, false] {
         let mut harness = Harness::new("", vec![Client::new(five, "c", "one")]);
-        let told =
+        let acknowledged =
             |harness: &Harness| harness.clients[0].events.iter().any(|h| matches!(h, Heard::Subscribed(_)));
         let subscribe = |harness: &mut Harness| {
             let now = harness.now;
@@ -743,11 +743,11 @@
         // The journal does not commit.
         harness.process().commit_interval = u64::MAX;
         subscribe(&mut harness);
-        assert!(!told(&harness), "acknowledged before it is durable");
+        assert!(!acknowledged(&harness), "acknowledged before it is durable");
         harness.crash();
         assert_eq!(harness.connect_client(0), Some(true), "the session is resumed without the subscription");
         subscribe(&mut harness);
-        assert!(told(&harness));
+        assert!(acknowledged(&harness));
         harness.crash();
         assert_eq!(harness.connect_client(0), Some(true));
         harness.publish(0, 7, &message(7, five, 1, "PAY"));
@@ -980,7 +980,7 @@
     }
 }
 
-/// Guards against a single-shot message that runs twice because its client resubmits it after an UNKNOWN answer.
+/// Guards against a single-shot message that runs twice because its client resubmits it after UNKNOWN.
 #[test]
 fn a_held_message_that_may_have_run_is_not_resubmitted() {
     let mut harness = Harness::with_held_settings("");
@@ -1086,11 +1086,11 @@
     assert_eq!(harness.ask_held(0, &format!("again/{id}")), format!("id:{id} stat:WINDOWOVER"));
     harness.process().never_respond = false;
     let said = harness.ask_held(0, &format!("again/{id}/new"));
-    let own = field(&said, "id").unwrap().to_string();
-    assert!(own != id && said.ends_with("stat:ENROUTE"), "{said}");
+    let new_id = field(&said, "id").unwrap().to_string();
+    assert!(new_id != id && said.ends_with("stat:ENROUTE"), "{said}");
     harness.advance(300);
     assert_eq!(harness.arrivals[&2].len(), before + 1);
-    assert_eq!(harness.arrivals[&2].last(), Some(&own), "receivers can tell it from the old message");
+    assert_eq!(harness.arrivals[&2].last(), Some(&new_id), "receivers can tell it from the old message");
     assert!(harness.ask_held(0, "list").starts_with("held:0 "));
     harness.crash_and_reconnect();
     assert!(harness.ask_held(0, "list").starts_with("held:0 "));
@@ -1140,8 +1140,8 @@
     }
     harness.advance(100);
     assert!(most <= 50 + 10, "a tenth of the room plus live messages: {most}");
-    let told = harness.clients[2].answers.values().filter(|a| a[0].1 == "DELIVRD").count() as u64;
-    assert_eq!(told, live, "live traffic is served meanwhile");
+    let delivered = harness.clients[2].answers.values().filter(|a| a[0].1 == "DELIVRD").count() as u64;
+    assert_eq!(delivered, live, "live traffic is served during the release");
     assert!(harness.arrivals.iter().all(|(n, ids)| n % 2 == 0 || ids.len() == 1));
     assert_eq!(
         harness.ask_held(0, "stop"),
@@ -1158,7 +1158,7 @@
     // The room is 500. A client that holds half of it gets no more QoS 0 messages accepted, but more of QoS
     // 1.
     let mut n = 0;
-    let mut some = |harness: &mut Harness, qos: u8, number: usize| {
+    let mut publish_and_count_open = |harness: &mut Harness, qos: u8, number: usize| {
         for _ in 0..number {
             n += 2;
             harness.publish(0, n, &message(n, true, qos, "RESP"));
@@ -1166,9 +1166,9 @@
         }
         harness.process().node.open()
     };
-    let held = some(&mut harness, 0, 400);
+    let held = publish_and_count_open(&mut harness, 0, 400);
     assert!((225..=275).contains(&held), "QoS 0 has half the worth, so half the threshold: {held}");
-    let more = some(&mut harness, 1, 40);
+    let more = publish_and_count_open(&mut harness, 1, 40);
     assert!(more >= held + 35, "{more} after {held}");
     assert!(
         harness.clients[0].answers.is_empty() && harness.clients[0].conn.is_some(),
--- a/crates/engine/tests/region.rs
+++ b/crates/engine/tests/region.rs
@@ -87,7 +87,7 @@
     assert_eq!((answer_states(&harness, 0), harness.received_bodies.len()), (vec!["EXPIRED".to_string()], 0));
 }
 
-/// Guards against two answers: the lease ends while a call is under way, so the partner may answer the message.
+/// Guards against two answers: the lease ends while a call is open, so the partner may answer the message.
 #[test]
 fn an_answer_received_without_a_lease_waits_for_one() {
     let mut harness = harness_with_lease(60);
@@ -103,8 +103,8 @@
     assert_eq!((answer_states(&harness, 0), harness.received_bodies.len()), (vec!["DELIVRD".to_string()], 2));
 }
 
-/// Guards against a call that leaves after the lease ended: the process is paused between queueing its bytes and
-/// writing them, and the partner takes the work over meanwhile.
+/// Guards against a call that is sent after the lease ended: the process is paused between queueing its bytes
+/// and writing them, and the partner takes the work over during the pause.
 #[test]
 fn bytes_queued_before_a_pause_are_not_sent_after_it() {
     let mut harness = harness_with_lease(60);
--- a/crates/engine/tests/weigh.rs
+++ b/crates/engine/tests/weigh.rs
@@ -10,7 +10,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The acknowledgement code for a name that was dropped, so that a repeat can't be told from a new message.
+/// The acknowledgement code for a name that was dropped, so that a repeat can't be distinguished from a new
+/// message.
 const FORGOTTEN_NAME_CODE: u8 = 0x97;
 
 fn random_rules(rng: &mut SmallRng) -> Vec<Rule> {
