--- a/crates/region/src/agreed.rs
+++ b/crates/region/src/agreed.rs
@@ -1,4 +1,4 @@
-//! What the keepers' log says of regions, the same at all members that have read as far.
+//! What the keepers' log says about regions; the same at all members that have read equally far.
 
 use crate::list::{List, Region};
 use heronroute_fleet::{Life, Name, Start, Term};
@@ -6,57 +6,59 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Senders of a process whose places are told at most.
-pub const MOST_SENDERS: usize = 256;
-/// Members that are said to have one's copy at most.
-pub const MOST_COPIES: usize = 4;
-/// Take-overs of one name that were done and are remembered at most; the oldest is let go.
-pub const MOST_DONE: usize = 8;
-/// Members known at most, those that left the list included. One more is not known, and so is given no right.
-pub const MOST_KNOWN: usize = 4 * crate::list::MOST_PLACES;
+/// The maximum number of senders of a process whose positions are recorded.
+pub const MAX_SENDERS: usize = 256;
+/// The maximum number of members recorded as having a member's copy.
+pub const MAX_COPIES: usize = 4;
+/// The maximum number of completed takeovers remembered by name; the oldest is dropped.
+pub const MAX_REMEMBERED_TAKEOVERS: usize = 8;
+/// The maximum number of known members, including those that left the list. Further members are not known,
+/// and so get no lease.
+pub const MAX_KNOWN_MEMBERS: usize = 4 * crate::list::MAX_PLACES;
 
-/// An entry of the log about regions. A variant or a field is only ever added at the end.
+/// A log entry about regions. Variants and fields are only ever added at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// The list, by the settings of the member in charge.
+    /// The approved list, from the leader's settings.
     List {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
-        /// With a number above the one before.
+        /// The list; its number must be higher than the previous one's.
         list: List,
     },
-    /// What a life had taken on goes to a partner. The member in charge writes it once no right that was given to that life can
-    /// still hold; the life sends and answers nothing of it any more, also when it comes back.
+    /// Assigns what a life had accepted to a partner. The leader proposes it once no lease granted to that
+    /// life can still be valid; the life sends and answers none of it any more, even if it returns.
     TakeOver {
-        /// In whose term.
+        /// The leader's term.
         term: Term,
-        /// Whose: what this life and those of its name before it had taken on.
+        /// The life that is taken over; what it and earlier lives of its name had accepted is taken over.
         of: Life,
-        /// Who ends it from its copy.
+        /// The member that finishes the work, from its copy.
         by: Name,
     },
-    /// The partner has taken all of it on, durably: the copy is not needed any more. It sends and answers nothing of it before
-    /// it has read this in the log.
+    /// The partner has accepted all of it durably, and the copy is not needed any more. The partner sends
+    /// and answers none of it before it has read this entry in the log.
     TakenOver {
-        /// Whose.
+        /// The life that was taken over.
         of: Life,
-        /// Who did.
+        /// The member that took it over.
         by: Name,
-        /// How far the copy went, by sender: entries of the sender's journal before this one are the partner's; what the life
-        /// wrote from there on, nobody else has.
+        /// The end of the copy, by sender: entries of the sender's journal before this position belong to
+        /// the partner; what the life wrote from there on, no other member has.
         upto: Vec<u64>,
     },
-    /// A life says who has a whole copy of its journals, the first to be turned to first. Written when that changes.
+    /// A life reports which members have a complete copy of its journals, most preferred first. Written on
+    /// each change.
     Copies {
-        /// Whose.
+        /// The life that reports.
         of: Life,
-        /// [`MOST_COPIES`] at most, of other regions.
+        /// At most [`MAX_COPIES`] members, of other regions.
         by: Vec<Name>,
     },
 }
 
 impl Command {
-    /// In whose term it counts, where it is of the member in charge.
+    /// Returns the term that the command belongs to, if it is one of the leader.
     pub fn term(&self) -> Option<Term> {
         match self {
             Command::List { term, .. } | Command::TakeOver { term, .. } => Some(*term),
@@ -65,136 +67,140 @@
     }
 }
 
-/// What an entry came to.
+/// The effect of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// There is a new list.
     List,
     /// A life is taken over.
     TakeOver {
-        /// Whose.
+        /// The life that is taken over.
         of: Life,
-        /// By whom.
+        /// The member that takes it over.
         by: Name,
-        /// Who was to do it before, and is dead itself.
+        /// The member that was to take it over before, and is dead itself.
         before: Option<Name>,
     },
-    /// All of it was taken on.
+    /// A takeover is complete.
     TakenOver {
-        /// Whose.
+        /// The life that was taken over.
         of: Life,
-        /// By whom.
+        /// The member that took it over.
         by: Name,
     },
-    /// Others have a member's copy than before.
+    /// The members that have a member's copy changed.
     Copies {
-        /// Whose.
+        /// The member whose copies they are.
         of: Name,
     },
-    /// Nothing: something before it in the log makes it void.
+    /// No effect: an earlier entry in the log makes this one void.
     Nothing,
 }
 
-/// A take-over.
+/// A takeover.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
-    /// Of the life with this start, and those before it.
+pub struct Takeover {
+    /// The life with this start is taken over, and those before it.
     pub start: Start,
-    /// By whom.
+    /// The member that takes it over.
     pub by: Name,
-    /// All of it was taken on.
+    /// Whether it is complete.
     pub done: bool,
 }
 
-/// What is known of a name.
+/// What is known of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Known {
+struct MemberState {
     /// The latest start that wrote to the log, or was taken over.
     newest: Start,
     copies: Vec<Name>,
-    taken: Option<Taken>,
-    /// By sender: before these places its journals are others'.
+    taken: Option<Takeover>,
+    /// By sender: journal entries before these positions belong to other members.
     upto: Vec<u64>,
-    /// Which were taken on, and by whom: the partner may have died before it read that.
+    /// The completed takeovers, by start and the member that took over; kept because that member may have
+    /// died before it read the entry.
     done: Vec<(Start, Name)>,
 }
 
-/// The state.
+/// What the log says about regions, up to the last applied entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Agreed {
     list: Arc<List>,
-    known: BTreeMap<Name, Known>,
+    members: BTreeMap<Name, MemberState>,
 }
 
 impl Agreed {
-    /// The list; number 0 where none was approved yet.
+    /// Returns the list; its number is 0 if none was approved yet.
     pub fn list(&self) -> &Arc<List> {
         &self.list
     }
 
-    /// A name's latest start that is known.
+    /// Returns the latest known start of a member.
     pub fn newest(&self, name: &Name) -> Option<Start> {
-        self.known.get(name).map(|known| known.newest)
+        self.members.get(name).map(|member| member.newest)
     }
 
-    /// The last take-over of a name's lives.
-    pub fn taken(&self, name: &Name) -> Option<&Taken> {
-        self.known.get(name)?.taken.as_ref()
+    /// Returns the last takeover of a member's lives.
+    pub fn taken(&self, name: &Name) -> Option<&Takeover> {
+        self.members.get(name)?.taken.as_ref()
     }
 
-    /// Before which places, by sender, a name's journals are others'.
+    /// Returns the positions, by sender, before which a member's journal entries belong to other members.
     pub fn upto(&self, name: &Name) -> &[u64] {
-        self.known.get(name).map_or(&[], |known| &known.upto)
+        self.members.get(name).map_or(&[], |member| &member.upto)
     }
 
-    /// Who has a whole copy of a name's journals, as it said itself.
+    /// Returns the members that have a complete copy of a member's journals, as it reported itself.
     pub fn copies(&self, name: &Name) -> &[Name] {
-        self.known.get(name).map_or(&[], |known| &known.copies)
+        self.members.get(name).map_or(&[], |member| &member.copies)
     }
 
-    /// A name's latest life was taken over, and none came after it.
+    /// Returns whether a member's latest life was taken over and no later one has started.
     pub fn is_gone(&self, name: &Name) -> bool {
-        let gone = |known: &Known| known.taken.as_ref().is_some_and(|taken| taken.start >= known.newest);
-        self.known.get(name).is_some_and(gone)
+        let gone =
+            |member: &MemberState| member.taken.as_ref().is_some_and(|taken| taken.start >= member.newest);
+        self.members.get(name).is_some_and(gone)
     }
 
-    /// Whether a life was taken over.
+    /// Returns whether a life was taken over.
     pub fn is_over(&self, life: &Life) -> bool {
         self.taken(&life.name).is_some_and(|taken| life.start <= taken.start)
     }
 
-    /// Whether a life may be given a right: it is on the list and the latest of its name, and not taken over.
-    pub fn may_hold(&self, life: &Life) -> bool {
+    /// Returns whether a life may be granted a lease: it is on the list, is the latest of its name and was
+    /// not taken over.
+    pub fn may_hold_lease(&self, life: &Life) -> bool {
         let newest = self.newest(&life.name) == Some(life.start);
         newest && self.list.place(&life.name).is_some() && !self.is_over(life)
     }
 
-    /// What a member has to take on now, or goes on taking on.
+    /// Returns the lives that a member has to take over now, including takeovers in progress.
     pub fn taking(&self, by: &Name) -> Vec<Life> {
-        let open = |(name, known): (&Name, &Known)| {
-            let taken = known.taken.as_ref().filter(|taken| !taken.done && taken.by == *by)?;
+        let open = |(name, member): (&Name, &MemberState)| {
+            let taken = member.taken.as_ref().filter(|taken| !taken.done && taken.by == *by)?;
             Some(Life { name: name.clone(), start: taken.start })
         };
-        self.known.iter().filter_map(open).collect()
+        self.members.iter().filter_map(open).collect()
     }
 
-    /// What a member has taken on, as far back as [`MOST_DONE`] of each name.
+    /// Returns the lives that a member has taken over, up to [`MAX_REMEMBERED_TAKEOVERS`] for each name.
     pub fn took(&self, by: &Name) -> Vec<Life> {
-        let of = |(name, known): (&Name, &Known)| -> Vec<Life> {
-            let own = known.done.iter().filter(|(_, done)| done == by);
+        let of = |(name, member): (&Name, &MemberState)| -> Vec<Life> {
+            let own = member.done.iter().filter(|(_, done)| done == by);
             own.map(|(start, _)| Life { name: name.clone(), start: *start }).collect()
         };
-        self.known.iter().flat_map(of).collect()
+        self.members.iter().flat_map(of).collect()
     }
 
-    /// An entry of this life stands in the log, whatever it is about: lives before it are over.
+    /// Records that the log has an entry of this life, of whatever kind: earlier lives of its name are
+    /// over.
     pub fn heard(&mut self, life: &Life) {
-        if let Some(known) = self.entry(&life.name) {
-            known.newest = known.newest.max(life.start);
+        if let Some(member) = self.entry(&life.name) {
+            member.newest = member.newest.max(life.start);
         }
     }
 
-    /// Takes a command, in the order of the log. One of an older term is void, and not for here to tell.
+    /// Applies a command, in log order. The caller must discard commands of older terms, which are void.
     pub fn apply(&mut self, command: &Command) -> Effect {
         match command {
             Command::List { list, .. } if list.number > self.list.number && list.check().is_ok() => {
@@ -202,90 +208,98 @@
                 Effect::List
             }
             Command::List { .. } => Effect::Nothing,
-            Command::TakeOver { of, by, .. } => self.take_over(of, by),
-            Command::TakenOver { of, by, upto } => self.taken_over(of, by, upto),
-            Command::Copies { of, by } => self.copy(of, by),
+            Command::TakeOver { of, by, .. } => self.apply_take_over(of, by),
+            Command::TakenOver { of, by, upto } => self.apply_taken_over(of, by, upto),
+            Command::Copies { of, by } => self.apply_copies(of, by),
         }
     }
 
-    /// Whether a take-over of this life by this member would count.
-    pub fn takes(&self, of: &Life, by: &Name) -> bool {
-        let known = self.known.get(&of.name);
+    /// Returns whether a takeover of this life by this member would be valid.
+    pub fn is_valid_takeover(&self, of: &Life, by: &Name) -> bool {
+        let member = self.members.get(&of.name);
         let copies = self.copies(&of.name);
-        let later = known.is_some_and(|known| known.newest > of.start);
-        let away = self.abroad(&of.name, by) && (copies.is_empty() || copies.contains(by));
-        let before = known.and_then(|known| known.taken.as_ref()).filter(|taken| taken.start >= of.start);
-        // Whoever was to do it before may have taken it on already: until it is over itself, nobody else does.
+        let later = member.is_some_and(|member| member.newest > of.start);
+        let away = self.in_different_regions(&of.name, by) && (copies.is_empty() || copies.contains(by));
+        let before = member.and_then(|member| member.taken.as_ref()).filter(|taken| taken.start >= of.start);
+        // The member that was to do it before may already have taken it over: no other member may do so
+        // until that member itself is gone.
         let free = before.is_none_or(|taken| !taken.done && taken.by != *by && self.is_gone(&taken.by));
         !later && away && free && !self.is_gone(by)
     }
 
-    fn take_over(&mut self, of: &Life, by: &Name) -> Effect {
-        if !self.takes(of, by) {
+    fn apply_take_over(&mut self, of: &Life, by: &Name) -> Effect {
+        if !self.is_valid_takeover(of, by) {
             return Effect::Nothing;
         }
-        let Some(known) = self.entry(&of.name) else { return Effect::Nothing };
-        known.newest = known.newest.max(of.start);
-        let taken = Taken { start: of.start, by: by.clone(), done: false };
-        let before = known.taken.replace(taken).filter(|before| !before.done && before.by != *by);
+        let Some(member) = self.entry(&of.name) else { return Effect::Nothing };
+        member.newest = member.newest.max(of.start);
+        let taken = Takeover { start: of.start, by: by.clone(), done: false };
+        let before = member.taken.replace(taken).filter(|before| !before.done && before.by != *by);
         Effect::TakeOver { of: of.clone(), by: by.clone(), before: before.map(|before| before.by) }
     }
 
-    fn taken_over(&mut self, of: &Life, by: &Name, upto: &[u64]) -> Effect {
-        // One that was taken over meanwhile has ended nothing: its own partner need not know of it.
+    fn apply_taken_over(&mut self, of: &Life, by: &Name, upto: &[u64]) -> Effect {
+        // A member that was itself taken over meanwhile has completed nothing: its own partner may not know
+        // of it.
         let gone = self.is_gone(by);
-        let Some(known) = self.known.get_mut(&of.name) else { return Effect::Nothing };
-        let open = |taken: &&mut Taken| taken.start == of.start && taken.by == *by && !taken.done;
-        let Some(taken) = known.taken.as_mut().filter(open) else { return Effect::Nothing };
-        if gone || upto.len() > MOST_SENDERS {
+        let Some(member) = self.members.get_mut(&of.name) else { return Effect::Nothing };
+        let open = |taken: &&mut Takeover| taken.start == of.start && taken.by == *by && !taken.done;
+        let Some(taken) = member.taken.as_mut().filter(open) else { return Effect::Nothing };
+        if gone || upto.len() > MAX_SENDERS {
             return Effect::Nothing;
         }
         taken.done = true;
-        known.upto.resize(known.upto.len().max(upto.len()), 0);
-        known.upto.iter_mut().zip(upto).for_each(|(held, upto)| *held = (*held).max(*upto));
-        known.copies.clear();
-        if known.done.len() >= MOST_DONE {
-            known.done.remove(0);
+        member.upto.resize(member.upto.len().max(upto.len()), 0);
+        member.upto.iter_mut().zip(upto).for_each(|(held, upto)| *held = (*held).max(*upto));
+        member.copies.clear();
+        if member.done.len() >= MAX_REMEMBERED_TAKEOVERS {
+            member.done.remove(0);
         }
-        known.done.push((of.start, by.clone()));
+        member.done.push((of.start, by.clone()));
         Effect::TakenOver { of: of.clone(), by: by.clone() }
     }
 
-    fn copy(&mut self, of: &Life, by: &[Name]) -> Effect {
+    fn apply_copies(&mut self, of: &Life, by: &[Name]) -> Effect {
         let twice = by.iter().enumerate().any(|(at, name)| by.iter().skip(at + 1).any(|other| other == name));
-        let fits = by.len() <= MOST_COPIES && !twice && by.iter().all(|name| self.abroad(&of.name, name));
-        if !fits || !self.may_hold(of) || self.copies(&of.name) == by {
+        let fits = by.len() <= MAX_COPIES
+            && !twice
+            && by.iter().all(|name| self.in_different_regions(&of.name, name));
+        if !fits || !self.may_hold_lease(of) || self.copies(&of.name) == by {
             return Effect::Nothing;
         }
-        let Some(known) = self.entry(&of.name) else { return Effect::Nothing };
-        known.copies = by.to_vec();
+        let Some(member) = self.entry(&of.name) else { return Effect::Nothing };
+        member.copies = by.to_vec();
         Effect::Copies { of: of.name.clone() }
     }
 
-    /// Both on the list, in two regions.
-    fn abroad(&self, of: &Name, by: &Name) -> bool {
+    /// Returns whether both members are on the list, in different regions.
+    fn in_different_regions(&self, of: &Name, by: &Name) -> bool {
         let regions: (Option<&Region>, Option<&Region>) = (self.list.region(of), self.list.region(by));
         matches!(regions, (Some(one), Some(other)) if one != other)
     }
 
-    fn entry(&mut self, name: &Name) -> Option<&mut Known> {
-        if !self.known.contains_key(name) && self.known.len() >= MOST_KNOWN {
-            // One that left the list and was never taken over has nothing that could be forgotten.
+    fn entry(&mut self, name: &Name) -> Option<&mut MemberState> {
+        if !self.members.contains_key(name) && self.members.len() >= MAX_KNOWN_MEMBERS {
+            // A member that left the list and was never taken over has no state that has to be remembered.
             let list = Arc::clone(&self.list);
-            let idle = |(name, known): &(&Name, &Known)| list.place(name).is_none() && known.taken.is_none();
-            let idle = self.known.iter().find(idle).map(|(name, _)| name.clone())?;
-            self.known.remove(&idle);
+            let idle =
+                |(name, member): &(&Name, &MemberState)| list.place(name).is_none() && member.taken.is_none();
+            let idle = self.members.iter().find(idle).map(|(name, _)| name.clone())?;
+            self.members.remove(&idle);
         }
-        Some(self.known.entry(name.clone()).or_default())
+        Some(self.members.entry(name.clone()).or_default())
     }
 
-    /// Whether it can be so; the bounds hold for what is read as for what is made.
+    /// Returns whether all bounds hold; checked for state that is read as well as for state that is
+    /// produced.
     pub fn sound(&self) -> bool {
-        let fits = |known: &Known| {
-            known.copies.len() <= MOST_COPIES
-                && known.upto.len() <= MOST_SENDERS
-                && known.done.len() <= MOST_DONE
+        let fits = |member: &MemberState| {
+            member.copies.len() <= MAX_COPIES
+                && member.upto.len() <= MAX_SENDERS
+                && member.done.len() <= MAX_REMEMBERED_TAKEOVERS
         };
-        self.known.len() <= MOST_KNOWN && self.list.check().is_ok() && self.known.values().all(fits)
+        self.members.len() <= MAX_KNOWN_MEMBERS
+            && self.list.check().is_ok()
+            && self.members.values().all(fits)
     }
 }
--- a/crates/region/src/duties.rs
+++ b/crates/region/src/duties.rs
@@ -1,8 +1,9 @@
 //! Periodic work, divided by the approved list.
 //!
-//! Whoever is in charge says with each right whose rights are over ([`Out`]). A member does what falls to it by the list without
-//! those, and only while it holds a right that was given by the list that it has itself. So whom others belief dead does not
-//! come into it: two that each take the other for dead go on with their own parts.
+//! With each lease the leader says which members can hold none ([`Out`]). A member does the share that
+//! falls to it by the list without those members, and only while it holds a lease that was granted under
+//! the list that it has itself. So it does not matter whom others believe dead: two members that each
+//! believe the other dead continue with their own shares.
 
 use crate::Micros;
 use crate::homes::{Homes, SLOTS};
@@ -15,66 +16,72 @@
 /// A kind of periodic work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Duty {
-    /// Asking a destination whether it takes messages again.
+    /// Probing whether a destination accepts messages again.
     Probing,
-    /// Letting messages that are held go at their time.
+    /// Releasing held messages at their time.
     Releasing,
-    /// Taking out what was kept for as long as it was to be.
+    /// Removing what has been kept for its retention time.
     Retention,
-    /// Telling clients what outlives the member that had to tell it.
+    /// Sending clients the notices that outlive the member that was to send them.
     Notices,
 }
 
-/// Who does what now, as far as is known here.
+/// Who does which share now, as far as this member knows.
 #[derive(Clone, Debug, Default)]
 pub struct Duties {
     homes: Homes,
     own: Option<usize>,
     out: Out,
-    /// By slot the place of whoever has it now.
-    acting: Vec<Option<u16>>,
+    /// The place of the member that has the slot now, by slot.
+    assignees: Vec<Option<u16>>,
 }
 
 impl Duties {
-    /// By this list, at this member.
+    /// Divides the work by this list, at this member.
     pub fn new(list: &Arc<List>, own: &Name) -> Duties {
-        let mut duties =
-            Duties { homes: Homes::new(list), own: list.place(own), out: Out::default(), acting: Vec::new() };
-        duties.divide();
+        let mut duties = Duties {
+            homes: Homes::new(list),
+            own: list.place(own),
+            out: Out::default(),
+            assignees: Vec::new(),
+        };
+        duties.assign();
         duties
     }
 
-    /// The same list's, at another member.
-    pub fn at(&self, own: &Name) -> Duties {
+    /// Returns the division by the same list for another member.
+    pub fn for_member(&self, own: &Name) -> Duties {
         Duties { own: self.homes.list().place(own), ..self.clone() }
     }
 
-    /// Whose rights are over, by the newest right. Costs a hash for each member and slot of those that are out, and nothing
-    /// where it is as before.
-    pub fn out(&mut self, out: &Out) {
+    /// Sets the members without a lease, from the newest lease. Costs one hash per member for each of their
+    /// slots, and nothing if they have not changed.
+    pub fn set_out(&mut self, out: &Out) {
         if self.out != *out {
             self.out = out.clone();
-            self.divide();
+            self.assign();
         }
     }
 
-    fn divide(&mut self) {
+    fn assign(&mut self) {
         let same = self.out.list == self.homes.list().number;
         let left = |at: usize| !same || !self.out.has(at);
-        let of =
-            |slot| self.homes.owner(slot).filter(|at| left(*at)).or_else(|| self.homes.instead(slot, left));
-        self.acting = (0..SLOTS).map(|slot| of(slot).map(|at| at as u16)).collect();
+        let of = |slot| {
+            self.homes.owner(slot).filter(|at| left(*at)).or_else(|| self.homes.fallback_owner(slot, left))
+        };
+        self.assignees = (0..SLOTS).map(|slot| of(slot).map(|at| at as u16)).collect();
     }
 
-    /// Who has this part of a duty now: `key` is what it is about, by [`crate::homes::client_key`] or the like.
-    pub fn who(&self, duty: Duty, key: u64) -> Option<&Name> {
+    /// Returns the member that does this share of a duty now: `key` is its subject, by
+    /// [`crate::homes::client_key`] or similar.
+    pub fn assignee(&self, duty: Duty, key: u64) -> Option<&Name> {
         self.homes.list().name(self.place(duty, key)?)
     }
 
-    /// Whether this member does it now, under its right.
-    pub fn mine(&self, now: Micros, right: Option<Right>, duty: Duty, key: u64) -> bool {
+    /// Returns whether this member does this share now, under its lease.
+    pub fn is_own(&self, now: Micros, right: Option<Right>, duty: Duty, key: u64) -> bool {
         let holds = right.is_some_and(|right| now < right.until);
-        // Given by another list than this one, the right says nothing of it.
+        // A lease granted under another list says nothing about this division.
         holds
             && self.out.list == self.homes.list().number
             && self.place(duty, key) == self.own
@@ -82,8 +89,8 @@
     }
 
     fn place(&self, duty: Duty, key: u64) -> Option<usize> {
-        // Parts of two duties about one thing fall to two members, mostly.
+        // Mostly, two duties with the same subject fall to different members.
         let slot = Homes::slot(key.wrapping_add((duty as u64).wrapping_mul(1_009)));
-        self.acting.get(slot).copied().flatten().map(usize::from)
+        self.assignees.get(slot).copied().flatten().map(usize::from)
     }
 }
--- a/crates/region/src/homes/mod.rs
+++ b/crates/region/src/homes/mod.rs
@@ -1,5 +1,6 @@
-//! Where a client or a name of a message has its home, and who keeps whose copy: rendezvous hashing over the approved list, with
-//! bounded load. Whoever holds the same list comes to the same, in every build and on every machine.
+//! Where a client or the name of a message has its home, and which member keeps whose copy: rendezvous
+//! hashing over the approved list, with bounded load. All members with the same list get the same result,
+//! in every build and on every machine.
 
 mod hash;
 mod partners;
--- a/crates/region/src/homes/slots.rs
+++ b/crates/region/src/homes/slots.rs
@@ -1,75 +1,81 @@
-//! Keys fall into slots, and slots belong to members.
+//! Assigns keys to slots, and slots to members.
 
-use super::hash::{self, Use};
+use super::hash::{self, HashDomain};
 use crate::list::List;
 use heronroute_fleet::Name;
 use std::sync::Arc;
 
-/// Slots that keys fall into.
+/// The number of slots.
 pub const SLOTS: usize = 4_096;
 
-/// Which member each slot belongs to. Of so many members none has over 1.25 times its even share.
+/// Which member each slot belongs to. No member has more than 1.25 times its even share.
 #[derive(Clone, Debug, Default)]
 pub struct Homes {
     list: Arc<List>,
-    /// By slot the place in the list; empty where the list is.
+    /// The owner's place in the list, by slot; empty if the list is empty.
     owners: Vec<u16>,
 }
 
 impl Homes {
-    /// By this list; costs a hash for each slot and member, and is done when the list changes.
+    /// Assigns the slots by this list; costs one hash per slot and member, and is done when the list
+    /// changes.
     pub fn new(list: &Arc<List>) -> Homes {
-        let members = seeds(list);
-        let mut room = vec![most(members.len()); members.len()];
+        let members = member_hashes(list);
+        let mut remaining = vec![max_slots(members.len()); members.len()];
         let mut owners = Vec::with_capacity(if members.is_empty() { 0 } else { SLOTS });
         for slot in 0..SLOTS {
-            let scores = members.iter().enumerate().filter(|(at, _)| room.get(*at).is_some_and(|r| *r > 0));
-            let best = scores.max_by_key(|(_, seed)| hash::pair(Use::Slot, **seed, slot as u64));
+            let scores =
+                members.iter().enumerate().filter(|(at, _)| remaining.get(*at).is_some_and(|r| *r > 0));
+            let best = scores
+                .max_by_key(|(_, member_hash)| hash::hash_pair(HashDomain::Slot, **member_hash, slot as u64));
             let Some((at, _)) = best else { break };
-            if let Some(room) = room.get_mut(at) {
-                *room -= 1;
+            if let Some(remaining) = remaining.get_mut(at) {
+                *remaining -= 1;
             }
             owners.push(at as u16);
         }
         Homes { list: Arc::clone(list), owners }
     }
 
-    /// The list it is by.
+    /// Returns the list that the assignment is based on.
     pub fn list(&self) -> &Arc<List> {
         &self.list
     }
 
-    /// The slot of a key.
+    /// Returns the slot of a key.
     pub fn slot(key: u64) -> usize {
         (key % SLOTS as u64) as usize
     }
 
-    /// Whose a slot is, as the place in the list.
+    /// Returns the owner of a slot, as its place in the list.
     pub fn owner(&self, slot: usize) -> Option<usize> {
         self.owners.get(slot).map(|at| usize::from(*at))
     }
 
-    /// The home of a key; none where the list is empty.
+    /// Returns the home of a key; `None` if the list is empty.
     pub fn home(&self, key: u64) -> Option<&Name> {
         self.list.name(self.owner(Self::slot(key))?)
     }
 
-    /// Who of these has a slot in a member's stead: the best of those that are left, without regard to room.
-    pub(crate) fn instead(&self, slot: usize, left: impl Fn(usize) -> bool) -> Option<usize> {
-        let seeds = self.list.places.iter().map(seed).enumerate().filter(|(at, _)| left(*at));
-        seeds.max_by_key(|(_, seed)| hash::pair(Use::Slot, *seed, slot as u64)).map(|(at, _)| at)
+    /// Returns which of the remaining places takes a slot over from its owner: the one with the best score,
+    /// regardless of its share.
+    pub(crate) fn fallback_owner(&self, slot: usize, left: impl Fn(usize) -> bool) -> Option<usize> {
+        let member_hashes = self.list.places.iter().map(member_hash).enumerate().filter(|(at, _)| left(*at));
+        member_hashes
+            .max_by_key(|(_, member_hash)| hash::hash_pair(HashDomain::Slot, *member_hash, slot as u64))
+            .map(|(at, _)| at)
     }
 }
 
-/// Slots of one member at most.
-fn most(members: usize) -> usize {
+/// The most slots that one member may own.
+fn max_slots(members: usize) -> usize {
     (SLOTS * 5 / 4).checked_div(members).unwrap_or(0)
 }
 
-fn seed(place: &crate::list::Place) -> u64 {
-    hash::octets(Use::Member, &[place.name.as_str().as_bytes()])
+fn member_hash(place: &crate::list::Place) -> u64 {
+    hash::hash_bytes(HashDomain::Member, &[place.name.as_str().as_bytes()])
 }
 
-fn seeds(list: &List) -> Vec<u64> {
-    list.places.iter().map(seed).collect()
+fn member_hashes(list: &List) -> Vec<u64> {
+    list.places.iter().map(member_hash).collect()
 }
--- a/crates/region/src/lib.rs
+++ b/crates/region/src/lib.rs
@@ -1,27 +1,29 @@
-//! Regions of an installation: what its members have to agree on so that either region can carry the work alone and nothing
-//! takes effect twice.
+//! Regions of an installation: what its members have to agree on so that either region can carry the work
+//! alone and nothing takes effect twice.
 //!
-//! Does: keeps the approved list of members by region ([`list`]); says where a client or a name has its home and which member
-//! keeps whose copy ([`homes`]); gives members the right to send for a time ([`rights`]); says who ends what a dead member had
-//! taken on ([`agreed`]); divides periodic work ([`duties`]); keeps at a name's
-//! home which hand-in is the message ([`claims`]).
-//! Decides: until when a member may begin attempts; when what it left may go to its partner; which of two hand-ins under one
-//! name is the message.
-//! Never: touches a socket, a file, a thread, a clock or a random source of the machine; decides which endpoint a message goes
-//! to, how long it waits or whether it is tried again: that stays with the library; shares what senders believe of
-//! destinations.
+//! This crate keeps the approved list of members by region ([`list`]); assigns a home to each client or
+//! message name and a partner to each member for its copy ([`homes`]); grants members leases to send
+//! ([`rights`]); decides who finishes what a dead member had accepted ([`agreed`]); divides periodic work
+//! ([`duties`]); and reserves message names at their homes ([`reservations`]).
+//!
+//! It decides until when a member may begin attempts, when the work of a dead member may go to its partner,
+//! and which of two submissions under one name is the message.
+//!
+//! It never uses a socket, a file, a thread, a clock or a random source of the machine. It does not decide
+//! which endpoint a message goes to, how long it waits or whether it is retried, which remains with the
+//! library, and does not share what senders believe of destinations.
 
 #![forbid(unsafe_code)]
 
 pub mod agreed;
-pub mod claims;
 pub mod duties;
 pub mod homes;
 pub mod list;
+pub mod reservations;
 pub mod rights;
 pub mod seam;
 
 pub use list::{List, Place, Region};
 
-/// Time in microseconds: on the caller's clock, or of the day (since 1970 UTC) where a field says `wall`.
+/// Time in microseconds: on the caller's clock, or since 1970 UTC where a field says `wall` or time of day.
 pub type Micros = i64;
--- a/crates/region/src/list.rs
+++ b/crates/region/src/list.rs
@@ -1,13 +1,13 @@
-//! The approved list: which members there are, in which region. All that is divided among members is divided by it alone, so
-//! that whoever has the same list divides alike; who is alive does not come into it.
+//! The approved list of members. All that is divided among members is divided by this list alone, so that
+//! all members with the same list divide alike; it does not depend on who is alive.
 
 use heronroute_fleet::Name;
 use serde::{Deserialize, Serialize};
 
-/// Members of a list at most.
-pub const MOST_PLACES: usize = 512;
+/// The maximum number of members of a list.
+pub const MAX_PLACES: usize = 512;
 
-/// A region, by name: 1 to 32 of `a-z`, `0-9`, `-`, as a member's.
+/// A region, by name: 1 to 32 characters of `a-z`, `0-9`, `-`, like a member's name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Region(pub Name);
 
@@ -20,31 +20,32 @@
     pub region: Region,
 }
 
-/// The list. Two members that have one number have one content: it comes through the keepers' log.
+/// The approved list. Two lists with the same number are equal, because lists come through the keepers'
+/// log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Raised with each change; 0: none was approved yet.
+    /// Raised with each change; 0 means that no list was approved yet.
     pub number: u64,
-    /// By name, each once; [`MOST_PLACES`] at most.
+    /// Sorted by name without duplicates; at most [`MAX_PLACES`].
     pub places: Vec<Place>,
 }
 
-/// Why a list is none.
+/// Why a list is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    /// More than [`MOST_PLACES`].
-    #[error("a list of {0} members; {MOST_PLACES} fit")]
+    /// It has more than [`MAX_PLACES`] members.
+    #[error("the list has {0} members; at most {MAX_PLACES} are allowed")]
     Many(usize),
-    /// Not by name, or a name twice.
-    #[error("{0} stands twice in the list, or not in its order")]
+    /// It is not sorted by name, or has a name twice.
+    #[error("{0} is in the list twice, or the list is not sorted")]
     Order(Name),
 }
 
 impl List {
-    /// Of these members, in whatever order they come.
+    /// Returns the list of these members, which may be given in any order.
     ///
     /// # Errors
-    /// Where there are too many, or one comes twice.
+    /// If there are too many members, or one of them is given twice.
     pub fn of(number: u64, places: impl IntoIterator<Item = Place>) -> Result<List, ListError> {
         let mut places: Vec<Place> = places.into_iter().collect();
         places.sort();
@@ -53,12 +54,12 @@
         Ok(list)
     }
 
-    /// Whether it can be one.
+    /// Checks the number of members, their order and that no name is repeated.
     ///
     /// # Errors
-    /// Where it can't.
+    /// If one of these checks fails.
     pub fn check(&self) -> Result<(), ListError> {
-        if self.places.len() > MOST_PLACES {
+        if self.places.len() > MAX_PLACES {
             return Err(ListError::Many(self.places.len()));
         }
         let pairs = self.places.iter().zip(self.places.iter().skip(1));
@@ -68,17 +69,17 @@
         }
     }
 
-    /// Where a member stands in it.
+    /// Returns the place of a member in the list.
     pub fn place(&self, name: &Name) -> Option<usize> {
         self.places.binary_search_by(|place| place.name.cmp(name)).ok()
     }
 
-    /// Who stands there.
+    /// Returns the member at a place.
     pub fn name(&self, place: usize) -> Option<&Name> {
         self.places.get(place).map(|place| &place.name)
     }
 
-    /// A member's region.
+    /// Returns a member's region.
     pub fn region(&self, name: &Name) -> Option<&Region> {
         self.places.get(self.place(name)?).map(|place| &place.region)
     }
--- a/crates/region/src/rights/deaths.rs
+++ b/crates/region/src/rights/deaths.rs
@@ -1,15 +1,15 @@
-//! The member in charge: which lives are to be taken over, and by whom.
+//! The leader's decision about which lives are taken over, and by which member.
 
 use super::Giver;
 use crate::Micros;
 use crate::agreed::{Agreed, Command};
 use crate::homes::Partners;
-use crate::list::MOST_PLACES;
+use crate::list::MAX_PLACES;
 use heronroute_fleet::{Life, Name, Standing, Start};
 use std::collections::BTreeMap;
 
-/// Who is called dead, and since when. Every keeper follows it, as it may come to be in charge. Bounded by [`MOST_PLACES`]:
-/// one more is not known to be dead.
+/// The members that are considered dead, and since when. Every keeper tracks them, because it may become
+/// the leader. Bounded by [`MAX_PLACES`]: further members are not recorded as dead.
 #[derive(Clone, Debug, Default)]
 pub struct Deaths {
     dead: BTreeMap<Name, (Start, Micros)>,
@@ -17,11 +17,11 @@
 }
 
 impl Deaths {
-    /// What is believed of a member.
+    /// Updates the standing of a member.
     pub fn standing(&mut self, now: Micros, life: &Life, standing: Standing) {
         if standing != Standing::Dead {
             self.dead.remove(&life.name);
-        } else if self.dead.len() < MOST_PLACES || self.dead.contains_key(&life.name) {
+        } else if self.dead.len() < MAX_PLACES || self.dead.contains_key(&life.name) {
             let since = self.dead.entry(life.name.clone()).or_insert((life.start, now));
             if since.0 < life.start {
                 *since = (life.start, now);
@@ -29,7 +29,8 @@
         }
     }
 
-    /// The log knows this life: one that was just begun is not dead for long, though others have not heard of it yet.
+    /// Records that the log contains an entry of this life. The time of death of a newly started life
+    /// counts from its own start, even if other members have not received anything from it yet.
     pub fn known(&mut self, now: Micros, life: &Life) {
         if let Some(since) = self.dead.get_mut(&life.name)
             && since.0 < life.start
@@ -38,13 +39,14 @@
         }
     }
 
-    /// Whether a member is called dead.
+    /// Returns whether a member is considered dead.
     pub fn is_dead(&self, name: &Name) -> bool {
         self.dead.contains_key(name)
     }
 
-    /// What the member in charge has to have written now: take-overs of those dead for long enough that can hold no right, by
-    /// the first that has their copy and lives. The giver gives the lives named none from here on.
+    /// Returns the commands that the leader has to propose now: takeovers of members that have been dead
+    /// long enough and can hold no lease, each by the first live member that has their copy. From here on,
+    /// `giver` grants the lives in question no lease.
     pub fn due(
         &mut self,
         now: Micros,
@@ -60,9 +62,10 @@
         let Some(term) = giver.term() else { return Vec::new() };
         let mut out = Vec::new();
         for (of, by) in giver.undecided(agreed) {
-            // Whoever was to do it may have its copy no more (seed 1748).
+            // The member that was to take over may no longer have the copy (found by seed 1748 of the
+            // schedules test).
             let others = agreed.copies(&of.name).iter().chain(partners.all(&of.name));
-            let by = std::iter::once(&by).chain(others).find(|by| agreed.takes(&of, by)).cloned();
+            let by = std::iter::once(&by).chain(others).find(|by| agreed.is_valid_takeover(&of, by)).cloned();
             out.extend(by.map(|by| Command::TakeOver { term, of, by }));
         }
         for (name, (start, since)) in &self.dead {
@@ -72,7 +75,7 @@
             if !long || !giver.over(now, name) || agreed.list().place(name).is_none() {
                 continue;
             }
-            // That it is given rights in this term is the surest sign that it lives and is heard.
+            // A lease granted in this term is the surest sign that a member is alive and connected.
             let lives = |by: &&Name| !self.dead.contains_key(*by) && giver.holds(now, by);
             if agreed
                 .taken(name)
@@ -81,10 +84,10 @@
                 continue;
             }
             let copies = agreed.copies(name);
-            // Where nobody was said to have it, whoever should keep it.
+            // If no copies were reported, the members that should keep one.
             let all: Vec<&Name> =
                 if copies.is_empty() { partners.all(name) } else { copies.iter().collect() };
-            let by = all.into_iter().find(lives).filter(|by| agreed.takes(&of, by)).cloned();
+            let by = all.into_iter().find(lives).filter(|by| agreed.is_valid_takeover(&of, by)).cloned();
             if let Some(by) = by {
                 giver.refuse(&of, &by);
                 let command = Command::TakeOver { term, of, by };
@@ -96,7 +99,7 @@
         out
     }
 
-    /// When to look again, for whoever is in charge.
+    /// Returns when the next examination is due if this member leads.
     pub fn wake(&self) -> Micros {
         self.next
     }
--- a/crates/region/src/rights/holder.rs
+++ b/crates/region/src/rights/holder.rs
@@ -1,29 +1,29 @@
-//! A life's own right.
+//! The lease of a life, on its own side.
 
 use super::{Ask, Give, Out, Tuning};
 use crate::Micros;
 use crate::seam::Right;
 use heronroute_fleet::{Life, Term};
 
-/// What a life knows of its right. Every member has one.
+/// What a life knows of its own lease. Every member has one.
 #[derive(Clone, Debug)]
 pub struct Holder {
     own: Life,
     tuning: Tuning,
-    /// It may ask: it has read an entry of its own in the log.
+    /// Whether it may request leases: it has read an entry of its own in the log.
     knows: bool,
-    /// It was taken over, or outlived: it holds nothing any more.
+    /// Whether it was taken over, or replaced by a later life: then it never holds a lease again.
     over: bool,
     next: Micros,
     until: Option<Micros>,
-    /// When the newest right was asked for.
+    /// When the newest lease was requested.
     asked: Option<Micros>,
     term: Term,
     out: Out,
 }
 
 impl Holder {
-    /// Of a life that begins now.
+    /// Returns the state of a life that starts now, without a lease.
     pub fn new(now: Micros, own: Life, tuning: Tuning) -> Self {
         Holder {
             own,
@@ -38,17 +38,18 @@
         }
     }
 
-    /// It has read an entry of its own: so it knows of every take-over of the lives before it.
+    /// Records that the life has read an entry of its own, and so knows of every takeover of the lives
+    /// before it.
     pub fn knows(&mut self) {
         self.knows = true;
     }
 
-    /// It holds nothing any more, whatever comes.
+    /// Ends the lease for good, whatever is received later.
     pub fn end(&mut self) {
         (self.over, self.until) = (true, None);
     }
 
-    /// What it asks of the member in charge, where that is due.
+    /// Returns the request to send to the leader, if one is due.
     pub fn poll(&mut self, now: Micros) -> Option<Ask> {
         if now < self.wake()? {
             return None;
@@ -57,12 +58,12 @@
         Some(Ask { life: self.own.clone(), asked: now })
     }
 
-    /// When it asks next.
+    /// Returns when the next request is due.
     pub fn wake(&self) -> Option<Micros> {
         (self.knows && !self.over).then_some(self.next)
     }
 
-    /// It was given a right. False: that counts for nothing here.
+    /// Handles a grant; returns whether it is the newest one for this life.
     pub fn given(&mut self, now: Micros, give: &Give) -> bool {
         let newest = self.asked.is_none_or(|asked| asked <= give.asked);
         if self.over || !self.knows || give.to != self.own || give.asked > now || give.term < self.term {
@@ -78,12 +79,12 @@
         newest
     }
 
-    /// Until when it holds one; nothing where it holds none now.
+    /// Returns the lease that is held now, if any.
     pub fn right(&self, now: Micros) -> Option<Right> {
         self.until.filter(|until| now < *until && !self.over).map(|until| Right { until })
     }
 
-    /// Whose work is others', by the newest right.
+    /// Returns the members whose work others do, by the newest lease.
     pub fn out(&self) -> &Out {
         &self.out
     }
--- a/crates/region/src/rights/mod.rs
+++ b/crates/region/src/rights/mod.rs
@@ -1,22 +1,27 @@
-//! Until when a life may begin attempts and tell final answers.
+//! Leases: until when a life may begin attempts and report final answers.
 //!
-//! A life asks the member in charge, again and again; the answer counts for [`Tuning::span`] from when the life *asked*, on its
-//! own clock ([`Holder`]). The member in charge counts the same from when it *gave*, on its own clock, and adds the drift
-//! allowed ([`Giver`]); before that is over it writes no take-over of the life.
+//! A life requests a lease from the leader periodically; the lease lasts [`Tuning::span`] from when the
+//! life *requested* it, on its own clock. The leader counts the same duration from when it *granted* the
+//! lease, on its own clock, plus the allowed drift, and proposes no takeover of the life before that time.
 //!
-//! What holds while no clock runs more than [`Tuning::drift`] thousandths faster than another, and goes on while its process
-//! stands still (see `heronroute_fleet::lease`), however long messages take, whatever is lost, and whatever wall clocks do:
+//! The following holds while no clock runs more than [`Tuning::drift`] thousandths faster than another and
+//! each clock keeps running while its process is paused (see `heronroute_fleet::lease`), whatever the delay
+//! or loss of messages and whatever the wall clocks do:
 //!
-//! - A right that was given is over at the life before it is over at whoever gave it: it was asked for before it was given.
-//! - A life that the log has taken over holds no right. The giver of the take-over's term had seen all of its own rights to the
-//!   life end, and those of givers before it: their last was given before its own term was granted, and it waited one whole
-//!   right since. From the proposal on it gives that life none. A later giver gives none before it has read the beginning of its
-//!   own term in the log; a take-over behind that is void, and one before it was read. What an older giver sent and comes late
-//!   counts from when it was asked for, and so is over.
-//! - A life that the log doesn't know, or knows a later start of, is given none; and a take-over behind a later start's first entry is
-//!   void ([`crate::agreed`]). So a life that asks has read every take-over of the lives before it.
+//! - A lease expires at its holder before it expires at its granter, because it was requested before it was
+//!   granted.
+//! - A life that the log has taken over holds no lease. The leader of the takeover's term had seen the end
+//!   of all leases that it had granted to the life itself, and of those of earlier leaders: their last one
+//!   was granted before its own term was, and it waited one full lease since. From the proposal on it
+//!   grants that life none. A later leader grants none before it has read the beginning of its own term in
+//!   the log; a takeover behind that entry is void, and one before it was read. A late grant of an earlier
+//!   leader counts from when it was requested, and so has expired.
+//! - A life that the log does not know, or of which it knows a later start, is granted none; and a takeover
+//!   behind the first entry of a later start is void ([`crate::agreed`]). So a life that requests a lease
+//!   has read every takeover of the lives before it.
 //!
-//! What does not hold: an act that was begun within the right may end after it. So it is asked for where the octets leave.
+//! This does not cover an action that begins within the lease and ends after it. Therefore the lease is
+//! checked where the bytes are written.
 
 mod deaths;
 mod giver;
@@ -34,24 +39,24 @@
 use heronroute_fleet::{Life, Term};
 use serde::{Deserialize, Serialize};
 
-/// A life asks for a right.
+/// A life's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Which.
+    /// The life.
     pub life: Life,
-    /// When, on its own clock; given back.
+    /// When it was requested, on the life's own clock; repeated in the grant.
     pub asked: Micros,
 }
 
-/// It is given one.
+/// The grant of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Give {
-    /// In whose term.
+    /// The leader's term.
     pub term: Term,
-    /// To whom.
+    /// The life that gets the lease.
     pub to: Life,
-    /// When it was asked for, on the life's own clock: from then on it counts.
+    /// When the lease was requested, on the life's own clock; the lease counts from then on.
     pub asked: Micros,
-    /// Whose work is others', as none of them can hold a right.
+    /// The members whose work others do, because none of them can hold a lease.
     pub out: Out,
 }
--- a/crates/region/src/rights/out.rs
+++ b/crates/region/src/rights/out.rs
@@ -1,39 +1,39 @@
-//! Which members of a list can hold no right, as the member in charge has it.
+//! The members of a list that can hold no lease, as the leader sees it.
 
-use crate::list::MOST_PLACES;
+use crate::list::MAX_PLACES;
 use serde::{Deserialize, Serialize};
 
-/// Places of the list, a bit each.
+/// Places of a list, as a bit set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Out {
-    /// Of which list.
+    /// The number of the list.
     pub list: u64,
-    /// Eight places an octet, the first in its lowest bit; what is not there is not out.
+    /// Eight places per byte, the first in the lowest bit; places beyond the end are not in the set.
     bits: Vec<u8>,
 }
 
 impl Out {
-    /// Of these places.
+    /// Returns the set of these places.
     pub fn of(list: u64, places: impl IntoIterator<Item = usize>) -> Out {
         let mut bits = Vec::new();
-        for place in places.into_iter().filter(|place| *place < MOST_PLACES) {
+        for place in places.into_iter().filter(|place| *place < MAX_PLACES) {
             if bits.len() <= place / 8 {
                 bits.resize(place / 8 + 1, 0);
             }
-            if let Some(octet) = bits.get_mut(place / 8) {
-                *octet |= 1 << (place % 8);
+            if let Some(byte) = bits.get_mut(place / 8) {
+                *byte |= 1 << (place % 8);
             }
         }
         Out { list, bits }
     }
 
-    /// Whether this place is.
+    /// Returns whether this place is in the set.
     pub fn has(&self, place: usize) -> bool {
-        self.bits.get(place / 8).is_some_and(|octet| octet & 1 << (place % 8) != 0)
+        self.bits.get(place / 8).is_some_and(|byte| byte & 1 << (place % 8) != 0)
     }
 
-    /// Whether it can be one.
+    /// Returns whether the size is within bounds.
     pub fn sound(&self) -> bool {
-        self.bits.len() <= MOST_PLACES.div_ceil(8)
+        self.bits.len() <= MAX_PLACES.div_ceil(8)
     }
 }
--- a/crates/region/src/rights/tuning.rs
+++ b/crates/region/src/rights/tuning.rs
@@ -1,20 +1,22 @@
-//! Figures of rights.
+//! Settings of leases.
 
 use crate::Micros;
 
-/// Figures that a caller may choose, the same at all members. Times are in microseconds.
+/// Settings of leases, the same at all members. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// How long a right lasts, from when it was asked for. Longer than it takes to have another member in charge, so that
-    /// sending goes on meanwhile.
+    /// The duration of a lease, from when it was requested. Longer than the election of another leader
+    /// takes, so that sending continues meanwhile.
     pub span: Micros,
-    /// Between two questions.
+    /// The interval between two requests.
     pub ask: Micros,
-    /// How far two members' clocks may differ in rate, in thousandths; a right is honoured by so much longer.
+    /// How much the clocks of two members may differ in rate, in thousandths; the granter extends a lease
+    /// by this much.
     pub drift: Micros,
-    /// A life has been dead for so long before it is taken over: one that is started again within it ends its work itself.
+    /// How long a life must be dead before it is taken over; a member that restarts within this time
+    /// finishes its work itself.
     pub dead_for: Micros,
-    /// Between two looks at who is dead.
+    /// The interval between two examinations of dead members.
     pub look: Micros,
 }
 
@@ -25,7 +27,7 @@
 }
 
 impl Tuning {
-    /// How long whoever gives a right honours it.
+    /// Returns how long the granter regards a lease as held.
     pub fn held_for(&self) -> Micros {
         self.span.saturating_add(self.span.saturating_mul(self.drift) / 1000).saturating_add(1)
     }
--- a/crates/region/src/seam.rs
+++ b/crates/region/src/seam.rs
@@ -1,139 +1,150 @@
-//! What a sender's node and its process say to each other about regions. It stands here so that the engine need not know how
-//! the process came by it. Without regions in the settings nothing of this is ever said.
+//! What a sender's node and its process exchange about regions. The types are in this crate so that the
+//! engine does not depend on how the process obtains them. None of them is used if the settings have no
+//! regions.
 
 use crate::Micros;
 use heronroute_fleet::{Life, Name};
 use serde::{Deserialize, Serialize};
 
-/// Until when a process's nodes may begin attempts and tell final answers, on the process's clock. Checked where the octets
-/// leave: what was queued under a right that is over is taken back unsent.
+/// The lease of a process: until when its nodes may begin attempts and report final answers, on the
+/// process's clock. It is checked where the bytes are written: what was queued under an expired lease is
+/// taken back unsent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Right {
-    /// Nothing leaves at or after it.
+    /// Nothing is sent at or after this time.
     pub until: Micros,
 }
 
-/// A client's name of a message, as the digest by which it is remembered.
+/// A client's name of a message, as the digest that is remembered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Named {
-    /// The one half.
+pub struct NameDigest {
+    /// The upper half.
     pub high: u64,
-    /// The other.
+    /// The lower half.
     pub low: u64,
 }
 
-/// A node's own number for a question, given back with its answer.
+/// A node's identifier of a reservation request, repeated in the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token {
     /// The sender's number in its process.
     pub sender: usize,
-    /// Never given twice by one node.
+    /// A number that one node never uses twice.
     pub number: u64,
 }
 
-/// A message came under a name that is new at this sender. Is it new in the installation?
+/// Requests the reservation of a name that is new at this sender: is it new in the installation?
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Claim {
-    /// Given back.
+pub struct ReservationRequest {
+    /// Repeated in the reply.
     pub token: Token,
-    /// Whose: its system_id.
+    /// The client's system_id.
     pub client: String,
     /// The name.
-    pub named: Named,
-    /// The name counts until then, by time of day.
+    pub digest: NameDigest,
+    /// The name is remembered until this time of day.
     pub until: Micros,
 }
 
-/// The answer to [`Claim`].
+/// The reply to a [`ReservationRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claimed {
-    /// It is new, and this sender's: it says soon whether it took the message on ([`Settled`]).
+pub enum ReservationReply {
+    /// The name is new and reserved for this sender, which soon reports whether it accepted the message
+    /// ([`ReservationResult`]).
     New,
-    /// It was taken on there. The client is told so, and hears the final answer from here.
-    Same {
-        /// The member that has it, or had it last.
+    /// The message was accepted at another member. The client is told so, and gets the final answer from
+    /// here.
+    AcceptedAt {
+        /// The member that has the message, or had it last.
         at: Name,
     },
-    /// Somebody else's hand-in under the name is not settled yet: come again after so long.
+    /// Another reservation of the name is not settled yet: the client should retry later.
     Unsettled {
-        /// Microseconds.
-        after: Micros,
+        /// The delay in microseconds.
+        retry_after: Micros,
     },
-    /// The home of the name can't be reached. What may be repeated is taken on where it came; anything else is refused with
-    /// this time to come back.
+    /// The home of the name can't be reached. A message that may be repeated is accepted where it arrived;
+    /// any other is refused with this delay for a retry.
     Unreached {
-        /// Microseconds.
-        after: Micros,
+        /// The delay in microseconds.
+        retry_after: Micros,
     },
 }
 
-/// What became of a claim that was answered [`Claimed::New`].
+/// The result of a reservation that was answered with [`ReservationReply::New`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
-    /// Of the claim.
+pub struct ReservationResult {
+    /// The token of the reservation request.
     pub token: Token,
-    /// The message's acceptance is durable; else it was refused, and the name is free.
-    pub taken: bool,
+    /// Whether the message's acceptance is durable; if not, it was refused, and the name is free.
+    pub accepted: bool,
 }
 
-/// Entries of a sender's journal that are durable at its partner in the other region, counted as the journal numbers them.
+/// How many entries of a sender's journal are durable at its partner in the other region, by the journal's
+/// own numbering.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shipped {
     /// The sender's number in its process.
     pub sender: usize,
-    /// All entries before this one.
+    /// All entries before this one are durable.
     pub upto: u64,
-    /// False: the partner is not reached, or lags beyond what is allowed; what has to be in both regions is refused until it is.
+    /// Whether the partner is reachable and within the allowed lag. If not, messages that have to be in
+    /// both regions are refused until it is.
     pub stands: bool,
 }
 
-/// This life's work was given to a partner while it was away: of what its journals have before these places it sends and
-/// answers nothing.
+/// The work of an earlier life of this member was given to a partner while the member was away: nothing in
+/// its journals before these positions is sent or answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fenced {
-    /// Which life of it.
+    /// The life that was taken over.
     pub of: Life,
-    /// By sender; nothing where that is not known yet: then nothing at all is sent or answered of what was taken on before.
+    /// The positions by sender. `None` while they are not known: then nothing accepted earlier is sent or
+    /// answered at all.
     pub upto: Option<Vec<u64>>,
 }
 
-/// This member ends what a life of another one had taken on. The copy is opened as it is, takes nothing more from that life,
-/// and what is open in it is taken on here, durably; then [`TookUp`] is said. Nothing of it is sent or answered before
-/// [`TakenUp`]. Said again after a start, and where it is about more than the last time.
+/// Starts a takeover: this member finishes what a life of another member had accepted. The copy is opened
+/// as it is and accepts nothing more from that life; the open messages in it are accepted here durably, and
+/// then [`TookUp`] is reported. None of them is sent or answered before [`TakenUp`]. Repeated after a
+/// restart, and when it covers more than before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TakeUp {
-    /// Whose.
+    /// The life that is taken over.
     pub of: Life,
-    /// By sender: before these places it was another's before, and is not taken on here.
+    /// The positions by sender: entries before them already belonged to another member and are not taken
+    /// over here.
     pub from: Vec<u64>,
 }
 
-/// All of it is durable here.
+/// Reports that all messages of a takeover are durable here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TookUp {
-    /// Whose.
+    /// The life that is taken over.
     pub of: Life,
-    /// How far the copy went, by sender.
+    /// The end of the copy, by sender.
     pub upto: Vec<u64>,
 }
 
-/// It stands in the log that it is this member's: now it is sent and answered as its own.
+/// The log confirms the takeover: from now on this member sends and answers the messages as its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TakenUp {
-    /// Whose.
+    /// The life that was taken over.
     pub of: Life,
 }
 
-/// Another was told to take it up instead, as this member was dead: what was taken on of it here is given up, unsent.
+/// Another member was assigned the takeover instead, because this member was dead: what was taken over here
+/// is dropped unsent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GiveUp {
-    /// Whose.
+    /// The life that was to be taken over.
     pub of: Life,
 }
 
-/// Which members have a whole copy of this one's journals now, the first to be turned to first. Said when that changes.
+/// The members that have a complete copy of this one's journals now, most preferred first. Reported on each
+/// change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Copies {
-    /// [`crate::agreed::MOST_COPIES`] at most, of other regions.
+    /// At most [`crate::agreed::MAX_COPIES`] members, of other regions.
     pub by: Vec<Name>,
 }
--- a/crates/region/tests/agreed.rs
+++ b/crates/region/tests/agreed.rs
@@ -48,9 +48,9 @@
     assert_eq!(again, Effect::TakeOver { of: life("a", 1), by: Name::new("d").unwrap(), before });
     assert!(matches!(agreed.apply(&done(life("a", 1), "d")), Effect::TakenOver { .. }));
     assert_eq!(agreed.upto(&Name::new("a").unwrap()), [7, 3]);
-    assert!(!agreed.may_hold(&life("a", 1)) && agreed.is_gone(&Name::new("a").unwrap()));
+    assert!(!agreed.may_hold_lease(&life("a", 1)) && agreed.is_gone(&Name::new("a").unwrap()));
     agreed.heard(&life("a", 2));
-    assert!(agreed.may_hold(&life("a", 2)));
+    assert!(agreed.may_hold_lease(&life("a", 2)));
     let octets = postcard::to_stdvec(&agreed).unwrap();
     assert_eq!(postcard::from_bytes::<Agreed>(&octets).unwrap(), agreed);
 }
--- a/crates/region/tests/claims/faults.rs
+++ b/crates/region/tests/reservations/faults.rs
@@ -72,17 +72,17 @@
             return;
         }
         let Some(homes) = self.lists.last().cloned() else { return };
-        let kept: Vec<_> = self.members.iter().map(|member| member.kept()).collect();
+        let kept: Vec<_> = self.members.iter().map(|member| member.stored_slots()).collect();
         let folders: Vec<_> = self.members.iter().map(|member| member.folder).collect();
         let mut left = false;
         for slot in 0..SLOTS as u16 {
             let held = (0..kept.len()).any(|at| {
                 let away = self.plant == Plant::OwnWhileAway && self.members[at].life.is_none();
-                kept[at].get(&slot).is_some_and(|slot| match &slot.giving {
+                kept[at].get(&slot).is_some_and(|slot| match &slot.transfer_to {
                     _ if away => false,
                     Some((_, None)) => true,
                     Some((to, Some(folder))) => folders[self.at(to)] == *folder,
-                    None => slot.word,
+                    None => slot.has_authority,
                 })
             });
             if held {
@@ -92,12 +92,13 @@
                 continue;
             };
             let at = self.at(owner);
-            let forgot = if self.plant == Plant::ForgotNothing { 0 } else { self.now + crate::world::COUNTS };
+            let forgotten_until =
+                if self.plant == Plant::ForgotNothing { 0 } else { self.now + crate::world::NAME_LIFETIME };
             left = true;
             self.era += 1;
             let era = self.era;
             if let Some(life) = &mut self.members[at].life {
-                life.registry.own(slot, era, forgot);
+                life.registry.assume_authority(slot, era, forgotten_until);
             }
         }
         self.lost_at = self.lost_at.filter(|_| left);
--- a/crates/region/tests/claims/main.rs
+++ b/crates/region/tests/reservations/main.rs
@@ -33,9 +33,9 @@
     let sum = ended.into_iter().flatten().fold(Sum::default(), Sum::with);
     println!("{sum:?}");
     // A suite in which nothing happens finds nothing.
-    let Sum { taken, same, unsettled, unreached, refused, lost, kills, given, .. } = sum;
+    let Sum { accepted, same, unsettled, unreached, refused, lost, kills, given, .. } = sum;
     assert!(
-        [taken, same, unsettled, unreached, refused, lost, kills, given].iter().all(|n| *n > seeds / 2),
+        [accepted, same, unsettled, unreached, refused, lost, kills, given].iter().all(|n| *n > seeds / 2),
         "{sum:?}"
     );
 }
--- a/crates/region/tests/claims/stores.rs
+++ b/crates/region/tests/reservations/stores.rs
@@ -3,8 +3,10 @@
 use heronroute_fleet::{Life, Name, Start};
 use heronroute_journal::Storage;
 use heronroute_journal::disk::Disk;
-use heronroute_region::claims::{Entry, Key, LogError, LogStore, Memory, Op, Slot, Store};
-use heronroute_region::seam::Named;
+use heronroute_region::reservations::{
+    Entry, LogError, LogStore, MemoryStore, Op, ReservationKey, Slot, Store,
+};
+use heronroute_region::seam::NameDigest;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -26,8 +28,8 @@
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.0.borrow_mut().create(name)
     }
-    fn append(&mut self, name: &str, octets: &[u8]) -> io::Result<()> {
-        self.0.borrow_mut().append(name, octets)
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.0.borrow_mut().append(name, bytes)
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.0.borrow_mut().truncate(name, length)
@@ -46,17 +48,17 @@
     }
 }
 
-type All = (BTreeMap<Key, Entry>, BTreeMap<u16, Slot>);
+type All = (BTreeMap<ReservationKey, Entry>, BTreeMap<u16, Slot>);
 
 fn op(random: &mut SmallRng) -> Op {
-    let key = Key::new("c", Named { high: random.random_range(0..20), low: 0 });
+    let key = ReservationKey::new("c", NameDigest { high: random.random_range(0..20), low: 0 });
     let by = Life { name: Name::new("m").unwrap(), start: Start(1) };
     match random.random_range(0..4) {
         0 => Op::Remove(key),
-        1 => Op::Slot(key.slot, Slot { hop: random.random_range(0..9), ..Slot::default() }),
+        1 => Op::Slot(key.slot, Slot { epoch: random.random_range(0..9), ..Slot::default() }),
         _ => Op::Put(
             key,
-            Entry { by, number: random.random_range(0..9), until: 5, taken: random.random_bool(0.5) },
+            Entry { by, number: random.random_range(0..9), until: 5, accepted: random.random_bool(0.5) },
         ),
     }
 }
@@ -72,7 +74,7 @@
 #[test]
 fn memory_keeps_what_was_synced() {
     let mut random = SmallRng::seed_from_u64(1);
-    let (mut store, mut kept) = (Memory::default(), All::default());
+    let (mut store, mut kept) = (MemoryStore::default(), All::default());
     for round in 0..200 {
         let ops: Vec<_> = (0..3).map(|_| op(&mut random)).collect();
         let batch = store.write(ops.clone());
@@ -84,7 +86,7 @@
             assert_eq!(store.durable(), batch);
             ops.iter().for_each(|op| apply(&mut kept, op));
         }
-        assert_eq!(store.all(), kept);
+        assert_eq!(store.load(), kept);
     }
 }
 
@@ -107,12 +109,12 @@
                 opened.err()
             );
             if let Ok(mut log) = opened {
-                let found = states.iter().rposition(|state| *state == log.all());
+                let found = states.iter().rposition(|state| *state == log.load());
                 assert!(
                     found.is_some_and(|at| at >= durable),
                     "seed {seed}, life {life}: {found:?}, {durable} durable"
                 );
-                (states, durable) = (vec![log.all()], 0);
+                (states, durable) = (vec![log.load()], 0);
                 let base = log.durable();
                 for _ in 0..30 {
                     let ops: Vec<_> = (0..random.random_range(1..4)).map(|_| op(&mut random)).collect();
@@ -147,14 +149,14 @@
     }
     let disk = log.into_storage();
     let name = disk.list().unwrap().remove(0);
-    let octets = disk.read(&name).unwrap();
-    for at in 0..octets.len() {
-        let mut broken = octets.clone();
+    let bytes = disk.read(&name).unwrap();
+    for at in 0..bytes.len() {
+        let mut broken = bytes.clone();
         broken[at] ^= 0x10;
         let mut disk = Disk::default();
         disk.create(&name).unwrap();
         disk.append(&name, &broken).unwrap();
-        let last = octets.len() - at <= 28 + 60;
-        assert!(LogStore::open(disk, 0).is_err() || last, "octet {at} of {}", octets.len());
+        let last = bytes.len() - at <= 28 + 60;
+        assert!(LogStore::open(disk, 0).is_err() || last, "octet {at} of {}", bytes.len());
     }
 }
--- a/crates/region/tests/claims/world.rs
+++ b/crates/region/tests/reservations/world.rs
@@ -2,22 +2,24 @@
 
 use crate::planted::Plant;
 use heronroute_fleet::{Life, Name, Start};
-use heronroute_region::claims::{Asker, Heard, Key, Limits, Memory, Message, Options, Registry, Slot, Store};
 use heronroute_region::homes::{Homes, SLOTS};
-use heronroute_region::seam::{Claim, Claimed, Named, Settled, Token};
+use heronroute_region::reservations::{
+    Limits, MemoryStore, Message, Options, Output, Registry, Requester, ReservationKey, Slot, Store,
+};
+use heronroute_region::seam::{NameDigest, ReservationReply, ReservationRequest, ReservationResult, Token};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const SECOND: i64 = 1_000_000;
 /// A name counts for so long.
-pub const COUNTS: i64 = 30 * SECOND;
+pub const NAME_LIFETIME: i64 = 30 * SECOND;
 const STEP: i64 = SECOND / 50;
-const FAULTS: i64 = 40 * SECOND;
+const FAULTS_END: i64 = 40 * SECOND;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sum {
-    pub taken: u64,
+    pub accepted: u64,
     pub same: u64,
     pub unsettled: u64,
     pub unreached: u64,
@@ -32,7 +34,7 @@
 impl Sum {
     pub fn with(self, o: Sum) -> Sum {
         Sum {
-            taken: self.taken + o.taken,
+            accepted: self.accepted + o.accepted,
             same: self.same + o.same,
             unsettled: self.unsettled + o.unsettled,
             unreached: self.unreached + o.unreached,
@@ -47,12 +49,12 @@
 
 pub struct Running {
     pub start: Start,
-    pub asker: Asker,
+    pub requester: Requester,
     pub registry: Registry,
-    pub store: Memory,
+    pub store: MemoryStore,
     list: usize,
     /// Claims by token: which name, and when the node decides, once it may.
-    claims: BTreeMap<Token, (usize, Option<i64>)>,
+    reservations: BTreeMap<Token, (usize, Option<i64>)>,
     number: u64,
     read_at: i64,
     tick: i64,
@@ -64,23 +66,23 @@
     pub back: i64,
     pub folder: Start,
     pub lives: Vec<Start>,
-    pub store: Memory,
+    pub store: MemoryStore,
 }
 
 impl Member {
-    pub fn kept(&self) -> BTreeMap<u16, Slot> {
+    pub fn stored_slots(&self) -> BTreeMap<u16, Slot> {
         match &self.life {
             Some(life) => {
-                (0..SLOTS as u16).filter_map(|at| Some((at, life.registry.kept(at)?.clone()))).collect()
+                (0..SLOTS as u16).filter_map(|at| Some((at, life.registry.slot_state(at)?.clone()))).collect()
             }
-            None => self.store.all().1,
+            None => self.store.load().1,
         }
     }
 }
 
 /// A name that clients hand in.
-struct Handed {
-    named: Named,
+struct SubmittedName {
+    digest: NameDigest,
     until: i64,
     began: i64,
     /// May be repeated.
@@ -89,12 +91,12 @@
     /// Answered `New` to them.
     new: BTreeSet<(usize, Start)>,
     /// Durable in their journals.
-    taken: BTreeSet<(usize, Start)>,
+    accepted: BTreeSet<(usize, Start)>,
     done: bool,
 }
 
 /// From whom, of which life, to whom, to which life.
-type Letter = (usize, Life, usize, Start, Message);
+type NetworkMessage = (usize, Life, usize, Start, Message);
 
 pub struct World {
     seed: u64,
@@ -114,8 +116,8 @@
     pub lost_at: Option<i64>,
     pub era: u32,
     pub sum: Sum,
-    names: Vec<Handed>,
-    net: BTreeMap<(i64, u64), Letter>,
+    names: Vec<SubmittedName>,
+    net: BTreeMap<(i64, u64), NetworkMessage>,
     sent: u64,
 }
 
@@ -129,7 +131,7 @@
             back: 0,
             folder: Start(0),
             lives: Vec::new(),
-            store: Memory::default(),
+            store: MemoryStore::default(),
         };
         let mut world = World {
             seed,
@@ -154,7 +156,7 @@
         (0..members).for_each(|at| world.start(at));
         for slot in 0..SLOTS as u16 {
             let owner = world.lists[0].owner(usize::from(slot)).unwrap();
-            world.members[owner].life.as_mut().unwrap().registry.own(slot, 1, 0);
+            world.members[owner].life.as_mut().unwrap().registry.assume_authority(slot, 1, 0);
         }
         world
     }
@@ -170,7 +172,7 @@
             member.folder = start;
         }
         member.lives.push(start);
-        let options = Options { after: SECOND, ..Options::default() };
+        let options = Options { retry_after: SECOND, ..Options::default() };
         let me = Life { name: member.name.clone(), start };
         let since = if self.plant == Plant::SpeaksForLost { Start(0) } else { member.folder };
         let limits = Limits {
@@ -182,19 +184,19 @@
         let store = std::mem::take(&mut member.store);
         member.life = Some(Running {
             start,
-            asker: Asker::new(me, since, options),
+            requester: Requester::new(me, since, options),
             registry: Registry::new(member.name.clone(), member.folder, limits, &store),
             store,
             list: 0,
-            claims: BTreeMap::new(),
+            reservations: BTreeMap::new(),
             number: 0,
             read_at: self.now + SECOND / 2,
             tick: 0,
         });
         let list = self.lists[0].clone();
         let life = member.life.as_mut().unwrap();
-        life.asker.list(list.clone());
-        life.registry.list(list);
+        life.requester.set_homes(list.clone());
+        life.registry.set_homes(list);
     }
 
     pub fn schedule(mut self) -> Result<Sum, String> {
@@ -204,15 +206,15 @@
     }
 
     fn run(&mut self) -> Result<(), String> {
-        self.calm = FAULTS + if self.losses { COUNTS + 15 * SECOND } else { 15 * SECOND };
+        self.calm = FAULTS_END + if self.losses { NAME_LIFETIME + 15 * SECOND } else { 15 * SECOND };
         let calm = self.calm;
         let mut fault = 3 * SECOND;
         while self.now < calm + 10 * SECOND {
             self.now += STEP;
-            if self.now > fault && self.now < FAULTS {
+            if self.now > fault && self.now < FAULTS_END {
                 self.fault();
                 fault = self.now + self.random.random_range(SECOND / 5..3 * SECOND);
-            } else if self.now >= FAULTS {
+            } else if self.now >= FAULTS_END {
                 self.cuts.clear();
             }
             for at in 0..self.members.len() {
@@ -232,7 +234,7 @@
                 self.turn(at)?;
             }
         }
-        let open = |name: &&Handed| !self.tight && !name.done && name.until > self.now;
+        let open = |name: &&SubmittedName| !self.tight && !name.done && name.until > self.now;
         match self.names.iter().find(open) {
             Some(name) => Err(format!("a name of {} s has no answer at the end", name.began / SECOND)),
             None => Ok(()),
@@ -243,12 +245,12 @@
     fn clients(&mut self, more: bool) -> Result<(), String> {
         if more && self.random.random_bool(0.02) {
             // In few slots, so that more than one part is given on.
-            let mut all = (0..).map(|low| Named { high: self.names.len() as u64, low });
-            let named = all.find(|named| Key::new("c", *named).slot < 8).unwrap();
+            let mut all = (0..).map(|low| NameDigest { high: self.names.len() as u64, low });
+            let digest = all.find(|digest| ReservationKey::new("c", *digest).slot < 8).unwrap();
             let free = self.random.random_bool(0.1);
-            let (new, taken) = Default::default();
-            let (until, began, next) = (self.now + COUNTS, self.now, self.now);
-            self.names.push(Handed { named, until, began, free, next, new, taken, done: false });
+            let (new, accepted) = Default::default();
+            let (until, began, next) = (self.now + NAME_LIFETIME, self.now, self.now);
+            self.names.push(SubmittedName { digest, until, began, free, next, new, accepted, done: false });
         }
         for index in 0..self.names.len() {
             if self.names[index].next > self.now || self.names[index].until <= self.now {
@@ -260,28 +262,31 @@
             self.names[index].next = self.now + self.random.random_range(pause / 2..pause);
             for _ in 0..times {
                 let at = self.random.random_range(0..self.members.len());
-                self.hand_in(at, index);
+                self.submit(at, index);
             }
         }
         Ok(())
     }
 
-    fn hand_in(&mut self, at: usize, index: usize) {
+    fn submit(&mut self, at: usize, index: usize) {
         let (now, name, member) = (self.now, &mut self.names[index], &mut self.members[at]);
         let Some(life) = member.life.as_mut().filter(|life| life.read_at <= now) else { return };
         // Its own journals have it.
-        if name.taken.iter().any(|(by, start)| *by == at && member.lives.contains(start)) {
+        if name.accepted.iter().any(|(by, start)| *by == at && member.lives.contains(start)) {
             name.done = true;
             return;
         }
         life.number += 1;
         let token = Token { sender: 0, number: life.number };
-        life.claims.insert(token, (index, None));
-        life.asker.claim(now, &Claim { token, client: "c".into(), named: name.named, until: name.until });
+        life.reservations.insert(token, (index, None));
+        life.requester.request(
+            now,
+            &ReservationRequest { token, client: "c".into(), digest: name.digest, until: name.until },
+        );
     }
 
     fn turn(&mut self, at: usize) -> Result<(), String> {
-        let (now, faulty) = (self.now, self.now < FAULTS);
+        let (now, faulty) = (self.now, self.now < FAULTS_END);
         let heirs = self.heirs();
         let last = self.lists.len() - 1;
         let hears = !faulty || self.random.random_bool(0.02);
@@ -290,10 +295,10 @@
         let Some(life) = member.life.as_mut() else { return Ok(()) };
         if hears && life.list < last {
             life.list = last;
-            life.asker.list(self.lists[last].clone());
-            life.registry.list(self.lists[last].clone());
+            life.requester.set_homes(self.lists[last].clone());
+            life.registry.set_homes(self.lists[last].clone());
         }
-        life.asker.tick(now);
+        life.requester.tick(now);
         if now >= life.tick {
             life.tick = now + SECOND / 10;
             life.registry.tick(now, &|of| heirs.get(of).cloned());
@@ -302,87 +307,94 @@
         let ready = |(token, (index, when)): (&Token, &(usize, Option<i64>))| {
             Some((*token, *index, when.filter(|t| *t <= now)?))
         };
-        let due: Vec<_> = life.claims.iter().filter_map(ready).collect();
-        let mut said = life.asker.take();
+        let due: Vec<_> = life.reservations.iter().filter_map(ready).collect();
+        let mut said = life.requester.take_outputs();
         let mut dones = Vec::new();
         for (token, index, _) in due {
-            life.claims.remove(&token);
-            let taken = self.random.random_bool(0.8) && self.names[index].until > now;
-            if taken {
-                self.names[index].taken.insert((at, life.start));
-                self.sum.taken += 1;
+            life.reservations.remove(&token);
+            let accepted = self.random.random_bool(0.8) && self.names[index].until > now;
+            if accepted {
+                self.names[index].accepted.insert((at, life.start));
+                self.sum.accepted += 1;
                 dones.push(index);
             } else {
                 self.sum.refused += 1;
             }
             if self.plant != Plant::NeverSettles {
-                life.asker.settled(now, Settled { token, taken });
+                life.requester.handle_result(now, ReservationResult { token, accepted });
             }
         }
-        said.extend(life.asker.take());
+        said.extend(life.requester.take_outputs());
         if synced {
             life.store.sync();
         }
-        let mut out = life.registry.take(&mut life.store);
+        let mut out = life.registry.take_messages(&mut life.store);
         if self.plant == Plant::BeforeDurable {
             let mut ahead = life.store.clone();
             ahead.sync();
-            out.extend(life.registry.take(&mut ahead));
+            out.extend(life.registry.take_messages(&mut ahead));
         }
         dones.into_iter().for_each(|index| self.done(index));
         for (to, message) in out {
-            self.sum.given += u64::from(matches!(message, Message::Took { done: true, .. }));
+            self.sum.given += u64::from(matches!(message, Message::TransferAck { done: true, .. }));
             self.send(at, &to, message);
         }
         for one in said {
             match one {
-                Heard::Send(to, message) => self.send(at, &to, message),
-                Heard::Claimed(token, claimed) => self.claimed(at, token, claimed)?,
-                Heard::Look { asks, key, of, number } => self.look(at, asks, key, of, number),
+                Output::Send(to, message) => self.send(at, &to, message),
+                Output::Reply(token, reservation_reply) => {
+                    self.reservation_reply(at, token, reservation_reply)?
+                }
+                Output::LookUp { asks, key, of, number } => self.look(at, asks, key, of, number),
             }
         }
         Ok(())
     }
 
-    fn claimed(&mut self, at: usize, token: Token, claimed: Claimed) -> Result<(), String> {
+    fn reservation_reply(
+        &mut self,
+        at: usize,
+        token: Token,
+        reservation_reply: ReservationReply,
+    ) -> Result<(), String> {
         let (now, later) = (self.now, self.now + self.random.random_range(0..SECOND / 2));
         let Some(life) = self.members[at].life.as_mut() else { return Ok(()) };
         let start = life.start;
-        let Some((index, _)) = life.claims.get(&token).copied() else { return Ok(()) };
-        match claimed {
-            Claimed::New => drop(life.claims.insert(token, (index, Some(later)))),
-            Claimed::Unreached { .. } if self.names[index].free => {
+        let Some((index, _)) = life.reservations.get(&token).copied() else { return Ok(()) };
+        match reservation_reply {
+            ReservationReply::New => drop(life.reservations.insert(token, (index, Some(later)))),
+            ReservationReply::Unreached { .. } if self.names[index].free => {
                 // It is taken on where it came.
-                life.claims.insert(token, (index, Some(later)));
+                life.reservations.insert(token, (index, Some(later)));
                 self.sum.unreached += 1;
                 return Ok(());
             }
-            Claimed::Unreached { .. } => {
-                life.claims.remove(&token);
-                life.asker.settled(now, Settled { token, taken: false });
+            ReservationReply::Unreached { .. } => {
+                life.reservations.remove(&token);
+                life.requester.handle_result(now, ReservationResult { token, accepted: false });
                 self.sum.unreached += 1;
                 return Ok(());
             }
-            _ => drop(life.claims.remove(&token)),
+            _ => drop(life.reservations.remove(&token)),
         }
         let name = &mut self.names[index];
-        match claimed {
-            Claimed::New if name.until > now && !name.free => {
+        match reservation_reply {
+            ReservationReply::New if name.until > now && !name.free => {
                 for (other, of) in name.new.iter().filter(|one| **one != (at, start)) {
                     let runs = self.members[*other].life.as_ref().filter(|life| life.start == *of);
                     let open = runs.is_some_and(|life| {
-                        life.claims.values().any(|(i, when)| *i == index && when.is_some())
+                        life.reservations.values().any(|(i, when)| *i == index && when.is_some())
                     });
-                    if name.taken.contains(&(*other, *of)) || open {
+                    if name.accepted.contains(&(*other, *of)) || open {
                         let what = if open { "may take it on" } else { "took it on" };
                         return Err(format!("at {now} name {index} is new at {at}, and {other} {what}"));
                     }
                 }
                 name.new.insert((at, start));
             }
-            Claimed::Same { at: other } => {
+            ReservationReply::AcceptedAt { at: other } => {
                 let other = self.members.iter().position(|member| member.name == other).unwrap();
-                if !name.taken.iter().any(|(by, _)| *by == other) {
+                if !name.accepted.iter().any(|(by, _)| *by == other) {
                     return Err(format!(
                         "at {now} name {index} is said to be at {other}, which never took it on"
                     ));
@@ -390,7 +402,7 @@
                 self.sum.same += 1;
                 self.done(index);
             }
-            Claimed::Unsettled { .. } => self.sum.unsettled += 1,
+            ReservationReply::Unsettled { .. } => self.sum.unsettled += 1,
             _ => {}
         }
         Ok(())
@@ -416,7 +428,7 @@
         .collect()
     }
 
-    fn look(&mut self, at: usize, asks: Name, key: Key, of: Life, number: u64) {
+    fn look(&mut self, at: usize, asks: Name, key: ReservationKey, of: Life, number: u64) {
         let early = self.members[at].life.as_ref().is_none_or(|life| life.read_at > self.now);
         if early && self.plant != Plant::BeforeRead {
             return;
@@ -428,9 +440,9 @@
         if !mine && !heir && !lost {
             return;
         }
-        let name = self.names.iter().find(|name| Key::new("c", name.named) == key);
-        let taken = !early && !lost && name.is_some_and(|name| name.taken.contains(&(whose, of.start)));
-        self.send(at, &asks, Message::Is { key, of, number, taken });
+        let name = self.names.iter().find(|name| ReservationKey::new("c", name.digest) == key);
+        let accepted = !early && !lost && name.is_some_and(|name| name.accepted.contains(&(whose, of.start)));
+        self.send(at, &asks, Message::ResultReply { key, of, number, accepted });
     }
 
     fn send(&mut self, from: usize, to: &Name, message: Message) {
@@ -438,7 +450,7 @@
         let Some(sender) = self.members[from].life.as_ref().map(|life| life.start) else { return };
         let Some(start) = self.members[to].life.as_ref().map(|life| life.start) else { return };
         let life = Life { name: self.members[from].name.clone(), start: sender };
-        let faulty = self.now < FAULTS && from != to;
+        let faulty = self.now < FAULTS_END && from != to;
         if faulty && self.random.random_bool(0.1) {
             return;
         }
@@ -459,10 +471,10 @@
         }
         let Some(life) = self.members[to].life.as_mut().filter(|life| life.start == start) else { return };
         match message {
-            Message::Answer { .. } | Message::Noted { .. } | Message::What { .. } => {
-                life.asker.hear(&sender.name, message);
+            Message::Reply { .. } | Message::ResultRecorded { .. } | Message::ResultQuery { .. } => {
+                life.requester.handle_message(&sender.name, message);
             }
-            _ => life.registry.hear(self.now, &sender, message, &|of| heirs.get(of).cloned()),
+            _ => life.registry.handle_message(self.now, &sender, message, &|of| heirs.get(of).cloned()),
         }
     }
 }
--- a/crates/region/tests/schedules/check.rs
+++ b/crates/region/tests/schedules/check.rs
@@ -109,7 +109,7 @@
             let what = format!("{life:?} was taken over and has a right");
             self.book.fail(self.now, what);
         }
-        let start = |taken: Option<&heronroute_region::agreed::Taken>| taken.map(|taken| taken.start);
+        let start = |taken: Option<&heronroute_region::agreed::Takeover>| taken.map(|taken| taken.start);
         if start(process.agreed.taken(&life.name)) != start(self.truth.taken(&life.name)) {
             let what = format!("{life:?} has a right and does not know that one before it was taken over");
             self.book.fail(self.now, what);
@@ -145,12 +145,13 @@
             let duties = process.duties.as_ref();
             if self.plant == crate::world::Plant::DutiesByBelief {
                 let believed = |d: &heronroute_region::duties::Duties| {
-                    let dead = d.who(Duty::Probing, key(n)).is_none_or(|who| self.believes_dead(*at, who));
-                    d.mine(clock, right, Duty::Probing, key(n)) || dead && self.next_in(n, *at)
+                    let dead =
+                        d.assignee(Duty::Probing, key(n)).is_none_or(|who| self.believes_dead(*at, who));
+                    d.is_own(clock, right, Duty::Probing, key(n)) || dead && self.next_in(n, *at)
                 };
                 return duties.is_some_and(believed);
             }
-            duties.is_some_and(|duties| duties.mine(clock, right, Duty::Probing, key(n)))
+            duties.is_some_and(|duties| duties.is_own(clock, right, Duty::Probing, key(n)))
         };
         (0..self.members.len()).filter(does)
     }
--- a/crates/region/tests/schedules/world.rs
+++ b/crates/region/tests/schedules/world.rs
@@ -341,7 +341,7 @@
                 if process.holder.given(counts, &give) {
                     process.righted = true;
                     if let Some(duties) = &mut process.duties {
-                        duties.out(process.holder.out());
+                        duties.set_out(process.holder.out());
                     }
                     self.righted(to);
                 }
@@ -404,7 +404,7 @@
                     let list = process.agreed.list().clone();
                     process.partners = Partners::new(&list);
                     let duties = self.divided.entry(list.number).or_insert_with(|| Duties::new(&list, &name));
-                    process.duties = Some(duties.at(&name));
+                    process.duties = Some(duties.for_member(&name));
                 }
                 Effect::TakeOver { of, by, before } => {
                     if *before == Some(name.clone()) {
