--- a/crates/region/tests/agreed.rs
+++ b/crates/region/tests/agreed.rs
@@ -1,4 +1,4 @@
-//! What makes entries of the log void, and who is given a right.
+//! Which log entries are void, and which lives are granted a lease.
 
 use heronroute_fleet::{Life, Name, Start, Term};
 use heronroute_region::agreed::{Agreed, Command, Effect};
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_take_over_is_void_behind_a_later_start_in_one_region_and_where_another_has_it() {
+fn a_takeover_is_void_after_a_later_start_within_one_region_or_if_assigned_to_another() {
     let mut agreed = agreed();
     assert_eq!(agreed.apply(&over(life("a", 1), "b")), Effect::Nothing, "of the same region");
     let copies = Command::Copies { of: life("b", 1), by: vec![Name::new("d").unwrap()] };
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_giver_gives_nothing_before_its_beginning_was_read_nor_beyond_its_lease() {
+fn a_leader_grants_no_lease_before_reading_its_terms_beginning_nor_beyond_its_own_lease() {
     let agreed = agreed();
     let ask = Ask { life: life("a", 1), asked: 5 };
     let mut giver = Giver::new(Tuning::default());
@@ -68,7 +68,7 @@
     assert_eq!(giver.ask(20, &agreed, &elder), None);
     giver.stand(30, None, Term(4));
     assert_eq!(giver.ask(30, &agreed, &ask), None);
-    // After a gap it waits one whole right again, and as long for what it gave itself.
+    // After a gap it waits one full lease again, also for the leases that it granted itself.
     let wait = Tuning::default().held_for();
     giver.stand(40, Some(Term(4)), Term(4));
     assert!(!giver.over(40 + wait - 1, &ask.life.name) && giver.over(40 + wait, &ask.life.name));
--- a/crates/region/tests/divided.rs
+++ b/crates/region/tests/divided.rs
@@ -1,4 +1,4 @@
-//! Homes and partners: shares, and how many move where one joins or is lost.
+//! Homes and partners: shares, and how many homes move when a member joins or is lost.
 
 use heronroute_fleet::Name;
 use heronroute_region::homes::{Homes, Partners, SLOTS, client_key};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn no_member_has_over_a_quarter_more_than_its_share_and_few_homes_move() {
+fn no_member_exceeds_its_share_by_a_quarter_and_few_homes_move() {
     for n in [2, 3, 10, 50, 512] {
         let homes = Homes::new(&list(0..n));
         let mut counts = vec![0; n];
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn homes_are_the_same_in_every_build() {
+fn homes_do_not_depend_on_the_build() {
     let homes = Homes::new(&list(0..10));
     let of = |client: &str| homes.home(client_key(client)).unwrap().as_str().to_owned();
     let all = ["oduya", "banda", "chike", "ops"].map(of);
@@ -53,7 +53,7 @@
 const HOMES: [&str; 4] = ["m001", "m009", "m006", "m006"];
 
 #[test]
-fn partners_are_of_another_region_and_evenly_spread() {
+fn partners_are_in_another_region_and_evenly_distributed() {
     for n in [2, 3, 10, 41, 100] {
         let list = list(0..n);
         let partners = Partners::new(&list);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_list_has_each_once_and_not_too_many() {
+fn a_list_has_no_duplicates_and_is_bounded() {
     let many: Vec<Place> = list(0..400).places.clone();
     assert!(matches!(List::of(1, many.iter().chain(&many).cloned()), Err(ListError::Many(800))));
     assert!(matches!(List::of(1, many.iter().chain(&many[..1]).cloned()), Err(ListError::Order(_))));
--- a/crates/region/tests/reservations/directed.rs
+++ b/crates/region/tests/reservations/directed.rs
@@ -1,4 +1,4 @@
-//! Guards that schedules meet too seldom, each by itself.
+//! Individual tests of guards that the schedules rarely exercise.
 
 use heronroute_fleet::{Life, Name, Start};
 use heronroute_region::homes::{Homes, SLOTS};
@@ -22,7 +22,7 @@
     Homes::new(&Arc::new(List::of(number, members.iter().map(place)).unwrap()))
 }
 
-/// Names of one slot.
+/// Returns names of one slot.
 fn keys(count: usize) -> Vec<ReservationKey> {
     let all =
         (0..).map(|low| ReservationKey::new("c", NameDigest { high: 1, low })).filter(|key| key.slot == 5);
@@ -62,7 +62,7 @@
     }
 }
 
-/// `a` with five names that are taken on, whose slot is `b`'s from now on.
+/// Returns home `a` with five names of accepted messages, whose slot now belongs to `b`.
 fn giver() -> Home {
     let mut a = Home::new("a", 1);
     (0..SLOTS as u16).for_each(|at| a.0.assume_authority(at, 1, 0));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn parts_that_come_out_of_order_leave_no_gap() {
+fn parts_out_of_order_leave_no_gap() {
     let (mut a, mut b) = (giver(), Home::new("b", 2));
     let mut gives = about(a.tick());
     let mut seen = Vec::new();
@@ -92,7 +92,7 @@
             gives.extend(about(a.hear(&b.2, took)));
         }
         if round == 2 {
-            // The process of `b` begins anew and hears an older part first.
+            // The process of `b` restarts and receives an older part first.
             b.0 = Registry::new(name("b"), Start(2), Limits::default(), &b.1);
             let mut last = seen[2].clone();
             if let Message::TransferPart { last, after, .. } = &mut last {
@@ -108,12 +108,12 @@
 }
 
 #[test]
-fn the_word_goes_to_the_folder_it_was_bound_to_alone() {
+fn the_authority_goes_only_to_the_folder_it_was_bound_to() {
     let (mut a, mut b) = (giver(), Home::new("b", 2));
     let asks = about(a.tick()).pop().unwrap();
     let took = about(b.hear(&a.2, asks.clone())).pop().unwrap();
     let bound = about(a.hear(&b.2, took)).pop().unwrap();
-    // `b` loses its folder: neither what is on its way nor what is said from now on is the new one's.
+    // `b` loses its folder: the new folder gets neither the parts in flight nor later ones.
     let mut b = Home::new("b", 3);
     assert!(b.hear(&a.2, bound).is_empty());
     let took = about(b.hear(&a.2, asks)).pop().unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn nothing_is_noted_without_the_word() {
+fn no_result_is_recorded_without_the_authority() {
     let mut b = Home::new("b", 2);
     let settled = Message::Result { key: keys(1)[0], number: 1, until: 10, accepted: true };
     assert!(b.hear(&life("x", 1), settled.clone()).is_empty());
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_member_is_silent_about_lives_whose_folder_it_lost() {
+fn a_member_does_not_answer_for_lives_whose_folder_it_lost() {
     let mut requester = Requester::new(life("a", 7), Start(5), Options::default());
     let what = |of| Message::ResultQuery { key: keys(1)[0], of, number: 1 };
     requester.handle_message(&name("b"), what(life("a", 4)));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn an_asker_is_bounded_and_asks_a_name_once() {
+fn a_requester_is_bounded_and_requests_a_name_once() {
     let mut requester = Requester::new(life("a", 1), Start(1), Options { max_open: 2, ..Options::default() });
     let unsettled = ReservationReply::Unsettled { retry_after: Options::default().retry_after };
     requester.request(0, &claim(1, 1));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn what_was_said_of_a_claim_stays() {
+fn the_first_result_of_a_reservation_is_final() {
     let mut requester = Requester::new(life("a", 1), Start(1), Options::default());
     requester.set_homes(homes(1, &["b"]));
     requester.request(0, &claim(1, 1));
--- a/crates/region/tests/reservations/faults.rs
+++ b/crates/region/tests/reservations/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, from a seed.
+//! The faults of a schedule, drawn from its seed.
 
 use crate::planted::Plant;
 use crate::world::{SECOND, World};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl World {
-    /// Another list: 2 members at least, of all there are.
+    /// Sets another list, with at least 2 of the members.
     pub fn list(&mut self, all: bool) {
         let places =
             (0..self.members.len()).filter(|_| all || self.random.random_bool(0.75)).collect::<Vec<_>>();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Of its folder nothing is left, where it is lost.
+    /// Kills a member; if `lost`, nothing is left of its folder.
     fn kill(&mut self, at: usize, lost: bool) {
         let back = self.now + self.random.random_range(SECOND / 5..8 * SECOND);
         let now = self.now;
@@ -59,16 +59,16 @@
             member.back = back.max(now + SECOND);
             self.lost.extend(member.lives.drain(..).map(|start| (at, start, now)));
             member.store = Default::default();
-            if self.plant != Plant::OneFolder {
+            if self.plant != Plant::ReusesFolderIdentity {
                 member.folder = heronroute_fleet::Start(0);
             }
         }
     }
 
-    /// Slots whose word went with a folder are begun anew, some time after.
+    /// Takes the authority anew, after a delay, over slots whose authority was lost with a folder.
     pub fn anew(&mut self) {
         let due = self.lost_at.is_some_and(|at| self.now > at + 4 * SECOND);
-        if !due && self.plant != Plant::OwnWhileAway {
+        if !due && self.plant != Plant::TakesAuthorityWhileHolderIsAway {
             return;
         }
         let Some(homes) = self.lists.last().cloned() else { return };
@@ -77,7 +77,8 @@
         let mut left = false;
         for slot in 0..SLOTS as u16 {
             let held = (0..kept.len()).any(|at| {
-                let away = self.plant == Plant::OwnWhileAway && self.members[at].life.is_none();
+                let away =
+                    self.plant == Plant::TakesAuthorityWhileHolderIsAway && self.members[at].life.is_none();
                 kept[at].get(&slot).is_some_and(|slot| match &slot.transfer_to {
                     _ if away => false,
                     Some((_, None)) => true,
@@ -92,8 +93,11 @@
                 continue;
             };
             let at = self.at(owner);
-            let forgotten_until =
-                if self.plant == Plant::ForgotNothing { 0 } else { self.now + crate::world::NAME_LIFETIME };
+            let forgotten_until = if self.plant == Plant::IgnoresForgottenNames {
+                0
+            } else {
+                self.now + crate::world::NAME_LIFETIME
+            };
             left = true;
             self.era += 1;
             let era = self.era;
--- a/crates/region/tests/reservations/main.rs
+++ b/crates/region/tests/reservations/main.rs
@@ -1,7 +1,9 @@
-//! Names handed in at several members of two regions, on a virtual clock, with faults from a seed.
+//! Simulates submissions of named messages at several members of two regions, on a virtual clock, with
+//! faults from a seed.
 //!
-//! Journals, the network and clients are modelled, as is who takes a lost folder's lives over; `Asker` and `Registry` are the
-//! real ones. `HERONROUTE_SEED=n` replays a schedule, `HERONROUTE_LONG=1` runs ten times as many.
+//! Journals, the network, clients and the takeover of lives with a lost folder are modelled; `Requester`
+//! and `Registry` are the real ones. `HERONROUTE_SEED=n` replays a schedule, `HERONROUTE_LONG=1` runs ten
+//! times as many.
 
 mod directed;
 mod faults;
@@ -32,7 +34,7 @@
     assert!(failed.is_empty(), "{} schedules failed:\n{}", failed.len(), failed.join("\n"));
     let sum = ended.into_iter().flatten().fold(Sum::default(), Sum::with);
     println!("{sum:?}");
-    // A suite in which nothing happens finds nothing.
+    // Guards against a simulation in which nothing happens and so nothing is found.
     let Sum { accepted, same, unsettled, unreached, refused, lost, kills, given, .. } = sum;
     assert!(
         [accepted, same, unsettled, unreached, refused, lost, kills, given].iter().all(|n| *n > seeds / 2),
--- a/crates/region/tests/reservations/planted.rs
+++ b/crates/region/tests/reservations/planted.rs
@@ -1,39 +1,39 @@
-//! Faults put in on purpose: for each a seed that finds it, and what it finds.
+//! Faults planted on purpose: for each, a seed that finds it and what the failure says.
 
 use crate::world::World;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
     None,
-    /// A home answers before what it says is durable.
-    BeforeDurable,
-    /// A member speaks for lives whose folder it lost.
-    SpeaksForLost,
-    /// A member says what it took on before it has read its journals.
-    BeforeRead,
-    /// The word on a slot is begun anew as if nothing had been known.
-    ForgotNothing,
-    /// It is begun anew while a member that is only away has it.
-    OwnWhileAway,
+    /// A home replies before the state behind the reply is durable.
+    RepliesBeforeDurable,
+    /// A member answers for lives whose folder it lost.
+    AnswersForLostFolder,
+    /// A member answers what it accepted before it has read its journals.
+    AnswersBeforeReadingJournals,
+    /// The authority over a slot is taken anew as if no names had been known.
+    IgnoresForgottenNames,
+    /// The authority is taken anew while a member that is only away has it.
+    TakesAuthorityWhileHolderIsAway,
     /// A new folder passes for the old one.
-    OneFolder,
-    /// A node does not say what became of a claim.
-    NeverSettles,
+    ReusesFolderIdentity,
+    /// A node does not report the result of a reservation.
+    NeverReportsResult,
 }
 
-/// For each fault the seed, and a word of what is said.
+/// For each fault the seed, and part of the failure's message.
 const FOUND: [(Plant, u64, &str); 7] = [
-    (Plant::ForgotNothing, 0, "took it on"),
-    (Plant::NeverSettles, 0, "has no answer at the end"),
-    (Plant::BeforeRead, 0, "took it on"),
-    (Plant::OwnWhileAway, 3, "has no answer at the end"),
-    (Plant::BeforeDurable, 20, "has no answer at the end"),
-    (Plant::OneFolder, 137, "took it on"),
-    (Plant::SpeaksForLost, 285, "took it on"),
+    (Plant::IgnoresForgottenNames, 0, "took it on"),
+    (Plant::NeverReportsResult, 0, "has no answer at the end"),
+    (Plant::AnswersBeforeReadingJournals, 0, "took it on"),
+    (Plant::TakesAuthorityWhileHolderIsAway, 3, "has no answer at the end"),
+    (Plant::RepliesBeforeDurable, 20, "has no answer at the end"),
+    (Plant::ReusesFolderIdentity, 137, "took it on"),
+    (Plant::AnswersForLostFolder, 285, "took it on"),
 ];
 
 #[test]
-fn each_planted_fault_is_found() {
+fn each_planted_fault_is_detected() {
     if std::env::var("HERONROUTE_SEEK").is_ok() {
         return seek();
     }
@@ -46,11 +46,18 @@
     }
 }
 
-/// Looks for seeds anew, after the schedules have changed.
+/// Searches for new seeds, for use after the schedules have changed.
 fn seek() {
     use Plant::*;
-    let all =
-        [BeforeDurable, SpeaksForLost, BeforeRead, ForgotNothing, OwnWhileAway, OneFolder, NeverSettles];
+    let all = [
+        RepliesBeforeDurable,
+        AnswersForLostFolder,
+        AnswersBeforeReadingJournals,
+        IgnoresForgottenNames,
+        TakesAuthorityWhileHolderIsAway,
+        ReusesFolderIdentity,
+        NeverReportsResult,
+    ];
     std::thread::scope(|scope| {
         for plant in all {
             scope.spawn(move || {
--- a/crates/region/tests/reservations/stores.rs
+++ b/crates/region/tests/reservations/stores.rs
@@ -1,4 +1,4 @@
-//! What a [`Store`] has to keep to, by the one in memory and the log alike.
+//! The guarantees of a [`Store`], tested on the store in memory and on the log.
 
 use heronroute_fleet::{Life, Name, Start};
 use heronroute_journal::Storage;
@@ -14,7 +14,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// A disk that is still there when its log could not be opened.
+/// A disk that remains accessible when opening its log has failed.
 #[derive(Clone, Default)]
 struct Shared(Rc<RefCell<Disk>>);
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn memory_keeps_what_was_synced() {
+fn memory_store_keeps_what_was_synced() {
     let mut random = SmallRng::seed_from_u64(1);
     let (mut store, mut kept) = (MemoryStore::default(), All::default());
     for round in 0..200 {
@@ -90,16 +90,17 @@
     }
 }
 
-/// Power is lost at any step, of opening and of writing anew as well: what was called durable is there, and of the rest whole frames in their order.
+/// Loses power at any step, including opening and rewriting the log: what was reported durable is there,
+/// and of the rest only complete frames in order.
 #[test]
-fn log_keeps_what_it_called_durable() {
+fn log_keeps_what_it_reported_durable() {
     let mut files = 0;
     for seed in 0..400 {
         let mut random = SmallRng::seed_from_u64(seed);
         let power = 1 + seed % 90;
         let disk = Shared::default();
         disk.0.borrow_mut().faults.power = power;
-        // By batch what is kept after it; of the last life.
+        // The expected state after each batch of the last life.
         let (mut states, mut durable) = (vec![All::default()], 0);
         for life in 0..5 {
             let opened = LogStore::open(disk.clone(), if seed % 2 == 0 { 0 } else { 1 << 20 });
@@ -132,7 +133,7 @@
             let found = disk.0.borrow().after_loss(random.random());
             disk.0.replace(found);
             disk.0.borrow_mut().faults.power = random.random_range(1..90);
-            // A sync that fails, and later ones that do not.
+            // A sync may fail although later ones succeed.
             disk.0.borrow_mut().faults.sync = random.random_range(0..40);
         }
     }
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn a_broken_middle_is_refused() {
+fn corruption_before_the_last_frame_is_rejected() {
     let mut random = SmallRng::seed_from_u64(2);
     let mut log = LogStore::open(Disk::default(), 1 << 20).unwrap();
     for _ in 0..5 {
--- a/crates/region/tests/reservations/world.rs
+++ b/crates/region/tests/reservations/world.rs
@@ -1,4 +1,4 @@
-//! Members, their network and their clients.
+//! The simulated members, their network and their clients.
 
 use crate::planted::Plant;
 use heronroute_fleet::{Life, Name, Start};
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const SECOND: i64 = 1_000_000;
-/// A name counts for so long.
+/// How long a name is remembered.
 pub const NAME_LIFETIME: i64 = 30 * SECOND;
 const STEP: i64 = SECOND / 50;
 const FAULTS_END: i64 = 40 * SECOND;
@@ -27,7 +27,7 @@
     pub lost: u64,
     pub kills: u64,
     pub given: u64,
-    /// Worst time to an answer behind the last fault, in microseconds.
+    /// The worst time to an answer after the last fault, in microseconds.
     pub worst: i64,
 }
 
@@ -53,7 +53,7 @@
     pub registry: Registry,
     pub store: MemoryStore,
     list: usize,
-    /// Claims by token: which name, and when the node decides, once it may.
+    /// Reservations by token: the name, and when the node decides, once it may.
     reservations: BTreeMap<Token, (usize, Option<i64>)>,
     number: u64,
     read_at: i64,
@@ -80,22 +80,22 @@
     }
 }
 
-/// A name that clients hand in.
+/// A name that clients submit.
 struct SubmittedName {
     digest: NameDigest,
     until: i64,
     began: i64,
-    /// May be repeated.
+    /// Whether the message may be repeated.
     free: bool,
     next: i64,
-    /// Answered `New` to them.
+    /// The members and lives that got the reply `New`.
     new: BTreeSet<(usize, Start)>,
-    /// Durable in their journals.
+    /// The members and lives in whose journals the acceptance is durable.
     accepted: BTreeSet<(usize, Start)>,
     done: bool,
 }
 
-/// From whom, of which life, to whom, to which life.
+/// Sender, its life, receiver, the receiver's start, and the message.
 type NetworkMessage = (usize, Life, usize, Start, Message);
 
 pub struct World {
@@ -107,9 +107,9 @@
     pub lists: Vec<Homes>,
     pub cuts: Vec<(usize, usize)>,
     pub losses: bool,
-    /// Homes have too little room.
+    /// Whether homes have too little room.
     tight: bool,
-    /// From when on all is answered at once.
+    /// From this time on all submissions are answered at once.
     calm: i64,
     /// Lives whose folder is lost, and when.
     pub lost: Vec<(usize, Start, i64)>,
@@ -174,7 +174,7 @@
         member.lives.push(start);
         let options = Options { retry_after: SECOND, ..Options::default() };
         let me = Life { name: member.name.clone(), start };
-        let since = if self.plant == Plant::SpeaksForLost { Start(0) } else { member.folder };
+        let since = if self.plant == Plant::AnswersForLostFolder { Start(0) } else { member.folder };
         let limits = Limits {
             entries: if self.tight { 10 } else { 1000 },
             at_once: 512,
@@ -241,10 +241,10 @@
         }
     }
 
-    /// Names are handed in, again and again, at any member.
+    /// Submits names repeatedly, at any member.
     fn clients(&mut self, more: bool) -> Result<(), String> {
         if more && self.random.random_bool(0.02) {
-            // In few slots, so that more than one part is given on.
+            // The names fall into few slots, so that a transfer has more than one part.
             let mut all = (0..).map(|low| NameDigest { high: self.names.len() as u64, low });
             let digest = all.find(|digest| ReservationKey::new("c", *digest).slot < 8).unwrap();
             let free = self.random.random_bool(0.1);
@@ -257,7 +257,8 @@
                 continue;
             }
             let times = self.random.random_range(1..=3);
-            // What was answered is handed in again as well, to see that it stays so.
+            // A name that was answered is submitted again as well, to check that its answer does not
+            // change.
             let pause = if self.names[index].done { 8 * SECOND } else { SECOND };
             self.names[index].next = self.now + self.random.random_range(pause / 2..pause);
             for _ in 0..times {
@@ -271,7 +272,7 @@
     fn submit(&mut self, at: usize, index: usize) {
         let (now, name, member) = (self.now, &mut self.names[index], &mut self.members[at]);
         let Some(life) = member.life.as_mut().filter(|life| life.read_at <= now) else { return };
-        // Its own journals have it.
+        // The member's own journals have the name.
         if name.accepted.iter().any(|(by, start)| *by == at && member.lives.contains(start)) {
             name.done = true;
             return;
@@ -320,7 +321,7 @@
             } else {
                 self.sum.refused += 1;
             }
-            if self.plant != Plant::NeverSettles {
+            if self.plant != Plant::NeverReportsResult {
                 life.requester.handle_result(now, ReservationResult { token, accepted });
             }
         }
@@ -329,7 +330,7 @@
             life.store.sync();
         }
         let mut out = life.registry.take_messages(&mut life.store);
-        if self.plant == Plant::BeforeDurable {
+        if self.plant == Plant::RepliesBeforeDurable {
             let mut ahead = life.store.clone();
             ahead.sync();
             out.extend(life.registry.take_messages(&mut ahead));
@@ -364,7 +365,7 @@
         match reservation_reply {
             ReservationReply::New => drop(life.reservations.insert(token, (index, Some(later)))),
             ReservationReply::Unreached { .. } if self.names[index].free => {
-                // It is taken on where it came.
+                // The message is accepted where it arrived.
                 life.reservations.insert(token, (index, Some(later)));
                 self.sum.unreached += 1;
                 return Ok(());
@@ -408,7 +409,7 @@
         Ok(())
     }
 
-    /// It has an answer.
+    /// Records that a name has an answer.
     fn done(&mut self, index: usize) {
         let name = &mut self.names[index];
         if !std::mem::replace(&mut name.done, true) && name.began > self.calm - 5 * SECOND && !self.tight {
@@ -416,7 +417,7 @@
         }
     }
 
-    /// Who ends what lives of lost folders had taken on: some time after, the first that is there.
+    /// Returns the members that took over lives of lost folders: after a delay, the first one that runs.
     fn heirs(&self) -> BTreeMap<Life, Name> {
         let over = self.lost.iter().filter(|(_, _, when)| self.now > when + 3 * SECOND);
         over.filter_map(|(at, start, _)| {
@@ -430,13 +431,13 @@
 
     fn look(&mut self, at: usize, asks: Name, key: ReservationKey, of: Life, number: u64) {
         let early = self.members[at].life.as_ref().is_none_or(|life| life.read_at > self.now);
-        if early && self.plant != Plant::BeforeRead {
+        if early && self.plant != Plant::AnswersBeforeReadingJournals {
             return;
         }
         let whose = self.at(&of.name);
         let mine = whose == at && self.members[at].lives.contains(&of.start);
         let heir = self.heirs().get(&of) == Some(&self.members[at].name);
-        let lost = self.plant == Plant::SpeaksForLost && whose == at && !mine;
+        let lost = self.plant == Plant::AnswersForLostFolder && whose == at && !mine;
         if !mine && !heir && !lost {
             return;
         }
@@ -463,7 +464,7 @@
         }
     }
 
-    /// A link is between two lives.
+    /// Delivers a message between two lives, to which the link is bound.
     fn deliver(&mut self, from: usize, sender: Life, to: usize, start: Start, message: Message) {
         let heirs = self.heirs();
         if self.cuts.contains(&(from, to)) {
--- a/crates/region/tests/schedules/main.rs
+++ b/crates/region/tests/schedules/main.rs
@@ -1,8 +1,10 @@
-//! Members in two regions on a virtual clock, with faults from a seed, and what must hold looked at as it goes.
+//! Simulates members in two regions on a virtual clock, with faults from a seed, and checks the invariants
+//! after each step.
 //!
-//! The keepers' lease is the real one (`heronroute_fleet::lease`) among modelled keepers; their log is a list that takes what a
-//! member proposes while a majority stands, late and in any order, which is more than the real one does. SWIM is modelled by who
-//! reaches whom, and by beliefs that are wrong. `HERONROUTE_SEED=n` replays a schedule, `HERONROUTE_LONG=1` runs ten times as many.
+//! The keepers' lease is the real one (`heronroute_fleet::lease`) among modelled keepers. Their log is
+//! modelled as a list that accepts what a member proposes while a majority is connected, late and in any
+//! order, which allows more than the real log does. SWIM is modelled by reachability and by wrong beliefs.
+//! `HERONROUTE_SEED=n` replays a schedule, `HERONROUTE_LONG=1` runs ten times as many.
 
 mod check;
 mod member;
@@ -45,7 +47,7 @@
         .collect();
     println!("{whole:?}");
     assert!(failed.is_empty(), "{} schedules failed:\n{}", failed.len(), failed.join("\n"));
-    // A suite in which nothing happens finds nothing.
+    // Guards against a simulation in which nothing happens and so nothing is found.
     assert!(whole.taken > whole.runs / 2 && whole.returned > whole.runs / 8 && whole.void > 0, "{whole:?}");
     assert!(whole.again > 0, "nothing was ever taken over from a dead partner: {whole:?}");
 }
--- a/crates/region/tests/schedules/member.rs
+++ b/crates/region/tests/schedules/member.rs
@@ -1,4 +1,4 @@
-//! One member of the model: its clock, its disk, its process.
+//! A simulated member: its clock, disk and process.
 
 use crate::world::Plant;
 use heronroute_fleet::lease::{Grants, Lease};
@@ -13,13 +13,13 @@
 #[derive(Default)]
 pub struct Disk {
     pub start: u64,
-    /// Entries of its journal.
+    /// The number of entries in its journal.
     pub written: u64,
-    /// Of others' journals, by life how far.
+    /// How much it has of others' journals, by life.
     pub copies: BTreeMap<Name, BTreeMap<Start, u64>>,
-    /// What it took on: between these places.
+    /// What it took over: the entries between these positions.
     pub took: BTreeMap<Life, (u64, u64)>,
-    /// A keeper's promise.
+    /// The highest term that it promised as a keeper.
     pub promise: Term,
 }
 
@@ -31,7 +31,7 @@
     pub agreed: Agreed,
     pub partners: Partners,
     pub duties: Option<Duties>,
-    /// Entries read; the term begun last and by whom.
+    /// The number of entries read, then the last term begun and its leader.
     pub read: usize,
     pub begun: Term,
     pub leader: Option<usize>,
@@ -39,19 +39,19 @@
     pub grants: Grants,
     pub lease: Lease,
     pub term: Term,
-    /// When somebody else was last granted, or it last tried, on its clock.
+    /// When another member was last granted the lease, or this one last tried to get it, on its clock.
     pub heard: i64,
-    /// Where its journal stood when it began.
+    /// The end of its journal when the life started.
     pub from: u64,
-    /// What it took on and is its own by the log.
+    /// The lives it took over, confirmed by the log.
     pub mine: BTreeSet<Life>,
-    /// Taken up, not said to be taken on yet: when it will be.
+    /// Takeovers in progress that are not yet reported complete, and when they will be.
     pub taking: BTreeMap<Life, i64>,
     pub said: bool,
-    /// The fence that it knows: a life of its name was taken over, and how far.
+    /// The known fence: whether a life of its name was taken over, and up to which position.
     pub fence: Option<Option<u64>>,
-    /// When it had a right first.
-    pub righted: bool,
+    /// Whether it has had a lease.
+    pub lease_granted: bool,
 }
 
 pub struct Member {
@@ -60,12 +60,12 @@
     pub keeper: bool,
     pub rate: i64,
     pub offset: i64,
-    /// What its time of day is off by.
+    /// The error of its time of day.
     pub skew: i64,
     pub disk: Disk,
     pub up: Option<Box<Process>>,
     pub paused: bool,
-    /// Counts starts, for what is on its way to a process that is gone.
+    /// The number of starts; identifies messages for a process that has ended.
     pub epoch: u64,
     pub downed: i64,
     pub list: usize,
@@ -87,7 +87,7 @@
         let clock = self.clock(now);
         let life = Life { name: self.name.clone(), start: Start(self.disk.start) };
         let mut holder = Holder::new(clock, life.clone(), tuning);
-        if plant == Plant::AsksBeforeItKnows {
+        if plant == Plant::RequestsBeforeReadingOwnEntry {
             holder.knows();
         }
         self.up = Some(Box::new(Process {
@@ -111,7 +111,7 @@
             taking: BTreeMap::new(),
             said: false,
             fence: None,
-            righted: false,
+            lease_granted: false,
         }));
     }
 }
--- a/crates/region/tests/schedules/planted.rs
+++ b/crates/region/tests/schedules/planted.rs
@@ -1,23 +1,23 @@
-//! Faults put in on purpose: for each a seed that finds it, and what it finds.
+//! Faults planted on purpose: for each, a seed that finds it and what the failure says.
 
 use crate::world::{Plant, World};
 
-/// For each fault the seed, and a word of what is said.
+/// For each fault the seed, and part of the failure's message.
 const FOUND: [(Plant, u64, &str); 10] = [
-    (Plant::DutiesByBelief, 0, "do duty"),
-    (Plant::CopyOfLaterLives, 3, "is acted on by"),
-    (Plant::WallClock, 5, "do duty"),
-    (Plant::ActsBeforeTheLog, 9, "is acted on by"),
-    (Plant::GivesBeyondTheLease, 17, "is taken over, and"),
-    (Plant::NoWait, 17, "is taken over, and"),
-    (Plant::GivesWhileProposed, 60, "is taken over, and"),
-    (Plant::CountsFromWhenItCame, 134, "was taken over and has a right"),
-    (Plant::NoDrift, 681, "is taken over, and"),
-    (Plant::AsksBeforeItKnows, 754, "does not know that one before it"),
+    (Plant::DutiesByBelievedLiveness, 0, "do duty"),
+    (Plant::TakesCopyOfLaterLives, 3, "is acted on by"),
+    (Plant::LeaseOnWallClock, 5, "do duty"),
+    (Plant::ActsBeforeTakeoverConfirmed, 9, "is acted on by"),
+    (Plant::GrantsAfterOwnLeaseExpired, 17, "is taken over, and"),
+    (Plant::NoWaitForEarlierLeases, 17, "is taken over, and"),
+    (Plant::GrantsWhileTakeoverProposed, 60, "is taken over, and"),
+    (Plant::LeaseCountsFromArrival, 134, "was taken over and has a lease"),
+    (Plant::NoDriftAllowance, 681, "is taken over, and"),
+    (Plant::RequestsBeforeReadingOwnEntry, 754, "does not know that one before it"),
 ];
 
 #[test]
-fn each_planted_fault_is_found() {
+fn each_planted_fault_is_detected() {
     if std::env::var("HERONROUTE_SEEK").is_ok() {
         return seek();
     }
@@ -30,19 +30,19 @@
     }
 }
 
-/// Looks for seeds anew, after the schedules have changed.
+/// Searches for new seeds, for use after the schedules have changed.
 fn seek() {
     let all = [
-        Plant::AsksBeforeItKnows,
-        Plant::CountsFromWhenItCame,
-        Plant::NoDrift,
-        Plant::NoWait,
-        Plant::GivesBeyondTheLease,
-        Plant::GivesWhileProposed,
-        Plant::WallClock,
-        Plant::ActsBeforeTheLog,
-        Plant::CopyOfLaterLives,
-        Plant::DutiesByBelief,
+        Plant::RequestsBeforeReadingOwnEntry,
+        Plant::LeaseCountsFromArrival,
+        Plant::NoDriftAllowance,
+        Plant::NoWaitForEarlierLeases,
+        Plant::GrantsAfterOwnLeaseExpired,
+        Plant::GrantsWhileTakeoverProposed,
+        Plant::LeaseOnWallClock,
+        Plant::ActsBeforeTakeoverConfirmed,
+        Plant::TakesCopyOfLaterLives,
+        Plant::DutiesByBelievedLiveness,
     ];
     std::thread::scope(|scope| {
         for plant in all {
--- a/crates/region/tests/schedules/world.rs
+++ b/crates/region/tests/schedules/world.rs
@@ -1,6 +1,6 @@
-//! The model: what is sent, decided, read and done.
+//! The simulation: what is sent, decided, read and done.
 
-use crate::check::{Book, HANDED, Sum, TAKEN, key};
+use crate::check::{DUTY_HANDOVER_LIMIT, Observations, Sum, TAKEOVER_LIMIT, key};
 use crate::member::{Member, Process};
 use heronroute_fleet::{Life, Name, Standing, Start, Term, keepers};
 use heronroute_region::agreed::{Agreed, Command, Effect};
@@ -16,20 +16,20 @@
 pub const S: i64 = 1_000_000;
 pub const KEYS: usize = 6;
 
-/// A fault put in on purpose: the suite has to find it.
+/// A fault planted on purpose, which the suite has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
     None,
-    AsksBeforeItKnows,
-    CountsFromWhenItCame,
-    NoDrift,
-    NoWait,
-    GivesBeyondTheLease,
-    GivesWhileProposed,
-    WallClock,
-    ActsBeforeTheLog,
-    CopyOfLaterLives,
-    DutiesByBelief,
+    RequestsBeforeReadingOwnEntry,
+    LeaseCountsFromArrival,
+    NoDriftAllowance,
+    NoWaitForEarlierLeases,
+    GrantsAfterOwnLeaseExpired,
+    GrantsWhileTakeoverProposed,
+    LeaseOnWallClock,
+    ActsBeforeTakeoverConfirmed,
+    TakesCopyOfLaterLives,
+    DutiesByBelievedLiveness,
 }
 
 enum Msg {
@@ -48,9 +48,9 @@
 }
 
 #[derive(Clone)]
-enum What {
+enum EntryBody {
     Begin,
-    Here,
+    Joined,
     Region(Command),
 }
 
@@ -58,7 +58,7 @@
 struct Entry {
     by: Life,
     term: Option<Term>,
-    what: What,
+    what: EntryBody,
 }
 
 pub struct World {
@@ -67,26 +67,26 @@
     pub plant: Plant,
     pub rng: SmallRng,
     pub members: Vec<Member>,
-    pub truth: Agreed,
-    pub book: Book,
+    pub reference: Agreed,
+    pub observations: Observations,
     term: Term,
     log: Vec<(i64, Entry)>,
     cut: BTreeSet<(usize, usize)>,
-    /// Who wrongly takes whom for dead.
+    /// Wrong beliefs: the first member believes the second one dead.
     belief: BTreeSet<(usize, usize)>,
     latency: i64,
     loss: f64,
-    /// Messages and entries may come seconds late.
+    /// Whether messages and entries may arrive seconds late.
     late: bool,
     events: BTreeMap<(i64, u64), Event>,
     seq: u64,
-    /// When whom was last reached, and in which life.
+    /// When the first member last reached the second one, and in which life.
     seen: BTreeMap<(usize, usize), (i64, u64)>,
     tuning: Tuning,
     lease: keepers::Tuning,
-    divided: BTreeMap<u64, Duties>,
+    duties_by_list: BTreeMap<u64, Duties>,
     waiting: Vec<(usize, usize, Msg)>,
-    asleep: BTreeMap<usize, Vec<(usize, Msg)>>,
+    undelivered: BTreeMap<usize, Vec<(usize, Msg)>>,
 }
 
 impl World {
@@ -94,7 +94,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let count = if rng.random_bool(0.15) { rng.random_range(8..=20) } else { rng.random_range(3..=7) };
         let keepers = if count < 5 || rng.random_bool(0.5) { 3 } else { 5 };
-        // Where death is known at once, take-overs wait for nothing but rights.
+        // With `dead_for` 0 takeovers wait only for leases to expire.
         let tuning = Tuning { dead_for: [0, 3 * S][rng.random_range(0..2)], ..Tuning::default() };
         let member = |at: usize| Member {
             name: Name::new(&format!("m{at:02}")).unwrap(),
@@ -117,8 +117,8 @@
             plant,
             rng,
             members,
-            truth: Agreed::default(),
-            book: Book::default(),
+            reference: Agreed::default(),
+            observations: Observations::default(),
             term: Term(0),
             log: Vec::new(),
             cut: BTreeSet::new(),
@@ -131,9 +131,9 @@
             seen: BTreeMap::new(),
             tuning,
             lease: keepers::Tuning::default(),
-            divided: BTreeMap::new(),
+            duties_by_list: BTreeMap::new(),
             waiting: Vec::new(),
-            asleep: BTreeMap::new(),
+            undelivered: BTreeMap::new(),
         };
         (0..count).for_each(|at| world.start(at));
         world
@@ -150,7 +150,7 @@
 
     fn start(&mut self, at: usize) {
         let giver = match self.plant {
-            Plant::NoDrift => Tuning { drift: 0, ..self.tuning },
+            Plant::NoDriftAllowance => Tuning { drift: 0, ..self.tuning },
             _ => self.tuning,
         };
         self.members[at].start(self.now, self.tuning, giver, &self.lease, self.plant);
@@ -163,31 +163,36 @@
             self.members[at].downed = self.now;
         }
         self.members[at].paused = false;
-        self.asleep.remove(&at);
+        self.undelivered.remove(&at);
     }
 
     fn resume(&mut self, at: usize) {
         if !std::mem::take(&mut self.members[at].paused) {
             return;
         }
-        for (from, msg) in self.asleep.remove(&at).unwrap_or_default() {
-            self.take(from, at, msg);
+        for (from, msg) in self.undelivered.remove(&at).unwrap_or_default() {
+            self.receive(from, at, msg);
         }
         let epoch = self.members[at].epoch;
         self.at(self.now, Event::Tick(at, epoch));
     }
 
-    fn both(&self, a: usize, b: usize) -> bool {
+    fn connected_both_ways(&self, a: usize, b: usize) -> bool {
         !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
     }
 
-    /// A keeper that reaches a majority both ways, and that this one reaches.
-    fn hub(&self, from: Option<usize>) -> bool {
+    /// Returns whether a live keeper has a two-way connection to a majority of keepers, and to `from` if
+    /// given.
+    fn has_majority(&self, from: Option<usize>) -> bool {
         let keepers: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].keeper).collect();
         let lives = |at: &usize| self.members[*at].lives();
-        keepers.iter().filter(|hub| lives(hub)).any(|hub| {
-            let reached = keepers.iter().filter(|other| lives(other) && self.both(*hub, **other)).count();
-            reached * 2 > keepers.len() && from.is_none_or(|from| self.both(from, *hub))
+        keepers.iter().filter(|has_majority| lives(has_majority)).any(|has_majority| {
+            let reached = keepers
+                .iter()
+                .filter(|other| lives(other) && self.connected_both_ways(*has_majority, **other))
+                .count();
+            reached * 2 > keepers.len()
+                && from.is_none_or(|from| self.connected_both_ways(from, *has_majority))
         })
     }
 
@@ -199,53 +204,53 @@
         if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             return;
         }
-        // Now and then one comes long after others.
+        // Occasionally a message arrives long after later ones.
         let late = if self.late && self.rng.random_bool(0.03) { 4 * S } else { self.latency };
         let when = self.now + self.rng.random_range(MS..=late);
         self.at(when, Event::Deliver { from, to, msg });
     }
 
-    fn propose(&mut self, at: usize, term: Option<Term>, what: What) {
+    fn propose(&mut self, at: usize, term: Option<Term>, what: EntryBody) {
         let Some(by) = self.members[at].up.as_ref().map(|p| p.life.clone()) else { return };
-        if self.hub(Some(at)) {
+        if self.has_majority(Some(at)) {
             let late = if self.late && self.rng.random_bool(0.15) { 4 * S } else { 150 * MS };
             let when = self.now + self.rng.random_range(5 * MS..=late);
             self.at(when, Event::Decide(Entry { by, term, what }));
         }
     }
 
-    /// The log's one meaning.
-    fn fold(agreed: &mut Agreed, begun: &mut Term, entry: &Entry) -> Effect {
+    /// Applies an entry of the log; used for the reference state and for each member's state.
+    fn apply_entry(agreed: &mut Agreed, begun: &mut Term, entry: &Entry) -> Effect {
         agreed.heard(&entry.by);
         if entry.term.is_some_and(|term| term < *begun) {
             return Effect::Nothing;
         }
         match &entry.what {
-            What::Begin => {
+            EntryBody::Begin => {
                 *begun = entry.term.unwrap_or_default().max(*begun);
                 Effect::Nothing
             }
-            What::Here => Effect::Nothing,
-            What::Region(command) => agreed.apply(command),
+            EntryBody::Joined => Effect::Nothing,
+            EntryBody::Region(command) => agreed.apply(command),
         }
     }
 
     fn decide(&mut self, entry: Entry) {
-        if !self.hub(None) {
+        if !self.has_majority(None) {
             return;
         }
-        let effect = Self::fold(&mut self.truth, &mut self.term, &entry);
-        let region = matches!(entry.what, What::Region(_));
+        let effect = Self::apply_entry(&mut self.reference, &mut self.term, &entry);
+        let region = matches!(entry.what, EntryBody::Region(_));
         self.log.push((self.now, entry));
         if region {
-            self.decided(&effect);
+            self.check_decided(&effect);
         }
     }
 
     pub fn step(&mut self) -> bool {
         let Some(((at, _), event)) = self.events.pop_first() else { return false };
         self.now = at;
-        self.book.sum.steps += 1;
+        self.observations.sum.steps += 1;
         match event {
             Event::Tick(at, epoch) => {
                 if self.members[at].epoch == epoch && self.members[at].lives() {
@@ -257,22 +262,22 @@
                 }
             }
             Event::Deliver { from, to, msg } if self.members[to].paused => {
-                self.asleep.entry(to).or_default().push((from, msg));
+                self.undelivered.entry(to).or_default().push((from, msg));
             }
-            Event::Deliver { from, to, msg } => self.take(from, to, msg),
+            Event::Deliver { from, to, msg } => self.receive(from, to, msg),
             Event::Decide(entry) => self.decide(entry),
             Event::Start(at) if self.members[at].up.is_none() => self.start(at),
             Event::Start(_) => {}
         }
         while let Some((from, to, msg)) = self.waiting.pop() {
-            self.take(from, to, msg);
+            self.receive(from, to, msg);
         }
         true
     }
 
     pub fn run(&mut self, span: i64) {
         let until = self.now + span;
-        while self.book.failed.is_none()
+        while self.observations.failed.is_none()
             && self.events.first_key_value().is_some_and(|((at, _), _)| *at <= until)
         {
             self.step();
@@ -280,42 +285,42 @@
         self.now = self.now.max(until);
     }
 
-    /// The term in which a member is in charge now.
-    fn charge(&self, at: usize) -> Option<Term> {
+    /// Returns the term in which a member leads now.
+    fn leading_term(&self, at: usize) -> Option<Term> {
         let member = &self.members[at];
         let process = member.up.as_ref()?;
         let until = process.lease.until(&self.lease)?;
-        let lasts = member.clock(self.now) < until || self.plant == Plant::GivesBeyondTheLease;
+        let lasts = member.clock(self.now) < until || self.plant == Plant::GrantsAfterOwnLeaseExpired;
         (lasts && member.disk.promise == process.term).then_some(process.term)
     }
 
     pub fn leader(&self) -> Option<usize> {
-        (0..self.members.len()).find(|at| self.members[*at].lives() && self.charge(*at).is_some())
+        (0..self.members.len()).find(|at| self.members[*at].lives() && self.leading_term(*at).is_some())
     }
 
     fn stand(&mut self, at: usize) {
-        let charge = self.charge(at);
+        let leading_term = self.leading_term(at);
         let mut clock = self.members[at].clock(self.now);
         let plant = self.plant;
         let Some(process) = self.members[at].up.as_mut() else { return };
-        if plant == Plant::NoWait {
+        if plant == Plant::NoWaitForEarlierLeases {
             clock -= 2 * self.tuning.span;
         }
-        process.giver.stand(clock, charge, process.begun);
+        process.giver.stand(clock, leading_term, process.begun);
     }
 
-    /// On which clock a holder counts.
-    pub fn counts(&self, at: usize) -> i64 {
+    /// Returns the clock reading that a lease holder uses.
+    pub fn holder_clock(&self, at: usize) -> i64 {
         let member = &self.members[at];
-        member.clock(self.now) + if self.plant == Plant::WallClock { member.skew } else { 0 }
+        member.clock(self.now) + if self.plant == Plant::LeaseOnWallClock { member.skew } else { 0 }
     }
 
-    fn take(&mut self, from: usize, to: usize, msg: Msg) {
+    fn receive(&mut self, from: usize, to: usize, msg: Msg) {
         if self.members[to].up.is_none() {
             return;
         }
         self.stand(to);
-        let (clock, counts) = (self.members[to].clock(self.now), self.counts(to));
+        let (clock, holder_clock) = (self.members[to].clock(self.now), self.holder_clock(to));
         let member = &mut self.members[to];
         let Some(process) = member.up.as_mut() else { return };
         match msg {
@@ -335,19 +340,19 @@
                 }
             }
             Msg::Give(mut give) => {
-                if self.plant == Plant::CountsFromWhenItCame {
-                    give.asked = counts;
+                if self.plant == Plant::LeaseCountsFromArrival {
+                    give.asked = holder_clock;
                 }
-                if process.holder.given(counts, &give) {
-                    process.righted = true;
+                if process.holder.given(holder_clock, &give) {
+                    process.lease_granted = true;
                     if let Some(duties) = &mut process.duties {
                         duties.set_out(process.holder.out());
                     }
-                    self.righted(to);
+                    self.lease_granted(to);
                 }
             }
             Msg::Ship { life, upto } => {
-                // What was taken over takes nothing more.
+                // Nothing more is accepted from a life that was taken over.
                 if process.settled && !process.agreed.is_over(&life) {
                     let lives = member.disk.copies.entry(life.name).or_default();
                     let held = lives.entry(life.start).or_default();
@@ -365,16 +370,16 @@
             return;
         }
         if self.members[at].keeper {
-            self.keep(at);
-            self.look(at);
+            self.run_election(at);
+            self.check_members(at);
         }
-        self.own(at);
-        self.shifts();
+        self.run_member(at);
+        self.check_duties();
     }
 
-    /// Reads the log, as far as it is heard of.
+    /// Reads the log, as far as its entries have arrived.
     fn read(&mut self, at: usize) {
-        if !self.hub(Some(at)) || self.rng.random_bool(0.1) {
+        if !self.has_majority(Some(at)) || self.rng.random_bool(0.1) {
             return;
         }
         let lag = self.rng.random_range(0..200) * MS;
@@ -385,13 +390,13 @@
                 return;
             }
             let clock = self.members[at].clock(self.now);
-            let leader = matches!(entry.what, What::Begin).then(|| self.place(&entry.by.name));
+            let leader = matches!(entry.what, EntryBody::Begin).then(|| self.place(&entry.by.name));
             let soon = clock + self.rng.random_range(0..1_500) * MS;
             let member = &mut self.members[at];
             let name = member.name.clone();
             let Some(process) = member.up.as_mut() else { return };
             process.read += 1;
-            let effect = Self::fold(&mut process.agreed, &mut process.begun, &entry);
+            let effect = Self::apply_entry(&mut process.agreed, &mut process.begun, &entry);
             process.deaths.known(clock, &entry.by);
             if process.begun == entry.term.unwrap_or_default() && leader.is_some() {
                 process.leader = leader;
@@ -403,7 +408,8 @@
                 Effect::List => {
                     let list = process.agreed.list().clone();
                     process.partners = Partners::new(&list);
-                    let duties = self.divided.entry(list.number).or_insert_with(|| Duties::new(&list, &name));
+                    let duties =
+                        self.duties_by_list.entry(list.number).or_insert_with(|| Duties::new(&list, &name));
                     process.duties = Some(duties.for_member(&name));
                 }
                 Effect::TakeOver { of, by, before } => {
@@ -428,17 +434,17 @@
         }
     }
 
-    /// A keeper: stays in charge, or tries to be.
-    fn keep(&mut self, at: usize) {
+    /// Runs a keeper's election: renews its lease as leader, or tries to become leader.
+    fn run_election(&mut self, at: usize) {
         let clock = self.members[at].clock(self.now);
         let keepers: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].keeper).collect();
         let patience = 1_200 * MS + self.rng.random_range(0..600) * MS;
-        let hub = self.hub(Some(at));
+        let has_majority = self.has_majority(Some(at));
         let member = &mut self.members[at];
         let epoch = member.epoch;
         let Some(process) = member.up.as_mut() else { return };
         if process.term != member.disk.promise || process.term == Term(0) {
-            if clock < process.heard + patience || !hub {
+            if clock < process.heard + patience || !has_majority {
                 return;
             }
             process.term = Term((((member.disk.promise.0 >> 8) + 1) << 8) | at as u64);
@@ -456,8 +462,8 @@
                 self.send(at, other, Msg::Renew { term, sent: clock, epoch });
             }
         }
-        if self.charge(at).is_some() && begun != term {
-            self.propose(at, Some(term), What::Begin);
+        if self.leading_term(at).is_some() && begun != term {
+            self.propose(at, Some(term), EntryBody::Begin);
         }
     }
 
@@ -467,23 +473,25 @@
         self.belief.contains(&(at, other)) || self.now - seen > 2_500 * MS
     }
 
-    /// The one that would have a duty by belief alone.
+    /// Returns whether the member would have a duty if duties were divided by belief only.
     pub fn next_in(&self, n: usize, at: usize) -> bool {
         let who = (0..self.members.len())
             .filter(|other| *other == at || !self.believes_dead(at, &self.members[*other].name));
         who.max_by_key(|other| key(*other) ^ key(n)) == Some(at)
     }
 
-    /// A keeper looks at who is there; in charge, it has written what is due.
-    fn look(&mut self, at: usize) {
+    /// Updates a keeper's view of the other members; a leader also proposes what is due.
+    fn check_members(&mut self, at: usize) {
         let count = self.members.len();
         for other in (0..count).filter(|other| *other != at) {
             let there = self.members[other].lives();
             let helped = |helper: usize| {
-                self.members[helper].lives() && self.both(at, helper) && self.both(helper, other)
+                self.members[helper].lives()
+                    && self.connected_both_ways(at, helper)
+                    && self.connected_both_ways(helper, other)
             };
             let helpers = [(at + 1) % count, (at + 2) % count, (other + 1) % count];
-            if there && (self.both(at, other) || helpers.into_iter().any(helped)) {
+            if there && (self.connected_both_ways(at, other) || helpers.into_iter().any(helped)) {
                 self.seen.insert((at, other), (self.now, self.members[other].disk.start));
             }
             let dead = self.believes_dead(at, &self.members[other].name);
@@ -502,11 +510,11 @@
         let before = process.giver.clone();
         let Process { giver, agreed, partners, deaths, .. } = &mut **process;
         let due = deaths.due(clock, giver, agreed, partners);
-        if self.plant == Plant::GivesWhileProposed {
+        if self.plant == Plant::GrantsWhileTakeoverProposed {
             process.giver = before;
         }
         for command in due {
-            self.propose(at, Some(term), What::Region(command));
+            self.propose(at, Some(term), EntryBody::Region(command));
         }
         let Some(process) = self.members[at].up.as_ref() else { return };
         let known = process.agreed.list().clone();
@@ -517,27 +525,27 @@
         };
         let list = List::of(known.number + 1, places.map(|(_, m)| place(m))).unwrap();
         if list.places != known.places && self.rng.random_bool(0.4) {
-            self.propose(at, Some(term), What::Region(Command::List { term, list }));
+            self.propose(at, Some(term), EntryBody::Region(Command::List { term, list }));
         }
     }
 
-    /// What every member does for itself.
-    fn own(&mut self, at: usize) {
-        let counts = self.counts(at);
+    /// Runs a member's own work.
+    fn run_member(&mut self, at: usize) {
+        let holder_clock = self.holder_clock(at);
         let clock = self.members[at].clock(self.now);
         let member = &mut self.members[at];
         let name = member.name.clone();
         let Some(process) = member.up.as_mut() else { return };
         let life = process.life.clone();
         if !process.settled {
-            if self.plant == Plant::AsksBeforeItKnows {
-                self.ask(at, counts);
+            if self.plant == Plant::RequestsBeforeReadingOwnEntry {
+                self.ask(at, holder_clock);
             }
-            return self.propose(at, None, What::Here);
+            return self.propose(at, None, EntryBody::Joined);
         }
         if process.agreed.is_over(&life) {
-            // It was taken over: another life begins, in place.
-            self.book.sum.returned += 1;
+            // It was taken over, so another life starts in its place.
+            self.observations.sum.returned += 1;
             self.kill(at);
             return self.at(self.now + 100 * MS, Event::Start(at));
         }
@@ -551,22 +559,22 @@
             process.taking = taking.map(|of| (of, clock)).collect();
             process.holder.knows();
         }
-        self.ask(at, counts);
+        self.ask(at, holder_clock);
         self.take_up(at, clock);
         self.ship(at, &life);
-        self.act(at, &life, counts);
+        self.act(at, &life, holder_clock);
     }
 
-    fn ask(&mut self, at: usize, counts: i64) {
+    fn ask(&mut self, at: usize, holder_clock: i64) {
         let Some(process) = self.members[at].up.as_mut() else { return };
-        if let Some(ask) = process.holder.poll(counts)
+        if let Some(ask) = process.holder.poll(holder_clock)
             && let Some(leader) = process.leader
         {
             self.send(at, leader, Msg::Ask(ask));
         }
     }
 
-    /// Takes on what others left, and says so until the log has it.
+    /// Takes over what other members left, and reports it until the log has it.
     fn take_up(&mut self, at: usize, clock: i64) {
         let plant = self.plant;
         let member = &mut self.members[at];
@@ -577,7 +585,7 @@
         for of in due {
             let from = process.agreed.upto(&of.name).first().copied().unwrap_or(0);
             let copies = member.disk.copies.get(&of.name);
-            let fits = |start: &Start| *start <= of.start || plant == Plant::CopyOfLaterLives;
+            let fits = |start: &Start| *start <= of.start || plant == Plant::TakesCopyOfLaterLives;
             let lives = copies.into_iter().flatten().filter(|(start, _)| fits(start));
             let upto = lives.map(|(_, upto)| *upto).max().unwrap_or(0).max(from);
             member.disk.took.insert(of.clone(), (from, upto));
@@ -585,19 +593,19 @@
         }
         for command in said {
             if self.rng.random_bool(0.4) {
-                self.propose(at, None, What::Region(command));
+                self.propose(at, None, EntryBody::Region(command));
             }
         }
     }
 
-    /// Sends its journal to whoever keeps its copy, and says so.
+    /// Sends the journal to the members that keep its copy, and reports those members.
     fn ship(&mut self, at: usize, life: &Life) {
         let member = &self.members[at];
         let Some(process) = member.up.as_ref() else { return };
         let all: Vec<usize> = process.partners.all(&life.name).into_iter().map(|n| self.place(n)).collect();
         let lives =
             |to: &usize| self.members[*to].up.is_some() || self.now - self.members[*to].downed < 8 * S;
-        // In half of the schedules two have one's copy.
+        // In half of the schedules two members have a copy.
         let to: Vec<usize> = all.into_iter().filter(lives).take(1 + (self.seed % 2) as usize).collect();
         let has = |to: &&usize| {
             let copies = self.members[**to].disk.copies.get(&life.name);
@@ -608,15 +616,16 @@
         let upto = member.disk.written;
         to.into_iter().for_each(|to| self.send(at, to, Msg::Ship { life: life.clone(), upto }));
         if !by.is_empty() && !said && self.rng.random_bool(0.5) {
-            self.propose(at, None, What::Region(Command::Copies { of: life.clone(), by }));
+            self.propose(at, None, EntryBody::Region(Command::Copies { of: life.clone(), by }));
         }
     }
 
-    /// Begins something, under its right: of its own journal behind its fence, and of what it took on.
-    fn act(&mut self, at: usize, life: &Life, counts: i64) {
+    /// Performs actions under the member's lease: on its own journal after its fence, and on what it took
+    /// over.
+    fn act(&mut self, at: usize, life: &Life, holder_clock: i64) {
         let member = &mut self.members[at];
         let Some(process) = member.up.as_ref() else { return };
-        if process.holder.right(counts).is_none() {
+        if process.holder.right(holder_clock).is_none() {
             return;
         }
         member.disk.written += 1;
@@ -625,7 +634,7 @@
             Some(Some(upto)) => upto,
             Some(None) => process.from,
         };
-        let early = self.plant == Plant::ActsBeforeTheLog;
+        let early = self.plant == Plant::ActsBeforeTakeoverConfirmed;
         let mut acts = vec![(life.name.clone(), from, member.disk.written)];
         let mine = member.disk.took.iter().filter(|(of, _)| early || process.mine.contains(of));
         acts.extend(mine.map(|(of, (from, upto))| (of.name.clone(), *from, *upto)));
@@ -633,7 +642,7 @@
             if from < upto {
                 let newest = self.rng.random_bool(0.5);
                 let entry = if newest { upto - 1 } else { self.rng.random_range(from..upto) };
-                self.acts(life, &of, entry);
+                self.record_action(life, &of, entry);
             }
         }
     }
@@ -664,15 +673,15 @@
             14 => (0..count).filter(|at| regions[*at] == regions[any]).for_each(|at| self.kill(at)),
             15 => (0..count).for_each(|at| self.kill(at)),
             16 => self.members[any].list = other + 1,
-            17 => self.back_too_early(any),
-            _ => self.partner_too(any),
+            17 => self.return_during_takeover(any),
+            _ => self.kill_partner_too(any),
         }
         self.belief.retain(|(one, other)| one != other);
         self.cut.retain(|(one, other)| one != other);
     }
 
-    /// One sleeps until it is just being taken over, and wakes while somebody else comes to be in charge.
-    fn back_too_early(&mut self, at: usize) {
+    /// Pauses a member until it is just being taken over, and resumes it during a change of leader.
+    fn return_during_takeover(&mut self, at: usize) {
         self.members[at].paused = self.members[at].up.is_some();
         let span = self.rng.random_range(3_500..7_000) * MS;
         self.run(span);
@@ -687,14 +696,14 @@
         self.resume(at);
     }
 
-    /// Whoever is to take over dies as well, before it said that it has all.
-    fn partner_too(&mut self, at: usize) {
+    /// Kills the member that is to take over as well, before it reported that it is complete.
+    fn kill_partner_too(&mut self, at: usize) {
         self.kill(at);
         let name = self.members[at].name.clone();
         for _ in 0..100 {
             self.run(100 * MS);
             if let Some(by) =
-                self.truth.taken(&name).filter(|taken| !taken.done).map(|taken| taken.by.clone())
+                self.reference.taken(&name).filter(|taken| !taken.done).map(|taken| taken.by.clone())
             {
                 let (by, span) = (self.place(&by), self.rng.random_range(0..1_200) * MS);
                 self.run(span);
@@ -710,7 +719,7 @@
         self.cut.extend(pairs.filter(|(one, other)| side(*one) != side(*other)));
     }
 
-    fn mend(&mut self, start: bool) {
+    fn heal(&mut self, start: bool) {
         self.cut.clear();
         self.belief.clear();
         (self.latency, self.loss) = (20 * MS, 0.0);
@@ -723,7 +732,7 @@
         }
     }
 
-    /// Faults one after the other, then an end at which all must be well; and then some die.
+    /// Runs faults in sequence and a quiet phase at whose end all must be well; then kills some members.
     pub fn schedule(mut self) -> Result<Sum, String> {
         self.run(6 * S);
         for _ in 0..self.rng.random_range(2..6) {
@@ -731,45 +740,45 @@
             let span = self.rng.random_range(200..7_000) * MS;
             self.run(span);
             if self.rng.random_bool(0.5) {
-                self.mend(false);
+                self.heal(false);
                 let span = self.rng.random_range(200..4_000) * MS;
                 self.run(span);
             }
         }
-        self.mend(true);
+        self.heal(true);
         self.late = false;
         self.run(15 * S);
-        self.all_well();
+        self.check_all_well();
         self.deaths();
-        self.book.sum.runs = 1;
-        match self.book.failed {
+        self.observations.sum.runs = 1;
+        match self.observations.failed {
             Some(failed) => Err(format!(
                 "HERONROUTE_SEED={} members {} {:?}: {failed}",
                 self.seed,
                 self.members.len(),
                 self.plant
             )),
-            None => Ok(self.book.sum),
+            None => Ok(self.observations.sum),
         }
     }
 
-    fn all_well(&mut self) {
+    fn check_all_well(&mut self) {
         for at in 0..self.members.len() {
-            let counts = self.counts(at);
-            let right = self.members[at].up.as_ref().and_then(|p| p.holder.right(counts));
+            let holder_clock = self.holder_clock(at);
+            let right = self.members[at].up.as_ref().and_then(|p| p.holder.right(holder_clock));
             if right.is_none() {
-                self.book.fail(self.now, format!("{at} has no right, though all is well"));
+                self.observations.fail(self.now, format!("{at} has no lease, though all is well"));
             }
         }
         for n in 0..KEYS {
-            let count = self.doers(n).count();
+            let count = self.members_doing(n).count();
             if count != 1 {
-                self.book.fail(self.now, format!("{count} do duty {n}, though all is well"));
+                self.observations.fail(self.now, format!("{count} do duty {n}, though all is well"));
             }
         }
     }
 
-    /// Some die, fewer than half of the keepers, and stay so.
+    /// Kills some members for good, fewer than half of the keepers.
     fn deaths(&mut self) {
         let keepers = self.members.iter().filter(|m| m.keeper).count();
         let (mut dead, mut out) = (BTreeSet::new(), 0);
@@ -784,38 +793,40 @@
             }
         }
         let from = self.now;
-        let mut left: BTreeSet<usize> = dead.iter().copied().filter(|at| self.can(*at)).collect();
+        let mut left: BTreeSet<usize> = dead.iter().copied().filter(|at| self.has_live_copy(*at)).collect();
         let mut undone: BTreeSet<usize> = (0..KEYS).collect();
-        while self.now < from + TAKEN && self.book.failed.is_none() {
+        while self.now < from + TAKEOVER_LIMIT && self.observations.failed.is_none() {
             self.run(100 * MS);
             let span = self.now - from;
-            let gone = |at: &usize| self.truth.is_gone(&self.members[*at].name);
+            let gone = |at: &usize| self.reference.is_gone(&self.members[*at].name);
             let taken: Vec<usize> = left.iter().copied().filter(gone).collect();
             if !taken.is_empty() {
-                self.book.sum.latest = self.book.sum.latest.max(span);
+                self.observations.sum.latest = self.observations.sum.latest.max(span);
             }
             taken.iter().for_each(|at| _ = left.remove(at));
             let done: Vec<usize> =
-                undone.iter().copied().filter(|n| self.doers(*n).next().is_some()).collect();
+                undone.iter().copied().filter(|n| self.members_doing(*n).next().is_some()).collect();
             for n in done {
                 undone.remove(&n);
-                self.book.sum.handed = self.book.sum.handed.max(span);
+                self.observations.sum.handed = self.observations.sum.handed.max(span);
             }
-            if span > HANDED && !undone.is_empty() {
-                self.book.fail(self.now, format!("nobody does duties {undone:?}, {span} us after the death"));
+            if span > DUTY_HANDOVER_LIMIT && !undone.is_empty() {
+                self.observations
+                    .fail(self.now, format!("nobody does duties {undone:?}, {span} us after the death"));
             }
         }
         if !left.is_empty() {
-            self.book.fail(self.now, format!("{left:?} are not taken over {TAKEN} us after their death"));
+            self.observations
+                .fail(self.now, format!("{left:?} are not taken over {TAKEOVER_LIMIT} us after their death"));
         }
     }
 
-    /// Whether somebody that lives has its copy.
-    fn can(&self, at: usize) -> bool {
+    /// Returns whether a live member has the member's copy.
+    fn has_live_copy(&self, at: usize) -> bool {
         let name = &self.members[at].name;
-        let copies = self.truth.copies(name);
+        let copies = self.reference.copies(name);
         let lives = |by: &Name| self.members[self.place(by)].lives();
-        let abroad = |m: &Member| m.region != self.members[at].region && m.lives();
-        if copies.is_empty() { self.members.iter().any(abroad) } else { copies.iter().any(lives) }
+        let in_other_region = |m: &Member| m.region != self.members[at].region && m.lives();
+        if copies.is_empty() { self.members.iter().any(in_other_region) } else { copies.iter().any(lives) }
     }
 }
