--- a/crates/region/src/duties.rs
+++ b/crates/region/src/duties.rs
@@ -1,6 +1,6 @@
 //! Periodic work, divided by the approved list.
 //!
-//! With each lease the leader says which members can hold none ([`Out`]). A member does the share that
+//! With each lease the leader says which members can hold none. A member does the share that
 //! falls to it by the list without those members, and only while it holds a lease that was granted under
 //! the list that it has itself. So it does not matter whom others believe dead: two members that each
 //! believe the other dead continue with their own shares.
--- a/crates/region/src/homes/partners.rs
+++ b/crates/region/src/homes/partners.rs
@@ -24,9 +24,9 @@
         for of in places {
             let own = places.iter().filter(|place| place.region == of.region).count();
             let max_copies = (own * 5).div_ceil((places.len() - own).max(1) * 4);
-            let best = ranked_candidates(list, &of.name).into_iter().find(|(at, _)| {
-                copy_counts.get(&(&of.region, *at)).is_none_or(|copy_counts| *copy_counts < max_copies)
-            });
+            let best = ranked_candidates(list, &of.name)
+                .into_iter()
+                .find(|(at, _)| copy_counts.get(&(&of.region, *at)).is_none_or(|count| *count < max_copies));
             if let Some((at, _)) = best {
                 *copy_counts.entry((&of.region, at)).or_default() += 1;
             }
--- a/crates/region/src/reservations/requester.rs
+++ b/crates/region/src/reservations/requester.rs
@@ -103,32 +103,32 @@
     }
 
     /// Handles a node's request. A name with an open reservation here is unsettled.
-    pub fn request(&mut self, now: Micros, claim: &ReservationRequest) {
-        let key = ReservationKey::new(&claim.client, claim.digest);
+    pub fn request(&mut self, now: Micros, request: &ReservationRequest) {
+        let key = ReservationKey::new(&request.client, request.digest);
         let known =
-            self.numbers_by_key.contains_key(&key) || self.numbers_by_token.contains_key(&claim.token);
+            self.numbers_by_key.contains_key(&key) || self.numbers_by_token.contains_key(&request.token);
         if known || self.reservations.len() >= self.options.max_open {
             return self
-                .reply(claim.token, ReservationReply::Unsettled { retry_after: self.options.retry_after });
+                .reply(request.token, ReservationReply::Unsettled { retry_after: self.options.retry_after });
         }
         self.number += 1;
         let state = State::AwaitingReply(now.saturating_add(self.options.reply_timeout));
-        let reservation = Reservation { token: claim.token, key, until: claim.until, state };
+        let reservation = Reservation { token: request.token, key, until: request.until, state };
         self.reservations.insert(self.number, reservation);
         self.numbers_by_key.insert(key, self.number);
-        self.numbers_by_token.insert(claim.token, self.number);
+        self.numbers_by_token.insert(request.token, self.number);
         self.due.insert((now, self.number), ());
         self.tick(now);
     }
 
     /// Handles a node's result of a reservation that was answered with `New` or `Unreached`; each of these
     /// needs a result.
-    pub fn handle_result(&mut self, now: Micros, settled: ReservationResult) {
-        let Some(number) = self.numbers_by_token.get(&settled.token).copied() else { return };
+    pub fn handle_result(&mut self, now: Micros, result: ReservationResult) {
+        let Some(number) = self.numbers_by_token.get(&result.token).copied() else { return };
         if let Some(reservation) = self.reservations.get_mut(&number)
             && reservation.state == State::AwaitingResult
         {
-            reservation.state = State::ResultKnown(settled.accepted);
+            reservation.state = State::ResultKnown(result.accepted);
             self.due.insert((now, number), ());
         }
         self.tick(now);
@@ -139,19 +139,19 @@
         match message {
             Message::Reply { key, number, answer } => self.handle_reply(key, number, answer),
             Message::ResultRecorded { key, number } => {
-                let told = |reservation: &Reservation| {
+                let awaits_record = |reservation: &Reservation| {
                     reservation.key == key && matches!(reservation.state, State::ResultKnown(_))
                 };
-                if self.reservations.get(&number).is_some_and(told) {
+                if self.reservations.get(&number).is_some_and(awaits_record) {
                     self.remove(number);
                 }
             }
             // An open reservation will be reported; one that is not open is over, and the journals know its
             // result.
             Message::ResultQuery { key, of, number } => {
-                let own_name = of.name == self.own_life.name;
+                let is_own_member = of.name == self.own_life.name;
                 if (of == self.own_life && self.reservations.contains_key(&number))
-                    || (own_name && of.start < self.first_life)
+                    || (is_own_member && of.start < self.first_life)
                 {
                     return;
                 }
--- a/crates/region/src/rights/deaths.rs
+++ b/crates/region/src/rights/deaths.rs
@@ -72,7 +72,7 @@
             let start = agreed.newest(name).unwrap_or_default().max(*start);
             let of = Life { name: name.clone(), start };
             let long = since.saturating_add(tuning.dead_for) <= now;
-            if !long || !giver.over(now, name) || agreed.list().place(name).is_none() {
+            if !long || !giver.all_expired(now, name) || agreed.list().place(name).is_none() {
                 continue;
             }
             // A lease granted in this term is the surest sign that a member is alive and connected.
--- a/crates/region/src/rights/giver.rs
+++ b/crates/region/src/rights/giver.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns whether no life of this name can hold a lease any more, whoever granted it.
-    pub fn over(&self, now: Micros, name: &Name) -> bool {
+    pub fn all_expired(&self, now: Micros, name: &Name) -> bool {
         let waited = |since: Micros| since.saturating_add(self.tuning.held_for()) <= now;
         let own = self.given.get(name).is_none_or(|given| given.until <= now);
         self.may_grant && self.since.is_some_and(waited) && own
@@ -134,7 +134,7 @@
 
     fn members_without_lease(&self, now: Micros, agreed: &Agreed) -> Out {
         let list = agreed.list();
-        let out = |name: &Name| agreed.is_gone(name) || self.over(now, name);
+        let out = |name: &Name| agreed.is_gone(name) || self.all_expired(now, name);
         let places = list.places.iter().enumerate().filter(|(_, place)| out(&place.name));
         Out::of(list.number, places.map(|(at, _)| at))
     }
--- a/crates/region/src/rights/holder.rs
+++ b/crates/region/src/rights/holder.rs
@@ -13,7 +13,7 @@
     /// Whether it may request leases: it has read an entry of its own in the log.
     knows: bool,
     /// Whether it was taken over, or replaced by a later life: then it never holds a lease again.
-    over: bool,
+    ended: bool,
     next: Micros,
     until: Option<Micros>,
     /// When the newest lease was requested.
@@ -29,7 +29,7 @@
             own,
             tuning,
             knows: false,
-            over: false,
+            ended: false,
             next: now,
             until: None,
             asked: None,
@@ -46,7 +46,7 @@
 
     /// Ends the lease for good, whatever is received later.
     pub fn end(&mut self) {
-        (self.over, self.until) = (true, None);
+        (self.ended, self.until) = (true, None);
     }
 
     /// Returns the request to send to the leader, if one is due.
@@ -60,13 +60,13 @@
 
     /// Returns when the next request is due.
     pub fn wake(&self) -> Option<Micros> {
-        (self.knows && !self.over).then_some(self.next)
+        (self.knows && !self.ended).then_some(self.next)
     }
 
     /// Handles a grant; returns whether it is the newest one for this life.
     pub fn given(&mut self, now: Micros, give: &Give) -> bool {
         let newest = self.asked.is_none_or(|asked| asked <= give.asked);
-        if self.over || !self.knows || give.to != self.own || give.asked > now || give.term < self.term {
+        if self.ended || !self.knows || give.to != self.own || give.asked > now || give.term < self.term {
             return false;
         }
         self.term = give.term;
@@ -81,7 +81,7 @@
 
     /// Returns the lease that is held now, if any.
     pub fn right(&self, now: Micros) -> Option<Right> {
-        self.until.filter(|until| now < *until && !self.over).map(|until| Right { until })
+        self.until.filter(|until| now < *until && !self.ended).map(|until| Right { until })
     }
 
     /// Returns the members whose work others do, by the newest lease.
--- a/crates/region/src/seam.rs
+++ b/crates/region/src/seam.rs
@@ -106,8 +106,8 @@
 
 /// Starts a takeover: this member finishes what a life of another member had accepted. The copy is opened
 /// as it is and accepts nothing more from that life; the open messages in it are accepted here durably, and
-/// then [`TookUp`] is reported. None of them is sent or answered before [`TakenUp`]. Repeated after a
-/// restart, and when it covers more than before.
+/// then the nodes report it stored. None of them is sent or answered before the log confirms the takeover.
+/// Repeated after a restart, and when it covers more than before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TakeUp {
     /// The life that is taken over.
--- a/crates/region/tests/agreed.rs
+++ b/crates/region/tests/agreed.rs
@@ -21,32 +21,36 @@
     agreed
 }
 
-fn over(of: Life, by: &str) -> Command {
+fn take_over_command(of: Life, by: &str) -> Command {
     Command::TakeOver { term: Term(1), of, by: Name::new(by).unwrap() }
 }
 
-fn done(of: Life, by: &str) -> Command {
+fn taken_over_command(of: Life, by: &str) -> Command {
     Command::TakenOver { of, by: Name::new(by).unwrap(), upto: vec![7, 3] }
 }
 
 #[test]
 fn a_takeover_is_void_after_a_later_start_within_one_region_or_if_assigned_to_another() {
     let mut agreed = agreed();
-    assert_eq!(agreed.apply(&over(life("a", 1), "b")), Effect::Nothing, "of the same region");
+    assert_eq!(agreed.apply(&take_over_command(life("a", 1), "b")), Effect::Nothing, "of the same region");
     let copies = Command::Copies { of: life("b", 1), by: vec![Name::new("d").unwrap()] };
     agreed.apply(&copies);
-    assert_eq!(agreed.apply(&over(life("b", 1), "c")), Effect::Nothing, "it has no copy");
+    assert_eq!(agreed.apply(&take_over_command(life("b", 1), "c")), Effect::Nothing, "it has no copy");
     agreed.heard(&life("b", 2));
-    assert_eq!(agreed.apply(&over(life("b", 1), "d")), Effect::Nothing, "it is back");
-    assert!(matches!(agreed.apply(&over(life("a", 1), "c")), Effect::TakeOver { .. }));
-    assert_eq!(agreed.apply(&over(life("a", 1), "d")), Effect::Nothing, "c lives");
-    assert_eq!(agreed.apply(&done(life("a", 1), "d")), Effect::Nothing, "it is c's");
-    agreed.apply(&over(life("c", 1), "b"));
-    assert_eq!(agreed.apply(&done(life("a", 1), "c")), Effect::Nothing, "c was taken over itself");
+    assert_eq!(agreed.apply(&take_over_command(life("b", 1), "d")), Effect::Nothing, "it is back");
+    assert!(matches!(agreed.apply(&take_over_command(life("a", 1), "c")), Effect::TakeOver { .. }));
+    assert_eq!(agreed.apply(&take_over_command(life("a", 1), "d")), Effect::Nothing, "c lives");
+    assert_eq!(agreed.apply(&taken_over_command(life("a", 1), "d")), Effect::Nothing, "it is c's");
+    agreed.apply(&take_over_command(life("c", 1), "b"));
+    assert_eq!(
+        agreed.apply(&taken_over_command(life("a", 1), "c")),
+        Effect::Nothing,
+        "c was taken over itself"
+    );
     let before = Some(Name::new("c").unwrap());
-    let again = agreed.apply(&over(life("a", 1), "d"));
+    let again = agreed.apply(&take_over_command(life("a", 1), "d"));
     assert_eq!(again, Effect::TakeOver { of: life("a", 1), by: Name::new("d").unwrap(), before });
-    assert!(matches!(agreed.apply(&done(life("a", 1), "d")), Effect::TakenOver { .. }));
+    assert!(matches!(agreed.apply(&taken_over_command(life("a", 1), "d")), Effect::TakenOver { .. }));
     assert_eq!(agreed.upto(&Name::new("a").unwrap()), [7, 3]);
     assert!(!agreed.may_hold_lease(&life("a", 1)) && agreed.is_gone(&Name::new("a").unwrap()));
     agreed.heard(&life("a", 2));
@@ -64,14 +68,16 @@
     assert_eq!(giver.ask(10, &agreed, &ask), None, "what the term before it decided was not read");
     giver.stand(20, Some(Term(4)), Term(4));
     assert!(giver.ask(20, &agreed, &ask).is_some());
-    let elder = Ask { life: life("a", 0), asked: 5 };
-    assert_eq!(giver.ask(20, &agreed, &elder), None);
+    let older = Ask { life: life("a", 0), asked: 5 };
+    assert_eq!(giver.ask(20, &agreed, &older), None);
     giver.stand(30, None, Term(4));
     assert_eq!(giver.ask(30, &agreed, &ask), None);
     // After a gap it waits one full lease again, also for the leases that it granted itself.
     let wait = Tuning::default().held_for();
     giver.stand(40, Some(Term(4)), Term(4));
-    assert!(!giver.over(40 + wait - 1, &ask.life.name) && giver.over(40 + wait, &ask.life.name));
+    assert!(
+        !giver.all_expired(40 + wait - 1, &ask.life.name) && giver.all_expired(40 + wait, &ask.life.name)
+    );
     giver.refuse(&ask.life, &Name::new("c").unwrap());
     assert_eq!(giver.ask(50, &agreed, &ask), None, "its take-over is on its way");
 }
--- a/crates/region/tests/schedules/member.rs
+++ b/crates/region/tests/schedules/member.rs
@@ -40,7 +40,7 @@
     pub lease: Lease,
     pub term: Term,
     /// When another member was last granted the lease, or this one last tried to get it, on its clock.
-    pub heard: i64,
+    pub last_contact: i64,
     /// The end of its journal when the life started.
     pub from: u64,
     /// The lives it took over, confirmed by the log.
@@ -105,7 +105,7 @@
             grants: Grants::new(clock, lease),
             lease: Lease::default(),
             term: Term(0),
-            heard: clock,
+            last_contact: clock,
             from: self.disk.written,
             mine: BTreeSet::new(),
             taking: BTreeMap::new(),
--- a/crates/region/tests/schedules/world.rs
+++ b/crates/region/tests/schedules/world.rs
@@ -326,7 +326,7 @@
         match msg {
             Msg::Renew { term, sent, epoch } if term >= member.disk.promise => {
                 member.disk.promise = term;
-                process.heard = clock;
+                process.last_contact = clock;
                 if process.grants.grant(clock, (from as u8, epoch), term, &self.lease) {
                     self.send(to, from, Msg::Grant { term, sent });
                 }
@@ -444,14 +444,14 @@
         let epoch = member.epoch;
         let Some(process) = member.up.as_mut() else { return };
         if process.term != member.disk.promise || process.term == Term(0) {
-            if clock < process.heard + patience || !has_majority {
+            if clock < process.last_contact + patience || !has_majority {
                 return;
             }
             process.term = Term((((member.disk.promise.0 >> 8) + 1) << 8) | at as u64);
             member.disk.promise = process.term;
             process.lease.begin(process.term, keepers.len());
         }
-        process.heard = clock;
+        process.last_contact = clock;
         let term = process.term;
         if process.grants.grant(clock, (at as u8, epoch), term, &self.lease) {
             process.lease.granted(at, term, clock, clock);
@@ -781,14 +781,14 @@
     /// Kills some members for good, fewer than half of the keepers.
     fn deaths(&mut self) {
         let keepers = self.members.iter().filter(|m| m.keeper).count();
-        let (mut dead, mut out) = (BTreeSet::new(), 0);
+        let (mut dead, mut killed_keepers) = (BTreeSet::new(), 0);
         let first = self.leader().unwrap_or(0);
         for _ in 0..self.rng.random_range(1..3) {
             let any = self.rng.random_range(0..self.members.len());
             let at = if self.rng.random_bool(0.3) { first } else { any };
             let kept = usize::from(self.members[at].keeper);
-            if out + kept <= (keepers - 1) / 2 && dead.insert(at) {
-                out += kept;
+            if killed_keepers + kept <= (keepers - 1) / 2 && dead.insert(at) {
+                killed_keepers += kept;
                 self.kill(at);
             }
         }
