--- a/crates/region/src/reservations/requester.rs
+++ b/crates/region/src/reservations/requester.rs
@@ -80,8 +80,8 @@
 }
 
 impl Requester {
-    /// Returns the requester of a life. `first_life` is the first life of this folder; this member knows nothing
-    /// about lives before it.
+    /// Returns the requester of a life. `first_life` is the first life of this folder; this member knows
+    /// nothing about lives before it.
     pub fn new(own_life: Life, first_life: Start, options: Options) -> Requester {
         Requester {
             own_life,
@@ -225,7 +225,7 @@
         }
     }
 
-    fn reply(&mut self, token: Token, claimed: ReservationReply) {
-        self.outputs.push(Output::Reply(token, claimed));
+    fn reply(&mut self, token: Token, reply: ReservationReply) {
+        self.outputs.push(Output::Reply(token, reply));
     }
 }
--- a/crates/region/src/rights/deaths.rs
+++ b/crates/region/src/rights/dead_members.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Deaths {
     dead: BTreeMap<Name, (Start, Micros)>,
-    next: Micros,
+    next_check: Micros,
 }
 
 impl Deaths {
@@ -54,11 +54,11 @@
         agreed: &Agreed,
         partners: &Partners,
     ) -> Vec<Command> {
-        if now < self.next {
+        if now < self.next_check {
             return Vec::new();
         }
         let tuning = *giver.tuning();
-        self.next = now.saturating_add(tuning.look);
+        self.next_check = now.saturating_add(tuning.look);
         let Some(term) = giver.term() else { return Vec::new() };
         let mut out = Vec::new();
         for (of, by) in giver.undecided(agreed) {
@@ -71,15 +71,15 @@
         for (name, (start, since)) in &self.dead {
             let start = agreed.newest(name).unwrap_or_default().max(*start);
             let of = Life { name: name.clone(), start };
-            let long = since.saturating_add(tuning.dead_for) <= now;
-            if !long || !giver.all_expired(now, name) || agreed.list().place(name).is_none() {
+            let dead_long_enough = since.saturating_add(tuning.dead_for) <= now;
+            if !dead_long_enough || !giver.all_expired(now, name) || agreed.list().place(name).is_none() {
                 continue;
             }
             // A lease granted in this term is the surest sign that a member is alive and connected.
-            let lives = |by: &&Name| !self.dead.contains_key(*by) && giver.holds(now, by);
+            let is_alive = |by: &&Name| !self.dead.contains_key(*by) && giver.holds(now, by);
             if agreed
                 .taken(name)
-                .is_some_and(|taken| taken.start >= start && (taken.done || lives(&&taken.by)))
+                .is_some_and(|taken| taken.start >= start && (taken.done || is_alive(&&taken.by)))
             {
                 continue;
             }
@@ -87,7 +87,7 @@
             // If no copies were reported, the members that should keep one.
             let all: Vec<&Name> =
                 if copies.is_empty() { partners.all(name) } else { copies.iter().collect() };
-            let by = all.into_iter().find(lives).filter(|by| agreed.is_valid_takeover(&of, by)).cloned();
+            let by = all.into_iter().find(is_alive).filter(|by| agreed.is_valid_takeover(&of, by)).cloned();
             if let Some(by) = by {
                 giver.refuse(&of, &by);
                 let command = Command::TakeOver { term, of, by };
@@ -101,6 +101,6 @@
 
     /// Returns when the next examination is due if this member leads.
     pub fn wake(&self) -> Micros {
-        self.next
+        self.next_check
     }
 }
--- a/crates/region/src/rights/giver.rs
+++ b/crates/region/src/rights/granter.rs
@@ -32,7 +32,7 @@
     refused: BTreeMap<Name, (Start, Name)>,
     /// The members without a lease, and until when this result is reused: computing it from the whole list
     /// for each request would cost too much.
-    out: (Micros, Out),
+    without_lease_cache: (Micros, Out),
 }
 
 impl Giver {
@@ -45,7 +45,7 @@
             since: None,
             given: BTreeMap::new(),
             refused: BTreeMap::new(),
-            out: (Micros::MIN, Out::default()),
+            without_lease_cache: (Micros::MIN, Out::default()),
         }
     }
 
@@ -67,7 +67,7 @@
             self.since = None;
             self.given.clear();
             self.refused.clear();
-            self.out.0 = Micros::MIN;
+            self.without_lease_cache.0 = Micros::MIN;
         }
         // Also set anew after a gap within one term: this member does not know who led in between.
         self.since.get_or_insert(now);
@@ -95,10 +95,11 @@
         let given = self.given.entry(name.clone()).or_insert(GrantedLeases { start: life.start, until });
         given.start = life.start;
         given.until = given.until.max(until);
-        if now >= self.out.0 || self.out.1.list != agreed.list().number {
-            self.out = (now.saturating_add(self.tuning.look), self.members_without_lease(now, agreed));
+        if now >= self.without_lease_cache.0 || self.without_lease_cache.1.list != agreed.list().number {
+            self.without_lease_cache =
+                (now.saturating_add(self.tuning.look), self.members_without_lease(now, agreed));
         }
-        let out = self.out.1.clone();
+        let out = self.without_lease_cache.1.clone();
         Some(Give { term: self.term, to: life.clone(), asked: *asked, out })
     }
 
--- a/crates/region/src/rights/mod.rs
+++ b/crates/region/src/rights/mod.rs
@@ -23,16 +23,16 @@
 //! This does not cover an action that begins within the lease and ends after it. Therefore the lease is
 //! checked where the bytes are written.
 
-mod deaths;
-mod giver;
-mod holder;
-mod out;
+mod dead_members;
+mod granter;
+mod lease_holder;
+mod members_without_lease;
 mod tuning;
 
-pub use deaths::Deaths;
-pub use giver::Giver;
-pub use holder::Holder;
-pub use out::Out;
+pub use dead_members::Deaths;
+pub use granter::Giver;
+pub use lease_holder::Holder;
+pub use members_without_lease::Out;
 pub use tuning::Tuning;
 
 use crate::Micros;
--- a/crates/region/tests/reservations/directed.rs
+++ b/crates/region/tests/reservations/directed.rs
@@ -131,7 +131,7 @@
     assert_eq!(b.ask(&life("y", 1), keys(1)[0]), Reply::AcceptedAt(name("x")));
 }
 
-fn claim(number: u64, low: u64) -> ReservationRequest {
+fn reservation_request(number: u64, low: u64) -> ReservationRequest {
     let token = Token { sender: 0, number };
     ReservationRequest { token, client: "c".into(), digest: NameDigest { high: 1, low }, until: 10 }
 }
@@ -158,11 +158,11 @@
 fn a_requester_is_bounded_and_requests_a_name_once() {
     let mut requester = Requester::new(life("a", 1), Start(1), Options { max_open: 2, ..Options::default() });
     let unsettled = ReservationReply::Unsettled { retry_after: Options::default().retry_after };
-    requester.request(0, &claim(1, 1));
-    requester.request(0, &claim(2, 1));
+    requester.request(0, &reservation_request(1, 1));
+    requester.request(0, &reservation_request(2, 1));
     assert_eq!(answers(&mut requester), vec![unsettled.clone()]);
-    requester.request(0, &claim(3, 2));
-    requester.request(0, &claim(4, 3));
+    requester.request(0, &reservation_request(3, 2));
+    requester.request(0, &reservation_request(4, 3));
     assert_eq!(answers(&mut requester), vec![unsettled]);
 }
 
@@ -170,10 +170,10 @@
 fn the_first_result_of_a_reservation_is_final() {
     let mut requester = Requester::new(life("a", 1), Start(1), Options::default());
     requester.set_homes(homes(1, &["b"]));
-    requester.request(0, &claim(1, 1));
+    requester.request(0, &reservation_request(1, 1));
     let key = ReservationKey::new("c", NameDigest { high: 1, low: 1 });
     requester.handle_message(&name("b"), Message::Reply { key, number: 1, answer: Reply::New });
-    let token = claim(1, 1).token;
+    let token = reservation_request(1, 1).token;
     requester.handle_result(1, ReservationResult { token, accepted: true });
     requester.handle_result(2, ReservationResult { token, accepted: false });
     requester.tick(1_000_000);
