--- a/crates/installation/src/machine/mod.rs
+++ b/crates/installation/src/machine/mod.rs
@@ -9,7 +9,7 @@
 use crate::waves::{Trials, Wave, Waves, Zones};
 use heronroute_drift::rollout::Baseline;
 use heronroute_fleet::{Decided, Name, Term};
-use heronroute_region::agreed::{self, Agreed};
+use heronroute_region::agreed::{self, RegionLogState};
 use heronroute_rules::registry::{Command, Desired, Outcome, Registry};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -64,7 +64,7 @@
     findings: Vec<u8>,
     waves: Waves,
     fences: Fences,
-    agreed: Agreed,
+    agreed: RegionLogState,
     index: u64,
 }
 
@@ -112,7 +112,7 @@
     }
 
     /// Returns the agreed state of regions.
-    pub fn agreed(&self) -> &Agreed {
+    pub fn agreed(&self) -> &RegionLogState {
         &self.agreed
     }
 
@@ -129,7 +129,7 @@
     /// Applies the next entry.
     pub fn apply(&mut self, decided: &Decided) -> Effect {
         self.index = decided.index;
-        self.agreed.heard(&decided.entry.request.from);
+        self.agreed.life_seen(&decided.entry.request.from);
         let Some(body) = Body::unpack(&decided.entry.body) else { return Effect::Nothing };
         // Entries proposed in an older term are void.
         if body.term().is_some_and(|term| term < self.term) {
@@ -238,7 +238,7 @@
         let Some((mut waves, rest)) = next_part::<Waves>(rest) else { return false };
         let Some((fences, rest)) = next_part::<Fences>(rest) else { return false };
         let Some((trials, rest)) = next_part::<Trials>(rest) else { return false };
-        let Some((agreed, _)) = next_part::<Agreed>(rest) else { return false };
+        let Some((agreed, _)) = next_part::<RegionLogState>(rest) else { return false };
         waves.restore_trials(trials);
         if !waves.is_valid() || !agreed.sound() {
             return false;
--- a/crates/installation/src/process/inputs.rs
+++ b/crates/installation/src/process/inputs.rs
@@ -27,7 +27,7 @@
                 self.finish_dry_run(complete);
             }
             Input::Health(health) => self.health = health,
-            Input::TookUp(took) => self.handle_takeover_done(took),
+            Input::TakeoverStored(took) => self.handle_takeover_done(took),
             Input::Copies(copies) => self.handle_copies(copies),
             Input::Clients(clients) => {
                 self.cfg.clients = clients;
--- a/crates/installation/src/process/region.rs
+++ b/crates/installation/src/process/region.rs
@@ -14,36 +14,40 @@
 use heronroute_region::agreed::{Command, Effect};
 use heronroute_region::homes::Partners;
 use heronroute_region::list::{List, ListError, Place};
-use heronroute_region::rights::{Ask, Deaths, Give, Giver, Holder, Out};
-use heronroute_region::seam::{Copies, Fenced, GiveUp, Right, TakeUp, TakenUp, TookUp};
+use heronroute_region::rights::{
+    Ask, DeadMembers, LeaseGrant, LeaseGranter, LeaseHolder, MembersWithoutLease,
+};
+use heronroute_region::seam::{
+    CancelTakeover, Copies, Fenced, SendLease, StartTakeover, TakeoverConfirmed, TakeoverStored,
+};
 
 /// The state of a member that has regions.
 pub(super) struct RegionState {
-    holder: Holder,
-    giver: Giver,
-    deaths: Deaths,
+    holder: LeaseHolder,
+    giver: LeaseGranter,
+    deaths: DeadMembers,
     partners: Partners,
     /// Whether nodes were told all that the log says of this member; from then on they are told of changes
     /// and leases.
     announced: bool,
     /// Whether this life was taken over.
     taken_over: bool,
-    lease: Option<Right>,
-    out: Out,
+    lease: Option<SendLease>,
+    out: MembersWithoutLease,
 }
 
 impl RegionState {
     pub(super) fn new(now: Micros, own: &Life, regions: &Regions) -> Result<Self, ListError> {
         region_list(1, regions)?;
         Ok(RegionState {
-            holder: Holder::new(now, own.clone(), regions.rights),
-            giver: Giver::new(regions.rights),
-            deaths: Deaths::default(),
+            holder: LeaseHolder::new(now, own.clone(), regions.rights),
+            giver: LeaseGranter::new(regions.rights),
+            deaths: DeadMembers::default(),
             partners: Partners::default(),
             announced: false,
             taken_over: false,
             lease: None,
-            out: Out::default(),
+            out: MembersWithoutLease::default(),
         })
     }
 }
@@ -55,7 +59,7 @@
 
 impl<S: Storage> Installation<S> {
     /// Returns the lease that this life holds now.
-    pub fn right(&self, now: Micros) -> Option<Right> {
+    pub fn right(&self, now: Micros) -> Option<SendLease> {
         self.region_state.as_ref()?.holder.right(now)
     }
 
@@ -63,7 +67,7 @@
     pub(super) fn region_set_leader(&mut self, now: Micros, lead_term: Option<Term>) {
         let begun = self.machine.term();
         if let Some(region_state) = &mut self.region_state {
-            region_state.giver.stand(now, lead_term, begun);
+            region_state.giver.set_leading_term(now, lead_term, begun);
         }
     }
 
@@ -119,7 +123,7 @@
         }
     }
 
-    pub(super) fn handle_lease(&mut self, now: Micros, give: &Give) {
+    pub(super) fn handle_lease(&mut self, now: Micros, give: &LeaseGrant) {
         if let Some(region_state) = &mut self.region_state
             && give.out.sound()
             && !self.incomplete
@@ -129,7 +133,7 @@
     }
 
     /// Records that the nodes finished a takeover.
-    pub(super) fn handle_takeover_done(&mut self, took: TookUp) {
+    pub(super) fn handle_takeover_done(&mut self, took: TakeoverStored) {
         let by = self.cfg.own.name.clone();
         self.proposals.add(Body::Region(Command::TakenOver { of: took.of, by, upto: took.upto }));
     }
@@ -158,7 +162,7 @@
                     self.order_takeover(of.clone());
                 }
                 if before.as_ref() == Some(&own.name) {
-                    self.outputs.push(Output::GiveUp(GiveUp { of: of.clone() }));
+                    self.outputs.push(Output::CancelTakeover(CancelTakeover { of: of.clone() }));
                 }
                 if of.name == own.name {
                     self.handle_own_takeover();
@@ -166,7 +170,7 @@
             }
             Effect::TakenOver { of, by } => {
                 if *by == own.name {
-                    self.outputs.push(Output::TakenUp(TakenUp { of: of.clone() }));
+                    self.outputs.push(Output::TakeoverConfirmed(TakeoverConfirmed { of: of.clone() }));
                 }
                 if of.name == own.name {
                     self.handle_own_takeover();
@@ -185,7 +189,7 @@
 
     fn order_takeover(&mut self, of: Life) {
         let from = self.machine.agreed().upto(&of.name).to_vec();
-        self.outputs.push(Output::TakeUp(TakeUp { of, from }));
+        self.outputs.push(Output::StartTakeover(StartTakeover { of, from }));
     }
 
     /// Handles a takeover of a life of this member's name: this one, which then starts anew, or an earlier
@@ -193,9 +197,9 @@
     fn handle_own_takeover(&mut self) {
         let own = self.cfg.own.clone();
         let agreed = self.machine.agreed();
-        let Some(taken) = agreed.taken(&own.name) else { return };
-        let upto = taken.done.then(|| agreed.upto(&own.name).to_vec());
-        let of = Life { name: own.name.clone(), start: taken.start };
+        let Some(takeover) = agreed.takeover(&own.name) else { return };
+        let upto = takeover.done.then(|| agreed.upto(&own.name).to_vec());
+        let of = Life { name: own.name.clone(), start: takeover.start };
         let is_over = agreed.is_over(&own);
         self.outputs.push(Output::Fenced(Fenced { of: of.clone(), upto }));
         let Some(region_state) =
@@ -215,18 +219,18 @@
         let Some(region_state) = self.region_state.as_mut().filter(|_| settled) else { return };
         if !region_state.announced {
             region_state.announced = true;
-            region_state.holder.knows();
+            region_state.holder.own_entry_read();
             self.announce_all();
         }
         let Some(region_state) = &mut self.region_state else { return };
         if region_state.out != *region_state.holder.out() {
             region_state.out = region_state.holder.out().clone();
-            self.outputs.push(Output::Out(region_state.out.clone()));
+            self.outputs.push(Output::MembersWithoutLease(region_state.out.clone()));
         }
         let lease = region_state.holder.right(now).filter(|right| Some(*right) > region_state.lease);
         if let Some(lease) = lease {
             region_state.lease = Some(lease);
-            self.outputs.push(Output::Right(lease));
+            self.outputs.push(Output::SendLease(lease));
         }
     }
 
@@ -237,7 +241,7 @@
         }
         self.handle_own_takeover();
         let (taking, took) = (self.machine.agreed().taking(&own), self.machine.agreed().took(&own));
-        self.outputs.extend(took.into_iter().map(|of| Output::TakenUp(TakenUp { of })));
+        self.outputs.extend(took.into_iter().map(|of| Output::TakeoverConfirmed(TakeoverConfirmed { of })));
         taking.into_iter().for_each(|of| self.order_takeover(of));
     }
 }
--- a/crates/installation/src/seam.rs
+++ b/crates/installation/src/seam.rs
@@ -5,8 +5,10 @@
 pub use heronroute_fleet::Kind;
 use heronroute_fleet::{Decided, Life};
 use heronroute_region::List;
-use heronroute_region::rights::Out;
-use heronroute_region::seam::{Copies, Fenced, GiveUp, Right, TakeUp, TakenUp, TookUp};
+use heronroute_region::rights::MembersWithoutLease;
+use heronroute_region::seam::{
+    CancelTakeover, Copies, Fenced, SendLease, StartTakeover, TakeoverConfirmed, TakeoverStored,
+};
 use heronroute_rules::seam::{Apply, ClientRequest, DryRun, DryRunResult, Fence, Live, Told};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -51,7 +53,7 @@
     Clients(BTreeMap<String, Client>),
     /// Nodes took over what [`Output::TakeUp`] named; repeated until [`Output::TakenUp`] or
     /// [`Output::GiveUp`].
-    TookUp(TookUp),
+    TakeoverStored(TakeoverStored),
     /// Other members than before have a copy of this member's journals; repeated after each start of the
     /// member.
     Copies(Copies),
@@ -88,19 +90,19 @@
     /// With regions, as all that follows: the lease, until when nodes may begin attempts and report final
     /// answers. It is preceded, in each life, by the life's fence and all takeovers under way; earlier
     /// takeovers that are not named by then were given up.
-    Right(Right),
+    SendLease(SendLease),
     /// By the newest lease: the members whose duties are others'.
-    Out(Out),
+    MembersWithoutLease(MembersWithoutLease),
     /// The list of regions changed, or is known now.
     List(Arc<List>),
     /// Nodes stop sending and answering what was taken over from this member.
     Fenced(Fenced),
     /// Nodes take over what another member left.
-    TakeUp(TakeUp),
+    StartTakeover(StartTakeover),
     /// The takeover is complete.
-    TakenUp(TakenUp),
+    TakeoverConfirmed(TakeoverConfirmed),
     /// The takeover is given up.
-    GiveUp(GiveUp),
+    CancelTakeover(CancelTakeover),
 }
 
 /// The state machine of one member of an installation, driven by the thread that owns its sockets.
--- a/crates/installation/src/wire.rs
+++ b/crates/installation/src/wire.rs
@@ -118,7 +118,7 @@
     /// A request for a region lease, to the leader.
     LeaseRequest(rights::Ask),
     /// A region lease, granted by the leader.
-    LeaseGrant(rights::Give),
+    LeaseGrant(rights::LeaseGrant),
 }
 
 impl<'a> Wire<'a> {
--- a/crates/installation/tests/regions.rs
+++ b/crates/installation/tests/regions.rs
@@ -19,7 +19,7 @@
         let mut world = world(seed);
         let name = world.nodes[4].life.name.clone();
         world.kill(4, Folder::Kept);
-        let done = |w: &World| w.book.machine.agreed().taken(&name).is_some_and(|taken| taken.done);
+        let done = |w: &World| w.book.machine.agreed().takeover(&name).is_some_and(|takeover| takeover.done);
         let took = world.until(12 * S, done);
         assert!(took.is_some_and(|took| took > 4 * S), "taken over after {took:?}");
         assert!(world.until(S, |w| w.book.taken_up > 0).is_some(), "the partner's nodes are not told");
@@ -37,7 +37,7 @@
     world.run(S);
     world.start(4, None);
     world.run(15 * S);
-    assert_eq!(world.book.machine.agreed().taken(&name), None);
+    assert_eq!(world.book.machine.agreed().takeover(&name), None);
     let start = world.nodes[4].life.start;
     world.pause(4);
     world.run(15 * S);
--- a/crates/installation/tests/rig/mod.rs
+++ b/crates/installation/tests/rig/mod.rs
@@ -350,7 +350,7 @@
                 self.rights_over();
                 self.book.mark(decided.index ^ (at as u64) << 32);
             }
-            Output::Right(right) => {
+            Output::SendLease(right) => {
                 // Nobody begins anything of a life that the log has taken over.
                 let life = self.nodes[at].life.clone();
                 let over = self.book.machine.agreed().is_over(&life);
@@ -359,13 +359,16 @@
                 }
                 self.book.rights += 1;
             }
-            Output::TakeUp(up) => {
+            Output::StartTakeover(up) => {
                 let upto = vec![up.from.first().copied().unwrap_or(0) + 1];
-                let took = heronroute_region::seam::TookUp { of: up.of, upto };
+                let took = heronroute_region::seam::TakeoverStored { of: up.of, upto };
                 self.nodes[at].waiting_took.push(took);
             }
-            Output::TakenUp(_) => self.book.taken_up += 1,
-            Output::Out(_) | Output::List(_) | Output::Fenced(_) | Output::GiveUp(_) => {}
+            Output::TakeoverConfirmed(_) => self.book.taken_up += 1,
+            Output::MembersWithoutLease(_)
+            | Output::List(_)
+            | Output::Fenced(_)
+            | Output::CancelTakeover(_) => {}
             Output::StartAbove(start) => {
                 // The process's nodes go on.
                 let fences = std::mem::take(&mut self.nodes[at].engine.fences);
@@ -538,7 +541,7 @@
             Some(Event::Wake(node)) if self.nodes[node].up() && self.nodes[node].wake <= self.now => {
                 self.give(node, Input::Tick);
                 for took in std::mem::take(&mut self.nodes[node].waiting_took) {
-                    self.give(node, Input::TookUp(took));
+                    self.give(node, Input::TakeoverStored(took));
                 }
             }
             Some(Event::Deliver { from, to, link, payload }) => {
--- a/crates/installation/tests/rig/node.rs
+++ b/crates/installation/tests/rig/node.rs
@@ -89,7 +89,7 @@
     pub resumed: i64,
     raised: bool,
     /// What its nodes took on and have not said yet.
-    pub waiting_took: Vec<heronroute_region::seam::TookUp>,
+    pub waiting_took: Vec<heronroute_region::seam::TakeoverStored>,
     /// Members stand in two regions.
     pub regions: bool,
     /// The detector acts soon.
--- a/crates/net/src/fleet/thread.rs
+++ b/crates/net/src/fleet/thread.rs
@@ -337,8 +337,11 @@
                         tracing::debug!(index = decided.index, from = %decided.entry.request.from.name, "decided");
                     }
                     // Only sent if the settings have regions, which this thread does not support.
-                    Output::Right(_) | Output::Out(_) | Output::List(_) | Output::Fenced(_) => {}
-                    Output::TakeUp(_) | Output::TakenUp(_) | Output::GiveUp(_) => {}
+                    Output::SendLease(_)
+                    | Output::MembersWithoutLease(_)
+                    | Output::List(_)
+                    | Output::Fenced(_) => {}
+                    Output::StartTakeover(_) | Output::TakeoverConfirmed(_) | Output::CancelTakeover(_) => {}
                     Output::StartAbove(start) => {
                         self.restart_member(start);
                         // The old life's remaining messages to members are dropped. A client whose request it
--- a/crates/net/tests/fleet.rs
+++ b/crates/net/tests/fleet.rs
@@ -69,7 +69,7 @@
             Input::Live(live) => received.lives.push(live),
             Input::Outlived(start) => received.outlived_by.push(start),
             Input::Health(health) => received.health.push(health),
-            Input::Clients(_) | Input::Tick | Input::TookUp(_) | Input::Copies(_) => {}
+            Input::Clients(_) | Input::Tick | Input::TakeoverStored(_) | Input::Copies(_) => {}
         }
     }
 }
--- a/crates/region/src/agreed.rs
+++ b/crates/region/src/agreed.rs
@@ -114,7 +114,7 @@
     /// The latest start that wrote to the log, or was taken over.
     newest: Start,
     copies: Vec<Name>,
-    taken: Option<Takeover>,
+    takeover: Option<Takeover>,
     /// By sender: journal entries before these positions belong to other members.
     upto: Vec<u64>,
     /// The completed takeovers, by start and the member that took over; kept because that member may have
@@ -124,12 +124,12 @@
 
 /// What the log says about regions, up to the last applied entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct RegionLogState {
     list: Arc<List>,
     members: BTreeMap<Name, MemberState>,
 }
 
-impl Agreed {
+impl RegionLogState {
     /// Returns the list; its number is 0 if none was approved yet.
     pub fn list(&self) -> &Arc<List> {
         &self.list
@@ -141,8 +141,8 @@
     }
 
     /// Returns the last takeover of a member's lives.
-    pub fn taken(&self, name: &Name) -> Option<&Takeover> {
-        self.members.get(name)?.taken.as_ref()
+    pub fn takeover(&self, name: &Name) -> Option<&Takeover> {
+        self.members.get(name)?.takeover.as_ref()
     }
 
     /// Returns the positions, by sender, before which a member's journal entries belong to other members.
@@ -157,14 +157,15 @@
 
     /// Returns whether a member's latest life was taken over and no later one has started.
     pub fn is_gone(&self, name: &Name) -> bool {
-        let gone =
-            |member: &MemberState| member.taken.as_ref().is_some_and(|taken| taken.start >= member.newest);
+        let gone = |member: &MemberState| {
+            member.takeover.as_ref().is_some_and(|takeover| takeover.start >= member.newest)
+        };
         self.members.get(name).is_some_and(gone)
     }
 
     /// Returns whether a life was taken over.
     pub fn is_over(&self, life: &Life) -> bool {
-        self.taken(&life.name).is_some_and(|taken| life.start <= taken.start)
+        self.takeover(&life.name).is_some_and(|takeover| life.start <= takeover.start)
     }
 
     /// Returns whether a life may be granted a lease: it is on the list, is the latest of its name and was
@@ -177,8 +178,9 @@
     /// Returns the lives that a member has to take over now, including takeovers in progress.
     pub fn taking(&self, by: &Name) -> Vec<Life> {
         let open = |(name, member): (&Name, &MemberState)| {
-            let taken = member.taken.as_ref().filter(|taken| !taken.done && taken.by == *by)?;
-            Some(Life { name: name.clone(), start: taken.start })
+            let takeover =
+                member.takeover.as_ref().filter(|takeover| !takeover.done && takeover.by == *by)?;
+            Some(Life { name: name.clone(), start: takeover.start })
         };
         self.members.iter().filter_map(open).collect()
     }
@@ -194,7 +196,7 @@
 
     /// Records that the log has an entry of this life, of whatever kind: earlier lives of its name are
     /// over.
-    pub fn heard(&mut self, life: &Life) {
+    pub fn life_seen(&mut self, life: &Life) {
         if let Some(member) = self.entry(&life.name) {
             member.newest = member.newest.max(life.start);
         }
@@ -220,10 +222,12 @@
         let copies = self.copies(&of.name);
         let later = member.is_some_and(|member| member.newest > of.start);
         let away = self.in_different_regions(&of.name, by) && (copies.is_empty() || copies.contains(by));
-        let before = member.and_then(|member| member.taken.as_ref()).filter(|taken| taken.start >= of.start);
+        let before =
+            member.and_then(|member| member.takeover.as_ref()).filter(|takeover| takeover.start >= of.start);
         // The member that was to do it before may already have taken it over: no other member may do so
         // until that member itself is gone.
-        let free = before.is_none_or(|taken| !taken.done && taken.by != *by && self.is_gone(&taken.by));
+        let free =
+            before.is_none_or(|takeover| !takeover.done && takeover.by != *by && self.is_gone(&takeover.by));
         !later && away && free && !self.is_gone(by)
     }
 
@@ -233,8 +237,8 @@
         }
         let Some(member) = self.entry(&of.name) else { return Effect::Nothing };
         member.newest = member.newest.max(of.start);
-        let taken = Takeover { start: of.start, by: by.clone(), done: false };
-        let before = member.taken.replace(taken).filter(|before| !before.done && before.by != *by);
+        let takeover = Takeover { start: of.start, by: by.clone(), done: false };
+        let before = member.takeover.replace(takeover).filter(|before| !before.done && before.by != *by);
         Effect::TakeOver { of: of.clone(), by: by.clone(), before: before.map(|before| before.by) }
     }
 
@@ -243,12 +247,13 @@
         // of it.
         let gone = self.is_gone(by);
         let Some(member) = self.members.get_mut(&of.name) else { return Effect::Nothing };
-        let open = |taken: &&mut Takeover| taken.start == of.start && taken.by == *by && !taken.done;
-        let Some(taken) = member.taken.as_mut().filter(open) else { return Effect::Nothing };
+        let open =
+            |takeover: &&mut Takeover| takeover.start == of.start && takeover.by == *by && !takeover.done;
+        let Some(takeover) = member.takeover.as_mut().filter(open) else { return Effect::Nothing };
         if gone || upto.len() > MAX_SENDERS {
             return Effect::Nothing;
         }
-        taken.done = true;
+        takeover.done = true;
         member.upto.resize(member.upto.len().max(upto.len()), 0);
         member.upto.iter_mut().zip(upto).for_each(|(held, upto)| *held = (*held).max(*upto));
         member.copies.clear();
@@ -282,8 +287,9 @@
         if !self.members.contains_key(name) && self.members.len() >= MAX_KNOWN_MEMBERS {
             // A member that left the list and was never taken over has no state that has to be remembered.
             let list = Arc::clone(&self.list);
-            let idle =
-                |(name, member): &(&Name, &MemberState)| list.place(name).is_none() && member.taken.is_none();
+            let idle = |(name, member): &(&Name, &MemberState)| {
+                list.place(name).is_none() && member.takeover.is_none()
+            };
             let idle = self.members.iter().find(idle).map(|(name, _)| name.clone())?;
             self.members.remove(&idle);
         }
--- a/crates/region/src/duties.rs
+++ b/crates/region/src/duties.rs
@@ -8,8 +8,8 @@
 use crate::Micros;
 use crate::homes::{Homes, SLOTS};
 use crate::list::List;
-use crate::rights::Out;
-use crate::seam::Right;
+use crate::rights::MembersWithoutLease;
+use crate::seam::SendLease;
 use heronroute_fleet::Name;
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
 pub struct Duties {
     homes: Homes,
     own: Option<usize>,
-    out: Out,
+    out: MembersWithoutLease,
     /// The place of the member that has the slot now, by slot.
     assignees: Vec<Option<u16>>,
 }
@@ -42,7 +42,7 @@
         let mut duties = Duties {
             homes: Homes::new(list),
             own: list.place(own),
-            out: Out::default(),
+            out: MembersWithoutLease::default(),
             assignees: Vec::new(),
         };
         duties.assign();
@@ -56,7 +56,7 @@
 
     /// Sets the members without a lease, from the newest lease. Costs one hash per member for each of their
     /// slots, and nothing if they have not changed.
-    pub fn set_out(&mut self, out: &Out) {
+    pub fn set_out(&mut self, out: &MembersWithoutLease) {
         if self.out != *out {
             self.out = out.clone();
             self.assign();
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether this member does this share now, under its lease.
-    pub fn is_own(&self, now: Micros, right: Option<Right>, duty: Duty, key: u64) -> bool {
+    pub fn is_own(&self, now: Micros, right: Option<SendLease>, duty: Duty, key: u64) -> bool {
         let holds = right.is_some_and(|right| now < right.until);
         // A lease granted under another list says nothing about this division.
         holds
--- a/crates/region/src/rights/dead_members.rs
+++ b/crates/region/src/rights/dead_members.rs
@@ -1,8 +1,8 @@
 //! The leader's decision about which lives are taken over, and by which member.
 
-use super::Giver;
+use super::LeaseGranter;
 use crate::Micros;
-use crate::agreed::{Agreed, Command};
+use crate::agreed::{Command, RegionLogState};
 use crate::homes::Partners;
 use crate::list::MAX_PLACES;
 use heronroute_fleet::{Life, Name, Standing, Start};
@@ -11,12 +11,12 @@
 /// The members that are considered dead, and since when. Every keeper tracks them, because it may become
 /// the leader. Bounded by [`MAX_PLACES`]: further members are not recorded as dead.
 #[derive(Clone, Debug, Default)]
-pub struct Deaths {
+pub struct DeadMembers {
     dead: BTreeMap<Name, (Start, Micros)>,
     next_check: Micros,
 }
 
-impl Deaths {
+impl DeadMembers {
     /// Updates the standing of a member.
     pub fn standing(&mut self, now: Micros, life: &Life, standing: Standing) {
         if standing != Standing::Dead {
@@ -50,8 +50,8 @@
     pub fn due(
         &mut self,
         now: Micros,
-        giver: &mut Giver,
-        agreed: &Agreed,
+        giver: &mut LeaseGranter,
+        agreed: &RegionLogState,
         partners: &Partners,
     ) -> Vec<Command> {
         if now < self.next_check {
@@ -78,8 +78,8 @@
             // A lease granted in this term is the surest sign that a member is alive and connected.
             let is_alive = |by: &&Name| !self.dead.contains_key(*by) && giver.holds(now, by);
             if agreed
-                .taken(name)
-                .is_some_and(|taken| taken.start >= start && (taken.done || is_alive(&&taken.by)))
+                .takeover(name)
+                .is_some_and(|takeover| takeover.start >= start && (takeover.done || is_alive(&&takeover.by)))
             {
                 continue;
             }
--- a/crates/region/src/rights/granter.rs
+++ b/crates/region/src/rights/granter.rs
@@ -1,8 +1,8 @@
 //! The leader's side of leases: which leases it granted.
 
-use super::{Ask, Give, Out, Tuning};
+use super::{Ask, LeaseGrant, MembersWithoutLease, Tuning};
 use crate::Micros;
-use crate::agreed::Agreed;
+use crate::agreed::RegionLogState;
 use crate::list::MAX_PLACES;
 use heronroute_fleet::{Life, Name, Start, Term};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 /// The leases granted while this member leads, and the lives that get none. Bounded by [`MAX_PLACES`]
 /// names; other names get no lease.
 #[derive(Clone, Debug)]
-pub struct Giver {
+pub struct LeaseGranter {
     tuning: Tuning,
     term: Term,
     /// Whether this member leads now and has read the beginning of its term in the log.
@@ -32,20 +32,20 @@
     refused: BTreeMap<Name, (Start, Name)>,
     /// The members without a lease, and until when this result is reused: computing it from the whole list
     /// for each request would cost too much.
-    without_lease_cache: (Micros, Out),
+    without_lease_cache: (Micros, MembersWithoutLease),
 }
 
-impl Giver {
+impl LeaseGranter {
     /// Returns the state of a member that does not lead.
     pub fn new(tuning: Tuning) -> Self {
-        Giver {
+        LeaseGranter {
             tuning,
             term: Term(0),
             may_grant: false,
             since: None,
             given: BTreeMap::new(),
             refused: BTreeMap::new(),
-            without_lease_cache: (Micros::MIN, Out::default()),
+            without_lease_cache: (Micros::MIN, MembersWithoutLease::default()),
         }
     }
 
@@ -57,7 +57,7 @@
     /// Sets the term in which this member leads *now*, if it does, and the last term whose beginning it
     /// read in the log. Must be called before each request and each examination of dead members, with a
     /// time that was read after the input arrived.
-    pub fn stand(&mut self, now: Micros, charge: Option<Term>, begun: Term) {
+    pub fn set_leading_term(&mut self, now: Micros, charge: Option<Term>, begun: Term) {
         let Some(term) = charge else {
             (self.may_grant, self.since) = (false, None);
             return;
@@ -80,7 +80,7 @@
     }
 
     /// Handles a life's request for a lease; returns `None` if it gets none.
-    pub fn ask(&mut self, now: Micros, agreed: &Agreed, ask: &Ask) -> Option<Give> {
+    pub fn ask(&mut self, now: Micros, agreed: &RegionLogState, ask: &Ask) -> Option<LeaseGrant> {
         let Ask { life, asked } = ask;
         let name = &life.name;
         let refused = self.refused.get(name).is_some_and(|(start, _)| life.start <= *start);
@@ -100,7 +100,7 @@
                 (now.saturating_add(self.tuning.look), self.members_without_lease(now, agreed));
         }
         let out = self.without_lease_cache.1.clone();
-        Some(Give { term: self.term, to: life.clone(), asked: *asked, out })
+        Some(LeaseGrant { term: self.term, to: life.clone(), asked: *asked, out })
     }
 
     /// Returns whether no life of this name can hold a lease any more, whoever granted it.
@@ -124,7 +124,7 @@
     /// the member to take over. Guards against a life that returned before its takeover was decided and
     /// whose takeover proposal was lost: it would have no lease for the rest of the term. Granting it one
     /// again is not safe, because the takeover may still be decided.
-    pub fn undecided(&self, agreed: &Agreed) -> Vec<(Life, Name)> {
+    pub fn undecided(&self, agreed: &RegionLogState) -> Vec<(Life, Name)> {
         let of = |(name, (start, by)): (&Name, &(Start, Name))| {
             let life = Life { name: name.clone(), start: *start };
             let open = !agreed.is_over(&life) && agreed.newest(name).is_none_or(|newest| newest <= *start);
@@ -133,10 +133,10 @@
         self.refused.iter().filter_map(of).collect()
     }
 
-    fn members_without_lease(&self, now: Micros, agreed: &Agreed) -> Out {
+    fn members_without_lease(&self, now: Micros, agreed: &RegionLogState) -> MembersWithoutLease {
         let list = agreed.list();
         let out = |name: &Name| agreed.is_gone(name) || self.all_expired(now, name);
         let places = list.places.iter().enumerate().filter(|(_, place)| out(&place.name));
-        Out::of(list.number, places.map(|(at, _)| at))
+        MembersWithoutLease::of(list.number, places.map(|(at, _)| at))
     }
 }
--- a/crates/region/src/rights/lease_holder.rs
+++ b/crates/region/src/rights/lease_holder.rs
@@ -1,17 +1,17 @@
 //! The lease of a life, on its own side.
 
-use super::{Ask, Give, Out, Tuning};
+use super::{Ask, LeaseGrant, MembersWithoutLease, Tuning};
 use crate::Micros;
-use crate::seam::Right;
+use crate::seam::SendLease;
 use heronroute_fleet::{Life, Term};
 
 /// What a life knows of its own lease. Every member has one.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     own: Life,
     tuning: Tuning,
     /// Whether it may request leases: it has read an entry of its own in the log.
-    knows: bool,
+    own_entry_read: bool,
     /// Whether it was taken over, or replaced by a later life: then it never holds a lease again.
     ended: bool,
     next: Micros,
@@ -19,29 +19,29 @@
     /// When the newest lease was requested.
     asked: Option<Micros>,
     term: Term,
-    out: Out,
+    out: MembersWithoutLease,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// Returns the state of a life that starts now, without a lease.
     pub fn new(now: Micros, own: Life, tuning: Tuning) -> Self {
-        Holder {
+        LeaseHolder {
             own,
             tuning,
-            knows: false,
+            own_entry_read: false,
             ended: false,
             next: now,
             until: None,
             asked: None,
             term: Term(0),
-            out: Out::default(),
+            out: MembersWithoutLease::default(),
         }
     }
 
     /// Records that the life has read an entry of its own, and so knows of every takeover of the lives
     /// before it.
-    pub fn knows(&mut self) {
-        self.knows = true;
+    pub fn own_entry_read(&mut self) {
+        self.own_entry_read = true;
     }
 
     /// Ends the lease for good, whatever is received later.
@@ -60,13 +60,18 @@
 
     /// Returns when the next request is due.
     pub fn wake(&self) -> Option<Micros> {
-        (self.knows && !self.ended).then_some(self.next)
+        (self.own_entry_read && !self.ended).then_some(self.next)
     }
 
     /// Handles a grant; returns whether it is the newest one for this life.
-    pub fn given(&mut self, now: Micros, give: &Give) -> bool {
+    pub fn given(&mut self, now: Micros, give: &LeaseGrant) -> bool {
         let newest = self.asked.is_none_or(|asked| asked <= give.asked);
-        if self.ended || !self.knows || give.to != self.own || give.asked > now || give.term < self.term {
+        if self.ended
+            || !self.own_entry_read
+            || give.to != self.own
+            || give.asked > now
+            || give.term < self.term
+        {
             return false;
         }
         self.term = give.term;
@@ -80,12 +85,12 @@
     }
 
     /// Returns the lease that is held now, if any.
-    pub fn right(&self, now: Micros) -> Option<Right> {
-        self.until.filter(|until| now < *until && !self.ended).map(|until| Right { until })
+    pub fn right(&self, now: Micros) -> Option<SendLease> {
+        self.until.filter(|until| now < *until && !self.ended).map(|until| SendLease { until })
     }
 
     /// Returns the members whose work others do, by the newest lease.
-    pub fn out(&self) -> &Out {
+    pub fn out(&self) -> &MembersWithoutLease {
         &self.out
     }
 }
--- a/crates/region/src/rights/members_without_lease.rs
+++ b/crates/region/src/rights/members_without_lease.rs
@@ -5,16 +5,16 @@
 
 /// Places of a list, as a bit set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Out {
+pub struct MembersWithoutLease {
     /// The number of the list.
     pub list: u64,
     /// Eight places per byte, the first in the lowest bit; places beyond the end are not in the set.
     bits: Vec<u8>,
 }
 
-impl Out {
+impl MembersWithoutLease {
     /// Returns the set of these places.
-    pub fn of(list: u64, places: impl IntoIterator<Item = usize>) -> Out {
+    pub fn of(list: u64, places: impl IntoIterator<Item = usize>) -> MembersWithoutLease {
         let mut bits = Vec::new();
         for place in places.into_iter().filter(|place| *place < MAX_PLACES) {
             if bits.len() <= place / 8 {
@@ -24,7 +24,7 @@
                 *byte |= 1 << (place % 8);
             }
         }
-        Out { list, bits }
+        MembersWithoutLease { list, bits }
     }
 
     /// Returns whether this place is in the set.
--- a/crates/region/src/rights/mod.rs
+++ b/crates/region/src/rights/mod.rs
@@ -29,10 +29,10 @@
 mod members_without_lease;
 mod tuning;
 
-pub use dead_members::Deaths;
-pub use granter::Giver;
-pub use lease_holder::Holder;
-pub use members_without_lease::Out;
+pub use dead_members::DeadMembers;
+pub use granter::LeaseGranter;
+pub use lease_holder::LeaseHolder;
+pub use members_without_lease::MembersWithoutLease;
 pub use tuning::Tuning;
 
 use crate::Micros;
@@ -50,7 +50,7 @@
 
 /// The grant of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Give {
+pub struct LeaseGrant {
     /// The leader's term.
     pub term: Term,
     /// The life that gets the lease.
@@ -58,5 +58,5 @@
     /// When the lease was requested, on the life's own clock; the lease counts from then on.
     pub asked: Micros,
     /// The members whose work others do, because none of them can hold a lease.
-    pub out: Out,
+    pub out: MembersWithoutLease,
 }
--- a/crates/region/src/seam.rs
+++ b/crates/region/src/seam.rs
@@ -10,7 +10,7 @@
 /// process's clock. It is checked where the bytes are written: what was queued under an expired lease is
 /// taken back unsent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Right {
+pub struct SendLease {
     /// Nothing is sent at or after this time.
     pub until: Micros,
 }
@@ -109,7 +109,7 @@
 /// then the nodes report it stored. None of them is sent or answered before the log confirms the takeover.
 /// Repeated after a restart, and when it covers more than before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TakeUp {
+pub struct StartTakeover {
     /// The life that is taken over.
     pub of: Life,
     /// The positions by sender: entries before them already belonged to another member and are not taken
@@ -119,7 +119,7 @@
 
 /// Reports that all messages of a takeover are durable here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TookUp {
+pub struct TakeoverStored {
     /// The life that is taken over.
     pub of: Life,
     /// The end of the copy, by sender.
@@ -128,7 +128,7 @@
 
 /// The log confirms the takeover: from now on this member sends and answers the messages as its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TakenUp {
+pub struct TakeoverConfirmed {
     /// The life that was taken over.
     pub of: Life,
 }
@@ -136,7 +136,7 @@
 /// Another member was assigned the takeover instead, because this member was dead: what was taken over here
 /// is dropped unsent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GiveUp {
+pub struct CancelTakeover {
     /// The life that was to be taken over.
     pub of: Life,
 }
--- a/crates/region/tests/reservations/directed.rs
+++ b/crates/region/tests/reservations/directed.rs
@@ -137,7 +137,7 @@
 }
 
 fn answers(requester: &mut Requester) -> Vec<ReservationReply> {
-    let reservation_reply = |heard| match heard {
+    let reservation_reply = |life_seen| match life_seen {
         Output::Reply(_, reservation_reply) => Some(reservation_reply),
         _ => None,
     };
@@ -177,6 +177,7 @@
     requester.handle_result(1, ReservationResult { token, accepted: true });
     requester.handle_result(2, ReservationResult { token, accepted: false });
     requester.tick(1_000_000);
-    let told = |heard: &Output| matches!(heard, Output::Send(_, Message::Result { accepted: false, .. }));
+    let told =
+        |life_seen: &Output| matches!(life_seen, Output::Send(_, Message::Result { accepted: false, .. }));
     assert!(!requester.take_outputs().iter().any(told));
 }
--- a/crates/region/tests/schedules/check.rs
+++ b/crates/region/tests/schedules/check.rs
@@ -21,7 +21,7 @@
     pub steps: u64,
     pub rights: u64,
     /// Valid takeovers, and how many of them were reassigned from dead partners.
-    pub taken: u64,
+    pub takeover: u64,
     pub again: u64,
     pub done: u64,
     /// Lives that found themselves taken over when they returned.
@@ -41,7 +41,7 @@
         self.runs += one.runs;
         self.steps += one.steps;
         self.rights += one.rights;
-        self.taken += one.taken;
+        self.takeover += one.takeover;
         self.again += one.again;
         self.done += one.done;
         self.returned += one.returned;
@@ -80,7 +80,7 @@
     pub fn check_decided(&mut self, effect: &Effect) {
         match effect {
             Effect::TakeOver { of, before, .. } => {
-                self.observations.sum.taken += 1;
+                self.observations.sum.takeover += 1;
                 self.observations.sum.again += u64::from(before.is_some());
                 let member = &self.members[self.place(&of.name)];
                 let clock = self.holder_clock(self.place(&of.name));
@@ -111,8 +111,9 @@
             let what = format!("{life:?} was taken over and has a lease");
             self.observations.fail(self.now, what);
         }
-        let start = |taken: Option<&heronroute_region::agreed::Takeover>| taken.map(|taken| taken.start);
-        if start(process.agreed.taken(&life.name)) != start(self.reference.taken(&life.name)) {
+        let start =
+            |takeover: Option<&heronroute_region::agreed::Takeover>| takeover.map(|takeover| takeover.start);
+        if start(process.agreed.takeover(&life.name)) != start(self.reference.takeover(&life.name)) {
             let what = format!("{life:?} has a lease and does not know that one before it was taken over");
             self.observations.fail(self.now, what);
         }
--- a/crates/region/tests/schedules/main.rs
+++ b/crates/region/tests/schedules/main.rs
@@ -48,7 +48,10 @@
     println!("{whole:?}");
     assert!(failed.is_empty(), "{} schedules failed:\n{}", failed.len(), failed.join("\n"));
     // Guards against a simulation in which nothing happens and so nothing is found.
-    assert!(whole.taken > whole.runs / 2 && whole.returned > whole.runs / 8 && whole.void > 0, "{whole:?}");
+    assert!(
+        whole.takeover > whole.runs / 2 && whole.returned > whole.runs / 8 && whole.void > 0,
+        "{whole:?}"
+    );
     assert!(whole.again > 0, "nothing was ever taken over from a dead partner: {whole:?}");
 }
 
--- a/crates/region/tests/schedules/member.rs
+++ b/crates/region/tests/schedules/member.rs
@@ -3,10 +3,10 @@
 use crate::world::Plant;
 use heronroute_fleet::lease::{Grants, Lease};
 use heronroute_fleet::{Life, Name, Start, Term, keepers};
-use heronroute_region::agreed::Agreed;
+use heronroute_region::agreed::RegionLogState;
 use heronroute_region::duties::Duties;
 use heronroute_region::homes::Partners;
-use heronroute_region::rights::{Deaths, Giver, Holder, Tuning};
+use heronroute_region::rights::{DeadMembers, LeaseGranter, LeaseHolder, Tuning};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What outlives a process.
@@ -25,10 +25,10 @@
 
 pub struct Process {
     pub life: Life,
-    pub holder: Holder,
-    pub giver: Giver,
-    pub deaths: Deaths,
-    pub agreed: Agreed,
+    pub holder: LeaseHolder,
+    pub giver: LeaseGranter,
+    pub deaths: DeadMembers,
+    pub agreed: RegionLogState,
     pub partners: Partners,
     pub duties: Option<Duties>,
     /// The number of entries read, then the last term begun and its leader.
@@ -86,16 +86,16 @@
         self.paused = false;
         let clock = self.clock(now);
         let life = Life { name: self.name.clone(), start: Start(self.disk.start) };
-        let mut holder = Holder::new(clock, life.clone(), tuning);
+        let mut holder = LeaseHolder::new(clock, life.clone(), tuning);
         if plant == Plant::RequestsBeforeReadingOwnEntry {
-            holder.knows();
+            holder.own_entry_read();
         }
         self.up = Some(Box::new(Process {
             life,
             holder,
-            giver: Giver::new(giver),
-            deaths: Deaths::default(),
-            agreed: Agreed::default(),
+            giver: LeaseGranter::new(giver),
+            deaths: DeadMembers::default(),
+            agreed: RegionLogState::default(),
             partners: Partners::default(),
             duties: None,
             read: 0,
--- a/crates/region/tests/schedules/world.rs
+++ b/crates/region/tests/schedules/world.rs
@@ -3,10 +3,10 @@
 use crate::check::{DUTY_HANDOVER_LIMIT, Observations, Sum, TAKEOVER_LIMIT, key};
 use crate::member::{Member, Process};
 use heronroute_fleet::{Life, Name, Standing, Start, Term, keepers};
-use heronroute_region::agreed::{Agreed, Command, Effect};
+use heronroute_region::agreed::{Command, Effect, RegionLogState};
 use heronroute_region::duties::Duties;
 use heronroute_region::homes::Partners;
-use heronroute_region::rights::{Ask, Give, Tuning};
+use heronroute_region::rights::{Ask, LeaseGrant, Tuning};
 use heronroute_region::{List, Place, Region};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -36,7 +36,7 @@
     Renew { term: Term, sent: i64, epoch: u64 },
     Grant { term: Term, sent: i64 },
     Ask(Ask),
-    Give(Give),
+    LeaseGrant(LeaseGrant),
     Ship { life: Life, upto: u64 },
 }
 
@@ -67,7 +67,7 @@
     pub plant: Plant,
     pub rng: SmallRng,
     pub members: Vec<Member>,
-    pub reference: Agreed,
+    pub reference: RegionLogState,
     pub observations: Observations,
     term: Term,
     log: Vec<(i64, Entry)>,
@@ -117,7 +117,7 @@
             plant,
             rng,
             members,
-            reference: Agreed::default(),
+            reference: RegionLogState::default(),
             observations: Observations::default(),
             term: Term(0),
             log: Vec::new(),
@@ -220,8 +220,8 @@
     }
 
     /// Applies an entry of the log; used for the reference state and for each member's state.
-    fn apply_entry(agreed: &mut Agreed, begun: &mut Term, entry: &Entry) -> Effect {
-        agreed.heard(&entry.by);
+    fn apply_entry(agreed: &mut RegionLogState, begun: &mut Term, entry: &Entry) -> Effect {
+        agreed.life_seen(&entry.by);
         if entry.term.is_some_and(|term| term < *begun) {
             return Effect::Nothing;
         }
@@ -298,7 +298,7 @@
         (0..self.members.len()).find(|at| self.members[*at].lives() && self.leading_term(*at).is_some())
     }
 
-    fn stand(&mut self, at: usize) {
+    fn set_leading_term(&mut self, at: usize) {
         let leading_term = self.leading_term(at);
         let mut clock = self.members[at].clock(self.now);
         let plant = self.plant;
@@ -306,7 +306,7 @@
         if plant == Plant::NoWaitForEarlierLeases {
             clock -= 2 * self.tuning.span;
         }
-        process.giver.stand(clock, leading_term, process.begun);
+        process.giver.set_leading_term(clock, leading_term, process.begun);
     }
 
     /// Returns the clock reading that a lease holder uses.
@@ -319,7 +319,7 @@
         if self.members[to].up.is_none() {
             return;
         }
-        self.stand(to);
+        self.set_leading_term(to);
         let (clock, holder_clock) = (self.members[to].clock(self.now), self.holder_clock(to));
         let member = &mut self.members[to];
         let Some(process) = member.up.as_mut() else { return };
@@ -336,10 +336,10 @@
             Msg::Ask(ask) => {
                 let Process { giver, agreed, .. } = &mut **process;
                 if let Some(give) = giver.ask(clock, agreed, &ask) {
-                    self.send(to, from, Msg::Give(give));
+                    self.send(to, from, Msg::LeaseGrant(give));
                 }
             }
-            Msg::Give(mut give) => {
+            Msg::LeaseGrant(mut give) => {
                 if self.plant == Plant::LeaseCountsFromArrival {
                     give.asked = holder_clock;
                 }
@@ -363,9 +363,9 @@
     }
 
     fn tick(&mut self, at: usize) {
-        self.stand(at);
+        self.set_leading_term(at);
         self.read(at);
-        self.stand(at);
+        self.set_leading_term(at);
         if self.members[at].up.is_none() {
             return;
         }
@@ -551,13 +551,13 @@
         }
         process.fence = process
             .agreed
-            .taken(&name)
-            .map(|taken| taken.done.then(|| process.agreed.upto(&name).first().copied().unwrap_or(0)));
+            .takeover(&name)
+            .map(|takeover| takeover.done.then(|| process.agreed.upto(&name).first().copied().unwrap_or(0)));
         if !std::mem::replace(&mut process.said, true) {
             process.mine = process.agreed.took(&name).into_iter().collect();
             let taking = process.agreed.taking(&name).into_iter();
             process.taking = taking.map(|of| (of, clock)).collect();
-            process.holder.knows();
+            process.holder.own_entry_read();
         }
         self.ask(at, holder_clock);
         self.take_up(at, clock);
@@ -702,8 +702,11 @@
         let name = self.members[at].name.clone();
         for _ in 0..100 {
             self.run(100 * MS);
-            if let Some(by) =
-                self.reference.taken(&name).filter(|taken| !taken.done).map(|taken| taken.by.clone())
+            if let Some(by) = self
+                .reference
+                .takeover(&name)
+                .filter(|takeover| !takeover.done)
+                .map(|takeover| takeover.by.clone())
             {
                 let (by, span) = (self.place(&by), self.rng.random_range(0..1_200) * MS);
                 self.run(span);
@@ -799,11 +802,11 @@
             self.run(100 * MS);
             let span = self.now - from;
             let gone = |at: &usize| self.reference.is_gone(&self.members[*at].name);
-            let taken: Vec<usize> = left.iter().copied().filter(gone).collect();
-            if !taken.is_empty() {
+            let takeover: Vec<usize> = left.iter().copied().filter(gone).collect();
+            if !takeover.is_empty() {
                 self.observations.sum.latest = self.observations.sum.latest.max(span);
             }
-            taken.iter().for_each(|at| _ = left.remove(at));
+            takeover.iter().for_each(|at| _ = left.remove(at));
             let done: Vec<usize> =
                 undone.iter().copied().filter(|n| self.members_doing(*n).next().is_some()).collect();
             for n in done {
