--- a/crates/installation/src/seam.rs
+++ b/crates/installation/src/seam.rs
@@ -51,8 +51,8 @@
     /// The settings were reloaded: what they say of clients now. The leader proposes plans that changed; at
     /// other members they count from when they lead.
     Clients(BTreeMap<String, Client>),
-    /// Nodes took over what [`Output::TakeUp`] named; repeated until [`Output::TakenUp`] or
-    /// [`Output::GiveUp`].
+    /// Nodes took over what [`Output::StartTakeover`] named; repeated until [`Output::TakeoverConfirmed`] or
+    /// [`Output::CancelTakeover`].
     TakeoverStored(TakeoverStored),
     /// Other members than before have a copy of this member's journals; repeated after each start of the
     /// member.
